--- a/barleybarrow/routing/__init__.py
+++ b/barleybarrow/routing/__init__.py
@@ -1,3 +1,4 @@
-"""Decisions on routing: speed estimates, prefix affinity, admission, ejection of outliers. No I/O; time is
-passed in.
+"""Routing decisions: latency estimates, prefix affinity, admission and outlier ejection.
+
+Performs no I/O; callers pass in the time.
 """
--- a/barleybarrow/routing/actions.py
+++ b/barleybarrow/routing/actions.py
@@ -1,6 +1,6 @@
-"""What the dispatcher is told and what it answers: typed values without behaviour, no I/O.
+"""Inputs and actions of the dispatcher, as plain data types.
 
-All times are milliseconds of one monotonic clock; token counts are whole numbers.
+All times are milliseconds of one monotonic clock; token counts are integers.
 """
 
 from dataclasses import dataclass, field
@@ -8,22 +8,22 @@
 
 from barleybarrow.documents import Route
 
-RequestId = int  # the proxy's own number of an exchange, never used twice in one process
+RequestId = int  # assigned by the proxy, unique within the process
 
 
 class Outcome(StrEnum):
     """How an attempt ended."""
 
-    SERVED = "served"  # a whole answer, also one with a status under 500
-    ERROR_STATUS = "error_status"  # a whole answer with a status of 500 or more: the request has run
-    BROKEN = "broken"  # the connection ended before the answer's first event: the request may have run
-    BROKEN_STREAM = "broken_stream"  # the connection ended after the first event and before the end
-    TIMED_OUT = "timed_out"  # the server kept silent until the proxy gave the attempt up
-    CANCELLED = "cancelled"  # the proxy ended the attempt itself: no word on the server
+    SERVED = "served"  # a complete response with a status below 500
+    ERROR_STATUS = "error_status"  # a complete response with a status of 500 or more: the request has run
+    BROKEN = "broken"  # the connection ended before the first event: the request may have run
+    BROKEN_STREAM = "broken_stream"  # the connection ended between the first event and the end
+    TIMED_OUT = "timed_out"  # the server sent nothing until the proxy ended the attempt
+    CANCELLED = "cancelled"  # the proxy ended the attempt itself: says nothing about the server
 
 
 class ServerState(StrEnum):
-    """What a server says of itself."""
+    """State that a server reports."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -32,9 +32,9 @@
 class RefusalReason(StrEnum):
     """Why the dispatcher refuses a request, for logs and counters."""
 
-    NO_SERVER = "no_server"  # none is listed, or all are draining
-    ALL_EJECTED = "all_ejected"  # all are left alone after failures
-    OVERLOADED = "overloaded"  # all are full by their own word or by learned latency
+    NO_SERVER = "no_server"  # no server is listed, or all are draining
+    ALL_EJECTED = "all_ejected"  # all servers are ejected after failures
+    OVERLOADED = "overloaded"  # all servers report overload or exceed the expected latency
     ATTEMPTS_SPENT = "attempts_spent"  # no further server may be tried; no server ran the request
     DEADLINE = "deadline"  # no time is left; no server ran the request
 
@@ -49,16 +49,17 @@
 
 @dataclass(slots=True)
 class DispatchSettings:
-    """What the dispatcher is told once."""
+    """Settings of the dispatcher."""
 
     zone: str = ""
-    proxies: int = 1  # how many proxies are believed to send to the same servers; at least 1
-    again_ms: float = 3000.0  # within which a shared part had better not be read again elsewhere
+    proxies: int = 1  # number of proxies assumed to send to the same servers; at least 1
+    # Repeating the prefill of a shared segment on another server within this time has a cost.
+    again_ms: float = 3000.0
 
 
 @dataclass(slots=True)
 class ServerInfo:
-    """One server as the list of its service has it."""
+    """One server as listed for its service."""
 
     id: str
     address: str
@@ -71,38 +72,39 @@
 
 @dataclass(slots=True)
 class DispatchRequest:
-    """One client request whose server is to be chosen."""
+    """One client request to be routed."""
 
     id: RequestId
     route: Route
     service: str
     tenant: str
-    priority: int  # 0 is foremost: the tenant's if it has one, else the route's
+    priority: int  # 0 is the highest; of the tenant if it has one, else of the route
     arrived_at: float
     deadline_at: float
     prompt_tokens: int = 0
-    output_tokens: int = 0  # the most it generates
-    prompt_parts: tuple[tuple[str, int], ...] = ()  # (id, tokens), in order; the last is the request's own
+    output_tokens: int = 0  # maximum to be generated
+    # (id, tokens) in prompt order; the last is unique to the request.
+    prompt_parts: tuple[tuple[str, int], ...] = ()
     model: str = ""
-    resumed_after: str | None = None  # Last-Event-Id of a client that continues a stream
+    resumed_after: str | None = None  # Last-Event-Id of a client that resumes a stream
 
 
 @dataclass(slots=True)
 class Send:
     """Send the request to this server now.
 
-    An attempt that is still out elsewhere is given up first; no event of it is told any more. A stream that
-    has begun goes on at the new server after the last event that reached the client.
+    An active attempt at another server is cancelled first, and no further event of it is reported. A stream
+    that has begun is resumed on the new server after the last event that reached the client.
     """
 
     request_id: RequestId
     server_id: str
-    priority: int | None = None  # X-Brackenusher-Priority, 0 to 9; None: leave it out
+    priority: int | None = None  # X-Brackenusher-Priority, 0 to 9; None omits the header
 
 
 @dataclass(slots=True)
 class Refuse:
-    """Answer 503 or 429: the request has not run and never will."""
+    """Respond with 503 or 429: the request has not run and never will."""
 
     request_id: RequestId
     status: int
@@ -112,7 +114,7 @@
 
 @dataclass(slots=True)
 class Fail:
-    """Answer 502 or 504, or end the stream as incomplete: the request may have run."""
+    """Respond with 502 or 504, or end the stream as incomplete: the request may have run."""
 
     request_id: RequestId
     status: int
@@ -121,7 +123,7 @@
 
 @dataclass(slots=True)
 class Probe:
-    """Ask a server for its report or its health; `path` is the request's target."""
+    """Probe a server for its load report or its health; `path` is the request target."""
 
     server_id: str
     path: str
@@ -132,10 +134,10 @@
 
 @dataclass(slots=True)
 class Counters:
-    """Counts by name since the start, for logs and status pages."""
+    """Event counts since the start, by name, for logs and status pages."""
 
     counts: dict[str, int] = field(default_factory=dict)
 
-    def add(self, name: str, by: int = 1) -> None:
-        """Add to the count of a name."""
-        self.counts[name] = self.counts.get(name, 0) + by
+    def add(self, name: str, amount: int = 1) -> None:
+        """Increase the count of a name."""
+        self.counts[name] = self.counts.get(name, 0) + amount
--- a/barleybarrow/routing/announcement_relay.py
+++ b/barleybarrow/routing/announcement_relay.py
@@ -1,13 +1,13 @@
-"""How news of one proxy reaches all others: directly in a small fleet, over relays in a large one.
+"""Distribution of announcements to all proxies: directly in a small fleet, through relays in a large one.
 
-In a large fleet each zone's proxies form groups. A proxy sends its news to the relay of its own group. The
-relay gathers for a moment, then tells the proxies of its group that had requests of late, and the relay of
-each other group, which tells its own. Any proxy relays what it is asked to, so nothing has to be agreed on:
-the sender picks the relay by rendezvous hashing, and the next one in that order when the first keeps silent.
-What is passed on is marked with how far it may still go, so it never travels in circles. News may be lost;
-what comes twice, over two relays, is taken once.
+In a large fleet the proxies of each zone form groups. A proxy sends its updates to the relay of its group.
+The relay batches them briefly and forwards them to the recently active proxies of its group and to the relay
+of each other group, which forwards them within that group. Any proxy relays on request, so no election is
+needed: the sender picks the relay by rendezvous hashing and falls back to the next in rank when it does not
+respond. Each message carries its remaining forwarding scope, which prevents loops. Updates may be lost;
+duplicates that arrive through two relays are dropped.
 
-No I/O; times are milliseconds of one monotonic clock.
+Performs no I/O. Times are milliseconds of one monotonic clock.
 """
 
 from collections import defaultdict, deque
@@ -20,37 +20,39 @@
 from barleybarrow.routing.announcements import Announcement
 from barleybarrow.routing.rendezvous import stable_hash, weight
 
-MOST_DIRECT_PROXIES = 32  # up to here each tells all others itself: more take over 2% of a small core
-MOST_AT_ONCE = 8  # announcements in one piece of news: the longest names fit into one packet
-SERIALS_REMEMBERED = 16  # of each proxy: two relays differ by one or two gatherings
-MOST_IN_GROUP = 48  # proxies that one relay tells: its datagrams take some 2% of a small core
-SILENT_RELAY_MS = 400.0  # a relay answers within some 30 ms, a busy one a little later
-MOST_GATHERED = 512  # parts of news passed on at once, some 10 ms of a large fleet's: more are dropped
-ANSWERED_MS = 200.0  # a proxy that only says that it is there is told so much more, as an answer
-LISTENING_MS = 3_000.0  # since it last told of a request: a proxy without requests needs no news
-AVOIDED_MS = 5_000.0  # by then membership knows of a relay that is gone
+MAX_DIRECT_PROXIES = 32  # direct sends to more proxies take over 2% of a small core
+MAX_ANNOUNCEMENTS_PER_UPDATE = 8  # fits into one packet even with the longest names
+MAX_REMEMBERED_SEQUENCES = 16  # per proxy: two relays differ by one or two batches
+TARGET_GROUP_SIZE = 48  # mean number of proxies per relay, whose datagrams take some 2% of a small core
+RELAY_TIMEOUT_MS = 400.0  # a relay responds within some 30 ms, a busy one a little later
+MAX_PENDING_UPDATES = 512  # per forwarded batch, some 10 ms of a large fleet's updates; more are dropped
+# How long a relay forwards to a proxy of its group after an empty update, as an acknowledgement.
+KEEPALIVE_FORWARDING_MS = 200.0
+# The same after an announcement: a proxy without requests needs no updates.
+ACTIVE_FORWARDING_MS = 3_000.0
+RELAY_BACKOFF_MS = 5_000.0  # membership removes a relay that is down within this time
 
 
 class Reach(IntEnum):
-    """How far a datagram's news may still travel."""
+    """How far the updates of a datagram are still to be forwarded."""
 
     RECEIVER = 0
-    GROUP = 1  # the receiver tells its group
-    FLEET = 2  # and a relay of each other group
+    GROUP = 1  # the receiver forwards to its group
+    FLEET = 2  # and to a relay of each other group
 
 
 @dataclass(slots=True)
 class News:
-    """What one proxy told at one time; empty where it only says that it is there."""
+    """Announcements that one proxy sent together; empty as a keep-alive."""
 
     origin: str  # the proxy's IP address
-    serial: int  # of this piece of news, among those of its process
+    serial: int  # unique within the process; a restart begins at another number
     announcements: list[Announcement]
 
 
 @dataclass(slots=True)
 class Parcel:
-    """News to be sent to one proxy."""
+    """Updates to send to one proxy."""
 
     receiver: str
     reach: Reach
@@ -59,137 +61,149 @@
 
 @dataclass(slots=True)
 class _RelayState:
-    """Whether a relay has been heard since something was sent to it."""
+    """Whether a relay has responded since something was sent to it."""
 
     unanswered_since: float = inf
-    avoided_until: float = -inf
+    backoff_until: float = -inf
 
 
 @dataclass(slots=True)
-class _Gathered:
-    """What this proxy, as a relay, is to pass on next."""
+class _PendingUpdates:
+    """Updates that this proxy forwards next as a relay."""
 
     to_group: list[News] = field(default_factory=list)
     to_fleet: list[News] = field(default_factory=list)
 
 
 class AnnouncementRelay:
-    """Where the news of one proxy goes, and what it passes on for others."""
+    """Routes the updates of one proxy and forwards those of others."""
 
-    def __init__(self, own: str, first_serial: int = 0) -> None:
-        self.own = own
-        self._serials = count(first_serial)
-        self._seen: dict[str, deque[int]] = {}  # serials of the last news of each proxy
-        self._groups: dict[str, list[str]] = {}  # by name, members in the order in which they relay
+    def __init__(self, own_address: str, first_sequence: int = 0) -> None:
+        self.own_address = own_address
+        self._sequences = count(first_sequence)
+        self._seen_sequences: dict[str, deque[int]] = {}  # last sequence numbers of each proxy
+        self._groups: dict[str, list[str]] = {}  # by group name, members in relay order
         self._own_group = ""
-        self._others: frozenset[str] = frozenset()
-        self._direct: list[str] = []  # all others, where the fleet is small
+        self._peers: frozenset[str] = frozenset()
+        self._direct_peers: list[str] = []  # all peers in a small fleet, else empty
         self._relays: dict[str, _RelayState] = defaultdict(_RelayState)
-        self._gathered = _Gathered()
-        self._listening_until: dict[str, float] = {}  # proxies of this group that choose servers of late
+        self._pending = _PendingUpdates()
+        self._forward_until: dict[str, float] = {}  # by proxy of this group
 
     def set_proxies(self, zones: dict[str, str]) -> None:
-        """Take the zones of all proxies by IP address; this one may be among them."""
-        everyone = dict(zones)
-        others = [proxy for proxy in everyone if proxy != self.own]
-        self._others = frozenset(others)
-        self._direct = others if len(others) < MOST_DIRECT_PROXIES else []
-        groups = _grouped(everyone) if others and not self._direct else {}
+        """Set the zones of all proxies by IP address, with or without this proxy."""
+        zone_by_proxy = dict(zones)
+        peers = [proxy for proxy in zone_by_proxy if proxy != self.own_address]
+        self._peers = frozenset(peers)
+        self._direct_peers = peers if len(peers) < MAX_DIRECT_PROXIES else []
+        groups = _build_groups(zone_by_proxy) if peers and not self._direct_peers else {}
         self._groups = {name: _relay_order(name, members) for name, members in groups.items()}
-        self._own_group = next((name for name, members in groups.items() if self.own in members), "")
+        self._own_group = next((name for name, members in groups.items() if self.own_address in members), "")
         self._relays = defaultdict(
-            _RelayState, {name: state for name, state in self._relays.items() if name in everyone}
+            _RelayState, {name: state for name, state in self._relays.items() if name in zone_by_proxy}
         )
-        self._seen = {name: serials for name, serials in self._seen.items() if name in everyone}
+        self._seen_sequences = {
+            name: sequences for name, sequences in self._seen_sequences.items() if name in zone_by_proxy
+        }
 
     @property
-    def relays(self) -> bool:
-        """Whether the fleet is so large that news goes over relays."""
+    def uses_relays(self) -> bool:
+        """Whether the fleet is large enough to use relays."""
         return bool(self._groups)
 
     def own_news(self, now: float, announcements: list[Announcement]) -> list[Parcel]:
-        """What to send at once for news of this proxy; what it relays itself comes with `passed_on`."""
-        news = self._pieces(announcements)
-        if self._direct:
-            return [Parcel(proxy, Reach.RECEIVER, news) for proxy in self._direct]
+        """Messages to send now for this proxy's updates; if it is the relay, `take_forwards` returns them."""
+        updates = self._split(announcements)
+        if self._direct_peers:
+            return [Parcel(proxy, Reach.RECEIVER, updates) for proxy in self._direct_peers]
         if not self._own_group:
             return []
-        relay = self._relay_of(now, self._own_group)
-        if relay == self.own:
-            self._gather(self._gathered.to_fleet, news)
+        relay = self._select_relay(now, self._own_group)
+        if relay == self.own_address:
+            self._enqueue(self._pending.to_fleet, updates)
             return []
-        return [Parcel(relay, Reach.FLEET, news)]
+        return [Parcel(relay, Reach.FLEET, updates)]
 
-    def received(self, now: float, sender: str, reach: Reach, news: list[News]) -> list[News]:
-        """Take a datagram; returns what it tells this proxy and keeps what is to be passed on."""
+    def received(self, now: float, sender: str, scope: Reach, updates: list[News]) -> list[News]:
+        """Handle a datagram: queue what is to be forwarded, and return the updates new to this proxy."""
         self._relays[sender].unanswered_since = inf
-        if reach is Reach.FLEET:
-            self._gather(self._gathered.to_fleet, news)
-            listens_ms = LISTENING_MS if any(told.announcements for told in news) else ANSWERED_MS
-            self._listening_until[sender] = max(self._listening_until.get(sender, now), now + listens_ms)
-        elif reach is Reach.GROUP:
-            self._gather(self._gathered.to_group, news)
-        return [told for told in news if told.origin in self._others and self._is_new(told)]
-
-    def _pieces(self, announcements: list[Announcement]) -> list[News]:
-        starts = range(0, max(1, len(announcements)), MOST_AT_ONCE)
+        if scope is Reach.FLEET:
+            self._enqueue(self._pending.to_fleet, updates)
+            forwarding_ms = (
+                ACTIVE_FORWARDING_MS
+                if any(update.announcements for update in updates)
+                else KEEPALIVE_FORWARDING_MS
+            )
+            self._forward_until[sender] = max(self._forward_until.get(sender, now), now + forwarding_ms)
+        elif scope is Reach.GROUP:
+            self._enqueue(self._pending.to_group, updates)
+        return [update for update in updates if update.origin in self._peers and self._is_new(update)]
+
+    def _split(self, announcements: list[Announcement]) -> list[News]:
+        starts = range(0, max(1, len(announcements)), MAX_ANNOUNCEMENTS_PER_UPDATE)
         return [
-            News(self.own, next(self._serials), announcements[start : start + MOST_AT_ONCE])
+            News(
+                self.own_address,
+                next(self._sequences),
+                announcements[start : start + MAX_ANNOUNCEMENTS_PER_UPDATE],
+            )
             for start in starts
         ]
 
-    def _is_new(self, news: News) -> bool:
-        seen = self._seen.setdefault(news.origin, deque(maxlen=SERIALS_REMEMBERED))
-        if news.serial in seen:
+    def _is_new(self, update: News) -> bool:
+        sequences = self._seen_sequences.setdefault(update.origin, deque(maxlen=MAX_REMEMBERED_SEQUENCES))
+        if update.serial in sequences:
             return False
-        seen.append(news.serial)
+        sequences.append(update.serial)
         return True
 
-    def _gather(self, into: list[News], news: list[News]) -> None:
-        into += news[: max(0, MOST_GATHERED - len(into))]
+    def _enqueue(self, queue: list[News], updates: list[News]) -> None:
+        queue += updates[: max(0, MAX_PENDING_UPDATES - len(queue))]
 
     @property
     def has_gathered(self) -> bool:
-        """Whether there is something to pass on."""
-        return bool(self._gathered.to_fleet or self._gathered.to_group)
+        """Whether updates wait to be forwarded."""
+        return bool(self._pending.to_fleet or self._pending.to_group)
 
     def passed_on(self, now: float) -> list[Parcel]:
-        """All that was gathered, to each of its receivers."""
-        gathered, self._gathered = self._gathered, _Gathered()
-        to_group = gathered.to_fleet + gathered.to_group
-        listening = {proxy: until for proxy, until in self._listening_until.items() if until >= now}
-        self._listening_until = listening
-        parcels = [Parcel(member, Reach.RECEIVER, to_group) for member in listening]
-        if gathered.to_fleet:
-            far = [self._relay_of(now, name) for name in self._groups if name != self._own_group]
-            parcels += [Parcel(relay, Reach.GROUP, gathered.to_fleet) for relay in far]
-        return parcels
-
-    def _relay_of(self, now: float, group: str) -> str:
-        """The first of a group's relays that is not known to be silent; notes that it is asked."""
+        """Remove the pending updates and return them as one message per receiver."""
+        pending, self._pending = self._pending, _PendingUpdates()
+        to_group = pending.to_fleet + pending.to_group
+        forward_until = {proxy: until for proxy, until in self._forward_until.items() if until >= now}
+        self._forward_until = forward_until
+        messages = [Parcel(member, Reach.RECEIVER, to_group) for member in forward_until]
+        if pending.to_fleet:
+            remote_relays = [
+                self._select_relay(now, name) for name in self._groups if name != self._own_group
+            ]
+            messages += [Parcel(relay, Reach.GROUP, pending.to_fleet) for relay in remote_relays]
+        return messages
+
+    def _select_relay(self, now: float, group: str) -> str:
+        """The first relay of a group that is not backed off after a timeout; starts its response timeout."""
         members = self._groups[group]
         for member in members:
-            if member == self.own:
+            if member == self.own_address:
                 return member
             state = self._relays[member]
-            if now - state.unanswered_since > SILENT_RELAY_MS:
-                state.unanswered_since, state.avoided_until = inf, now + AVOIDED_MS
-            if state.avoided_until <= now:
+            if now - state.unanswered_since > RELAY_TIMEOUT_MS:
+                state.unanswered_since, state.backoff_until = inf, now + RELAY_BACKOFF_MS
+            if state.backoff_until <= now:
                 state.unanswered_since = min(state.unanswered_since, now)
                 return member
         return members[0]
 
 
-def _grouped(zones: dict[str, str]) -> dict[str, list[str]]:
-    """The proxies of each zone, in as many groups as their number asks for; the same in all proxies."""
+def _build_groups(zones: dict[str, str]) -> dict[str, list[str]]:
+    """The proxies of each zone, split into groups by hash; the same in all proxies."""
     by_zone: dict[str, list[str]] = defaultdict(list)
     for proxy, zone in zones.items():
         by_zone[zone].append(proxy)
     groups: dict[str, list[str]] = defaultdict(list)
     for zone, members in by_zone.items():
-        parts = ceil(len(members) / MOST_IN_GROUP)
+        group_count = ceil(len(members) / TARGET_GROUP_SIZE)
         for member in members:
-            groups[f"{zone}/{stable_hash(member) % parts}"].append(member)
+            groups[f"{zone}/{stable_hash(member) % group_count}"].append(member)
     return groups
 
 
--- a/barleybarrow/routing/announcements.py
+++ b/barleybarrow/routing/announcements.py
@@ -1,56 +1,56 @@
-"""What proxies may tell each other of their choices: which prompt went to which server just now.
+"""Announcements between proxies: which prompt was just sent to which server.
 
-A choice made without such news is still right; with it, the wait at a server counts what the others sent
-there. News may be lost or late and is never answered. Idleness stays judged by the proxy's own requests.
+They only refine the backlog estimates; they may be lost or late and are never acknowledged. Whether a server
+counts as idle depends only on the proxy's own requests.
 """
 
 from collections import deque
 from collections.abc import Callable
 from dataclasses import dataclass
 
-MOST_KEPT = 256  # news not yet fetched: older ones are of no use by then
-PEER_FORGOTTEN_MS = 5_000.0  # a proxy that told nothing for so long no longer counts
+MAX_PENDING_ANNOUNCEMENTS = 256  # older ones are outdated by then
+PEER_TTL_MS = 5_000.0  # a proxy that sent nothing for this long is no longer counted
 
 
 @dataclass(slots=True)
 class Announcement:
-    """One prompt sent to a server; without tokens to read, only the number of streams there is news."""
+    """One prompt sent to a server; with 0 tokens to prefill it reports only the number of streams."""
 
     service: str
     server_id: str
-    subject: str  # the last shared part of the prompt; empty where there is none
+    subject: str  # id of the last shared segment of the prompt; empty if there is none
     subject_tokens: int
     tokens_to_read: int
-    streams: int = 0  # long streams of the sender at this server now
+    streams: int = 0  # long streams that the sender has on this server
 
 
 class AnnouncementBox:
-    """Own news to be fetched, and which proxies told some of late."""
+    """Announcements to be sent, and the proxies that recently sent some."""
 
     def __init__(self) -> None:
-        self._outgoing: deque[Announcement] = deque(maxlen=MOST_KEPT)
-        self._heard_at: dict[str, float] = {}
-        self.on_first: Callable[[], None] | None = None  # called when there is news and was none before
-
-    def tell(self, announcement: Announcement) -> None:
-        """Keep news until it is fetched."""
-        first = not self._outgoing
-        self._outgoing.append(announcement)
-        if first and self.on_first is not None:
+        self._pending: deque[Announcement] = deque(maxlen=MAX_PENDING_ANNOUNCEMENTS)
+        self._last_heard_at: dict[str, float] = {}
+        self.on_first: Callable[[], None] | None = None  # called when the first one is added
+
+    def add(self, announcement: Announcement) -> None:
+        """Add an announcement; the oldest are dropped beyond the limit."""
+        was_empty = not self._pending
+        self._pending.append(announcement)
+        if was_empty and self.on_first is not None:
             self.on_first()
 
-    def take(self) -> list[Announcement]:
-        """All own news since the last call."""
-        taken = list(self._outgoing)
-        self._outgoing.clear()
+    def take_all(self) -> list[Announcement]:
+        """Remove and return all announcements."""
+        taken = list(self._pending)
+        self._pending.clear()
         return taken
 
-    def heard_from(self, now: float, peer: str) -> None:
-        """Note that a proxy told something."""
-        self._heard_at[peer] = now
+    def record_sender(self, now: float, peer: str) -> None:
+        """Record that a proxy sent announcements."""
+        self._last_heard_at[peer] = now
 
     def proxies(self, now: float) -> int:
-        """How many proxies tell something, this one among them."""
-        for peer in [peer for peer, at in self._heard_at.items() if now - at > PEER_FORGOTTEN_MS]:
-            del self._heard_at[peer]
-        return 1 + len(self._heard_at)
+        """Number of proxies that recently sent announcements, including this one."""
+        for peer in [peer for peer, at in self._last_heard_at.items() if now - at > PEER_TTL_MS]:
+            del self._last_heard_at[peer]
+        return 1 + len(self._last_heard_at)
--- a/barleybarrow/routing/exchange.py
+++ b/barleybarrow/routing/exchange.py
@@ -1,4 +1,4 @@
-"""One request in the dispatcher's hands: where it is out, what was expected of it, what it has used up."""
+"""State of one request in the dispatcher: its current server, the estimates for it and its attempts."""
 
 from dataclasses import dataclass, field
 from typing import NamedTuple
@@ -8,41 +8,41 @@
 
 
 class Choice(NamedTuple):
-    """A server picked for a request and what is expected there, in milliseconds."""
+    """The server selected for a request and the estimates for it."""
 
     server: ServerRecord
-    tokens_to_read: int
-    reading_ms: float  # to read the tokens that are not believed kept
-    backlog_ms: float  # to read first what this proxy sent there before
-    expected_ms: float  # to the first event
+    prefill_tokens: int
+    prefill_ms: float  # to prefill the tokens that are probably not cached
+    backlog_ms: float  # to prefill what this proxy sent there before
+    expected_first_event_ms: float
 
 
 @dataclass(slots=True)
 class Exchange:
-    """State of one request until its answer has ended."""
+    """State of one request until its response ends."""
 
     request: DispatchRequest
     server: ServerRecord | None = None
     tried: list[str] = field(default_factory=list)
-    attempts: int = 0  # servers it was sent to
-    unreached: int = 0  # servers to which no connection could be opened
+    attempts: int = 0  # excluding failures to connect
+    failed_connections: int = 0  # number of failures to connect
     may_have_run: bool = False
-    is_stream: bool = False  # counted as a long stream at its server
+    is_long_stream: bool = False  # counted as a long stream on its server
     sent_at: float = 0.0
     first_event_at: float | None = None
     last_event_at: float = 0.0
-    tokens_to_read: int = 0
-    reading_ms: float = 0.0
+    prefill_tokens: int = 0
+    prefill_ms: float = 0.0
     backlog_ms: float = 0.0
-    expected_ms: float = 0.0
-    read_until: float = 0.0  # `unshifted_until` of its server once it was sent
+    expected_first_event_ms: float = 0.0
+    uncorrected_prefill_until: float = 0.0  # value of the server at sending
 
     def start(self, now: float, choice: Choice) -> None:
-        """Note that it goes out to a server now."""
+        """Record the start of an attempt."""
         self.server = choice.server
         self.tried.append(choice.server.info.id)
         self.attempts += 1
         self.sent_at = self.last_event_at = now
         self.first_event_at = None
-        self.tokens_to_read, self.reading_ms = choice.tokens_to_read, choice.reading_ms
-        self.backlog_ms, self.expected_ms = choice.backlog_ms, choice.expected_ms
+        self.prefill_tokens, self.prefill_ms = choice.prefill_tokens, choice.prefill_ms
+        self.backlog_ms, self.expected_first_event_ms = choice.backlog_ms, choice.expected_first_event_ms
--- a/barleybarrow/routing/outliers.py
+++ b/barleybarrow/routing/outliers.py
@@ -1,71 +1,77 @@
-"""Which servers are left alone after failures, for how long, and how they come back.
+"""Outlier ejection: when a server is ejected after failures, for how long, and how it returns.
 
-One record a server; it never decides where a request goes. Times are milliseconds.
+There is one record per server. Times are milliseconds.
 """
 
 from math import inf
 
-FIRST_EJECTION_MS = 500.0  # a restart takes seconds; a burst of resets takes less
-LONGEST_EJECTION_MS = 8_000.0  # a server that is really gone leaves the list within that time
-BACKOFF_FACTOR = 2.0  # a server that fails again at once is left alone twice as long
-FORGIVEN_AFTER_MS = 10_000.0  # of serving well: then the next ejection starts from the shortest again
-FAILURE_WEIGHT = 1 / 8  # of an answer in the share that fails: some ten answers tell it
-UNSAFE_TRIAL_SHARE = 0.5  # of the ejection: so much later a request that cannot be repeated may be the trial
-GREY_SHARE = 0.4  # a server failing more often than this, and more than the others, is left alone
-GREY_OVER_OTHERS = 3.0  # times the share that fails at the others
-BREAKS_IN_A_ROW = 2  # one broken connection may be its idle timeout; two without an answer between are not
+BASE_EJECTION_MS = 500.0  # a server restart takes seconds, a burst of connection resets less
+MAX_EJECTION_MS = 8_000.0  # a server that is really down is delisted within this time
+EJECTION_BACKOFF_FACTOR = 2.0  # each further ejection in a row lasts longer by this factor
+BACKOFF_RESET_MS = 10_000.0  # without an ejection after a trial; resets the ejection time to its base
+FAILURE_RATE_WEIGHT = 1 / 8  # of one response in the average: some ten responses reveal a change
+# Of the ejection time: added wait before a request that cannot be repeated may be the trial.
+UNSAFE_TRIAL_DELAY_RATIO = 0.5
+GRAY_FAILURE_MIN_RATE = 0.4  # a server above this failure rate may be ejected
+GRAY_FAILURE_RATIO = 3.0  # and above this multiple of the failure rate of the service
+# A single failure may be the idle timeout of a connection; two without a response between them are not.
+CONSECUTIVE_FAILURES_TO_EJECT = 2
 
 
 class ServerHealth:
-    """What this proxy saw fail at one server."""
+    """Failures of one server as seen by this proxy, and its ejection state."""
 
     __slots__ = (
         "ejected_until",
-        "full_until",
-        "failure_share",
-        "breaks",
-        "trial",
-        "_span_ms",
-        "_good_since",
+        "overloaded_until",
+        "failure_rate",
+        "consecutive_failures",
+        "on_trial",
+        "_ejection_ms",
+        "_healthy_since",
     )
 
     def __init__(self) -> None:
         self.ejected_until = -inf
-        self.full_until = -inf
-        self.failure_share = 0.0
-        self.breaks = 0  # in a row, no answer between
-        self.trial = False  # back from an ejection and not yet proven: one request at a time
-        self._span_ms = 0.0
-        self._good_since = inf
+        self.overloaded_until = -inf
+        self.failure_rate = 0.0
+        self.consecutive_failures = 0  # connection failures since the last response
+        self.on_trial = False  # ejected and not yet proven healthy: gets one request at a time
+        self._ejection_ms = 0.0
+        self._healthy_since = inf
 
-    def answered(self, now: float, failed: bool) -> None:
-        """Take an answer: a first event, or an error status of its own."""
-        self.failure_share += FAILURE_WEIGHT * (failed - self.failure_share)
+    def record_response(self, now: float, failed: bool) -> None:
+        """Record a response: its first event, or its error status."""
+        self.failure_rate += FAILURE_RATE_WEIGHT * (failed - self.failure_rate)
         if failed:
             return
-        self.breaks = 0
-        if self.trial or self.ejected_until > now:
-            self.trial, self.ejected_until, self._good_since = False, -inf, now
-        if self._span_ms and now - self._good_since > FORGIVEN_AFTER_MS:
-            self._span_ms = 0.0
+        self.consecutive_failures = 0
+        if self.on_trial or self.ejected_until > now:
+            self.on_trial, self.ejected_until, self._healthy_since = False, -inf, now
+        if self._ejection_ms and now - self._healthy_since > BACKOFF_RESET_MS:
+            self._ejection_ms = 0.0
 
-    def broke(self, now: float) -> bool:
-        """Take a broken or refused connection, or a silence; whether the server is to be left alone."""
-        self.breaks += 1
-        self.failure_share += FAILURE_WEIGHT * (1 - self.failure_share)
-        return self.trial or self.breaks >= BREAKS_IN_A_ROW
+    def record_connection_failure(self, now: float) -> bool:
+        """Record a failed connection or a silent server; returns whether to eject the server."""
+        self.consecutive_failures += 1
+        self.failure_rate += FAILURE_RATE_WEIGHT * (1 - self.failure_rate)
+        return self.on_trial or self.consecutive_failures >= CONSECUTIVE_FAILURES_TO_EJECT
 
     def eject(self, now: float) -> None:
-        """Leave it alone; longer each time that it fails again soon."""
+        """Eject the server, for longer each time if it fails again soon; no effect while ejected."""
         if self.ejected_until > now:
             return
-        self._span_ms = min(max(FIRST_EJECTION_MS, self._span_ms * BACKOFF_FACTOR), LONGEST_EJECTION_MS)
-        self.ejected_until, self.trial, self._good_since = now + self._span_ms, True, inf
+        self._ejection_ms = min(
+            max(BASE_EJECTION_MS, self._ejection_ms * EJECTION_BACKOFF_FACTOR), MAX_EJECTION_MS
+        )
+        self.ejected_until, self.on_trial, self._healthy_since = now + self._ejection_ms, True, inf
 
-    def open_to_trial(self, now: float, repeatable: bool) -> bool:
-        """Whether a request may find out if it is back: one that can be repeated first, any other later."""
-        return now >= self.ejected_until + (0.0 if repeatable else UNSAFE_TRIAL_SHARE * self._span_ms)
+    def allows_trial(self, now: float, repeatable: bool) -> bool:
+        """Whether a request may be the trial after an ejection; repeatable requests go first."""
+        return now >= self.ejected_until + (
+            0.0 if repeatable else UNSAFE_TRIAL_DELAY_RATIO * self._ejection_ms
+        )
 
-    def is_grey(self, others_share: float) -> bool:
-        """Whether it answers, but fails far more often than the others do."""
-        return self.failure_share > max(GREY_SHARE, GREY_OVER_OTHERS * others_share)
+    def has_gray_failure(self, service_failure_rate: float) -> bool:
+        """Whether it responds, but with far more failures than the other servers (a gray failure)."""
+        return self.failure_rate > max(GRAY_FAILURE_MIN_RATE, GRAY_FAILURE_RATIO * service_failure_rate)
--- a/barleybarrow/routing/prefix_cache.py
+++ b/barleybarrow/routing/prefix_cache.py
@@ -1,70 +1,69 @@
-"""What a server is believed to keep of the prompts sent to it.
+"""Model of the prefix cache of a server, from the prompts sent to it.
 
-A bounded model: least recently used parts give way, as at the server. It never learns from the server
-itself.
+Evicts the least recently used segments, as the server does. It uses no feedback from the server.
 """
 
 from collections import OrderedDict
 
-PromptParts = tuple[tuple[str, int], ...]
+PromptSegments = tuple[tuple[str, int], ...]
 
 
-FILLER = " "  # begins the names of tokens without a part's id, which is in hex
+ANONYMOUS_KEY_PREFIX = " "  # marks the keys of anonymous segments; ids of segments are hexadecimal
 
 
 class PrefixCache:
-    """Parts of prompts believed kept at one server, least recently used first."""
+    """Prompt segments that are probably cached on one server, least recently used first."""
 
-    __slots__ = ("_fillers", "_parts", "_tokens", "capacity_tokens")
+    __slots__ = ("_anonymous_count", "_segments", "_tokens", "capacity_tokens")
 
     def __init__(self, capacity_tokens: float) -> None:
         self.capacity_tokens = capacity_tokens
-        self._parts: OrderedDict[str, int] = OrderedDict()
+        self._segments: OrderedDict[str, int] = OrderedDict()
         self._tokens = 0
-        self._fillers = 0
+        self._anonymous_count = 0
 
-    def __contains__(self, part_id: str) -> bool:
-        return part_id in self._parts
+    def __contains__(self, segment_id: str) -> bool:
+        return segment_id in self._segments
 
     def __len__(self) -> int:
-        return len(self._parts)
+        return len(self._segments)
 
     @property
     def tokens(self) -> int:
-        """Tokens of all parts believed kept."""
+        """Number of tokens in the cache."""
         return self._tokens
 
-    def kept_tokens(self, parts: PromptParts) -> int:
-        """Tokens that need not be read again: those of the leading parts that are all kept."""
-        kept, known = 0, self._parts
-        for part_id, tokens in parts:
-            if part_id not in known:
+    def kept_tokens(self, segments: PromptSegments) -> int:
+        """Tokens that need no prefill: those of the leading segments up to the first one not cached."""
+        cached, known_segments = 0, self._segments
+        for segment_id, tokens in segments:
+            if segment_id not in known_segments:
                 break
-            kept += tokens
-        return kept
-
-    def sent(self, parts: PromptParts) -> None:
-        """Note a prompt sent there; its first parts are used last, so that a chain loses its end first."""
-        known = self._parts
-        for part_id, tokens in reversed(parts):
-            before = known.pop(part_id, 0)
-            known[part_id] = tokens
-            self._tokens += tokens - before
-        self._drop_oldest()
-
-    def fill(self, tokens: int) -> None:
-        """Note tokens sent there that nobody will ask for by name: they push older parts out."""
-        self._fillers += 1
-        self._parts[f"{FILLER}{self._fillers}"] = tokens
+            cached += tokens
+        return cached
+
+    def sent(self, segments: PromptSegments) -> None:
+        """Add a prompt; leading segments become the most recent, so a prefix is evicted from its end."""
+        known_segments = self._segments
+        for segment_id, tokens in reversed(segments):
+            previous_tokens = known_segments.pop(segment_id, 0)
+            known_segments[segment_id] = tokens
+            self._tokens += tokens - previous_tokens
+        self._evict()
+
+    def insert_anonymous(self, tokens: int) -> None:
+        """Add tokens without a known id: no lookup finds them, but they evict older segments."""
+        self._anonymous_count += 1
+        self._segments[f"{ANONYMOUS_KEY_PREFIX}{self._anonymous_count}"] = tokens
         self._tokens += tokens
-        self._drop_oldest()
+        self._evict()
 
-    def _drop_oldest(self) -> None:
-        while self._tokens > self.capacity_tokens and self._parts:
-            _, tokens = self._parts.popitem(last=False)
+    def _evict(self) -> None:
+        while self._tokens > self.capacity_tokens and self._segments:
+            _, tokens = self._segments.popitem(last=False)
             self._tokens -= tokens
 
     def clear(self) -> None:
-        """Forget everything: the server has started anew."""
-        self._parts.clear()
+        """Remove everything, after a restart of the server."""
+        self._segments.clear()
         self._tokens = 0
--- a/barleybarrow/routing/profiles.py
+++ b/barleybarrow/routing/profiles.py
@@ -1,74 +1,75 @@
-"""What requests of a route are like: how long their prompts take to read and how long their streams last.
+"""Profiles of routes: how long their prompts take to prefill and how long their streams last.
 
-A stream that runs beside prompts being read gets its tokens late, so that routes of long streams and routes
-of long prompts are better kept on servers of their own. How many servers streams need follows from all
-streams that are known of, other proxies' too. Times are milliseconds.
+Prefills on a server delay the tokens of its streams, so routes with long streams and routes with long prompts
+work better on separate servers. The number of servers for streams follows from all known streams, including
+those of other proxies. Times are milliseconds.
 """
 
 from math import ceil, exp
 
-from barleybarrow.routing.speed import Smoothed
+from barleybarrow.routing.speed import MovingAverage
 
-PROFILE_WEIGHT = 1 / 32  # of a new request: kinds differ by orders of magnitude and change rarely
-STREAMING_RATIO = (
-    8.0  # a stream that lasts so many times the reading of its prompt is held up more than it holds up
-)
-FEWEST_REQUESTS = 4  # streams that have ended before what was measured counts more than what is declared
-DECLARED_RATIO = 1.0  # tokens out for one in: an engine reads some hundred while it makes one
-IN_FLIGHT_FADE_MS = 4_000.0  # the mean number of streams is taken over some seconds: a burst lasts as long
-FILL_SHARE = 0.75  # of the slots of a server kept for streams: the rest is for chance
-FEWEST_STREAMS = 0.5  # of a mean that fades: below, mostly none runs
-MOST_SHARE = 0.5  # of the servers are kept for streams at most
+PROFILE_WEIGHT = 1 / 32  # of a new request: routes differ by orders of magnitude and change rarely
+# A stream that lasts this many times longer than its own prefill is delayed more than it delays others.
+MIN_STREAMING_RATIO = 8.0
+MIN_MEASURED_STREAMS = 4  # ended streams needed before measurements replace the declared ratio
+# Output per input token; an engine prefills some hundred tokens while it generates one.
+MIN_DECLARED_TOKEN_RATIO = 1.0
+STREAM_MEAN_DECAY_MS = 4_000.0  # time constant of the mean number of streams, about the length of a burst
+TARGET_SLOT_USAGE = 0.75  # planned slot usage of a server reserved for streams; the rest absorbs random peaks
+MIN_MEAN_STREAMS = 0.5  # below this mean mostly no stream runs
+MAX_STREAM_SERVER_SHARE = 0.5  # of all servers
 
 
 class RouteProfile:
-    """One route's requests."""
+    """Running averages of the requests of one route."""
 
-    __slots__ = ("reading", "streaming", "declared")
+    __slots__ = ("prefill_ms", "stream_ms", "declared_token_ratio")
 
     def __init__(self) -> None:
-        self.reading = Smoothed(PROFILE_WEIGHT)
-        self.streaming = Smoothed(PROFILE_WEIGHT)
-        self.declared = Smoothed(PROFILE_WEIGHT)  # tokens out for each token in, as its requests declare
+        self.prefill_ms = MovingAverage(PROFILE_WEIGHT)
+        self.stream_ms = MovingAverage(PROFILE_WEIGHT)
+        # Output per input token, as declared by requests.
+        self.declared_token_ratio = MovingAverage(PROFILE_WEIGHT)
 
-    def declare(self, tokens_in: int, tokens_out: int) -> None:
-        """Take what a new request says of itself."""
-        if tokens_in > 0:
-            self.declared.learn(tokens_out / tokens_in)
+    def record_declared(self, prompt_tokens: int, output_tokens: int) -> None:
+        """Record the prompt length and the output limit of a new request."""
+        if prompt_tokens > 0:
+            self.declared_token_ratio.observe(output_tokens / prompt_tokens)
 
     @property
     def is_streaming(self) -> bool:
-        """Whether its requests stream far longer than their prompts take to read."""
-        if self.streaming.samples < FEWEST_REQUESTS:
-            return self.declared.value > DECLARED_RATIO
-        return self.streaming.value > STREAMING_RATIO * self.reading.value
+        """Whether its streams last far longer than the prefill of their prompts."""
+        if self.stream_ms.samples < MIN_MEASURED_STREAMS:
+            return self.declared_token_ratio.value > MIN_DECLARED_TOKEN_RATIO
+        return self.stream_ms.value > MIN_STREAMING_RATIO * self.prefill_ms.value
 
 
 class StreamCount:
-    """Long streams in flight that are known of, and their mean of late."""
+    """Number of known long streams in flight and its decaying mean."""
 
-    __slots__ = ("_in_flight", "_mean", "_counted_at")
+    __slots__ = ("_in_flight", "_mean", "_observed_at")
 
     def __init__(self) -> None:
         self._in_flight = 0
         self._mean = 0.0
-        self._counted_at = 0.0
+        self._observed_at = 0.0
 
     def observe(self, now: float, in_flight: int) -> None:
-        """Take how many there are now."""
+        """Set the present number of streams."""
         self._mean = self.mean(now)
-        self._counted_at = now
+        self._observed_at = now
         self._in_flight = in_flight
 
     def mean(self, now: float) -> float:
-        """Streams in flight of late."""
-        kept = exp((self._counted_at - now) / IN_FLIGHT_FADE_MS)
-        return self._in_flight + (self._mean - self._in_flight) * kept
+        """Decaying mean of the number of streams in flight."""
+        decay = exp((self._observed_at - now) / STREAM_MEAN_DECAY_MS)
+        return self._in_flight + (self._mean - self._in_flight) * decay
 
 
 def servers_for_streams(streams: float, slots: int, servers: int) -> int:
-    """How many servers to keep for so many streams of all proxies; 0 where none can be spared."""
-    if streams < FEWEST_STREAMS or servers < 2:
+    """Number of servers to reserve for the streams of all proxies; 0 if none can be spared."""
+    if streams < MIN_MEAN_STREAMS or servers < 2:
         return 0
-    needed = ceil(streams / max(1.0, slots * FILL_SHARE))
-    return min(needed, int(servers * MOST_SHARE))
+    needed = ceil(streams / max(1.0, slots * TARGET_SLOT_USAGE))
+    return min(needed, int(servers * MAX_STREAM_SERVER_SHARE))
--- a/barleybarrow/routing/rendezvous.py
+++ b/barleybarrow/routing/rendezvous.py
@@ -1,7 +1,7 @@
-"""Which servers a key belongs to: the same order in every process, without any talk between them.
+"""Rendezvous hashing of keys to servers, with the same result in every process.
 
-Rendezvous hashing: losing a server moves only the keys that were its own. In a large fleet a ring of fixed
-points first narrows the choice to a few neighbours, so that a decision does not look at every server.
+The loss of a server moves only its own keys. In a large fleet a hash ring first narrows the choice to a few
+servers, so that a decision does not evaluate all of them.
 """
 
 from bisect import bisect_left
@@ -10,11 +10,11 @@
 from operator import itemgetter
 from typing import Protocol, TypeVar
 
-_first = itemgetter(0)
+_weight_of_pair = itemgetter(0)
 HASH_BITS = 64
-MASK = (1 << HASH_BITS) - 1
-MIX_FACTOR = 0x9E3779B97F4A7C15  # odd, 2^64 / golden ratio: spreads consecutive values over all bits
-POINTS_PER_SERVER = 8  # on the ring: neighbours of a lost server share its keys, at little memory
+HASH_MASK = (1 << HASH_BITS) - 1
+MIX_FACTOR = 0x9E3779B97F4A7C15  # 2^64 / golden ratio, odd: spreads consecutive values over all bits
+RING_POINTS_PER_SERVER = 8  # virtual nodes: several servers share the keys of a lost one, at little memory
 
 
 def stable_hash(text: str) -> int:
@@ -23,12 +23,12 @@
 
 
 def weight(key_hash: int, server_hash: int) -> int:
-    """The weight of a server for a key; the greatest weight is the key's home."""
-    return ((key_hash ^ server_hash) * MIX_FACTOR) & MASK
+    """The weight of a server for a key; the server with the greatest weight ranks first."""
+    return ((key_hash ^ server_hash) * MIX_FACTOR) & HASH_MASK
 
 
 class Hashed(Protocol):
-    """Something with a stable hash of its own."""
+    """An item with a stable hash."""
 
     hash: int
 
@@ -36,35 +36,35 @@
 HashedItem = TypeVar("HashedItem", bound=Hashed)
 
 
-def ranked(key_hash: int, items: Iterable[HashedItem]) -> list[HashedItem]:
-    """All items, the key's home first. Spells `weight` out: this runs for each request and server."""
-    weighed = [(((key_hash ^ item.hash) * MIX_FACTOR) & MASK, item) for item in items]
-    weighed.sort(key=_first, reverse=True)
-    return [item for _, item in weighed]
+def rank_by_weight(key_hash: int, items: Iterable[HashedItem]) -> list[HashedItem]:
+    """All items, greatest weight first. Inlines the weight, as this runs per request and server."""
+    weighted = [(((key_hash ^ item.hash) * MIX_FACTOR) & HASH_MASK, item) for item in items]
+    weighted.sort(key=_weight_of_pair, reverse=True)
+    return [item for _, item in weighted]
 
 
 class HashRing:
-    """Servers by fixed points on a circle; finds a few neighbours of a key in logarithmic time."""
+    """Consistent hash ring of servers; finds the successors of a key in logarithmic time."""
 
     def __init__(self, server_ids: Iterable[str] = ()) -> None:
         points = [
             (stable_hash(f"{server_id}/{number}"), server_id)
             for server_id in server_ids
-            for number in range(POINTS_PER_SERVER)
+            for number in range(RING_POINTS_PER_SERVER)
         ]
         points.sort()
         self._positions = [position for position, _ in points]
         self._owners = [owner for _, owner in points]
 
-    def neighbours(self, key_hash: int, count: int) -> list[str]:
-        """The first `count` distinct servers that follow the key."""
+    def successors(self, key_hash: int, count: int) -> list[str]:
+        """The first `count` distinct servers after the key on the ring."""
         owners, size = self._owners, len(self._owners)
-        found: list[str] = []
+        distinct: list[str] = []
         start = bisect_left(self._positions, key_hash)
-        for step in range(size):
-            owner = owners[(start + step) % size]
-            if owner not in found:
-                found.append(owner)
-                if len(found) == count:
+        for offset in range(size):
+            owner = owners[(start + offset) % size]
+            if owner not in distinct:
+                distinct.append(owner)
+                if len(distinct) == count:
                     break
-        return found
+        return distinct
--- a/barleybarrow/routing/route_table.py
+++ b/barleybarrow/routing/route_table.py
@@ -1,4 +1,4 @@
-"""Which route a request takes: by host, then by longest path prefix. A pure table, built once a version."""
+"""Route lookup by host and longest path prefix. A table is immutable and built per configuration version."""
 
 import zlib
 from collections.abc import Iterable
@@ -12,45 +12,45 @@
     """The routes of one configuration, by host and path prefix."""
 
     def __init__(self, routes: Iterable[Route]) -> None:
-        self._prefixes: dict[str, dict[str, Route]] = {}
+        self._routes_by_host: dict[str, dict[str, Route]] = {}
         for route in routes:
-            self._prefixes.setdefault(route.hostname.lower(), {})[route.path_prefix] = route
+            self._routes_by_host.setdefault(route.hostname.lower(), {})[route.path_prefix] = route
 
     def find(self, host: str, target: str) -> Route | None:
-        """The route of a request, or None; `host` and `target` are as the client sent them."""
-        prefixes = self._prefixes.get(host_name(host))
-        if prefixes is None:
+        """The matching route or None; `host` and `target` are as sent by the client."""
+        routes_by_prefix = self._routes_by_host.get(host_name(host))
+        if routes_by_prefix is None:
             return None
         path = target_path(target)
-        end = path.rfind("/")
-        while end >= 0:
-            route = prefixes.get(path[: end + 1])
+        slash = path.rfind("/")
+        while slash >= 0:
+            route = routes_by_prefix.get(path[: slash + 1])
             if route is not None:
                 return route
-            end = path.rfind("/", 0, end)
+            slash = path.rfind("/", 0, slash)
         return None
 
 
 def host_name(host: str) -> str:
-    """The name in a Host header, without its port, in lower case."""
+    """The lower-case host name of a Host header, without the port."""
     name, colon, port = host.strip().lower().rpartition(":")
     return name if colon and port.isdigit() else host.strip().lower()
 
 
 def target_path(target: str) -> str:
-    """The path of a request target in origin form or absolute form, without its query."""
+    """The path of a request target in origin form or absolute form, without the query; else empty."""
     path = target.partition("?")[0]
     if path.startswith("/"):
         return path
-    scheme, separator, rest = path.partition("://")
+    scheme, separator, remainder = path.partition("://")
     if not separator or scheme.lower() not in ("http", "https"):
         return ""
-    slash = rest.find("/")
-    return rest[slash:] if slash >= 0 else "/"
+    slash = remainder.find("/")
+    return remainder[slash:] if slash >= 0 else "/"
 
 
 def choose_service(route: Route, request_id: str) -> str:
-    """The service that runs this request: the route's own, or one drawn by weight from a hash of the id."""
+    """The service of the route, or one of its traffic split by weight and a hash of the request id."""
     if not route.traffic_split:
         return route.service
     total = sum(part.weight for part in route.traffic_split)
--- a/barleybarrow/routing/selection.py
+++ b/barleybarrow/routing/selection.py
@@ -1,8 +1,8 @@
-"""Picks the fastest idle server for one request; it changes nothing.
+"""Selects the idle server with the lowest cost for one request, without side effects on servers.
 
-A prompt with a shared subject is first weighed at the few servers that come first in the subject's own
-order, the same in all proxies; where none of them is idle and near, all are weighed. Of a large fleet only
-some are looked at.
+A prompt with a shared segment is first evaluated on the few servers that rank highest for this segment, the
+same in all proxies. If none of them is idle and cheap enough, all servers are evaluated. In a large fleet
+only a sample is.
 """
 
 import random
@@ -13,181 +13,190 @@
 from barleybarrow.routing.actions import DispatchRequest
 from barleybarrow.routing.exchange import Choice, Exchange
 from barleybarrow.routing.pool import ServerRecord, ServicePool
-from barleybarrow.routing.prefix_cache import PromptParts
-from barleybarrow.routing.rendezvous import HASH_BITS, ranked, stable_hash
-
-TIE_SHARE = 0.1  # estimates this near to the best are a tie: less than the spread left after smoothing
-TIE_MS = 1.0  # and so near in any case: less than a hop between zones
-HOMES = 3  # servers that a subject lives on: one is often busy; more of them read more parts again
-DRAWN = 5  # in a large fleet: drawn by chance, of which some are idle
-FAR_SHARE_OF_AIM = 0.5  # beyond this all servers are weighed: the wait has used up what a kept part saves
-APART_SHARE_OF_AIM = 1 / 4  # what a long stream loses, in time, on a server that is not kept for streams
-HELD_POWER = 4  # slots that streams hold cost little until few are left
-STREAM_HELD_WEIGHT = 0.5  # of the aim: a further stream goes where the fewest are
-SAFE_SHARE_OF_GAP = 0.4  # of the pause that a stream bears: reading for so long harms none of them
-STALL_WEIGHT = 0.5  # what a millisecond of reading beyond that costs, for the short streams on every server
-STREAMS_STALL_WEIGHT = 2.0  # and on a server that is kept for long streams
-OWN_STALL_WEIGHT = 0.3  # what a millisecond of reading costs beside each stream of this proxy's own
-COLD_FACTOR = 2.0  # by what a server that says it is still cold is thought slower
-AGAIN_SHARE_OF_AIM = 1 / 4  # what reading a subject again costs, in time, where it was read of late elsewhere
-ELSEWHERE_SHARE = 0.5  # of a subject's tokens that proxies which tell nothing are thought to have sent home
+from barleybarrow.routing.prefix_cache import PromptSegments
+from barleybarrow.routing.rendezvous import HASH_BITS, rank_by_weight, stable_hash
+
+TIE_RATIO = 0.1  # of the lowest cost: estimates this close differ by less than their noise
+MIN_TIE_MS = 1.0  # less than the latency between two zones
+PREFERRED_SERVER_COUNT = 3  # per shared segment: a single one is often busy, more repeat more prefill
+RANDOM_SERVER_COUNT = 5  # sampled in a large fleet, so that some are idle
+# Of the target latency: at a higher cost the wait outweighs a cached segment, and all servers are evaluated.
+FAR_SHARE_OF_AIM = 0.5
+UNRESERVED_PENALTY_RATIO = 1 / 4  # of the target latency, for a stream on a server not reserved for streams
+OCCUPANCY_EXPONENT = 4  # slots held by streams cost little until few are free
+# Of the target latency: makes a new stream prefer the server with the fewest streams.
+STREAM_OCCUPANCY_WEIGHT = 0.5
+SAFE_PREFILL_GAP_RATIO = 0.4  # of the permitted gap between events: a prefill run this long delays no stream
+STALL_WEIGHT = 0.5  # cost per ms of prefill beyond that: every server may have short streams
+STREAMS_STALL_WEIGHT = 2.0  # the same on a server reserved for long streams
+OWN_STALL_WEIGHT = 0.3  # cost per ms of any prefill for each request of this proxy past its first event
+COLD_START_FACTOR = 2.0  # assumed slowdown of a server that reports a cold start
+AGAIN_SHARE_OF_AIM = 1 / 4  # of the target latency: cost of repeating a recent prefill on another server
+# Share of a shared segment's tokens that proxies without announcements are assumed to have cached on the
+# server that ranks first for it.
+ELSEWHERE_SHARE = 0.5
 
 
 @dataclass(slots=True)
 class _Query:
-    """One request to be weighed at several servers, with what is the same at all of them."""
+    """One request to be evaluated on several servers, with the values that all of them share."""
 
     now: float
     request: DispatchRequest
     is_streaming: bool
     ms_per_token: float
-    mean_excess_ms: float  # of the service
-    common_tokens: (
-        int  # of the prompt, to be read wherever nothing is kept: what precedes a subject always is
-    )
-    unheard_tokens: int  # of the subject, that others are thought to have sent to its home
-    safe_ms: float  # reading in one go that harms no stream
-    apart_ms: float  # what a long stream loses on a server that is not kept for streams
-    again_ms: float  # what reading the subject at a server that does not keep it costs beside the time
+    mean_overhead_ms: float  # mean of the service
+    # To prefill where nothing is cached; the segments before the shared one are cached everywhere.
+    common_tokens: int
+    unannounced_tokens: int  # of the shared segment, assumed cached on its first-ranked server
+    safe_prefill_ms: float  # longest prefill run that delays no stream
+    unreserved_penalty_ms: float  # for a long stream on a server not reserved for streams
+    recompute_penalty_ms: float  # for repeating the prefill of the shared segment, beyond its time
 
 
 @dataclass(slots=True)
-class _Weighed:
+class _Evaluation:
     cost_ms: float
     choice: Choice
     idle: bool
 
 
 def subject_of(request: DispatchRequest) -> str | None:
-    """The last shared part of the prompt; the part after it is the request's own."""
-    parts = request.prompt_parts
-    return parts[-2][0] if len(parts) >= 2 else None
+    """Id of the last shared segment of the prompt; only the segment unique to the request follows it."""
+    segments = request.prompt_parts
+    return segments[-2][0] if len(segments) >= 2 else None
 
 
 class Selector:
-    """Weighs servers for a request."""
+    """Evaluates servers for a request and selects one."""
 
-    def __init__(self, rng: random.Random, again_ms: float = 0.0) -> None:
+    def __init__(self, rng: random.Random, recompute_window_ms: float = 0.0) -> None:
         self._rng = rng
-        self.again_ms = again_ms
-
-    def pick(self, now: float, pool: ServicePool, exchange: Exchange) -> Choice | None:
-        """The server to send to now; None if none may be tried."""
-        request = exchange.request
-        subject = subject_of(request)
-        key = stable_hash(subject) if subject else self._rng.getrandbits(HASH_BITS)
-        candidates = self._candidates(now, pool, exchange, key)
+        self.recompute_window_ms = recompute_window_ms
+
+    def pick(self, now: float, pool: ServicePool, state: Exchange) -> Choice | None:
+        """The server to send to now, or None if none may be tried."""
+        request = state.request
+        shared_segment = subject_of(request)
+        key = stable_hash(shared_segment) if shared_segment else self._rng.getrandbits(HASH_BITS)
+        candidates = self._candidates(now, pool, state, key)
         if not candidates:
             return None
-        in_order = ranked(key, candidates)
+        ranking = rank_by_weight(key, candidates)
         query = self._query(now, pool, request)
-        if subject and not query.is_streaming and len(in_order) > HOMES:
-            best = self._best(query, in_order[:HOMES])
+        if shared_segment and not query.is_streaming and len(ranking) > PREFERRED_SERVER_COUNT:
+            best = self._cheapest(query, ranking[:PREFERRED_SERVER_COUNT])
             if best.idle and best.cost_ms <= FAR_SHARE_OF_AIM * request.route.target_latency_ms:
                 return best.choice
-        return self._best(query, in_order).choice
+        return self._cheapest(query, ranking).choice
 
-    def others(self, pool: ServicePool, exchange: Exchange) -> bool:
-        """Whether there is a server that has not been tried."""
-        return any(server.info.id not in exchange.tried for server in pool.ready)
+    def has_untried(self, pool: ServicePool, state: Exchange) -> bool:
+        """Whether a ready server has not been tried yet."""
+        return any(server.info.id not in state.tried for server in pool.ready)
 
     def _query(self, now: float, pool: ServicePool, request: DispatchRequest) -> _Query:
-        route, parts = request.route, request.prompt_parts
-        common = parts[-1][1] + parts[-2][1] if len(parts) >= 2 else request.prompt_tokens
-        unheard = ELSEWHERE_SHARE * (1 - pool.informed_share) * parts[-2][1] if len(parts) >= 2 else 0.0
+        route, segments = request.route, request.prompt_parts
+        common_tokens = segments[-1][1] + segments[-2][1] if len(segments) >= 2 else request.prompt_tokens
+        unannounced_tokens = (
+            ELSEWHERE_SHARE * (1 - pool.announcing_share) * segments[-2][1] if len(segments) >= 2 else 0.0
+        )
         return _Query(
             now,
             request,
             pool.profile(route.name).is_streaming,
             pool.reading.ms_per_token,
-            pool.excess.value,
-            common,
-            int(unheard),
-            SAFE_SHARE_OF_GAP * route.gap_aim_ms or inf,
-            APART_SHARE_OF_AIM * route.target_latency_ms,
-            self._again_ms(now, pool, request),
+            pool.overhead.value,
+            common_tokens,
+            int(unannounced_tokens),
+            SAFE_PREFILL_GAP_RATIO * route.gap_aim_ms or inf,
+            UNRESERVED_PENALTY_RATIO * route.target_latency_ms,
+            self._recompute_penalty_ms(now, pool, request),
         )
 
-    def _again_ms(self, now: float, pool: ServicePool, request: DispatchRequest) -> float:
-        subject = subject_of(request)
-        if subject is None or not pool.was_used(subject, now - self.again_ms):
+    def _recompute_penalty_ms(self, now: float, pool: ServicePool, request: DispatchRequest) -> float:
+        shared_segment = subject_of(request)
+        if shared_segment is None or not pool.was_segment_sent(
+            shared_segment, now - self.recompute_window_ms
+        ):
             return 0.0
         return AGAIN_SHARE_OF_AIM * request.route.target_latency_ms
 
-    def _best(self, query: _Query, in_order: list[ServerRecord]) -> _Weighed:
-        """The fastest idle one, or the fastest if none is idle; of near-ties the first in the key's order."""
-        home = in_order[0]
-        weighed = [self._weigh(query, server, server is home) for server in in_order]
-        weighed = [entry for entry in weighed if entry.idle] or weighed
-        best_ms = min([entry.cost_ms for entry in weighed])
-        within = best_ms + max(TIE_MS, TIE_SHARE * best_ms)
-        return next(entry for entry in weighed if entry.cost_ms <= within)
-
-    def _candidates(self, now: float, pool: ServicePool, exchange: Exchange, key: int) -> list[ServerRecord]:
-        """Servers that may be tried: those neither ejected nor full first, then any."""
-        tried = exchange.tried
-        if not tried and not pool.troubled:
+    def _cheapest(self, query: _Query, ranking: list[ServerRecord]) -> _Evaluation:
+        """The cheapest idle server, or the cheapest if none is idle; ties go to the first in rank order."""
+        first = ranking[0]
+        evaluations = [self._evaluate(query, server, server is first) for server in ranking]
+        evaluations = [entry for entry in evaluations if entry.idle] or evaluations
+        lowest_ms = min([entry.cost_ms for entry in evaluations])
+        tie_limit_ms = lowest_ms + max(MIN_TIE_MS, TIE_RATIO * lowest_ms)
+        return next(entry for entry in evaluations if entry.cost_ms <= tie_limit_ms)
+
+    def _candidates(self, now: float, pool: ServicePool, state: Exchange, key: int) -> list[ServerRecord]:
+        """Servers that may be tried: neither ejected nor overloaded; else not ejected; else any untried."""
+        tried = state.tried
+        if not tried and not pool.degraded:
             return self._sample(pool, key)
         untried = [server for server in self._sample(pool, key) if server.info.id not in tried]
-        route = exchange.request.route
+        route = state.request.route
         repeatable = route.resumable or route.kind == RouteKind.SAFE
-        well = [
+        not_ejected = [
             server
             for server in untried
-            if not server.health.trial
-            or (server.health.open_to_trial(now, repeatable) and not server.in_flight)
+            if not server.health.on_trial
+            or (server.health.allows_trial(now, repeatable) and not server.in_flight)
         ]
-        free = [server for server in well if server.health.full_until <= now]
-        if len(free) == len(pool.ready) and not any(server.health.trial for server in free):
-            pool.troubled = False
-        return free or well or untried
+        available = [server for server in not_ejected if server.health.overloaded_until <= now]
+        if len(available) == len(pool.ready) and not any(server.health.on_trial for server in available):
+            pool.degraded = False
+        return available or not_ejected or untried
 
     def _sample(self, pool: ServicePool, key: int) -> list[ServerRecord]:
         ready = pool.ready
         if pool.ring is None:
             return ready
-        found = [pool.servers[name] for name in pool.ring.neighbours(key, HOMES)]
+        sample = [pool.servers[name] for name in pool.ring.successors(key, PREFERRED_SERVER_COUNT)]
         size = len(ready)
-        found += [ready[int(self._rng.random() * size)] for _ in range(DRAWN)]
-        return found
+        sample += [ready[int(self._rng.random() * size)] for _ in range(RANDOM_SERVER_COUNT)]
+        return sample
 
-    def _weigh(self, query: _Query, server: ServerRecord, is_home: bool) -> _Weighed:
+    def _evaluate(self, query: _Query, server: ServerRecord, is_first_ranked: bool) -> _Evaluation:
         now = query.now
-        tokens = query.common_tokens - kept_tokens(query.request.prompt_parts, server)
-        again_ms = 0.0
-        if tokens == query.common_tokens:  # it does not keep the subject, as far as is known
-            again_ms = query.again_ms
-            tokens -= query.unheard_tokens if is_home else 0
-        reading_ms = tokens * query.ms_per_token
-        expected_ms = reading_ms + query.mean_excess_ms + server.backlog_ms(now)
-        expected_ms += server.speed.slower_ms(now, query.mean_excess_ms)
-        if server.cold_until > now:
-            expected_ms *= COLD_FACTOR
+        tokens = query.common_tokens - cached_tail_tokens(query.request.prompt_parts, server)
+        recompute_ms = 0.0
+        if tokens == query.common_tokens:  # the shared segment is not known to be cached here
+            recompute_ms = query.recompute_penalty_ms
+            tokens -= query.unannounced_tokens if is_first_ranked else 0
+        prefill_ms = tokens * query.ms_per_token
+        expected_first_event_ms = prefill_ms + query.mean_overhead_ms + server.backlog_ms(now)
+        expected_first_event_ms += server.overhead.above_mean_ms(now, query.mean_overhead_ms)
+        if server.cold_start_until > now:
+            expected_first_event_ms *= COLD_START_FACTOR
         cost_ms = (
-            expected_ms + again_ms + OWN_STALL_WEIGHT * reading_ms * (server.in_flight - len(server.waiting))
+            expected_first_event_ms
+            + recompute_ms
+            + OWN_STALL_WEIGHT * prefill_ms * (server.in_flight - len(server.pending))
         )
-        aim_ms, held = query.request.route.target_latency_ms, server.held_share
-        cost_ms += aim_ms * held**HELD_POWER
+        target_ms, occupancy = query.request.route.target_latency_ms, server.held_share
+        cost_ms += target_ms * occupancy**OCCUPANCY_EXPONENT
         if query.is_streaming:
-            cost_ms += STREAM_HELD_WEIGHT * aim_ms * held
-            cost_ms += 0.0 if server.for_streams else query.apart_ms
+            cost_ms += STREAM_OCCUPANCY_WEIGHT * target_ms * occupancy
+            cost_ms += 0.0 if server.reserved_for_streams else query.unreserved_penalty_ms
         else:
-            over_ms = server.reading_span_ms(now, reading_ms) - query.safe_ms
-            if over_ms > 0:  # what is read in one go holds up the streams beside it
-                cost_ms += over_ms * (STREAMS_STALL_WEIGHT if server.for_streams else STALL_WEIGHT)
-        choice = Choice(server, tokens, reading_ms, server.waiting_ms, expected_ms)
-        return _Weighed(cost_ms, choice, server.in_flight < server.idle.limit)
+            stall_ms = server.continuous_prefill_ms(now, prefill_ms) - query.safe_prefill_ms
+            if stall_ms > 0:  # a long prefill run delays the streams on the same server
+                cost_ms += stall_ms * (STREAMS_STALL_WEIGHT if server.reserved_for_streams else STALL_WEIGHT)
+        choice = Choice(server, tokens, prefill_ms, server.waiting_ms, expected_first_event_ms)
+        return _Evaluation(cost_ms, choice, server.in_flight < server.concurrency.limit)
 
 
-def kept_tokens(parts: PromptParts, server: ServerRecord) -> int:
-    """Tokens of the subject and the request's own part that the server is thought to keep.
+def cached_tail_tokens(segments: PromptSegments, server: ServerRecord) -> int:
+    """Tokens of the last two segments that are probably cached, from the prompts known to be sent there.
 
-    Going by what is known to have been sent there. What comes before a subject is kept everywhere.
+    Earlier segments are assumed to be cached on every server.
     """
     cache = server.cache
-    if len(parts) < 2:
-        return cache.kept_tokens(parts)
-    subject, own = parts[-2], parts[-1]
-    if subject[0] not in cache:
+    if len(segments) < 2:
+        return cache.kept_tokens(segments)
+    shared, own = segments[-2], segments[-1]
+    if shared[0] not in cache:
         return 0
-    return subject[1] + own[1] if own[0] in cache else subject[1]
+    return shared[1] + own[1] if own[0] in cache else shared[1]
--- a/barleybarrow/routing/speed.py
+++ b/barleybarrow/routing/speed.py
@@ -1,98 +1,101 @@
-"""How fast servers are, learned from what was served: time to read a token, time beyond reading, pauses.
+"""Latency estimates from completed requests: prefill time per token and overhead beyond prefill.
 
-Only estimates live here; which server is taken is decided elsewhere. Times are milliseconds.
+Times are milliseconds.
 """
 
 from math import exp, inf
 
-FORGET_AFTER_SAMPLES = 64  # the slope needs prompts of many sizes, and the engines of a service change rarely
-FEWEST_SAMPLES = 8  # a slope through fewer points is chance
-EXCESS_WEIGHT = 1 / 8  # of a new time beyond reading: a server that turns slow shows within some ten answers
-CHANCE_SHARE = 0.5  # of the spread: twice the error of a mean over the last sixteen answers or so
-FADE_MS = 4_000.0  # what was learned of a server fades toward the mean so fast: faults last for seconds
-PAUSE_WEIGHT = 1 / 32  # of a new time per token: events are many
-FIRST_SHARE_OF_AIM = 1 / 4  # that reading a long prompt is thought to take before any was read
+REGRESSION_WINDOW_SAMPLES = 64  # the slope needs prompts of many sizes, and engines rarely change
+MIN_REGRESSION_SAMPLES = 8  # a slope through fewer points is mostly noise
+OVERHEAD_WEIGHT = 1 / 8  # of a new sample: a server that becomes slow is seen within some ten responses
+NOISE_DEVIATIONS = 0.5  # of the mean deviation: twice the standard error of some sixteen responses
+OVERHEAD_DECAY_MS = 4_000.0  # time constant of the decay to the mean of the service; faults last seconds
+TOKEN_TIME_WEIGHT = 1 / 32  # of a new time per token; there are many events
+# Of the target latency: initial estimate for the prefill of the longest prompt.
+INITIAL_PREFILL_TARGET_RATIO = 1 / 4
 
 
-class ReadingTime:
-    """Time to the first event as a line over the tokens to be read, for all servers of a service together."""
+class PrefillModel:
+    """Linear regression of the time to the first event on the tokens to prefill, per service."""
 
-    __slots__ = ("samples", "_mean_tokens", "_mean_ms", "_variance", "_covariance", "_guess")
+    __slots__ = ("samples", "_mean_tokens", "_mean_ms", "_variance", "_covariance", "_initial_ms_per_token")
 
     def __init__(self) -> None:
         self.samples = 0
         self._mean_tokens = self._mean_ms = self._variance = self._covariance = 0.0
-        self._guess = 0.0
+        self._initial_ms_per_token = 0.0
 
-    def guess(self, aim_ms: float, tokens: int) -> None:
-        """Before enough was served: even the longest prompt seen takes but a share of its aim."""
-        if self.samples < FEWEST_SAMPLES and tokens > 0:
-            self._guess = min(self._guess or inf, aim_ms * FIRST_SHARE_OF_AIM / tokens)
+    def set_initial(self, target_ms: float, tokens: int) -> None:
+        """Set the estimate used before there are enough samples, from the longest prompt seen."""
+        if self.samples < MIN_REGRESSION_SAMPLES and tokens > 0:
+            self._initial_ms_per_token = min(
+                self._initial_ms_per_token or inf, target_ms * INITIAL_PREFILL_TARGET_RATIO / tokens
+            )
 
-    def learn(self, tokens: float, first_event_ms: float) -> None:
-        """Take one answer: tokens that had to be read, and the time to its first event."""
+    def observe(self, tokens: float, first_event_ms: float) -> None:
+        """Add a sample: the tokens to prefill and the time to the first event."""
         self.samples += 1
-        weight = 1 / min(self.samples, FORGET_AFTER_SAMPLES)
-        tokens_off = tokens - self._mean_tokens
-        ms_off = first_event_ms - self._mean_ms
-        self._mean_tokens += weight * tokens_off
-        self._mean_ms += weight * ms_off
-        keep = 1 - weight
-        self._variance = keep * (self._variance + weight * tokens_off * tokens_off)
-        self._covariance = keep * (self._covariance + weight * tokens_off * ms_off)
+        weight = 1 / min(self.samples, REGRESSION_WINDOW_SAMPLES)
+        token_deviation = tokens - self._mean_tokens
+        ms_deviation = first_event_ms - self._mean_ms
+        self._mean_tokens += weight * token_deviation
+        self._mean_ms += weight * ms_deviation
+        decay = 1 - weight
+        self._variance = decay * (self._variance + weight * token_deviation * token_deviation)
+        self._covariance = decay * (self._covariance + weight * token_deviation * ms_deviation)
 
     @property
     def ms_per_token(self) -> float:
-        """Milliseconds to read one token of a prompt; never negative."""
-        if self.samples < FEWEST_SAMPLES or self._variance <= 0:
-            return self._guess
+        """Prefill time per token; never negative."""
+        if self.samples < MIN_REGRESSION_SAMPLES or self._variance <= 0:
+            return self._initial_ms_per_token
         return max(0.0, self._covariance / self._variance)
 
 
-class ServerSpeed:
-    """What one server takes beyond the reading of a prompt, smoothed; fades toward its service's mean."""
+class ServerOverhead:
+    """Average overhead of one server beyond prefill; decays to the mean of its service."""
 
-    __slots__ = ("excess_ms", "spread_ms", "samples", "_learned_at")
+    __slots__ = ("overhead_ms", "spread_ms", "samples", "_observed_at")
 
-    def __init__(self, excess_ms: float, now: float) -> None:
-        self.excess_ms = excess_ms
-        self.spread_ms = 0.0  # smoothed distance of a time from the mean
+    def __init__(self, overhead_ms: float, now: float) -> None:
+        self.overhead_ms = overhead_ms
+        self.spread_ms = 0.0  # average absolute deviation of a sample from the mean
         self.samples = 0
-        self._learned_at = now
+        self._observed_at = now
 
-    def learn(self, now: float, excess_ms: float, mean_ms: float) -> None:
-        """Take one answer's time beyond what its reading was expected to take."""
-        before = self.at(now, mean_ms)
+    def observe(self, now: float, overhead_ms: float, mean_ms: float) -> None:
+        """Add a sample: the time of one response beyond its expected prefill."""
+        previous_ms = self.at(now, mean_ms)
         self.samples += 1
-        weight = max(EXCESS_WEIGHT, 1 / (self.samples + 1))
-        self.excess_ms = before + weight * (excess_ms - before)
-        self.spread_ms += weight * (abs(excess_ms - before) - self.spread_ms)
-        self._learned_at = now
+        weight = max(OVERHEAD_WEIGHT, 1 / (self.samples + 1))
+        self.overhead_ms = previous_ms + weight * (overhead_ms - previous_ms)
+        self.spread_ms += weight * (abs(overhead_ms - previous_ms) - self.spread_ms)
+        self._observed_at = now
 
     def at(self, now: float, mean_ms: float) -> float:
-        """The time beyond reading to expect now; a server without answers is like the others."""
+        """The overhead expected now; the mean of the service if there are no samples."""
         if not self.samples:
             return mean_ms
-        return mean_ms + (self.excess_ms - mean_ms) * exp((self._learned_at - now) / FADE_MS)
+        return mean_ms + (self.overhead_ms - mean_ms) * exp((self._observed_at - now) / OVERHEAD_DECAY_MS)
 
-    def slower_ms(self, now: float, mean_ms: float) -> float:
-        """By how much it is slower than the mean, beyond what chance makes of so few answers."""
-        beyond = self.excess_ms - mean_ms
-        if not self.samples or beyond <= 0:
+    def above_mean_ms(self, now: float, mean_ms: float) -> float:
+        """Overhead above the mean of the service, less the part that may be noise of few samples."""
+        above_ms = self.overhead_ms - mean_ms
+        if not self.samples or above_ms <= 0:
             return 0.0
-        beyond *= exp((self._learned_at - now) / FADE_MS)
-        return max(0.0, beyond - CHANCE_SHARE * self.spread_ms)
+        above_ms *= exp((self._observed_at - now) / OVERHEAD_DECAY_MS)
+        return max(0.0, above_ms - NOISE_DEVIATIONS * self.spread_ms)
 
 
-class Smoothed:
-    """A smoothed mean that starts at its first sample."""
+class MovingAverage:
+    """An exponential moving average that starts at its first sample."""
 
     __slots__ = ("value", "samples", "_weight")
 
     def __init__(self, weight: float) -> None:
         self.value, self.samples, self._weight = 0.0, 0, weight
 
-    def learn(self, sample: float) -> None:
-        """Take one sample."""
+    def observe(self, sample: float) -> None:
+        """Add a sample."""
         self.samples += 1
         self.value += max(self._weight, 1 / self.samples) * (sample - self.value)
--- a/barleybarrow/routing/thresholds.py
+++ b/barleybarrow/routing/thresholds.py
@@ -1,35 +1,43 @@
-"""The learned threshold under which a server counts as idle, by this proxy's own requests in flight there.
+"""Adaptive limit of a proxy's requests in flight on a server; below it the server counts as idle.
 
-It grows while answers come near their best and is cut when they come late. It never looks at other servers.
+It increases additively while responses are about as fast as expected and decreases multiplicatively when they
+are late.
 """
 
-FEWEST = 1.0  # one at a time may always be sent
-GROWTH = 0.5  # a threshold's worth of answers near the best adds so much
-CUT = 0.75  # an answer that crowding made late leaves this share
-NEAR_RATIO = 1.3  # up to this multiple of what was expected an answer is near its best: the spread of work
-FAR_RATIO = 2.5  # from this multiple on it is late
-FAR_SHARE_OF_AIM = 0.5  # and only once half of the aim is used up: below, crowding does no harm
+MIN_LIMIT = 1.0  # one request may always be in flight
+LIMIT_INCREASE = 0.5  # added per `limit` fast responses
+LIMIT_DECREASE_FACTOR = 0.75  # factor applied after a late response
+FAST_RATIO = 1.3  # of the expected latency: up to here a response is fast; requests vary by as much
+LATE_RATIO = 2.5  # of the expected latency: above, a response is late
+LATE_TARGET_RATIO = 0.5  # and also above this share of the target latency: below, queueing is harmless
 
 
 class IdleThreshold:
-    """In-flight limit of one server, as this proxy has learned it."""
+    """In-flight limit of one server, adapted by latency (AIMD)."""
 
-    __slots__ = ("limit", "_most", "_cut_at")
+    __slots__ = ("limit", "_max_limit", "_decreased_at")
 
-    def __init__(self, first: float, most: float) -> None:
-        self._most = max(most, FEWEST)
-        self.limit = min(max(first, FEWEST), self._most)
-        self._cut_at = float("-inf")
+    def __init__(self, initial: float, maximum: float) -> None:
+        self._max_limit = max(maximum, MIN_LIMIT)
+        self.limit = min(max(initial, MIN_LIMIT), self._max_limit)
+        self._decreased_at = float("-inf")
 
-    def learn(
-        self, now: float, sent_at: float, in_flight: int, latency_ms: float, expected_ms: float, aim_ms: float
+    def observe(
+        self,
+        now: float,
+        sent_at: float,
+        in_flight: int,
+        latency_ms: float,
+        expected_ms: float,
+        target_ms: float,
     ) -> None:
-        """Take one answer: its latency, what was expected without crowding, and how many were in flight."""
-        if latency_ms > FAR_RATIO * expected_ms and latency_ms > FAR_SHARE_OF_AIM * aim_ms:
-            if sent_at >= self._cut_at:  # what was sent before the last cut says nothing of the new threshold
-                self.limit = max(FEWEST, self.limit * CUT)
-                self._cut_at = now
+        """Adapt to one response; `expected_ms` is its latency without queueing."""
+        if latency_ms > LATE_RATIO * expected_ms and latency_ms > LATE_TARGET_RATIO * target_ms:
+            # Requests sent before the last decrease say nothing about the new limit.
+            if sent_at >= self._decreased_at:
+                self.limit = max(MIN_LIMIT, self.limit * LIMIT_DECREASE_FACTOR)
+                self._decreased_at = now
         elif in_flight + 1 >= self.limit and latency_ms < max(
-            NEAR_RATIO * expected_ms, FAR_SHARE_OF_AIM * aim_ms / 2
+            FAST_RATIO * expected_ms, LATE_TARGET_RATIO * target_ms / 2
         ):
-            self.limit = min(self._most, self.limit + GROWTH / self.limit)
+            self.limit = min(self._max_limit, self.limit + LIMIT_INCREASE / self.limit)
--- a/tests/fleet/test_announcement_relay.py
+++ b/tests/fleet/test_announcement_relay.py
@@ -1,17 +1,17 @@
-"""News of proxies over relays: who hears what and how often, and what a silent relay costs."""
+"""Distribution of announcements through relays: delivery, duplicates, unresponsive relays and loops."""
 
 import unittest
 from collections import Counter
 
 from barleybarrow.routing.announcement_relay import (
-    ANSWERED_MS,
-    AVOIDED_MS,
-    LISTENING_MS,
-    MOST_AT_ONCE,
-    MOST_DIRECT_PROXIES,
-    MOST_GATHERED,
-    MOST_IN_GROUP,
-    SILENT_RELAY_MS,
+    ACTIVE_FORWARDING_MS,
+    KEEPALIVE_FORWARDING_MS,
+    MAX_ANNOUNCEMENTS_PER_UPDATE,
+    MAX_DIRECT_PROXIES,
+    MAX_PENDING_UPDATES,
+    RELAY_BACKOFF_MS,
+    RELAY_TIMEOUT_MS,
+    TARGET_GROUP_SIZE,
     AnnouncementRelay,
     News,
     Parcel,
@@ -19,229 +19,244 @@
 )
 from barleybarrow.routing.announcements import Announcement
 
-GATHER_MS = 10.0
+BATCH_INTERVAL_MS = 10.0
 HOP_MS = 1.0
 
 
-def told(number: int) -> list[Announcement]:
+def make_announcements(number: int) -> list[Announcement]:
     return [Announcement("llm", f"s{number}", "5a", 1, number)]
 
 
 class Fleet:
-    """Proxies of several zones with their relays, and datagrams between them in virtual time."""
+    """Simulation of the proxies of several zones that exchange datagrams in virtual time."""
 
     def __init__(self, zones: dict[str, int]) -> None:
         self.zones = {f"{zone}.{number}": zone for zone, count in zones.items() for number in range(count)}
         self.relays = {proxy: AnnouncementRelay(proxy) for proxy in self.zones}
-        self.heard: dict[str, list[News]] = {proxy: [] for proxy in self.zones}
-        self.frozen: set[str] = set()
+        self.received_updates: dict[str, list[News]] = {proxy: [] for proxy in self.zones}
+        self.unresponsive: set[str] = set()
         self.sent = Counter[str]()
         self.now = 0.0
         for relay in self.relays.values():
             relay.set_proxies(self.zones)
 
-    def tell(self, proxy: str, number: int) -> None:
-        """One proxy tells something; all that follows from it is played."""
-        self._play([(proxy, parcel) for parcel in self.relays[proxy].own_news(self.now, told(number))])
-
-    def tell_all(self) -> None:
-        """All tell something at once, so that all listen."""
+    def send(self, proxy: str, number: int) -> None:
+        """Send an announcement of one proxy and deliver all datagrams that follow."""
+        self._deliver(
+            [
+                (proxy, message)
+                for message in self.relays[proxy].own_news(self.now, make_announcements(number))
+            ]
+        )
+
+    def send_from_all(self) -> None:
+        """Send from all proxies at once, so that relays forward to all of them; clears what they receive."""
         due = [
-            (name, parcel)
+            (name, message)
             for name, relay in self.relays.items()
-            if name not in self.frozen
-            for parcel in relay.own_news(self.now, told(0))
+            if name not in self.unresponsive
+            for message in relay.own_news(self.now, make_announcements(0))
         ]
-        self._play(due)
-        for news in self.heard.values():
-            news.clear()
+        self._deliver(due)
+        for updates in self.received_updates.values():
+            updates.clear()
 
-    def _play(self, due: list[tuple[str, Parcel]]) -> None:
+    def _deliver(self, due: list[tuple[str, Parcel]]) -> None:
         for _ in range(4):
             self.now += HOP_MS
             arrived, due = due, []
-            for sender, parcel in arrived:
-                due += self._take(sender, parcel)
-            self.now += GATHER_MS
+            for sender, message in arrived:
+                due += self._receive(sender, message)
+            self.now += BATCH_INTERVAL_MS
             for name, relay in self.relays.items():
-                if relay.has_gathered and name not in self.frozen:
-                    due += [(name, parcel) for parcel in relay.passed_on(self.now)]
+                if relay.has_gathered and name not in self.unresponsive:
+                    due += [(name, message) for message in relay.passed_on(self.now)]
 
-    def _take(self, sender: str, parcel: Parcel) -> list[tuple[str, Parcel]]:
+    def _receive(self, sender: str, message: Parcel) -> list[tuple[str, Parcel]]:
         self.sent[sender] += 1
-        if parcel.receiver in self.frozen:
+        if message.receiver in self.unresponsive:
             return []
-        relay = self.relays[parcel.receiver]
-        self.heard[parcel.receiver] += relay.received(self.now, sender, parcel.reach, parcel.news)
-        if parcel.reach is Reach.GROUP:  # as the announcer does: the sender hears that it is there
-            return [(parcel.receiver, Parcel(sender, Reach.RECEIVER, []))]
+        relay = self.relays[message.receiver]
+        self.received_updates[message.receiver] += relay.received(
+            self.now, sender, message.reach, message.news
+        )
+        if message.reach is Reach.GROUP:  # the announcer acknowledges to the sender
+            return [(message.receiver, Parcel(sender, Reach.RECEIVER, []))]
         return []
 
-    def heard_of(self, origin: str) -> Counter[str]:
-        """How often each proxy heard of another since the last call."""
-        counts = Counter({name: sum(n.origin == origin for n in news) for name, news in self.heard.items()})
-        for news in self.heard.values():
-            news.clear()
+    def take_receive_counts(self, origin: str) -> Counter[str]:
+        """How many updates of `origin` each proxy received since the last call."""
+        counts = Counter(
+            {
+                name: sum(update.origin == origin for update in updates)
+                for name, updates in self.received_updates.items()
+            }
+        )
+        for updates in self.received_updates.values():
+            updates.clear()
         return counts
 
 
 class RelayTests(unittest.TestCase):
-    def assert_heard_once(self, fleet: Fleet, origin: str) -> None:
-        counts = fleet.heard_of(origin)
+    def assert_received_once(self, fleet: Fleet, origin: str) -> None:
+        counts = fleet.take_receive_counts(origin)
         self.assertEqual(counts.pop(origin), 0)
         self.assertEqual({name: n for name, n in counts.items() if n != 1}, {})
 
-    def test_a_small_fleet_tells_each_other_directly(self) -> None:
-        fleet = Fleet({"a": MOST_DIRECT_PROXIES // 2, "b": MOST_DIRECT_PROXIES // 2})
-        fleet.tell("a.0", 1)
-        self.assert_heard_once(fleet, "a.0")
+    def test_small_fleet_sends_directly(self) -> None:
+        fleet = Fleet({"a": MAX_DIRECT_PROXIES // 2, "b": MAX_DIRECT_PROXIES // 2})
+        fleet.send("a.0", 1)
+        self.assert_received_once(fleet, "a.0")
         self.assertEqual(set(fleet.sent), {"a.0"})
-        self.assertFalse(fleet.relays["a.0"].relays)
+        self.assertFalse(fleet.relays["a.0"].uses_relays)
 
-    def test_in_a_large_fleet_each_hears_once_of_each(self) -> None:
+    def test_every_proxy_of_a_large_fleet_receives_each_update_once(self) -> None:
         fleet = Fleet({"a": 33, "b": 30, "c": 27})
         for origin in fleet.zones:
-            fleet.tell_all()
-            fleet.tell(origin, 7)
-            self.assert_heard_once(fleet, origin)
+            fleet.send_from_all()
+            fleet.send(origin, 7)
+            self.assert_received_once(fleet, origin)
 
-    def test_a_zone_of_many_proxies_is_told_by_several_relays(self) -> None:
-        fleet = Fleet({"a": 4 * MOST_IN_GROUP})
-        fleet.tell_all()
+    def test_large_zone_is_split_among_several_relays(self) -> None:
+        fleet = Fleet({"a": 4 * TARGET_GROUP_SIZE})
+        fleet.send_from_all()
         fleet.sent.clear()
-        fleet.tell("a.5", 1)
-        self.assert_heard_once(fleet, "a.5")
+        fleet.send("a.5", 1)
+        self.assert_received_once(fleet, "a.5")
         self.assertGreater(len([name for name, sent in fleet.sent.items() if sent > 5]), 2)
-        self.assertLess(max(fleet.sent.values()), 2 * MOST_IN_GROUP)
+        self.assertLess(max(fleet.sent.values()), 2 * TARGET_GROUP_SIZE)
 
-    def test_a_proxy_alone_and_one_that_knows_nobody_tell_nothing(self) -> None:
+    def test_proxy_without_peers_sends_nothing(self) -> None:
         relay = AnnouncementRelay("a.0")
-        self.assertEqual(relay.own_news(0.0, told(1)), [])
+        self.assertEqual(relay.own_news(0.0, make_announcements(1)), [])
         relay.set_proxies({"a.0": "a"})
-        self.assertEqual(relay.own_news(0.0, told(1)), [])
+        self.assertEqual(relay.own_news(0.0, make_announcements(1)), [])
         self.assertFalse(relay.has_gathered)
 
-    def test_one_that_is_not_yet_listed_itself_tells_nothing_and_passes_on_what_it_is_asked_to(self) -> None:
+    def test_unlisted_proxy_sends_nothing_but_forwards(self) -> None:
         fleet = Fleet({"a": 40})
         relay = AnnouncementRelay("a.new")
         relay.set_proxies(fleet.zones)
-        self.assertEqual(relay.own_news(0.0, told(1)), [])
-        relay.received(0.0, "a.1", Reach.FLEET, [News("a.1", 1, told(1))])
-        parcels = relay.passed_on(1.0)
-        self.assertEqual([parcel.reach for parcel in parcels], [Reach.RECEIVER, Reach.GROUP])
-        self.assertEqual(parcels[0].receiver, "a.1")
+        self.assertEqual(relay.own_news(0.0, make_announcements(1)), [])
+        relay.received(0.0, "a.1", Reach.FLEET, [News("a.1", 1, make_announcements(1))])
+        messages = relay.passed_on(1.0)
+        self.assertEqual([message.reach for message in messages], [Reach.RECEIVER, Reach.GROUP])
+        self.assertEqual(messages[0].receiver, "a.1")
 
-    def relay_asked_by(self, fleet: Fleet, proxy: str) -> str:
-        parcels = fleet.relays[proxy].own_news(fleet.now, told(0))
-        return parcels[0].receiver if parcels else proxy
+    def relay_of(self, fleet: Fleet, proxy: str) -> str:
+        messages = fleet.relays[proxy].own_news(fleet.now, make_announcements(0))
+        return messages[0].receiver if messages else proxy
 
-    def test_a_silent_relay_of_the_own_group_is_left_for_the_next(self) -> None:
+    def test_next_relay_replaces_a_silent_one_of_the_own_group(self) -> None:
         fleet = Fleet({"a": 40, "b": 40})
-        relay = self.relay_asked_by(fleet, "a.0")
+        relay = self.relay_of(fleet, "a.0")
         origin = next(name for name in fleet.zones if name.startswith("a.") and name != relay)
-        fleet.frozen.add(relay)
-        fleet.tell(origin, 1)
-        self.assertEqual(sum(fleet.heard_of(origin).values()), 0)
-        fleet.tell_all()
-        fleet.now += SILENT_RELAY_MS
-        fleet.tell_all()
-        fleet.tell(origin, 2)
-        counts = fleet.heard_of(origin)
+        fleet.unresponsive.add(relay)
+        fleet.send(origin, 1)
+        self.assertEqual(sum(fleet.take_receive_counts(origin).values()), 0)
+        fleet.send_from_all()
+        fleet.now += RELAY_TIMEOUT_MS
+        fleet.send_from_all()
+        fleet.send(origin, 2)
+        counts = fleet.take_receive_counts(origin)
         self.assertEqual({name for name, n in counts.items() if n != 1}, {origin, relay})
 
-    def test_a_silent_relay_of_another_group_is_left_for_the_next(self) -> None:
+    def test_next_relay_replaces_a_silent_one_of_another_group(self) -> None:
         fleet = Fleet({"a": 40, "b": 40})
-        relay = self.relay_asked_by(fleet, "b.0")
-        fleet.frozen.add(relay)
-        fleet.tell("a.0", 1)
-        fleet.now += SILENT_RELAY_MS
-        fleet.heard_of("a.0")
-        fleet.tell_all()
-        fleet.now += SILENT_RELAY_MS
-        fleet.tell_all()
-        fleet.tell("a.0", 2)
-        counts = fleet.heard_of("a.0")
+        relay = self.relay_of(fleet, "b.0")
+        fleet.unresponsive.add(relay)
+        fleet.send("a.0", 1)
+        fleet.now += RELAY_TIMEOUT_MS
+        fleet.take_receive_counts("a.0")
+        fleet.send_from_all()
+        fleet.now += RELAY_TIMEOUT_MS
+        fleet.send_from_all()
+        fleet.send("a.0", 2)
+        counts = fleet.take_receive_counts("a.0")
         self.assertEqual({name for name, n in counts.items() if n != 1}, {"a.0", relay})
 
-    def test_a_relay_that_is_back_is_asked_again(self) -> None:
+    def test_relay_is_used_again_after_its_backoff(self) -> None:
         fleet = Fleet({"a": 40, "b": 40})
-        relay = self.relay_asked_by(fleet, "a.0")
+        relay = self.relay_of(fleet, "a.0")
         origin = next(name for name in fleet.zones if name.startswith("a.") and name != relay)
-        fleet.frozen.add(relay)
-        fleet.tell(origin, 1)
-        fleet.now += SILENT_RELAY_MS
-        self.assertNotEqual(self.relay_asked_by(fleet, origin), relay)
-        fleet.frozen.clear()
-        fleet.now += AVOIDED_MS
-        self.assertEqual(self.relay_asked_by(fleet, origin), relay)
-
-    def test_a_relay_that_answers_is_never_avoided(self) -> None:
+        fleet.unresponsive.add(relay)
+        fleet.send(origin, 1)
+        fleet.now += RELAY_TIMEOUT_MS
+        self.assertNotEqual(self.relay_of(fleet, origin), relay)
+        fleet.unresponsive.clear()
+        fleet.now += RELAY_BACKOFF_MS
+        self.assertEqual(self.relay_of(fleet, origin), relay)
+
+    def test_relay_that_responds_is_never_replaced(self) -> None:
         fleet = Fleet({"a": 40, "b": 40})
-        relay = self.relay_asked_by(fleet, "a.0")
+        relay = self.relay_of(fleet, "a.0")
         origin = next(name for name in fleet.zones if name.startswith("a.") and name != relay)
         for number in range(20):
-            fleet.tell(origin, number)
-            fleet.now += 10 * SILENT_RELAY_MS
-            self.assertEqual(self.relay_asked_by(fleet, origin), relay)
-            fleet.tell(origin, number)
+            fleet.send(origin, number)
+            fleet.now += 10 * RELAY_TIMEOUT_MS
+            self.assertEqual(self.relay_of(fleet, origin), relay)
+            fleet.send(origin, number)
 
-    def test_one_without_requests_of_late_is_told_that_its_relay_is_there_and_no_more(self) -> None:
+    def test_proxy_without_recent_requests_gets_acknowledgements_only(self) -> None:
         fleet = Fleet({"a": 40})
-        relay = fleet.relays[self.relay_asked_by(fleet, "a.0")]
+        relay = fleet.relays[self.relay_of(fleet, "a.0")]
         relay.passed_on(0.0)
         relay.received(0.0, "a.1", Reach.FLEET, [News("a.1", 1, [])])
-        self.assertEqual([parcel.receiver for parcel in relay.passed_on(ANSWERED_MS)], ["a.1"])
-        relay.received(ANSWERED_MS, "a.2", Reach.FLEET, [News("a.2", 1, told(1))])
-        self.assertEqual([parcel.receiver for parcel in relay.passed_on(LISTENING_MS)], ["a.2"])
-        relay.received(LISTENING_MS, "a.3", Reach.GROUP, [News("b.1", 1, told(1))])
-        self.assertEqual(relay.passed_on(LISTENING_MS + ANSWERED_MS + 1), [])
+        self.assertEqual([message.receiver for message in relay.passed_on(KEEPALIVE_FORWARDING_MS)], ["a.1"])
+        relay.received(KEEPALIVE_FORWARDING_MS, "a.2", Reach.FLEET, [News("a.2", 1, make_announcements(1))])
+        self.assertEqual([message.receiver for message in relay.passed_on(ACTIVE_FORWARDING_MS)], ["a.2"])
+        relay.received(ACTIVE_FORWARDING_MS, "a.3", Reach.GROUP, [News("b.1", 1, make_announcements(1))])
+        self.assertEqual(relay.passed_on(ACTIVE_FORWARDING_MS + KEEPALIVE_FORWARDING_MS + 1), [])
 
-    def test_news_that_comes_over_two_relays_is_taken_once(self) -> None:
+    def test_duplicates_through_two_relays_are_dropped(self) -> None:
         relay = AnnouncementRelay("a.0")
         relay.set_proxies({f"a.{number}": "a" for number in range(40)})
-        first, second = News("a.3", 5, told(1)), News("a.3", 6, told(2))
-        taken = [
-            relay.received(1.0, sender, Reach.RECEIVER, list(news))
-            for sender, news in (("a.1", [first]), ("a.2", [first, second]), ("a.1", [second]))
+        first, second = News("a.3", 5, make_announcements(1)), News("a.3", 6, make_announcements(2))
+        accepted = [
+            relay.received(1.0, sender, Reach.RECEIVER, list(updates))
+            for sender, updates in (("a.1", [first]), ("a.2", [first, second]), ("a.1", [second]))
         ]
-        self.assertEqual(taken, [[first], [second], []])
+        self.assertEqual(accepted, [[first], [second], []])
 
-    def test_news_of_a_proxy_that_is_not_listed_is_not_taken(self) -> None:
+    def test_updates_of_unlisted_proxies_are_dropped(self) -> None:
         relay = AnnouncementRelay("a.0")
         relay.set_proxies({"a.0": "a", "a.1": "a"})
-        news = [News(origin, 1, told(1)) for origin in ("a.0", "a.1", "a.2")]
-        self.assertEqual(relay.received(1.0, "a.1", Reach.RECEIVER, news), [news[1]])
+        updates = [News(origin, 1, make_announcements(1)) for origin in ("a.0", "a.1", "a.2")]
+        self.assertEqual(relay.received(1.0, "a.1", Reach.RECEIVER, updates), [updates[1]])
 
-    def test_a_proxy_that_starts_anew_with_other_serials_is_heard(self) -> None:
+    def test_restarted_proxy_with_other_sequence_numbers_is_accepted(self) -> None:
         relay = AnnouncementRelay("a.0")
         relay.set_proxies({"a.0": "a", "a.1": "a"})
-        for serial in (900, 901, 3, 4):
-            self.assertEqual(len(relay.received(1.0, "a.1", Reach.RECEIVER, [News("a.1", serial, [])])), 1)
+        for sequence in (900, 901, 3, 4):
+            self.assertEqual(len(relay.received(1.0, "a.1", Reach.RECEIVER, [News("a.1", sequence, [])])), 1)
 
-    def test_many_announcements_go_in_pieces_that_fit_a_packet(self) -> None:
+    def test_many_announcements_are_split_into_updates(self) -> None:
         relay = AnnouncementRelay("a.0")
         relay.set_proxies({"a.0": "a", "a.1": "a"})
-        [parcel] = relay.own_news(0.0, told(1) * (2 * MOST_AT_ONCE + 1))
-        self.assertEqual([len(news.announcements) for news in parcel.news], [MOST_AT_ONCE, MOST_AT_ONCE, 1])
-        self.assertEqual(len({news.serial for news in parcel.news}), 3)
-
-    def test_what_is_gathered_is_bounded(self) -> None:
+        [message] = relay.own_news(0.0, make_announcements(1) * (2 * MAX_ANNOUNCEMENTS_PER_UPDATE + 1))
+        self.assertEqual(
+            [len(update.announcements) for update in message.news],
+            [MAX_ANNOUNCEMENTS_PER_UPDATE, MAX_ANNOUNCEMENTS_PER_UPDATE, 1],
+        )
+        self.assertEqual(len({update.serial for update in message.news}), 3)
+
+    def test_pending_updates_are_bounded(self) -> None:
         fleet = Fleet({"a": 40})
         relay = fleet.relays["a.0"]
         relay.received(0.0, "a.2", Reach.FLEET, [News("a.2", 7, [])])
-        relay.received(0.0, "a.1", Reach.GROUP, [News("a.1", 1, [])] * (2 * MOST_GATHERED))
+        relay.received(0.0, "a.1", Reach.GROUP, [News("a.1", 1, [])] * (2 * MAX_PENDING_UPDATES))
         relay.received(0.0, "a.1", Reach.GROUP, [News("a.1", 2, [])] * 5)
-        self.assertEqual(len(relay.passed_on(1.0)[0].news), MOST_GATHERED + 1)
+        self.assertEqual(len(relay.passed_on(1.0)[0].news), MAX_PENDING_UPDATES + 1)
 
-    def test_views_that_differ_for_a_while_end_in_no_circle(self) -> None:
+    def test_differing_views_cause_no_forwarding_loop(self) -> None:
         fleet = Fleet({"a": 40, "b": 40, "c": 40})
         for number, relay in enumerate(fleet.relays.values()):
             known = {name: zone for i, (name, zone) in enumerate(fleet.zones.items()) if (i + number) % 5}
             relay.set_proxies(known)
         for origin in list(fleet.zones)[:30]:
-            fleet.tell(origin, 1)
+            fleet.send(origin, 1)
             self.assertFalse(any(relay.has_gathered for relay in fleet.relays.values()))
-            self.assertLess(max(fleet.heard_of(origin).values()), 5)
+            self.assertLess(max(fleet.take_receive_counts(origin).values()), 5)
 
 
 if __name__ == "__main__":
