--- a/barleybarrow/routing/announcement_relay.py
+++ b/barleybarrow/routing/announcement_relay.py
@@ -23,7 +23,7 @@
 MAX_DIRECT_PROXIES = 32  # direct sends to more proxies take over 2% of a small core
 MAX_ANNOUNCEMENTS_PER_UPDATE = 8  # fits into one packet even with the longest names
 MAX_REMEMBERED_SEQUENCES = 16  # per proxy: two relays differ by one or two batches
-TARGET_GROUP_SIZE = 48  # mean number of proxies per relay, whose datagrams take some 2% of a small core
+TARGET_GROUP_SIZE = 48  # highest mean of proxies per relay, whose datagrams take some 2% of a small core
 RELAY_TIMEOUT_MS = 400.0  # a relay responds within some 30 ms, a busy one a little later
 MAX_PENDING_UPDATES = 512  # per forwarded batch, some 10 ms of a large fleet's updates; more are dropped
 # How long a relay forwards to a proxy of its group after an empty update, as an acknowledgement.
--- a/tests/fleet/test_routing_announcements.py
+++ b/tests/fleet/test_routing_announcements.py
@@ -85,9 +85,10 @@
         send = dispatcher.arrived(0.0, request(1))[0]
         assert isinstance(send, Send)
         announcements = dispatcher.announcements()
-        self.assertEqual([(item.server_id, item.subject, item.subject_tokens) for item in announcements], [
-            (send.server_id, "5a", 3_000)
-        ])  # fmt: skip
+        self.assertEqual(
+            [(item.server_id, item.subject, item.subject_tokens) for item in announcements],
+            [(send.server_id, "5a", 3_000)],
+        )
         self.assertEqual(dispatcher.announcements(), [])
 
     def test_prefill_announced_by_a_peer_counts_as_backlog(self) -> None:
