--- a/barleybarrow/routing/actions.py
+++ b/barleybarrow/routing/actions.py
@@ -54,7 +54,7 @@
     zone: str = ""
     proxies: int = 1  # number of proxies assumed to send to the same servers; at least 1
     # Repeating the prefill of a shared segment on another server within this time has a cost.
-    again_ms: float = 3000.0
+    recompute_window_ms: float = 3000.0
 
 
 @dataclass(slots=True)
@@ -84,7 +84,7 @@
     prompt_tokens: int = 0
     output_tokens: int = 0  # maximum to be generated
     # (id, tokens) in prompt order; the last is unique to the request.
-    prompt_parts: tuple[tuple[str, int], ...] = ()
+    prompt_segments: tuple[tuple[str, int], ...] = ()
     model: str = ""
     resumed_after: str | None = None  # Last-Event-Id of a client that resumes a stream
 
--- a/barleybarrow/routing/announcement_relay.py
+++ b/barleybarrow/routing/announcement_relay.py
@@ -33,7 +33,7 @@
 RELAY_BACKOFF_MS = 5_000.0  # membership removes a relay that is down within this time
 
 
-class Reach(IntEnum):
+class ForwardingScope(IntEnum):
     """How far the updates of a datagram are still to be forwarded."""
 
     RECEIVER = 0
@@ -42,21 +42,21 @@
 
 
 @dataclass(slots=True)
-class News:
+class AnnouncementUpdate:
     """Announcements that one proxy sent together; empty as a keep-alive."""
 
     origin: str  # the proxy's IP address
-    serial: int  # unique within the process; a restart begins at another number
+    sequence: int  # unique within the process; a restart begins at another number
     announcements: list[Announcement]
 
 
 @dataclass(slots=True)
-class Parcel:
+class OutgoingMessage:
     """Updates to send to one proxy."""
 
     receiver: str
-    reach: Reach
-    news: list[News]
+    scope: ForwardingScope
+    updates: list[AnnouncementUpdate]
 
 
 @dataclass(slots=True)
@@ -71,8 +71,8 @@
 class _PendingUpdates:
     """Updates that this proxy forwards next as a relay."""
 
-    to_group: list[News] = field(default_factory=list)
-    to_fleet: list[News] = field(default_factory=list)
+    to_group: list[AnnouncementUpdate] = field(default_factory=list)
+    to_fleet: list[AnnouncementUpdate] = field(default_factory=list)
 
 
 class AnnouncementRelay:
@@ -111,23 +111,25 @@
         """Whether the fleet is large enough to use relays."""
         return bool(self._groups)
 
-    def own_news(self, now: float, announcements: list[Announcement]) -> list[Parcel]:
+    def messages_for(self, now: float, announcements: list[Announcement]) -> list[OutgoingMessage]:
         """Messages to send now for this proxy's updates; if it is the relay, `take_forwards` returns them."""
         updates = self._split(announcements)
         if self._direct_peers:
-            return [Parcel(proxy, Reach.RECEIVER, updates) for proxy in self._direct_peers]
+            return [OutgoingMessage(proxy, ForwardingScope.RECEIVER, updates) for proxy in self._direct_peers]
         if not self._own_group:
             return []
         relay = self._select_relay(now, self._own_group)
         if relay == self.own_address:
             self._enqueue(self._pending.to_fleet, updates)
             return []
-        return [Parcel(relay, Reach.FLEET, updates)]
+        return [OutgoingMessage(relay, ForwardingScope.FLEET, updates)]
 
-    def received(self, now: float, sender: str, scope: Reach, updates: list[News]) -> list[News]:
+    def receive(
+        self, now: float, sender: str, scope: ForwardingScope, updates: list[AnnouncementUpdate]
+    ) -> list[AnnouncementUpdate]:
         """Handle a datagram: queue what is to be forwarded, and return the updates new to this proxy."""
         self._relays[sender].unanswered_since = inf
-        if scope is Reach.FLEET:
+        if scope is ForwardingScope.FLEET:
             self._enqueue(self._pending.to_fleet, updates)
             forwarding_ms = (
                 ACTIVE_FORWARDING_MS
@@ -135,14 +137,14 @@
                 else KEEPALIVE_FORWARDING_MS
             )
             self._forward_until[sender] = max(self._forward_until.get(sender, now), now + forwarding_ms)
-        elif scope is Reach.GROUP:
+        elif scope is ForwardingScope.GROUP:
             self._enqueue(self._pending.to_group, updates)
         return [update for update in updates if update.origin in self._peers and self._is_new(update)]
 
-    def _split(self, announcements: list[Announcement]) -> list[News]:
+    def _split(self, announcements: list[Announcement]) -> list[AnnouncementUpdate]:
         starts = range(0, max(1, len(announcements)), MAX_ANNOUNCEMENTS_PER_UPDATE)
         return [
-            News(
+            AnnouncementUpdate(
                 self.own_address,
                 next(self._sequences),
                 announcements[start : start + MAX_ANNOUNCEMENTS_PER_UPDATE],
@@ -150,33 +152,35 @@
             for start in starts
         ]
 
-    def _is_new(self, update: News) -> bool:
+    def _is_new(self, update: AnnouncementUpdate) -> bool:
         sequences = self._seen_sequences.setdefault(update.origin, deque(maxlen=MAX_REMEMBERED_SEQUENCES))
-        if update.serial in sequences:
+        if update.sequence in sequences:
             return False
-        sequences.append(update.serial)
+        sequences.append(update.sequence)
         return True
 
-    def _enqueue(self, queue: list[News], updates: list[News]) -> None:
+    def _enqueue(self, queue: list[AnnouncementUpdate], updates: list[AnnouncementUpdate]) -> None:
         queue += updates[: max(0, MAX_PENDING_UPDATES - len(queue))]
 
     @property
-    def has_gathered(self) -> bool:
+    def has_pending(self) -> bool:
         """Whether updates wait to be forwarded."""
         return bool(self._pending.to_fleet or self._pending.to_group)
 
-    def passed_on(self, now: float) -> list[Parcel]:
+    def take_forwards(self, now: float) -> list[OutgoingMessage]:
         """Remove the pending updates and return them as one message per receiver."""
         pending, self._pending = self._pending, _PendingUpdates()
         to_group = pending.to_fleet + pending.to_group
         forward_until = {proxy: until for proxy, until in self._forward_until.items() if until >= now}
         self._forward_until = forward_until
-        messages = [Parcel(member, Reach.RECEIVER, to_group) for member in forward_until]
+        messages = [OutgoingMessage(member, ForwardingScope.RECEIVER, to_group) for member in forward_until]
         if pending.to_fleet:
             remote_relays = [
                 self._select_relay(now, name) for name in self._groups if name != self._own_group
             ]
-            messages += [Parcel(relay, Reach.GROUP, pending.to_fleet) for relay in remote_relays]
+            messages += [
+                OutgoingMessage(relay, ForwardingScope.GROUP, pending.to_fleet) for relay in remote_relays
+            ]
         return messages
 
     def _select_relay(self, now: float, group: str) -> str:
--- a/barleybarrow/routing/announcements.py
+++ b/barleybarrow/routing/announcements.py
@@ -18,26 +18,26 @@
 
     service: str
     server_id: str
-    subject: str  # id of the last shared segment of the prompt; empty if there is none
-    subject_tokens: int
-    tokens_to_read: int
+    shared_segment: str  # id of the last shared segment of the prompt; empty if there is none
+    shared_segment_tokens: int
+    prefill_tokens: int
     streams: int = 0  # long streams that the sender has on this server
 
 
-class AnnouncementBox:
+class AnnouncementQueue:
     """Announcements to be sent, and the proxies that recently sent some."""
 
     def __init__(self) -> None:
         self._pending: deque[Announcement] = deque(maxlen=MAX_PENDING_ANNOUNCEMENTS)
         self._last_heard_at: dict[str, float] = {}
-        self.on_first: Callable[[], None] | None = None  # called when the first one is added
+        self.on_nonempty: Callable[[], None] | None = None  # called when the first one is added
 
     def add(self, announcement: Announcement) -> None:
         """Add an announcement; the oldest are dropped beyond the limit."""
         was_empty = not self._pending
         self._pending.append(announcement)
-        if was_empty and self.on_first is not None:
-            self.on_first()
+        if was_empty and self.on_nonempty is not None:
+            self.on_nonempty()
 
     def take_all(self) -> list[Announcement]:
         """Remove and return all announcements."""
@@ -49,7 +49,7 @@
         """Record that a proxy sent announcements."""
         self._last_heard_at[peer] = now
 
-    def proxies(self, now: float) -> int:
+    def count_proxies(self, now: float) -> int:
         """Number of proxies that recently sent announcements, including this one."""
         for peer in [peer for peer, at in self._last_heard_at.items() if now - at > PEER_TTL_MS]:
             del self._last_heard_at[peer]
--- a/barleybarrow/routing/dispatcher.py
+++ b/barleybarrow/routing/dispatcher.py
@@ -27,10 +27,10 @@
     Send,
     ServerInfo,
 )
-from barleybarrow.routing.announcements import Announcement, AnnouncementBox
-from barleybarrow.routing.exchange import Choice, Exchange
+from barleybarrow.routing.announcements import Announcement, AnnouncementQueue
+from barleybarrow.routing.exchange import Choice, RequestState
 from barleybarrow.routing.pool import ServerRecord, ServicePool
-from barleybarrow.routing.selection import Selector, subject_of
+from barleybarrow.routing.selection import Selector, shared_segment_id
 from barleybarrow.routing.silence import SilenceDetector, is_ejection_allowed, silence_deadline
 from barleybarrow.routing.speed import MIN_REGRESSION_SAMPLES
 
@@ -65,14 +65,14 @@
         self.settings = settings
         self.counters = Counters()
         # Its `on_nonempty` may be set to learn when there is something to send.
-        self.news = AnnouncementBox()
+        self.announcement_queue = AnnouncementQueue()
         self._rng = rng
         self._acquire_retry = acquire_retry
         self.pools: dict[str, ServicePool] = {}
         self._listed_servers: dict[str, list[ServerInfo]] = {}
-        self._requests: dict[RequestId, Exchange] = {}
+        self._requests: dict[RequestId, RequestState] = {}
         self._silence_detector = SilenceDetector()
-        self._selector = selector or Selector(rng, settings.again_ms)
+        self._selector = selector or Selector(rng, settings.recompute_window_ms)
 
     def configure(self, now: float, services: Mapping[str, Service], routes: Sequence[Route]) -> None:
         """Apply a new configuration."""
@@ -85,15 +85,15 @@
                 pool.update(now, self._listed_servers.get(name, ()), self.settings.proxies)
             pool.service = service
 
-    def servers(self, now: float, service: str, servers: Sequence[ServerInfo]) -> None:
+    def update_servers(self, now: float, service: str, servers: Sequence[ServerInfo]) -> None:
         """Replace the list of servers of a service."""
         self._listed_servers[service] = list(servers)
         if pool := self.pools.get(service):
             pool.update(now, servers, self.settings.proxies)
 
-    def arrived(self, now: float, request: DispatchRequest) -> list[Action]:
+    def request_arrived(self, now: float, request: DispatchRequest) -> list[Action]:
         """Handle a new request: send it to a server or refuse it."""
-        state = self._requests[request.id] = Exchange(request)
+        state = self._requests[request.id] = RequestState(request)
         return self._send(now, state, RefusalReason.NO_SERVER)
 
     def connection_failed(self, now: float, request_id: RequestId, server_id: str) -> list[Action]:
@@ -179,7 +179,7 @@
             return self._send(now, state, RefusalReason.ALL_EJECTED)
         return self._fail(state, outcome)
 
-    def abandoned(self, now: float, request_id: RequestId) -> list[Action]:
+    def request_cancelled(self, now: float, request_id: RequestId) -> list[Action]:
         """Handle the disconnection of the client."""
         state = self._requests.pop(request_id, None)
         if state is not None and state.server is not None:
@@ -189,18 +189,18 @@
     def proxies_changed(self, now: float, proxies: int) -> None:
         """Set the number of proxies that send to the same servers, including this one."""
         self.settings.proxies = max(1, proxies)
-        announcing_peers = self.news.proxies(now) - 1
+        announcing_peers = self.announcement_queue.count_proxies(now) - 1
         for pool in self.pools.values():
             pool.set_announcing_share(
                 min(1.0, (announcing_peers + 1) / self.settings.proxies) if announcing_peers else 0.0,
                 self.settings.proxies,
             )
 
-    def announcements(self) -> list[Announcement]:
+    def take_announcements(self) -> list[Announcement]:
         """Remove and return the announcements to send to the other proxies."""
-        return self.news.take_all()
+        return self.announcement_queue.take_all()
 
-    def standing(self) -> list[Announcement]:
+    def restated_announcements(self) -> list[Announcement]:
         """Announcements that restate the streams which this proxy has open on each server."""
         return [
             Announcement(service, server.info.id, "", 0, 0, server.streams)
@@ -209,10 +209,10 @@
             if server.streams
         ]
 
-    def heard(self, now: float, peer: str, announcements: Sequence[Announcement]) -> None:
+    def receive_announcements(self, now: float, peer: str, announcements: Sequence[Announcement]) -> None:
         """Apply the announcements of another proxy: which prompts and streams it sent to which servers."""
-        self.news.record_sender(now, peer)
-        announcing_proxies = self.news.proxies(now)
+        self.announcement_queue.record_sender(now, peer)
+        announcing_proxies = self.announcement_queue.count_proxies(now)
         self.settings.proxies = max(self.settings.proxies, announcing_proxies)
         for pool in self.pools.values():
             pool.set_announcing_share(announcing_proxies / self.settings.proxies, self.settings.proxies)
@@ -222,15 +222,17 @@
             if service_pool is None or server is None:
                 continue
             service_pool.update_peer_streams(now, server, peer, announcement.streams)
-            if announcement.tokens_to_read == 0:
+            if announcement.prefill_tokens == 0:
                 continue
-            server.add_prefill(now, announcement.tokens_to_read * service_pool.reading.ms_per_token)
-            if announcement.subject:
-                server.cache.insert_anonymous(
-                    max(0, announcement.tokens_to_read - announcement.subject_tokens)
+            server.add_prefill(now, announcement.prefill_tokens * service_pool.prefill.ms_per_token)
+            if announcement.shared_segment:
+                server.prefix_cache.insert_anonymous(
+                    max(0, announcement.prefill_tokens - announcement.shared_segment_tokens)
                 )
-                server.cache.sent(((announcement.subject, announcement.subject_tokens),))
-                service_pool.record_segment(now, announcement.subject)
+                server.prefix_cache.insert(
+                    ((announcement.shared_segment, announcement.shared_segment_tokens),)
+                )
+                service_pool.record_segment(now, announcement.shared_segment)
 
     def tick(self, now: float) -> list[Action]:
         """Check the requests that are due: those with a silent server move to another where permitted."""
@@ -243,7 +245,7 @@
         """The time of the next call of `tick`; infinity if none is needed."""
         return self._silence_detector.next_check_at()
 
-    def _check_silence(self, now: float, state: Exchange) -> list[Action]:
+    def _check_silence(self, now: float, state: RequestState) -> list[Action]:
         pool, server = self.pools.get(state.request.service), state.server
         if pool is None or server is None:
             return []
@@ -261,18 +263,18 @@
         self.counters.add("moved")
         return self._send(now, state, RefusalReason.ALL_EJECTED)
 
-    def _send(self, now: float, state: Exchange, reason: RefusalReason) -> list[Action]:
+    def _send(self, now: float, state: RequestState, reason: RefusalReason) -> list[Action]:
         """Send to the best untried server, or refuse or fail the request."""
         request = state.request
         if now >= request.deadline_at:
             return self._refuse_or_fail(now, state, RefusalReason.DEADLINE)
         pool = self.pools.get(request.service)
         if pool is not None:
-            if pool.reading.samples < MIN_REGRESSION_SAMPLES:
-                pool.reading.set_initial(request.route.target_latency_ms, request.prompt_tokens)
+            if pool.prefill.samples < MIN_REGRESSION_SAMPLES:
+                pool.prefill.set_initial(request.route.target_latency_ms, request.prompt_tokens)
             if not state.tried:
                 pool.profile(request.route.name).record_declared(request.prompt_tokens, request.output_tokens)
-        choice = self._selector.pick(now, pool, state) if pool else None
+        choice = self._selector.select(now, pool, state) if pool else None
         if pool is None or choice is None:
             return self._refuse_or_fail(now, state, reason)
         overdue = choice.expected_first_event_ms > request.deadline_at - now
@@ -282,11 +284,11 @@
         state.start(now, choice)
         server.in_flight += 1
         server.pending[request.id] = state
-        server.waiting_ms += choice.prefill_ms
+        server.pending_prefill_ms += choice.prefill_ms
         server.add_prefill(now, choice.prefill_ms)
         state.uncorrected_prefill_until = server.uncorrected_prefill_until
-        server.cache.sent(request.prompt_parts)
-        if shared_segment := subject_of(request):
+        server.prefix_cache.insert(request.prompt_segments)
+        if shared_segment := shared_segment_id(request):
             pool.record_segment(now, shared_segment)
         profile = pool.profile(request.route.name)
         state.is_long_stream = profile.is_streaming
@@ -302,25 +304,25 @@
         return [Send(request.id, server.info.id, priority)]
 
     def _announce(self, request: DispatchRequest, server: ServerRecord, choice: Choice) -> None:
-        shared_segment, tokens = request.prompt_parts[-2] if len(request.prompt_parts) >= 2 else ("", 0)
+        shared_segment, tokens = request.prompt_segments[-2] if len(request.prompt_segments) >= 2 else ("", 0)
         if choice.prefill_tokens > 0:
             prefill_tokens = choice.prefill_tokens
             announcement = Announcement(
                 request.service, server.info.id, shared_segment, tokens, prefill_tokens, server.streams
             )
-            self.news.add(announcement)
+            self.announcement_queue.add(announcement)
 
-    def _refuse_or_fail(self, now: float, state: Exchange, reason: RefusalReason) -> list[Action]:
+    def _refuse_or_fail(self, now: float, state: RequestState, reason: RefusalReason) -> list[Action]:
         if state.may_have_run:
             return self._fail(state, Outcome.BROKEN)
         return self._refuse(now, state, reason)
 
-    def _refuse(self, now: float, state: Exchange, reason: RefusalReason) -> list[Action]:
+    def _refuse(self, now: float, state: RequestState, reason: RefusalReason) -> list[Action]:
         del self._requests[state.request.id]
         self.counters.add(f"refused_{reason.value}")
         return [admission.refuse(now, state.request, reason.value, self._rng)]
 
-    def _fail(self, state: Exchange, outcome: Outcome) -> list[Action]:
+    def _fail(self, state: RequestState, outcome: Outcome) -> list[Action]:
         del self._requests[state.request.id]
         reason = FailureReason.CONNECTION_BROKEN
         status = BAD_GATEWAY
@@ -331,7 +333,7 @@
         self.counters.add(f"failed_{reason.value}")
         return [Fail(state.request.id, status, reason.value)]
 
-    def _may_retry(self, state: Exchange, acquire: bool = True) -> bool:
+    def _may_retry(self, state: RequestState, acquire: bool = True) -> bool:
         """Whether a request that may have run may be sent again; `acquire` takes from the retry budget."""
         route = state.request.route
         if not route.resumable and route.kind != RouteKind.SAFE:
@@ -342,7 +344,7 @@
 
     def _end_attempt(
         self, now: float, request_id: RequestId, server_id: str
-    ) -> tuple[Exchange, ServerRecord] | None:
+    ) -> tuple[RequestState, ServerRecord] | None:
         """End the attempt; returns the request and its server, or None if no such attempt is active."""
         state = self._requests.get(request_id)
         if state is None or state.server is None or state.server.info.id != server_id:
@@ -351,7 +353,7 @@
         self._release(now, state, server)
         return state, server
 
-    def _release(self, now: float, state: Exchange, server: ServerRecord) -> None:
+    def _release(self, now: float, state: RequestState, server: ServerRecord) -> None:
         server.in_flight -= 1
         self._remove_pending(state, server)
         state.server = None
@@ -360,15 +362,17 @@
         service = state.request.service
         if pool := self.pools.get(service):
             pool.add_streams(now, server, -1)
-        self.news.add(Announcement(service, server.info.id, "", 0, 0, server.streams))
+        self.announcement_queue.add(Announcement(service, server.info.id, "", 0, 0, server.streams))
 
-    def _remove_pending(self, state: Exchange, server: ServerRecord) -> None:
+    def _remove_pending(self, state: RequestState, server: ServerRecord) -> None:
         """Remove from the pending requests: its prefill is done or will not take place."""
         if server.pending.pop(state.request.id, None) is not None:
-            server.waiting_ms = server.waiting_ms - state.prefill_ms if server.pending else 0.0
+            server.pending_prefill_ms = (
+                server.pending_prefill_ms - state.prefill_ms if server.pending else 0.0
+            )
 
     def _record_connection_failure(
-        self, now: float, state: Exchange, server: ServerRecord, force_ejection: bool = False
+        self, now: float, state: RequestState, server: ServerRecord, force_ejection: bool = False
     ) -> None:
         self.counters.add("broke")
         pool = self.pools.get(state.request.service)
@@ -381,7 +385,7 @@
             pool.degraded = True
             self.counters.add("ejected")
 
-    def _record_first_event(self, now: float, state: Exchange, server: ServerRecord) -> None:
+    def _record_first_event(self, now: float, state: RequestState, server: ServerRecord) -> None:
         """Update the estimates with the time to the first event."""
         self._remove_pending(state, server)
         server.health.record_response(now, failed=False)
@@ -391,7 +395,7 @@
         elapsed_ms = now - state.sent_at
         server.complete_prefill(now, state.uncorrected_prefill_until)
         pool.first_event_ms.observe(elapsed_ms)
-        pool.reading.observe(state.prefill_tokens, elapsed_ms - state.backlog_ms)
+        pool.prefill.observe(state.prefill_tokens, elapsed_ms - state.backlog_ms)
         overhead_ms = elapsed_ms - state.backlog_ms - state.prefill_ms
         server.overhead.observe(now, overhead_ms, pool.overhead.value)
         pool.overhead.observe(overhead_ms)
@@ -400,7 +404,7 @@
             now, state.sent_at, server.in_flight, elapsed_ms, state.expected_first_event_ms, target_ms
         )
 
-    def _record_response(self, now: float, state: Exchange, server: ServerRecord, failed: bool) -> None:
+    def _record_response(self, now: float, state: RequestState, server: ServerRecord, failed: bool) -> None:
         """Record the outcome of a response and eject a server that fails far more often than the others."""
         server.health.record_response(now, failed)
         pool = self.pools.get(state.request.service)
@@ -410,7 +414,7 @@
         if failed and server.health.has_gray_failure(pool.failure_rate.value):
             self._eject(now, pool, server)
 
-    def _record_stream_duration(self, now: float, state: Exchange) -> None:
+    def _record_stream_duration(self, now: float, state: RequestState) -> None:
         """Record the duration of a complete stream in the profile of its route."""
         pool = self.pools.get(state.request.service)
         if pool is None or pool.service.engine is None or state.first_event_at is None:
--- a/barleybarrow/routing/exchange.py
+++ b/barleybarrow/routing/exchange.py
@@ -18,7 +18,7 @@
 
 
 @dataclass(slots=True)
-class Exchange:
+class RequestState:
     """State of one request until its response ends."""
 
     request: DispatchRequest
--- a/barleybarrow/routing/pool.py
+++ b/barleybarrow/routing/pool.py
@@ -15,10 +15,10 @@
 from barleybarrow.routing.profiles import RouteProfile, StreamCount, servers_for_streams
 from barleybarrow.routing.rendezvous import HashRing, stable_hash, weight
 from barleybarrow.routing.speed import OVERHEAD_WEIGHT, MovingAverage, PrefillModel, ServerOverhead
-from barleybarrow.routing.thresholds import IdleThreshold
+from barleybarrow.routing.thresholds import AdaptiveConcurrencyLimit
 
 MAX_TRACKED_SEGMENTS = 4096  # shared prompt segments whose last use is remembered
-LARGE_FLEET = 64  # in a larger fleet only a few servers are evaluated per request
+MAX_FULL_SCAN_SERVERS = 64  # in a larger fleet only a few servers are evaluated per request
 
 SERVICE_FAILURE_RATE_WEIGHT = 1 / 64  # of one response: a far slower average than that of a single server
 PREFILL_PAUSE_MS = 10.0  # in a pause this long between prefills streams catch up by some ten tokens
@@ -41,7 +41,7 @@
         "hash",
         "in_flight",
         "pending",
-        "waiting_ms",
+        "pending_prefill_ms",
         "prefill_until",
         "prefill_since",
         "correction_ms",
@@ -54,7 +54,7 @@
         "health",
         "overhead",
         "concurrency",
-        "cache",
+        "prefix_cache",
         "listed",
     )
 
@@ -71,7 +71,7 @@
         self.in_flight = 0  # requests of this proxy
         # Requests of this proxy without a first event, oldest first.
         self.pending: dict[RequestId, PendingRequest] = {}
-        self.waiting_ms = 0.0  # estimated prefill time of the pending requests
+        self.pending_prefill_ms = 0.0  # estimated prefill time of the pending requests
         self.prefill_until = 0.0  # end of all known prefills, those of other proxies included
         self.prefill_since = 0.0  # start of the current run of prefills without a long pause
         self.cold_start_until = now + info.cold_remaining_ms
@@ -83,8 +83,8 @@
         self._streams_by_peer: dict[str, tuple[int, float]] = {}  # (streams, time of the announcement)
         self.health = ServerHealth()
         self.overhead = ServerOverhead(mean_overhead_ms, now)
-        self.concurrency = IdleThreshold(initial_limit, max(info.slots, 1))
-        self.cache = PrefixCache(cache_capacity_tokens)
+        self.concurrency = AdaptiveConcurrencyLimit(initial_limit, max(info.slots, 1))
+        self.prefix_cache = PrefixCache(cache_capacity_tokens)
         self.listed = True
 
     def update_peer_streams(self, now: float, peer: str, streams: int) -> None:
@@ -97,7 +97,7 @@
         self.peer_streams = sum(n for n, _ in current.values())
 
     @property
-    def held_share(self) -> float:
+    def stream_occupancy(self) -> float:
         """Share of the slots that known long streams hold."""
         return (self.streams + self.peer_streams) / max(1, self.info.slots)
 
@@ -136,7 +136,7 @@
             return known_ms if known_ms > 0 else 0.0
         oldest = next(iter(self.pending.values()))
         overdue_ms = now - oldest.sent_at - oldest.expected_first_event_ms
-        return max(known_ms, self.waiting_ms + (overdue_ms if overdue_ms > 0 else 0.0))
+        return max(known_ms, self.pending_prefill_ms + (overdue_ms if overdue_ms > 0 else 0.0))
 
 
 class ServicePool:
@@ -147,7 +147,7 @@
         self.proxies = 1  # number of proxies that send to these servers, including this one
         self.servers: dict[str, ServerRecord] = {}
         self.ready: list[ServerRecord] = []
-        self.reading = PrefillModel()
+        self.prefill = PrefillModel()
         self.overhead = MovingAverage(OVERHEAD_WEIGHT)
         self.announcing_share = 0.0  # share of all proxies whose announcements arrive
         self.first_event_ms = MovingAverage(OVERHEAD_WEIGHT)  # over all routes
@@ -176,7 +176,9 @@
             record.cold_start_until = now + info.cold_remaining_ms
             self.servers[info.id] = record
         self.ready = [record for record in self.servers.values() if record.info.state == ServerState.READY]
-        self.ring = HashRing(r.info.id for r in self.ready) if len(self.ready) > LARGE_FLEET else None
+        self.ring = (
+            HashRing(r.info.id for r in self.ready) if len(self.ready) > MAX_FULL_SCAN_SERVERS else None
+        )
         self._stream_ranking = sorted(
             self.ready, key=lambda record: weight(STREAM_RANKING_KEY, record.hash), reverse=True
         )
@@ -199,7 +201,7 @@
             return
         self.announcing_share = share
         for record in self.servers.values():
-            record.cache.capacity_tokens = self._known_capacity_tokens(proxies)
+            record.prefix_cache.capacity_tokens = self._known_capacity_tokens(proxies)
 
     def record_segment(self, now: float, segment_id: str) -> None:
         """Record that a prompt with this shared segment was sent to some server."""
--- a/barleybarrow/routing/prefix_cache.py
+++ b/barleybarrow/routing/prefix_cache.py
@@ -33,7 +33,7 @@
         """Number of tokens in the cache."""
         return self._tokens
 
-    def kept_tokens(self, segments: PromptSegments) -> int:
+    def cached_tokens(self, segments: PromptSegments) -> int:
         """Tokens that need no prefill: those of the leading segments up to the first one not cached."""
         cached, known_segments = 0, self._segments
         for segment_id, tokens in segments:
@@ -42,7 +42,7 @@
             cached += tokens
         return cached
 
-    def sent(self, segments: PromptSegments) -> None:
+    def insert(self, segments: PromptSegments) -> None:
         """Add a prompt; leading segments become the most recent, so a prefix is evicted from its end."""
         known_segments = self._segments
         for segment_id, tokens in reversed(segments):
--- a/barleybarrow/routing/selection.py
+++ b/barleybarrow/routing/selection.py
@@ -11,7 +11,7 @@
 
 from barleybarrow.documents import RouteKind
 from barleybarrow.routing.actions import DispatchRequest
-from barleybarrow.routing.exchange import Choice, Exchange
+from barleybarrow.routing.exchange import Choice, RequestState
 from barleybarrow.routing.pool import ServerRecord, ServicePool
 from barleybarrow.routing.prefix_cache import PromptSegments
 from barleybarrow.routing.rendezvous import HASH_BITS, rank_by_weight, stable_hash
@@ -21,7 +21,7 @@
 PREFERRED_SERVER_COUNT = 3  # per shared segment: a single one is often busy, more repeat more prefill
 RANDOM_SERVER_COUNT = 5  # sampled in a large fleet, so that some are idle
 # Of the target latency: at a higher cost the wait outweighs a cached segment, and all servers are evaluated.
-FAR_SHARE_OF_AIM = 0.5
+MAX_PREFERRED_COST_RATIO = 0.5
 UNRESERVED_PENALTY_RATIO = 1 / 4  # of the target latency, for a stream on a server not reserved for streams
 OCCUPANCY_EXPONENT = 4  # slots held by streams cost little until few are free
 # Of the target latency: makes a new stream prefer the server with the fewest streams.
@@ -31,10 +31,10 @@
 STREAMS_STALL_WEIGHT = 2.0  # the same on a server reserved for long streams
 OWN_STALL_WEIGHT = 0.3  # cost per ms of any prefill for each request of this proxy past its first event
 COLD_START_FACTOR = 2.0  # assumed slowdown of a server that reports a cold start
-AGAIN_SHARE_OF_AIM = 1 / 4  # of the target latency: cost of repeating a recent prefill on another server
+RECOMPUTE_PENALTY_RATIO = 1 / 4  # of the target latency: cost of repeating a recent prefill on another server
 # Share of a shared segment's tokens that proxies without announcements are assumed to have cached on the
 # server that ranks first for it.
-ELSEWHERE_SHARE = 0.5
+UNANNOUNCED_CACHED_SHARE = 0.5
 
 
 @dataclass(slots=True)
@@ -61,9 +61,9 @@
     idle: bool
 
 
-def subject_of(request: DispatchRequest) -> str | None:
+def shared_segment_id(request: DispatchRequest) -> str | None:
     """Id of the last shared segment of the prompt; only the segment unique to the request follows it."""
-    segments = request.prompt_parts
+    segments = request.prompt_segments
     return segments[-2][0] if len(segments) >= 2 else None
 
 
@@ -74,10 +74,10 @@
         self._rng = rng
         self.recompute_window_ms = recompute_window_ms
 
-    def pick(self, now: float, pool: ServicePool, state: Exchange) -> Choice | None:
+    def select(self, now: float, pool: ServicePool, state: RequestState) -> Choice | None:
         """The server to send to now, or None if none may be tried."""
         request = state.request
-        shared_segment = subject_of(request)
+        shared_segment = shared_segment_id(request)
         key = stable_hash(shared_segment) if shared_segment else self._rng.getrandbits(HASH_BITS)
         candidates = self._candidates(now, pool, state, key)
         if not candidates:
@@ -86,25 +86,27 @@
         query = self._query(now, pool, request)
         if shared_segment and not query.is_streaming and len(ranking) > PREFERRED_SERVER_COUNT:
             best = self._cheapest(query, ranking[:PREFERRED_SERVER_COUNT])
-            if best.idle and best.cost_ms <= FAR_SHARE_OF_AIM * request.route.target_latency_ms:
+            if best.idle and best.cost_ms <= MAX_PREFERRED_COST_RATIO * request.route.target_latency_ms:
                 return best.choice
         return self._cheapest(query, ranking).choice
 
-    def has_untried(self, pool: ServicePool, state: Exchange) -> bool:
+    def has_untried(self, pool: ServicePool, state: RequestState) -> bool:
         """Whether a ready server has not been tried yet."""
         return any(server.info.id not in state.tried for server in pool.ready)
 
     def _query(self, now: float, pool: ServicePool, request: DispatchRequest) -> _Query:
-        route, segments = request.route, request.prompt_parts
+        route, segments = request.route, request.prompt_segments
         common_tokens = segments[-1][1] + segments[-2][1] if len(segments) >= 2 else request.prompt_tokens
         unannounced_tokens = (
-            ELSEWHERE_SHARE * (1 - pool.announcing_share) * segments[-2][1] if len(segments) >= 2 else 0.0
+            UNANNOUNCED_CACHED_SHARE * (1 - pool.announcing_share) * segments[-2][1]
+            if len(segments) >= 2
+            else 0.0
         )
         return _Query(
             now,
             request,
             pool.profile(route.name).is_streaming,
-            pool.reading.ms_per_token,
+            pool.prefill.ms_per_token,
             pool.overhead.value,
             common_tokens,
             int(unannounced_tokens),
@@ -114,12 +116,12 @@
         )
 
     def _recompute_penalty_ms(self, now: float, pool: ServicePool, request: DispatchRequest) -> float:
-        shared_segment = subject_of(request)
+        shared_segment = shared_segment_id(request)
         if shared_segment is None or not pool.was_segment_sent(
             shared_segment, now - self.recompute_window_ms
         ):
             return 0.0
-        return AGAIN_SHARE_OF_AIM * request.route.target_latency_ms
+        return RECOMPUTE_PENALTY_RATIO * request.route.target_latency_ms
 
     def _cheapest(self, query: _Query, ranking: list[ServerRecord]) -> _Evaluation:
         """The cheapest idle server, or the cheapest if none is idle; ties go to the first in rank order."""
@@ -130,7 +132,7 @@
         tie_limit_ms = lowest_ms + max(MIN_TIE_MS, TIE_RATIO * lowest_ms)
         return next(entry for entry in evaluations if entry.cost_ms <= tie_limit_ms)
 
-    def _candidates(self, now: float, pool: ServicePool, state: Exchange, key: int) -> list[ServerRecord]:
+    def _candidates(self, now: float, pool: ServicePool, state: RequestState, key: int) -> list[ServerRecord]:
         """Servers that may be tried: neither ejected nor overloaded; else not ejected; else any untried."""
         tried = state.tried
         if not tried and not pool.degraded:
@@ -160,7 +162,7 @@
 
     def _evaluate(self, query: _Query, server: ServerRecord, is_first_ranked: bool) -> _Evaluation:
         now = query.now
-        tokens = query.common_tokens - cached_tail_tokens(query.request.prompt_parts, server)
+        tokens = query.common_tokens - cached_tail_tokens(query.request.prompt_segments, server)
         recompute_ms = 0.0
         if tokens == query.common_tokens:  # the shared segment is not known to be cached here
             recompute_ms = query.recompute_penalty_ms
@@ -175,7 +177,7 @@
             + recompute_ms
             + OWN_STALL_WEIGHT * prefill_ms * (server.in_flight - len(server.pending))
         )
-        target_ms, occupancy = query.request.route.target_latency_ms, server.held_share
+        target_ms, occupancy = query.request.route.target_latency_ms, server.stream_occupancy
         cost_ms += target_ms * occupancy**OCCUPANCY_EXPONENT
         if query.is_streaming:
             cost_ms += STREAM_OCCUPANCY_WEIGHT * target_ms * occupancy
@@ -184,7 +186,7 @@
             stall_ms = server.continuous_prefill_ms(now, prefill_ms) - query.safe_prefill_ms
             if stall_ms > 0:  # a long prefill run delays the streams on the same server
                 cost_ms += stall_ms * (STREAMS_STALL_WEIGHT if server.reserved_for_streams else STALL_WEIGHT)
-        choice = Choice(server, tokens, prefill_ms, server.waiting_ms, expected_first_event_ms)
+        choice = Choice(server, tokens, prefill_ms, server.pending_prefill_ms, expected_first_event_ms)
         return _Evaluation(cost_ms, choice, server.in_flight < server.concurrency.limit)
 
 
@@ -193,9 +195,9 @@
 
     Earlier segments are assumed to be cached on every server.
     """
-    cache = server.cache
+    cache = server.prefix_cache
     if len(segments) < 2:
-        return cache.kept_tokens(segments)
+        return cache.cached_tokens(segments)
     shared, own = segments[-2], segments[-1]
     if shared[0] not in cache:
         return 0
--- a/barleybarrow/routing/silence.py
+++ b/barleybarrow/routing/silence.py
@@ -8,7 +8,7 @@
 from math import inf
 
 from barleybarrow.routing.actions import RequestId
-from barleybarrow.routing.exchange import Exchange
+from barleybarrow.routing.exchange import RequestState
 from barleybarrow.routing.pool import ServerRecord, ServicePool
 
 # Of the target latency without a first event: the request is late, but another server may still serve it.
@@ -22,13 +22,13 @@
     """Queue of active requests by the time at which to check for silence."""
 
     def __init__(self) -> None:
-        self._heap: list[tuple[float, RequestId, Exchange]] = []
+        self._heap: list[tuple[float, RequestId, RequestState]] = []
 
-    def watch(self, state: Exchange, pool: ServicePool) -> None:
+    def watch(self, state: RequestState, pool: ServicePool) -> None:
         """Schedule the check of a request that was sent."""
         heappush(self._heap, (silence_deadline(state, pool), state.request.id, state))
 
-    def take_due(self, now: float) -> list[Exchange]:
+    def take_due(self, now: float) -> list[RequestState]:
         """Remove and return the active requests that are due; those not silent are to be scheduled again."""
         due = []
         heap = self._heap
@@ -46,7 +46,7 @@
         return heap[0][0] if heap else inf
 
 
-def silence_deadline(state: Exchange, pool: ServicePool) -> float:
+def silence_deadline(state: RequestState, pool: ServicePool) -> float:
     """The time at which the server of a request counts as hung, by the present estimates."""
     route, server = state.request.route, state.server
     last_event_at = state.last_event_at if server is None else max(state.last_event_at, server.last_event_at)
--- a/barleybarrow/routing/thresholds.py
+++ b/barleybarrow/routing/thresholds.py
@@ -12,7 +12,7 @@
 LATE_TARGET_RATIO = 0.5  # and also above this share of the target latency: below, queueing is harmless
 
 
-class IdleThreshold:
+class AdaptiveConcurrencyLimit:
     """In-flight limit of one server, adapted by latency (AIMD)."""
 
     __slots__ = ("limit", "_max_limit", "_decreased_at")
--- a/benchmarks/capacity_memory.py
+++ b/benchmarks/capacity_memory.py
@@ -79,7 +79,7 @@
     engine = Engine(slots=48, kv_capacity_tokens=300_000, stride=40)
     dispatcher.configure(0.0, {SERVICE: Service(SERVICE, engine=engine)}, [])
     servers = [ServerInfo(f"i-{n:08x}", f"10.1.{n // 250}.{n % 250}:8080", slots=48) for n in range(count)]
-    dispatcher.servers(0.0, SERVICE, servers)
+    dispatcher.update_servers(0.0, SERVICE, servers)
     return [dispatcher, servers]
 
 
@@ -87,7 +87,7 @@
     """Parts of prompts that a proxy believes kept: shared ones and the last one of each session."""
     caches = [PrefixCache(float("inf")) for _ in range(100)]
     for number in range(count):
-        caches[number % len(caches)].sent(((f"{number:08x}", 300),))
+        caches[number % len(caches)].insert(((f"{number:08x}", 300),))
     return list(caches)
 
 
--- a/benchmarks/fleet_decisions.py
+++ b/benchmarks/fleet_decisions.py
@@ -35,7 +35,7 @@
     engine = Engine(slots=48, kv_capacity_tokens=300_000, stride=40)
     dispatcher.configure(0.0, {"llm": Service("llm", engine=engine)}, [])
     names = [f"server-{number}" for number in range(servers)]
-    dispatcher.servers(0.0, "llm", [ServerInfo(name, name, "z", 48) for name in names])
+    dispatcher.update_servers(0.0, "llm", [ServerInfo(name, name, "z", 48) for name in names])
     return dispatcher
 
 
@@ -65,7 +65,7 @@
     deciding = whole = 0.0
     for request in make_requests(count):
         began = time.thread_time()
-        action = dispatcher.arrived(request.arrived_at, request)[0]
+        action = dispatcher.request_arrived(request.arrived_at, request)[0]
         decided = time.thread_time()
         assert isinstance(action, Send)
         out.append((request.id, action.server_id))
@@ -79,7 +79,7 @@
         ended = time.thread_time()
         deciding += decided - began
         whole += ended - began
-        dispatcher.announcements()
+        dispatcher.take_announcements()
     return Cost(deciding / count * 1e6, whole / count * 1e6)
 
 
--- a/benchmarks/routing_ablation.py
+++ b/benchmarks/routing_ablation.py
@@ -19,7 +19,7 @@
 from barleybarrow.routing.outliers import ServerHealth
 from barleybarrow.routing.pool import ServerRecord
 from barleybarrow.routing.profiles import RouteProfile
-from barleybarrow.routing.thresholds import IdleThreshold
+from barleybarrow.routing.thresholds import AdaptiveConcurrencyLimit
 from testbed.engines.fleet import Fleet
 from testbed.engines.policies import shipped
 from testbed.engines.scenario import Fault, from_site, standard_error
@@ -42,20 +42,22 @@
 MECHANISMS: dict[str, list[Patch]] = {
     WHOLE: [],
     ANNOUNCEMENTS: [],  # the scenario has none then
-    "homes of subjects first": [Patch(selection, "FAR_SHARE_OF_AIM", -1.0)],
-    "subjects sent elsewhere count": [Patch(selection, "ELSEWHERE_SHARE", 0.0)],
+    "homes of subjects first": [Patch(selection, "MAX_PREFERRED_COST_RATIO", -1.0)],
+    "subjects sent elsewhere count": [Patch(selection, "UNANNOUNCED_CACHED_SHARE", 0.0)],
     "servers kept for streams": [Patch(pool, "servers_for_streams", lambda *_: 0)],
     "routes known to stream": [Patch(RouteProfile, "is_streaming", False)],
-    "slots held by streams": [Patch(ServerRecord, "held_share", 0.0)],
+    "slots held by streams": [Patch(ServerRecord, "stream_occupancy", 0.0)],
     "reading in one go is bounded": [
         Patch(selection, "STALL_WEIGHT", 0.0),
         Patch(selection, "STREAMS_STALL_WEIGHT", 0.0),
     ],
     "own streams are spared": [Patch(selection, "OWN_STALL_WEIGHT", 0.0)],
-    "reading again has a price": [Patch(selection, "AGAIN_SHARE_OF_AIM", 0.0)],
-    "idle servers first": [Patch(IdleThreshold, "limit", property(lambda _: 1e9, lambda *_: None))],
+    "reading again has a price": [Patch(selection, "RECOMPUTE_PENALTY_RATIO", 0.0)],
+    "idle servers first": [
+        Patch(AdaptiveConcurrencyLimit, "limit", property(lambda _: 1e9, lambda *_: None))
+    ],
     "ejection": [Patch(ServerHealth, "eject", lambda *_: None)],
-    "all servers are weighed": [Patch(pool, "LARGE_FLEET", 0)],
+    "all servers are weighed": [Patch(pool, "MAX_FULL_SCAN_SERVERS", 0)],
 }
 
 
--- a/brackenusher/assembly/proxy.py
+++ b/brackenusher/assembly/proxy.py
@@ -63,7 +63,7 @@
         )
         self.limits_driver = LimitsDriver(self.limits, self.links, lambda: loop.time() * 1000.0)
         self.dispatcher = Dispatcher(
-            DispatchSettings(zone=settings.zone, again_ms=settings.bounds.again_s * 1000.0),
+            DispatchSettings(zone=settings.zone, recompute_window_ms=settings.bounds.again_s * 1000.0),
             rng,
             now,
             lambda service: self.limits.may_repeat(loop.time() * 1000.0, service),
--- a/brackenusher/data_plane/announcement_datagrams.py
+++ b/brackenusher/data_plane/announcement_datagrams.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from barleybarrow.routing.announcement_relay import News, Reach
+from barleybarrow.routing.announcement_relay import AnnouncementUpdate, ForwardingScope
 from barleybarrow.routing.announcements import Announcement
 
 MAX_DATAGRAM_BYTES = 1400  # one packet on any link
@@ -19,20 +19,20 @@
 class _Row(msgspec.Struct, array_like=True, forbid_unknown_fields=True):
     service: str
     server_id: str
-    subject: str
-    subject_tokens: Count
-    tokens_to_read: Count
+    shared_segment: str
+    shared_segment_tokens: Count
+    prefill_tokens: Count
     streams: Count
 
 
 class _Told(msgspec.Struct, array_like=True, forbid_unknown_fields=True):
     origin: str
-    serial: Count
+    sequence: Count
     rows: list[_Row]
 
 
 class _Datagram(msgspec.Struct, array_like=True, forbid_unknown_fields=True):
-    reach: Reach
+    scope: ForwardingScope
     told: list[_Told]
 
 
@@ -40,47 +40,47 @@
 _decoder = msgspec.msgpack.Decoder(_Datagram)
 
 
-def _row(news: Announcement) -> _Row:
+def _row(announcement: Announcement) -> _Row:
     return _Row(
-        news.service,
-        news.server_id,
-        news.subject,
-        news.subject_tokens,
-        news.tokens_to_read,
-        news.streams,
+        announcement.service,
+        announcement.server_id,
+        announcement.shared_segment,
+        announcement.shared_segment_tokens,
+        announcement.prefill_tokens,
+        announcement.streams,
     )
 
 
-def encode(reach: Reach, news: list[News]) -> list[bytes]:
-    """Datagrams of at most `MAX_DATAGRAM_BYTES`; a piece of news too long for one is left out."""
-    told = [_Told(part.origin, part.serial, [_row(row) for row in part.announcements]) for part in news]
-    return _in_packets(reach, told)
+def encode(scope: ForwardingScope, updates: list[AnnouncementUpdate]) -> list[bytes]:
+    """Datagrams of at most `MAX_DATAGRAM_BYTES`; an update too long for one is left out."""
+    told = [_Told(part.origin, part.sequence, [_row(row) for row in part.announcements]) for part in updates]
+    return _in_packets(scope, told)
 
 
-def _in_packets(reach: Reach, told: list[_Told]) -> list[bytes]:
-    data = _encoder.encode(_Datagram(reach, told))
+def _in_packets(scope: ForwardingScope, told: list[_Told]) -> list[bytes]:
+    data = _encoder.encode(_Datagram(scope, told))
     if len(data) <= MAX_DATAGRAM_BYTES:
         return [data]
     if len(told) <= 1:
         return []
     half = len(told) // 2
-    return _in_packets(reach, told[:half]) + _in_packets(reach, told[half:])
+    return _in_packets(scope, told[:half]) + _in_packets(scope, told[half:])
 
 
-def decode(data: bytes) -> tuple[Reach, list[News]]:
+def decode(data: bytes) -> tuple[ForwardingScope, list[AnnouncementUpdate]]:
     """What `encode` made. Raises ValueError where it can't be read."""
     datagram = _decoder.decode(data)
-    news = [
-        News(
+    updates = [
+        AnnouncementUpdate(
             told.origin,
-            told.serial,
+            told.sequence,
             [
                 Announcement(
                     row.service,
                     row.server_id,
-                    row.subject,
-                    row.subject_tokens,
-                    row.tokens_to_read,
+                    row.shared_segment,
+                    row.shared_segment_tokens,
+                    row.prefill_tokens,
                     row.streams,
                 )
                 for row in told.rows
@@ -88,4 +88,4 @@
         )
         for told in datagram.told
     ]
-    return datagram.reach, news
+    return datagram.scope, updates
--- a/brackenusher/data_plane/announcer.py
+++ b/brackenusher/data_plane/announcer.py
@@ -10,8 +10,8 @@
 from collections.abc import Iterable, Sequence
 from typing import Protocol, cast
 
-from barleybarrow.routing.announcement_relay import AnnouncementRelay, Parcel, Reach
-from barleybarrow.routing.announcements import Announcement, AnnouncementBox
+from barleybarrow.routing.announcement_relay import AnnouncementRelay, ForwardingScope, OutgoingMessage
+from barleybarrow.routing.announcements import Announcement, AnnouncementQueue
 from brackenusher.data_plane.announcement_datagrams import decode, encode
 
 log = logging.getLogger(__name__)
@@ -19,24 +19,24 @@
 PORT_OFFSET = 2  # from the first internal port: those before are the control's and the proxy's own
 GATHER_S = 0.004  # sends within this time share a datagram: a prompt takes some times longer to read
 RELAY_GATHER_S = 0.020  # a message is then some 15 ms old in its zone: half of what a prompt takes to read
-RESTATE_S = 2.0  # news is lost now and then, and proxies come and go: what lasts is told again
-SERIAL_BITS = 32  # of the first serial: a process that starts anew repeats none of the last one's
+RESTATE_S = 2.0  # announcements are lost now and then, and proxies come and go: what lasts is told again
+SEQUENCE_BITS = 32  # of the first sequence number: a process that starts anew repeats none of the last one's
 ACKNOWLEDGE_S = 0.1  # a relay of another group hears from this one at least so often while it sends
 
 
 class Listener(Protocol):
-    """The part of the dispatcher that takes and gives news; times are milliseconds."""
+    """The part of the dispatcher that takes and gives announcements; times are milliseconds."""
 
-    news: AnnouncementBox
+    announcement_queue: AnnouncementQueue
 
-    def announcements(self) -> list[Announcement]:
-        """Own news."""
+    def take_announcements(self) -> list[Announcement]:
+        """Own announcements."""
 
-    def standing(self) -> list[Announcement]:
+    def restated_announcements(self) -> list[Announcement]:
         """What was told before and still holds."""
 
-    def heard(self, now: float, peer: str, announcements: Sequence[Announcement]) -> None:
-        """News of another proxy."""
+    def receive_announcements(self, now: float, peer: str, announcements: Sequence[Announcement]) -> None:
+        """Announcements of another proxy."""
 
 
 class Announcer(asyncio.DatagramProtocol):
@@ -47,14 +47,14 @@
         self._listener = listener
         self._ip = ip
         self._port = first_port + PORT_OFFSET
-        self._relay = AnnouncementRelay(ip, secrets.randbits(SERIAL_BITS))
+        self._relay = AnnouncementRelay(ip, secrets.randbits(SEQUENCE_BITS))
         self._peers: set[str] = set()
         self._acknowledged_at: dict[str, float] = {}
         self._transport: asyncio.DatagramTransport | None = None
         self._relay_timer: asyncio.TimerHandle | None = None
         self._restate_timer: asyncio.TimerHandle | None = None
         self.sent = self.received = self.unreadable = self.relayed = 0
-        listener.news.on_first = self._schedule
+        listener.announcement_queue.on_nonempty = self._schedule
 
     async def start(self) -> None:
         """Listen. Raises OSError."""
@@ -88,42 +88,42 @@
 
     def flush(self) -> None:
         """Tell what there is now."""
-        news = self._listener.announcements()
-        if news:
-            self._tell(news)
+        announcements = self._listener.take_announcements()
+        if announcements:
+            self._tell(announcements)
 
     def _restate(self) -> None:
-        self._tell(self._listener.standing())
+        self._tell(self._listener.restated_announcements())
         self._restate_timer = self._loop.call_later(RESTATE_S, self._restate)
 
     def _tell(self, announcements: list[Announcement]) -> None:
         if self._transport is None or not self._peers:
             return
-        self._send(self._relay.own_news(self._now_ms(), announcements))
+        self._send(self._relay.messages_for(self._now_ms(), announcements))
         self._schedule_relay()
 
     def _schedule(self) -> None:
         self._loop.call_later(GATHER_S, self.flush)
 
     def _schedule_relay(self) -> None:
-        if self._relay_timer is None and self._relay.has_gathered:
+        if self._relay_timer is None and self._relay.has_pending:
             self._relay_timer = self._loop.call_later(RELAY_GATHER_S, self._pass_on)
 
     def _pass_on(self) -> None:
         self._relay_timer = None
         self.relayed += 1
-        self._send(self._relay.passed_on(self._now_ms()))
+        self._send(self._relay.take_forwards(self._now_ms()))
 
-    def _send(self, parcels: Iterable[Parcel]) -> None:
-        """Send parcels; those with the same news in a row are encoded once."""
+    def _send(self, messages: Iterable[OutgoingMessage]) -> None:
+        """Send messages; those with the same updates in a row are encoded once."""
         encoded: list[bytes] = []
-        before: Parcel | None = None
-        for parcel in parcels:
-            if before is None or parcel.news is not before.news or parcel.reach is not before.reach:
-                encoded = encode(parcel.reach, parcel.news)
-                before = parcel
+        before: OutgoingMessage | None = None
+        for message in messages:
+            if before is None or message.updates is not before.updates or message.scope is not before.scope:
+                encoded = encode(message.scope, message.updates)
+                before = message
             for data in encoded:
-                self._send_datagram(data, parcel.receiver)
+                self._send_datagram(data, message.receiver)
 
     def _send_datagram(self, data: bytes, receiver: str) -> None:
         if self._transport is not None:
@@ -135,7 +135,7 @@
         now = self._loop.time()
         if now - self._acknowledged_at.get(sender, -ACKNOWLEDGE_S) >= ACKNOWLEDGE_S:
             self._acknowledged_at[sender] = now
-            self._send([Parcel(sender, Reach.RECEIVER, [])])
+            self._send([OutgoingMessage(sender, ForwardingScope.RECEIVER, [])])
 
     def _now_ms(self) -> float:
         return self._loop.time() * 1000.0
@@ -151,16 +151,16 @@
         if sender not in self._peers:
             return
         try:
-            reach, news = decode(data)
+            scope, updates = decode(data)
         except ValueError as error:
             self.unreadable += 1
             log.warning("announcement ignored: peer=%s error=%s", sender, error)
             return
         self.received += 1
         now = self._now_ms()
-        for told in self._relay.received(now, sender, reach, news):
-            self._listener.heard(now, told.origin, told.announcements)
-        if reach is Reach.GROUP:
+        for told in self._relay.receive(now, sender, scope, updates):
+            self._listener.receive_announcements(now, told.origin, told.announcements)
+        if scope is ForwardingScope.GROUP:
             self._acknowledge(sender)
         self._schedule_relay()
 
--- a/brackenusher/data_plane/ports.py
+++ b/brackenusher/data_plane/ports.py
@@ -15,10 +15,10 @@
     ) -> Sequence[Action] | None:
         """A configuration is in force."""
 
-    def servers(self, now: float, service: str, servers: list[ServerInfo]) -> Sequence[Action] | None:
+    def update_servers(self, now: float, service: str, servers: list[ServerInfo]) -> Sequence[Action] | None:
         """The list of a service's servers."""
 
-    def arrived(self, now: float, request: DispatchRequest) -> Sequence[Action]:
+    def request_arrived(self, now: float, request: DispatchRequest) -> Sequence[Action]:
         """A request wants a server."""
 
     def connection_failed(self, now: float, request_id: int, server_id: str) -> Sequence[Action]:
@@ -38,7 +38,7 @@
     def finished(self, now: float, request_id: int, server_id: str, outcome: Outcome) -> Sequence[Action]:
         """An attempt ended; no action for the request means: the answer goes to the client as it is."""
 
-    def abandoned(self, now: float, request_id: int) -> Sequence[Action]:
+    def request_cancelled(self, now: float, request_id: int) -> Sequence[Action]:
         """The request wants no server any more."""
 
     def tick(self, now: float) -> Sequence[Action]:
--- a/brackenusher/data_plane/proxy.py
+++ b/brackenusher/data_plane/proxy.py
@@ -107,7 +107,7 @@
         before = self._servers.get(service, {})
         self._servers[service] = {server.id: server for server in servers}
         self._list_connections(service)
-        self._perform(self._dispatcher.servers(self._now_ms(), service, servers))
+        self._perform(self._dispatcher.update_servers(self._now_ms(), service, servers))
         for server_id in before.keys() - self._servers[service].keys():
             self.pool.unlist_server(server_id)
 
@@ -259,7 +259,7 @@
         waiting = self._quota_waits.get(exchange.number)
         if waiting is not None:
             waiting.cancel()
-        self._perform(self._dispatcher.abandoned(self._now_ms(), exchange.number))
+        self._perform(self._dispatcher.request_cancelled(self._now_ms(), exchange.number))
 
     # Inner steps
 
@@ -316,7 +316,7 @@
         version = self.configuration.generation if self.configuration is not None else 0
         self._note(exchange, "dispatched", exchange.route.name, exchange.service, "version", version)
         self._limits.requested(now, exchange.service)
-        self._perform(self._dispatcher.arrived(now, dispatch_request(exchange, tenant)))
+        self._perform(self._dispatcher.request_arrived(now, dispatch_request(exchange, tenant)))
 
     def _deadline_reached(self, exchange: Exchange) -> None:
         now = self._loop.time()
@@ -416,7 +416,7 @@
         deadline_at=exchange.deadline_at * 1000.0,
         prompt_tokens=prompt,
         output_tokens=output,
-        prompt_parts=facts.prompt_parts,
+        prompt_segments=facts.prompt_parts,
         model=facts.model,
         resumed_after=facts.last_event_id,
     )
--- a/testbed/engines/fleet.py
+++ b/testbed/engines/fleet.py
@@ -150,7 +150,7 @@
         for service, names in self._listed.items():
             infos = [ServerInfo(n, n, self.servers[n].zone, slots[service]) for n in names]
             for proxy in self.proxies:
-                proxy.dispatcher.servers(self.clock.now, service, infos)
+                proxy.dispatcher.update_servers(self.clock.now, service, infos)
 
     def _strike(self, fault: Fault) -> None:
         if fault.what not in ("crash", "dark", "slow"):
@@ -225,7 +225,7 @@
             "m",
         )
         exchange.proxy.out[exchange.id] = exchange
-        self._act(exchange.proxy, exchange.proxy.dispatcher.arrived(now, request))
+        self._act(exchange.proxy, exchange.proxy.dispatcher.request_arrived(now, request))
 
     def _act(self, proxy: Proxy, actions: list[Action]) -> None:
         for action in actions:
@@ -242,7 +242,7 @@
             self.clock.at(wake_at, lambda: self._wake(proxy))
 
     def _spread_news(self, proxy: Proxy) -> None:
-        self._tell_others(proxy, proxy.dispatcher.announcements())
+        self._tell_others(proxy, proxy.dispatcher.take_announcements())
 
     def _tell_others(self, proxy: Proxy, news: list[Announcement]) -> None:
         if not news or self.scenario.news_ms is None:
@@ -252,7 +252,7 @@
         def arrive(far: bool) -> None:
             for other in self.proxies:
                 if other is not proxy and (other.zone != proxy.zone) == far:
-                    other.dispatcher.heard(self.clock.now, name, news)
+                    other.dispatcher.receive_announcements(self.clock.now, name, news)
 
         self.clock.after(self.scenario.news_ms, lambda: arrive(False))
         self.clock.after(self.scenario.news_ms + self.scenario.news_far_ms, lambda: arrive(True))
@@ -262,10 +262,12 @@
         if self.scenario.news_ms is None or self.clock.now > self.scenario.length_ms:
             return
         for proxy in self.proxies:
-            standing = proxy.dispatcher.standing()
+            standing = proxy.dispatcher.restated_announcements()
             for other in self.proxies:
                 if other is not proxy:
-                    other.dispatcher.heard(self.clock.now, str(self.proxies.index(proxy)), standing)
+                    other.dispatcher.receive_announcements(
+                        self.clock.now, str(self.proxies.index(proxy)), standing
+                    )
         self.clock.after(RESTATE_MS, self._restate)
 
     def _wake(self, proxy: Proxy) -> None:
@@ -390,7 +392,7 @@
         self._close(exchange)
         if exchange.attempt is not None:
             self._drop(exchange.attempt)
-        self._act(proxy, proxy.dispatcher.abandoned(self.clock.now, exchange.id))
+        self._act(proxy, proxy.dispatcher.request_cancelled(self.clock.now, exchange.id))
 
     def _close(self, exchange: Exchange) -> None:
         exchange.closed = True
--- a/tests/fleet/data_plane_support.py
+++ b/tests/fleet/data_plane_support.py
@@ -213,11 +213,11 @@
     def configure(self, now: float, services: dict[str, Service], routes: list[Route]) -> None:
         """Nothing to do."""
 
-    def servers(self, now: float, service: str, servers: list[ServerInfo]) -> None:
+    def update_servers(self, now: float, service: str, servers: list[ServerInfo]) -> None:
         """The order is that of the list."""
         self.order = [server.id for server in servers]
 
-    def arrived(self, now: float, request: DispatchRequest) -> list[Action]:
+    def request_arrived(self, now: float, request: DispatchRequest) -> list[Action]:
         """Send to the first."""
         self.told.append(("arrived", request))
         return self._next(request.id)
@@ -251,7 +251,7 @@
             return []
         return self._next(request_id) if self.repeat else [Fail(request_id, 502, "broken")]
 
-    def abandoned(self, now: float, request_id: int) -> list[Action]:
+    def request_cancelled(self, now: float, request_id: int) -> list[Action]:
         """Note it."""
         self.told.append(("abandoned",))
         return []
--- a/tests/fleet/test_announcement_relay.py
+++ b/tests/fleet/test_announcement_relay.py
@@ -13,9 +13,9 @@
     RELAY_TIMEOUT_MS,
     TARGET_GROUP_SIZE,
     AnnouncementRelay,
-    News,
-    Parcel,
-    Reach,
+    AnnouncementUpdate,
+    ForwardingScope,
+    OutgoingMessage,
 )
 from barleybarrow.routing.announcements import Announcement
 
@@ -33,7 +33,7 @@
     def __init__(self, zones: dict[str, int]) -> None:
         self.zones = {f"{zone}.{number}": zone for zone, count in zones.items() for number in range(count)}
         self.relays = {proxy: AnnouncementRelay(proxy) for proxy in self.zones}
-        self.received_updates: dict[str, list[News]] = {proxy: [] for proxy in self.zones}
+        self.received_updates: dict[str, list[AnnouncementUpdate]] = {proxy: [] for proxy in self.zones}
         self.unresponsive: set[str] = set()
         self.sent = Counter[str]()
         self.now = 0.0
@@ -45,7 +45,7 @@
         self._deliver(
             [
                 (proxy, message)
-                for message in self.relays[proxy].own_news(self.now, make_announcements(number))
+                for message in self.relays[proxy].messages_for(self.now, make_announcements(number))
             ]
         )
 
@@ -55,13 +55,13 @@
             (name, message)
             for name, relay in self.relays.items()
             if name not in self.unresponsive
-            for message in relay.own_news(self.now, make_announcements(0))
+            for message in relay.messages_for(self.now, make_announcements(0))
         ]
         self._deliver(due)
         for updates in self.received_updates.values():
             updates.clear()
 
-    def _deliver(self, due: list[tuple[str, Parcel]]) -> None:
+    def _deliver(self, due: list[tuple[str, OutgoingMessage]]) -> None:
         for _ in range(4):
             self.now += HOP_MS
             arrived, due = due, []
@@ -69,19 +69,19 @@
                 due += self._receive(sender, message)
             self.now += BATCH_INTERVAL_MS
             for name, relay in self.relays.items():
-                if relay.has_gathered and name not in self.unresponsive:
-                    due += [(name, message) for message in relay.passed_on(self.now)]
+                if relay.has_pending and name not in self.unresponsive:
+                    due += [(name, message) for message in relay.take_forwards(self.now)]
 
-    def _receive(self, sender: str, message: Parcel) -> list[tuple[str, Parcel]]:
+    def _receive(self, sender: str, message: OutgoingMessage) -> list[tuple[str, OutgoingMessage]]:
         self.sent[sender] += 1
         if message.receiver in self.unresponsive:
             return []
         relay = self.relays[message.receiver]
-        self.received_updates[message.receiver] += relay.received(
-            self.now, sender, message.reach, message.news
+        self.received_updates[message.receiver] += relay.receive(
+            self.now, sender, message.scope, message.updates
         )
-        if message.reach is Reach.GROUP:  # the announcer acknowledges to the sender
-            return [(message.receiver, Parcel(sender, Reach.RECEIVER, []))]
+        if message.scope is ForwardingScope.GROUP:  # the announcer acknowledges to the sender
+            return [(message.receiver, OutgoingMessage(sender, ForwardingScope.RECEIVER, []))]
         return []
 
     def take_receive_counts(self, origin: str) -> Counter[str]:
@@ -128,23 +128,27 @@
 
     def test_proxy_without_peers_sends_nothing(self) -> None:
         relay = AnnouncementRelay("a.0")
-        self.assertEqual(relay.own_news(0.0, make_announcements(1)), [])
+        self.assertEqual(relay.messages_for(0.0, make_announcements(1)), [])
         relay.set_proxies({"a.0": "a"})
-        self.assertEqual(relay.own_news(0.0, make_announcements(1)), [])
-        self.assertFalse(relay.has_gathered)
+        self.assertEqual(relay.messages_for(0.0, make_announcements(1)), [])
+        self.assertFalse(relay.has_pending)
 
     def test_unlisted_proxy_sends_nothing_but_forwards(self) -> None:
         fleet = Fleet({"a": 40})
         relay = AnnouncementRelay("a.new")
         relay.set_proxies(fleet.zones)
-        self.assertEqual(relay.own_news(0.0, make_announcements(1)), [])
-        relay.received(0.0, "a.1", Reach.FLEET, [News("a.1", 1, make_announcements(1))])
-        messages = relay.passed_on(1.0)
-        self.assertEqual([message.reach for message in messages], [Reach.RECEIVER, Reach.GROUP])
+        self.assertEqual(relay.messages_for(0.0, make_announcements(1)), [])
+        relay.receive(
+            0.0, "a.1", ForwardingScope.FLEET, [AnnouncementUpdate("a.1", 1, make_announcements(1))]
+        )
+        messages = relay.take_forwards(1.0)
+        self.assertEqual(
+            [message.scope for message in messages], [ForwardingScope.RECEIVER, ForwardingScope.GROUP]
+        )
         self.assertEqual(messages[0].receiver, "a.1")
 
     def relay_of(self, fleet: Fleet, proxy: str) -> str:
-        messages = fleet.relays[proxy].own_news(fleet.now, make_announcements(0))
+        messages = fleet.relays[proxy].messages_for(fleet.now, make_announcements(0))
         return messages[0].receiver if messages else proxy
 
     def test_next_relay_replaces_a_silent_one_of_the_own_group(self) -> None:
@@ -200,20 +204,35 @@
     def test_proxy_without_recent_requests_gets_acknowledgements_only(self) -> None:
         fleet = Fleet({"a": 40})
         relay = fleet.relays[self.relay_of(fleet, "a.0")]
-        relay.passed_on(0.0)
-        relay.received(0.0, "a.1", Reach.FLEET, [News("a.1", 1, [])])
-        self.assertEqual([message.receiver for message in relay.passed_on(KEEPALIVE_FORWARDING_MS)], ["a.1"])
-        relay.received(KEEPALIVE_FORWARDING_MS, "a.2", Reach.FLEET, [News("a.2", 1, make_announcements(1))])
-        self.assertEqual([message.receiver for message in relay.passed_on(ACTIVE_FORWARDING_MS)], ["a.2"])
-        relay.received(ACTIVE_FORWARDING_MS, "a.3", Reach.GROUP, [News("b.1", 1, make_announcements(1))])
-        self.assertEqual(relay.passed_on(ACTIVE_FORWARDING_MS + KEEPALIVE_FORWARDING_MS + 1), [])
+        relay.take_forwards(0.0)
+        relay.receive(0.0, "a.1", ForwardingScope.FLEET, [AnnouncementUpdate("a.1", 1, [])])
+        self.assertEqual(
+            [message.receiver for message in relay.take_forwards(KEEPALIVE_FORWARDING_MS)], ["a.1"]
+        )
+        relay.receive(
+            KEEPALIVE_FORWARDING_MS,
+            "a.2",
+            ForwardingScope.FLEET,
+            [AnnouncementUpdate("a.2", 1, make_announcements(1))],
+        )
+        self.assertEqual([message.receiver for message in relay.take_forwards(ACTIVE_FORWARDING_MS)], ["a.2"])
+        relay.receive(
+            ACTIVE_FORWARDING_MS,
+            "a.3",
+            ForwardingScope.GROUP,
+            [AnnouncementUpdate("b.1", 1, make_announcements(1))],
+        )
+        self.assertEqual(relay.take_forwards(ACTIVE_FORWARDING_MS + KEEPALIVE_FORWARDING_MS + 1), [])
 
     def test_duplicates_through_two_relays_are_dropped(self) -> None:
         relay = AnnouncementRelay("a.0")
         relay.set_proxies({f"a.{number}": "a" for number in range(40)})
-        first, second = News("a.3", 5, make_announcements(1)), News("a.3", 6, make_announcements(2))
+        first, second = (
+            AnnouncementUpdate("a.3", 5, make_announcements(1)),
+            AnnouncementUpdate("a.3", 6, make_announcements(2)),
+        )
         accepted = [
-            relay.received(1.0, sender, Reach.RECEIVER, list(updates))
+            relay.receive(1.0, sender, ForwardingScope.RECEIVER, list(updates))
             for sender, updates in (("a.1", [first]), ("a.2", [first, second]), ("a.1", [second]))
         ]
         self.assertEqual(accepted, [[first], [second], []])
@@ -221,32 +240,41 @@
     def test_updates_of_unlisted_proxies_are_dropped(self) -> None:
         relay = AnnouncementRelay("a.0")
         relay.set_proxies({"a.0": "a", "a.1": "a"})
-        updates = [News(origin, 1, make_announcements(1)) for origin in ("a.0", "a.1", "a.2")]
-        self.assertEqual(relay.received(1.0, "a.1", Reach.RECEIVER, updates), [updates[1]])
+        updates = [AnnouncementUpdate(origin, 1, make_announcements(1)) for origin in ("a.0", "a.1", "a.2")]
+        self.assertEqual(relay.receive(1.0, "a.1", ForwardingScope.RECEIVER, updates), [updates[1]])
 
     def test_restarted_proxy_with_other_sequence_numbers_is_accepted(self) -> None:
         relay = AnnouncementRelay("a.0")
         relay.set_proxies({"a.0": "a", "a.1": "a"})
         for sequence in (900, 901, 3, 4):
-            self.assertEqual(len(relay.received(1.0, "a.1", Reach.RECEIVER, [News("a.1", sequence, [])])), 1)
+            self.assertEqual(
+                len(
+                    relay.receive(
+                        1.0, "a.1", ForwardingScope.RECEIVER, [AnnouncementUpdate("a.1", sequence, [])]
+                    )
+                ),
+                1,
+            )
 
     def test_many_announcements_are_split_into_updates(self) -> None:
         relay = AnnouncementRelay("a.0")
         relay.set_proxies({"a.0": "a", "a.1": "a"})
-        [message] = relay.own_news(0.0, make_announcements(1) * (2 * MAX_ANNOUNCEMENTS_PER_UPDATE + 1))
+        [message] = relay.messages_for(0.0, make_announcements(1) * (2 * MAX_ANNOUNCEMENTS_PER_UPDATE + 1))
         self.assertEqual(
-            [len(update.announcements) for update in message.news],
+            [len(update.announcements) for update in message.updates],
             [MAX_ANNOUNCEMENTS_PER_UPDATE, MAX_ANNOUNCEMENTS_PER_UPDATE, 1],
         )
-        self.assertEqual(len({update.serial for update in message.news}), 3)
+        self.assertEqual(len({update.sequence for update in message.updates}), 3)
 
     def test_pending_updates_are_bounded(self) -> None:
         fleet = Fleet({"a": 40})
         relay = fleet.relays["a.0"]
-        relay.received(0.0, "a.2", Reach.FLEET, [News("a.2", 7, [])])
-        relay.received(0.0, "a.1", Reach.GROUP, [News("a.1", 1, [])] * (2 * MAX_PENDING_UPDATES))
-        relay.received(0.0, "a.1", Reach.GROUP, [News("a.1", 2, [])] * 5)
-        self.assertEqual(len(relay.passed_on(1.0)[0].news), MAX_PENDING_UPDATES + 1)
+        relay.receive(0.0, "a.2", ForwardingScope.FLEET, [AnnouncementUpdate("a.2", 7, [])])
+        relay.receive(
+            0.0, "a.1", ForwardingScope.GROUP, [AnnouncementUpdate("a.1", 1, [])] * (2 * MAX_PENDING_UPDATES)
+        )
+        relay.receive(0.0, "a.1", ForwardingScope.GROUP, [AnnouncementUpdate("a.1", 2, [])] * 5)
+        self.assertEqual(len(relay.take_forwards(1.0)[0].updates), MAX_PENDING_UPDATES + 1)
 
     def test_differing_views_cause_no_forwarding_loop(self) -> None:
         fleet = Fleet({"a": 40, "b": 40, "c": 40})
@@ -255,7 +283,7 @@
             relay.set_proxies(known)
         for origin in list(fleet.zones)[:30]:
             fleet.send(origin, 1)
-            self.assertFalse(any(relay.has_gathered for relay in fleet.relays.values()))
+            self.assertFalse(any(relay.has_pending for relay in fleet.relays.values()))
             self.assertLess(max(fleet.take_receive_counts(origin).values()), 5)
 
 
--- a/tests/fleet/test_engines.py
+++ b/tests/fleet/test_engines.py
@@ -291,18 +291,18 @@
         teller = fleet.proxies[0]
         for proxy in fleet.proxies[1:]:
             distance = "near" if proxy.zone == teller.zone else "far"
-            hear = proxy.dispatcher.heard
+            hear = proxy.dispatcher.receive_announcements
 
             def note(now: float, peer: str, news: Any, hear: Any = hear, distance: str = distance) -> None:
-                if peer == "0" and news and news[0].tokens_to_read:
+                if peer == "0" and news and news[0].prefill_tokens:
                     heard[distance].append(now)
                 hear(now, peer, news)
 
-            proxy.dispatcher.heard = note  # type: ignore[method-assign]
+            proxy.dispatcher.receive_announcements = note  # type: ignore[method-assign]
         fleet.play()
         self.assertTrue(heard["near"])
         self.assertAlmostEqual(heard["far"][0] - heard["near"][0], 12.0)
-        proxies = fleet.proxies[1].dispatcher.news.proxies(scenario.length_ms)
+        proxies = fleet.proxies[1].dispatcher.announcement_queue.count_proxies(scenario.length_ms)
         self.assertEqual(proxies, len(fleet.proxies))
 
 
--- a/tests/fleet/test_routing_announcements.py
+++ b/tests/fleet/test_routing_announcements.py
@@ -9,7 +9,7 @@
 
 from barleybarrow.documents import Engine, Route, Service
 from barleybarrow.routing.actions import DispatchRequest, DispatchSettings, Outcome, Send, ServerInfo
-from barleybarrow.routing.announcement_relay import MAX_DIRECT_PROXIES, News, Reach
+from barleybarrow.routing.announcement_relay import MAX_DIRECT_PROXIES, AnnouncementUpdate, ForwardingScope
 from barleybarrow.routing.announcements import Announcement
 from barleybarrow.routing.dispatcher import Dispatcher
 from barleybarrow.routing.pool import MAX_TRACKED_SEGMENTS, PEER_STREAMS_TTL_MS
@@ -22,7 +22,7 @@
 def make_dispatcher(seed: int = 1, settings: DispatchSettings | None = None) -> Dispatcher:
     dispatcher = Dispatcher(settings or DispatchSettings("z", 3), random.Random(seed), 0.0)
     dispatcher.configure(0.0, {"llm": Service("llm", engine=Engine(12, 100_000, stride=40))}, [ROUTE])
-    dispatcher.servers(0.0, "llm", [ServerInfo(name, name, "z", 12) for name in "abc"])
+    dispatcher.update_servers(0.0, "llm", [ServerInfo(name, name, "z", 12) for name in "abc"])
     return dispatcher
 
 
@@ -34,35 +34,37 @@
 class EncodingTests(unittest.TestCase):
     def test_encoding_round_trip(self) -> None:
         updates = [
-            News(
+            AnnouncementUpdate(
                 "10.0.0.1",
                 1,
                 [Announcement("llm", "a", "5a", 3_000, 4_000), Announcement("llm", "b", "", 0, 12)],
             ),
-            News("10.0.0.2", 2, []),
+            AnnouncementUpdate("10.0.0.2", 2, []),
         ]
-        for scope in Reach:
+        for scope in ForwardingScope:
             self.assertEqual([decode(data) for data in encode(scope, updates)], [(scope, updates)])
 
     def test_updates_larger_than_a_packet_are_split(self) -> None:
         rows = [Announcement("llm", f"server-{number}", "5a" * 8, 3_000, number) for number in range(70)]
-        updates = [News("10.0.0.1", n, rows[n : n + 5]) for n in range(0, 60, 5)]
-        updates.append(News("10.0.0.2", 1, rows[60:]))
-        packets = encode(Reach.GROUP, updates)
+        updates = [AnnouncementUpdate("10.0.0.1", n, rows[n : n + 5]) for n in range(0, 60, 5)]
+        updates.append(AnnouncementUpdate("10.0.0.2", 1, rows[60:]))
+        packets = encode(ForwardingScope.GROUP, updates)
         self.assertGreater(len(packets), 2)
         self.assertLessEqual(max(map(len, packets)), MAX_DATAGRAM_BYTES)
         found: dict[str, list[Announcement]] = {}
         for data in packets:
             scope, decoded = decode(data)
-            self.assertIs(scope, Reach.GROUP)
+            self.assertIs(scope, ForwardingScope.GROUP)
             for update in decoded:
                 found.setdefault(update.origin, []).extend(update.announcements)
         self.assertEqual(found, {"10.0.0.1": rows[:60], "10.0.0.2": rows[60:]})
 
     def test_announcement_larger_than_a_packet_is_dropped(self) -> None:
-        too_long = News("10.0.0.1", 1, [Announcement("llm", "x" * MAX_DATAGRAM_BYTES, "", 0, 1)])
-        short = News("10.0.0.1", 2, [Announcement("llm", "a", "", 0, 1)])
-        packets = encode(Reach.RECEIVER, [too_long, short])
+        too_long = AnnouncementUpdate(
+            "10.0.0.1", 1, [Announcement("llm", "x" * MAX_DATAGRAM_BYTES, "", 0, 1)]
+        )
+        short = AnnouncementUpdate("10.0.0.1", 2, [Announcement("llm", "a", "", 0, 1)])
+        packets = encode(ForwardingScope.RECEIVER, [too_long, short])
         self.assertEqual([decode(data)[1] for data in packets], [[short]])
 
     def test_malformed_datagrams_raise_value_error(self) -> None:
@@ -82,35 +84,39 @@
 class DispatcherAnnouncementTests(unittest.TestCase):
     def test_each_send_is_announced_once(self) -> None:
         dispatcher = make_dispatcher()
-        send = dispatcher.arrived(0.0, request(1))[0]
+        send = dispatcher.request_arrived(0.0, request(1))[0]
         assert isinstance(send, Send)
-        announcements = dispatcher.announcements()
+        announcements = dispatcher.take_announcements()
         self.assertEqual(
-            [(item.server_id, item.subject, item.subject_tokens) for item in announcements],
+            [(item.server_id, item.shared_segment, item.shared_segment_tokens) for item in announcements],
             [(send.server_id, "5a", 3_000)],
         )
-        self.assertEqual(dispatcher.announcements(), [])
+        self.assertEqual(dispatcher.take_announcements(), [])
 
     def test_prefill_announced_by_a_peer_counts_as_backlog(self) -> None:
         dispatcher = make_dispatcher()
-        first = dispatcher.arrived(0.0, request(1))[0]
+        first = dispatcher.request_arrived(0.0, request(1))[0]
         assert isinstance(first, Send)
-        dispatcher.abandoned(0.0, 1)
-        dispatcher.heard(1_000.0, "p2", [Announcement("llm", first.server_id, "77", 9_000, 60_000)])
-        other = dispatcher.arrived(1_001.0, request(2, now=1_001.0))[0]
+        dispatcher.request_cancelled(0.0, 1)
+        dispatcher.receive_announcements(
+            1_000.0, "p2", [Announcement("llm", first.server_id, "77", 9_000, 60_000)]
+        )
+        other = dispatcher.request_arrived(1_001.0, request(2, now=1_001.0))[0]
         assert isinstance(other, Send)
         self.assertNotEqual(other.server_id, first.server_id)
 
     def test_announcements_of_unknown_services_and_servers_are_ignored(self) -> None:
         dispatcher = make_dispatcher()
-        dispatcher.heard(0.0, "p2", [Announcement("x", "a", "", 0, 1), Announcement("llm", "x", "", 0, 1)])
-        self.assertEqual(len(dispatcher.arrived(0.0, request(1))), 1)
+        dispatcher.receive_announcements(
+            0.0, "p2", [Announcement("x", "a", "", 0, 1), Announcement("llm", "x", "", 0, 1)]
+        )
+        self.assertEqual(len(dispatcher.request_arrived(0.0, request(1))), 1)
 
     def test_proxies_without_announcements_are_no_longer_counted(self) -> None:
         dispatcher = make_dispatcher()
-        dispatcher.heard(0.0, "p2", [])
-        self.assertEqual(dispatcher.news.proxies(1.0), 2)
-        self.assertEqual(dispatcher.news.proxies(60_000.0), 1)
+        dispatcher.receive_announcements(0.0, "p2", [])
+        self.assertEqual(dispatcher.announcement_queue.count_proxies(1.0), 2)
+        self.assertEqual(dispatcher.announcement_queue.count_proxies(60_000.0), 1)
 
 
 class RecomputePenaltyTests(unittest.TestCase):
@@ -119,12 +125,12 @@
     def first_and_second_server(self, recompute_window_ms: float, now: float = 100.0) -> tuple[str, str]:
         """The servers of a first prompt with a shared segment and of a later one."""
         dispatcher = make_dispatcher(settings=DispatchSettings("z", 3, recompute_window_ms))
-        first = dispatcher.arrived(0.0, request(1))[0]
+        first = dispatcher.request_arrived(0.0, request(1))[0]
         assert isinstance(first, Send)
         dispatcher.finished(30.0, 1, first.server_id, Outcome.SERVED)
         server = dispatcher.pools["llm"].servers[first.server_id]
         server.add_prefill(now, 40.0)
-        second = dispatcher.arrived(now, request(2, now=now))[0]
+        second = dispatcher.request_arrived(now, request(2, now=now))[0]
         assert isinstance(second, Send)
         return first.server_id, second.server_id
 
@@ -142,7 +148,7 @@
 
     def test_segments_announced_by_peers_are_tracked(self) -> None:
         dispatcher = make_dispatcher()
-        dispatcher.heard(0.0, "p2", [Announcement("llm", "b", "5a", 3_000, 4_000)])
+        dispatcher.receive_announcements(0.0, "p2", [Announcement("llm", "b", "5a", 3_000, 4_000)])
         self.assertTrue(dispatcher.pools["llm"].was_segment_sent("5a", 0.0))
         self.assertFalse(dispatcher.pools["llm"].was_segment_sent("5b", 0.0))
 
@@ -162,7 +168,7 @@
         self.pool = self.dispatcher.pools["llm"]
 
     def announce(self, now: float, peer: str, server: str, streams: int) -> None:
-        self.dispatcher.heard(now, peer, [Announcement("llm", server, "", 0, 0, streams)])
+        self.dispatcher.receive_announcements(now, peer, [Announcement("llm", server, "", 0, 0, streams)])
 
     def make_streaming(self) -> None:
         profile = self.pool.profile(ROUTE.name)
@@ -183,12 +189,12 @@
 
     def test_start_and_end_of_a_stream_are_announced(self) -> None:
         self.make_streaming()
-        send = self.dispatcher.arrived(0.0, request(1))[0]
+        send = self.dispatcher.request_arrived(0.0, request(1))[0]
         assert isinstance(send, Send)
-        self.assertEqual([announcement.streams for announcement in self.dispatcher.announcements()], [1])
+        self.assertEqual([announcement.streams for announcement in self.dispatcher.take_announcements()], [1])
         self.dispatcher.finished(10.0, 1, send.server_id, Outcome.SERVED)
-        announcements = self.dispatcher.announcements()
-        self.assertEqual([(item.streams, item.tokens_to_read) for item in announcements], [(0, 0)])
+        announcements = self.dispatcher.take_announcements()
+        self.assertEqual([(item.streams, item.prefill_tokens) for item in announcements], [(0, 0)])
         self.assertEqual(self.pool.servers[send.server_id].streams, 0)
 
     def test_stream_goes_to_the_server_with_the_fewest_streams(self) -> None:
@@ -197,17 +203,17 @@
         self.announce(0.0, "p2", "b", 2)
         self.announce(0.0, "p2", "c", 7)
         for number in range(5):
-            send = self.dispatcher.arrived(0.0, request(number, shared_segment=f"{number:x}"))[0]
+            send = self.dispatcher.request_arrived(0.0, request(number, shared_segment=f"{number:x}"))[0]
             assert isinstance(send, Send)
             self.assertEqual(send.server_id, "b")
             self.dispatcher.finished(1.0, number, send.server_id, Outcome.SERVED)
 
     def test_prompt_avoids_a_server_whose_slots_hold_streams(self) -> None:
-        first = self.dispatcher.arrived(0.0, request(1))[0]
+        first = self.dispatcher.request_arrived(0.0, request(1))[0]
         assert isinstance(first, Send)
-        self.dispatcher.abandoned(0.0, 1)
+        self.dispatcher.request_cancelled(0.0, 1)
         self.announce(0.0, "p2", first.server_id, 12)
-        second = self.dispatcher.arrived(1.0, request(2, now=1.0))[0]
+        second = self.dispatcher.request_arrived(1.0, request(2, now=1.0))[0]
         assert isinstance(second, Send)
         self.assertNotEqual(second.server_id, first.server_id)
 
@@ -223,13 +229,13 @@
         dispatcher = Dispatcher(DispatchSettings("z", 40), random.Random(seed), 0.0)
         engine = Engine(12, 100_000, stride=40)
         dispatcher.configure(0.0, {"llm": Service("llm", engine=engine)}, [ROUTE, self.CHAT_ROUTE])
-        dispatcher.servers(0.0, "llm", [ServerInfo(name, name, "z", 12) for name in "abcdefgh"])
+        dispatcher.update_servers(0.0, "llm", [ServerInfo(name, name, "z", 12) for name in "abcdefgh"])
         self.receive_from_all(dispatcher, 0.0)
         return dispatcher
 
     def receive_from_all(self, dispatcher: Dispatcher, now: float) -> None:
         for number in range(39):
-            dispatcher.heard(now, f"p{number}", [])
+            dispatcher.receive_announcements(now, f"p{number}", [])
 
     def chat_request(self, number: int, now: float, output_tokens: int = 4_000) -> DispatchRequest:
         segments = (("c0", 40), ("c1", 30), (f"own{number}", 130))
@@ -246,12 +252,14 @@
     def announce(self, dispatcher: Dispatcher, now: float, streams: int) -> None:
         """One peer announces streams on three servers; all others send empty updates."""
         self.receive_from_all(dispatcher, now)
-        dispatcher.heard(now, "p1", [Announcement("llm", name, "", 0, 0, streams) for name in "abc"])
+        dispatcher.receive_announcements(
+            now, "p1", [Announcement("llm", name, "", 0, 0, streams) for name in "abc"]
+        )
 
     def test_first_request_counts_as_a_stream_by_its_declared_tokens(self) -> None:
         dispatcher = self.dispatcher_of_large_fleet(1)
-        dispatcher.arrived(0.0, request(1))
-        send = dispatcher.arrived(0.0, self.chat_request(2, 0.0))[0]
+        dispatcher.request_arrived(0.0, request(1))
+        send = dispatcher.request_arrived(0.0, self.chat_request(2, 0.0))[0]
         assert isinstance(send, Send)
         self.assertEqual(dispatcher.pools["llm"].servers[send.server_id].streams, 1)
 
@@ -259,21 +267,21 @@
         dispatcher = self.dispatcher_of_large_fleet(1)
         profile = dispatcher.pools["llm"].profile(self.CHAT_ROUTE.name)
         for number in range(4):
-            dispatcher.arrived(0.0, self.chat_request(number, 0.0))
+            dispatcher.request_arrived(0.0, self.chat_request(number, 0.0))
             profile.stream_ms.observe(10.0)
             profile.prefill_ms.observe(20.0)
         self.assertFalse(profile.is_streaming)
 
     def test_requests_without_declared_tokens_are_not_streams(self) -> None:
         dispatcher = self.dispatcher_of_large_fleet(1)
-        dispatcher.arrived(0.0, self.chat_request(1, 0.0, output_tokens=0))
+        dispatcher.request_arrived(0.0, self.chat_request(1, 0.0, output_tokens=0))
         self.assertFalse(dispatcher.pools["llm"].profile(self.CHAT_ROUTE.name).is_streaming)
 
     def test_proxies_without_own_streams_reserve_the_same_servers(self) -> None:
         reserved = []
         for seed in range(4):
             dispatcher = self.dispatcher_of_large_fleet(seed)
-            dispatcher.arrived(0.0, request(1))
+            dispatcher.request_arrived(0.0, request(1))
             self.announce(dispatcher, 0.0, 8)
             self.announce(dispatcher, 60_000.0, 7)
             reserved.append(self.reserved(dispatcher))
@@ -282,7 +290,7 @@
 
     def test_servers_are_released_after_the_streams_end(self) -> None:
         dispatcher = self.dispatcher_of_large_fleet(1)
-        dispatcher.arrived(0.0, request(1))
+        dispatcher.request_arrived(0.0, request(1))
         for now, streams in ((0.0, 8), (30_000.0, 9), (30_001.0, 0)):
             self.announce(dispatcher, now, streams)
         self.assertTrue(self.reserved(dispatcher))
@@ -292,11 +300,11 @@
 
     def test_streams_of_a_removed_server_are_not_counted(self) -> None:
         dispatcher = self.dispatcher_of_large_fleet(1)
-        dispatcher.arrived(0.0, request(1))
+        dispatcher.request_arrived(0.0, request(1))
         self.announce(dispatcher, 0.0, 12)
-        dispatcher.servers(1.0, "llm", [ServerInfo(name, name, "z", 12) for name in "defgh"])
+        dispatcher.update_servers(1.0, "llm", [ServerInfo(name, name, "z", 12) for name in "defgh"])
         for now, streams in ((2.0, 1), (3.0, 0)):
-            dispatcher.heard(now, "p2", [Announcement("llm", "d", "", 0, 0, streams)])
+            dispatcher.receive_announcements(now, "p2", [Announcement("llm", "d", "", 0, 0, streams)])
         self.receive_from_all(dispatcher, 60_000.0)
         dispatcher.pools["llm"].update_stream_servers(60_000.0)
         self.assertEqual(self.reserved(dispatcher), set())
@@ -307,10 +315,10 @@
             Dispatcher(DispatchSettings("z", 40), random.Random(1), 0.0),
         )
         unannounced.configure(0.0, {"llm": Service("llm", engine=Engine(12, 1))}, [ROUTE, self.CHAT_ROUTE])
-        unannounced.servers(0.0, "llm", [ServerInfo(name, name, "z", 12) for name in "abcdefgh"])
+        unannounced.update_servers(0.0, "llm", [ServerInfo(name, name, "z", 12) for name in "abcdefgh"])
         for dispatcher in (announced, unannounced):
-            dispatcher.arrived(0.0, request(1))
-            dispatcher.arrived(0.0, self.chat_request(2, 0.0))
+            dispatcher.request_arrived(0.0, request(1))
+            dispatcher.request_arrived(0.0, self.chat_request(2, 0.0))
             dispatcher.pools["llm"].update_stream_servers(60_000.0)
         self.assertEqual((len(self.reserved(announced)), len(self.reserved(unannounced))), (1, 4))
 
@@ -372,27 +380,30 @@
 
     def test_sends_close_together_share_one_datagram_per_receiver(self) -> None:
         for number in range(3):
-            self.dispatcher.arrived(0.0, request(number))
+            self.dispatcher.request_arrived(0.0, request(number))
         self.assertEqual(len(self.loop.timers), 1)
         self.loop.advance(0.1)
         self.assertEqual({addr for _, addr in self.transport.sent}, {("10.0.0.2", 7002), ("10.0.0.3", 7002)})
         self.assertEqual(len(self.transport.sent), 2)
         scope, updates = decode(self.transport.sent[0][0])
-        self.assertIs(scope, Reach.RECEIVER)
+        self.assertIs(scope, ForwardingScope.RECEIVER)
         self.assertEqual(
             [(update.origin, len(update.announcements)) for update in updates], [("10.0.0.1", 3)]
         )
 
     def test_datagrams_of_unknown_senders_are_ignored(self) -> None:
-        [data] = encode(Reach.RECEIVER, [News("10.0.0.2", 2, [Announcement("llm", "a", "5a", 3_000, 4_000)])])
+        [data] = encode(
+            ForwardingScope.RECEIVER,
+            [AnnouncementUpdate("10.0.0.2", 2, [Announcement("llm", "a", "5a", 3_000, 4_000)])],
+        )
         self.announcer.datagram_received(data, ("10.0.0.2", 7002))
         self.announcer.datagram_received(data, ("10.9.9.9", 7002))
         self.announcer.datagram_received(b"?", ("10.0.0.3", 7002))
         self.assertEqual((self.announcer.received, self.announcer.unreadable), (1, 1))
-        self.assertEqual(self.dispatcher.news.proxies(1_000.0), 2)
+        self.assertEqual(self.dispatcher.announcement_queue.count_proxies(1_000.0), 2)
 
     def test_nothing_is_sent_after_stop(self) -> None:
-        self.dispatcher.arrived(0.0, request(1))
+        self.dispatcher.request_arrived(0.0, request(1))
         self.announcer.stop()
         self.loop.advance(3 * RESTATE_S)
         self.assertEqual(self.transport.sent, [])
@@ -418,12 +429,14 @@
 
     def test_sends_close_together_share_one_datagram_per_receiver(self) -> None:
         for number in range(3):
-            self.dispatcher.arrived(0.0, request(number))
+            self.dispatcher.request_arrived(0.0, request(number))
         self.loop.advance(0.1)
         [(data, (relay, _))] = self.transport.sent
         self.assertTrue(relay.startswith("10.0."))
         scope, [update] = decode(data)
-        self.assertEqual((scope, update.origin, len(update.announcements)), (Reach.FLEET, "10.0.0.1", 3))
+        self.assertEqual(
+            (scope, update.origin, len(update.announcements)), (ForwardingScope.FLEET, "10.0.0.1", 3)
+        )
 
     def test_stream_counts_are_restated_even_when_there_are_none(self) -> None:
         self.announcer._restate()
@@ -434,26 +447,31 @@
 
     def test_updates_are_batched_and_forwarded_to_group_and_remote_relay(self) -> None:
         for origin in ("10.0.0.2", "10.0.0.3"):
-            [data] = encode(Reach.FLEET, [News(origin, 1, [Announcement("llm", "a", "5a", 3_000, 4_000)])])
+            [data] = encode(
+                ForwardingScope.FLEET,
+                [AnnouncementUpdate(origin, 1, [Announcement("llm", "a", "5a", 3_000, 4_000)])],
+            )
             self.announcer.datagram_received(data, (origin, 7002))
-        self.assertEqual(self.dispatcher.news.proxies(1_000.0), 3)
+        self.assertEqual(self.dispatcher.announcement_queue.count_proxies(1_000.0), 3)
         self.assertEqual(self.transport.sent, [])
         self.loop.advance(RELAY_GATHER_S)
         scopes = [decode(data)[0] for data, _ in self.transport.sent]
-        self.assertEqual((scopes.count(Reach.RECEIVER), scopes.count(Reach.GROUP)), (2, 1))
+        self.assertEqual(
+            (scopes.count(ForwardingScope.RECEIVER), scopes.count(ForwardingScope.GROUP)), (2, 1)
+        )
         origins = {
             origin for data, _ in self.transport.sent for origin in (n.origin for n in decode(data)[1])
         }
         self.assertEqual(origins, {"10.0.0.2", "10.0.0.3"})
 
     def test_remote_relay_is_acknowledged_and_its_updates_stay_in_the_group(self) -> None:
-        [data] = encode(Reach.GROUP, [News("10.1.0.7", 7, [])])
+        [data] = encode(ForwardingScope.GROUP, [AnnouncementUpdate("10.1.0.7", 7, [])])
         for _ in range(20):
             self.announcer.datagram_received(data, ("10.1.0.5", 7002))
             self.loop.advance(ACKNOWLEDGE_S / 10)
         acknowledgements = [decode(data) for data, addr in self.transport.sent if addr[0] == "10.1.0.5"]
-        self.assertEqual(acknowledgements, [(Reach.RECEIVER, [])] * 2)
-        self.assertEqual({decode(data)[0] for data, _ in self.transport.sent}, {Reach.RECEIVER})
+        self.assertEqual(acknowledgements, [(ForwardingScope.RECEIVER, [])] * 2)
+        self.assertEqual({decode(data)[0] for data, _ in self.transport.sent}, {ForwardingScope.RECEIVER})
 
 
 if __name__ == "__main__":
--- a/tests/fleet/test_routing_dispatcher.py
+++ b/tests/fleet/test_routing_dispatcher.py
@@ -45,7 +45,7 @@
             )
             for name in names
         ]
-        self.dispatcher.servers(now, "llm", servers)
+        self.dispatcher.update_servers(now, "llm", servers)
 
     def request(
         self, now: float, shared_segment: str = "s", on_route: Route | None = None
@@ -57,7 +57,7 @@
         )
 
     def send(self, now: float, shared_segment: str = "s", on_route: Route | None = None) -> Send:
-        action = self.only(self.dispatcher.arrived(now, self.request(now, shared_segment, on_route)))
+        action = self.only(self.dispatcher.request_arrived(now, self.request(now, shared_segment, on_route)))
         assert isinstance(action, Send)
         return action
 
@@ -87,11 +87,13 @@
     def test_two_proxies_prefer_the_same_server_for_a_shared_segment(self) -> None:
         other = Dispatcher(DispatchSettings("y", 4), random.Random(77), 0.0)
         other.configure(0.0, {"llm": Service("llm", engine=ENGINE)}, [])
-        other.servers(0.0, "llm", [ServerInfo(name, f"{name}:80", "z", 12) for name in "cba"])
+        other.update_servers(0.0, "llm", [ServerInfo(name, f"{name}:80", "z", 12) for name in "cba"])
         for number in range(20):
             own_send = self.send(number * 1_000.0, f"subject{number}")
             self.serve(own_send, number * 1_000.0 + 30.0, number * 1_000.0 + 60.0)
-            peer_send = other.arrived(number * 1_000.0, self.request(number * 1_000.0, f"subject{number}"))[0]
+            peer_send = other.request_arrived(
+                number * 1_000.0, self.request(number * 1_000.0, f"subject{number}")
+            )[0]
             assert isinstance(peer_send, Send)
             other.first_event(number * 1_000.0 + 30.0, peer_send.request_id, peer_send.server_id)
             other.finished(number * 1_000.0 + 60.0, peer_send.request_id, peer_send.server_id, Outcome.SERVED)
@@ -106,7 +108,7 @@
 
     def test_request_without_a_server_is_refused_with_retry_after(self) -> None:
         self.list_servers(0.0)
-        action = self.only(self.dispatcher.arrived(5.0, self.request(5.0)))
+        action = self.only(self.dispatcher.request_arrived(5.0, self.request(5.0)))
         assert isinstance(action, Refuse)
         self.assertEqual(action.status, 503)
         self.assertGreater(action.retry_after_ms, 0)
@@ -180,7 +182,7 @@
 
     def test_events_of_a_cancelled_request_are_ignored(self) -> None:
         send = self.send(0.0)
-        self.assertEqual(self.dispatcher.abandoned(1.0, send.request_id), [])
+        self.assertEqual(self.dispatcher.request_cancelled(1.0, send.request_id), [])
         self.assertEqual(self.dispatcher.first_event(2.0, send.request_id, send.server_id), [])
         self.assertEqual(self.dispatcher.finished(2.0, send.request_id, send.server_id, Outcome.BROKEN), [])
 
--- a/tests/fleet/test_routing_parts.py
+++ b/tests/fleet/test_routing_parts.py
@@ -20,7 +20,7 @@
 from barleybarrow.routing.profiles import RouteProfile, servers_for_streams
 from barleybarrow.routing.rendezvous import HashRing, stable_hash, weight
 from barleybarrow.routing.speed import PrefillModel, ServerOverhead
-from barleybarrow.routing.thresholds import IdleThreshold
+from barleybarrow.routing.thresholds import AdaptiveConcurrencyLimit
 
 SHORT_STREAM_ROUTE = Route("v", "h", "/v/", "streaming", 2_000.0, 200.0, 1, "llm", gap_aim_ms=200.0)
 RESUMABLE_ROUTE = Route(
@@ -71,24 +71,24 @@
     def test_least_recently_sent_segments_are_evicted(self) -> None:
         cache = PrefixCache(1_000)
         for name in "abc":
-            cache.sent(((name, 400),))
+            cache.insert(((name, 400),))
         self.assertEqual(["a" in cache, "b" in cache, "c" in cache], [False, True, True])
         self.assertEqual(cache.tokens, 800)
 
     def test_segment_sent_again_is_not_evicted(self) -> None:
         cache = PrefixCache(1_000)
         for name in "abac":
-            cache.sent(((name, 400),))
+            cache.insert(((name, 400),))
         self.assertEqual(["a" in cache, "b" in cache], [True, False])
 
     def test_cached_prefix_ends_at_the_first_missing_segment(self) -> None:
         cache = PrefixCache(1_000)
-        cache.sent((("a", 100), ("b", 100)))
-        self.assertEqual(cache.kept_tokens((("a", 100), ("x", 100), ("b", 100))), 100)
+        cache.insert((("a", 100), ("b", 100)))
+        self.assertEqual(cache.cached_tokens((("a", 100), ("x", 100), ("b", 100))), 100)
 
     def test_anonymous_tokens_evict_segments(self) -> None:
         cache = PrefixCache(1_000)
-        cache.sent((("a", 400),))
+        cache.insert((("a", 400),))
         cache.insert_anonymous(700)
         self.assertNotIn("a", cache)
 
@@ -119,7 +119,7 @@
 
 class ConcurrencyLimitTests(unittest.TestCase):
     def test_limit_grows_on_fast_responses_and_decreases_once_on_late_ones(self) -> None:
-        concurrency = IdleThreshold(2.0, 12.0)
+        concurrency = AdaptiveConcurrencyLimit(2.0, 12.0)
         for turn in range(50):
             concurrency.observe(float(turn), float(turn), int(concurrency.limit), 20.0, 20.0, 200.0)
         grown = concurrency.limit
@@ -129,7 +129,7 @@
         self.assertAlmostEqual(concurrency.limit, 0.75 * grown)
 
     def test_limit_stays_within_its_bounds(self) -> None:
-        concurrency = IdleThreshold(0.1, 3.0)
+        concurrency = AdaptiveConcurrencyLimit(0.1, 3.0)
         self.assertEqual(concurrency.limit, 1.0)
         for turn in range(100):
             concurrency.observe(float(turn), float(turn), 9, 20.0, 20.0, 200.0)
@@ -184,7 +184,7 @@
         services = {"llm": Service("llm", engine=Engine(12, 100_000, stride=40)), "app": Service("app")}
         self.dispatcher.configure(0.0, services, [])
         for service in services:
-            self.dispatcher.servers(0.0, service, [ServerInfo(name, name, "z", 6) for name in "abcd"])
+            self.dispatcher.update_servers(0.0, service, [ServerInfo(name, name, "z", 6) for name in "abcd"])
         self.next_id = 0
 
     def send(self, now: float, route: Route, deadline_ms: float | None = None) -> Send:
@@ -194,7 +194,7 @@
         request = DispatchRequest(
             self.next_id, route, route.service, "t", route.priority, now, deadline_at, 300, 80, segments, "m"
         )
-        action = self.dispatcher.arrived(now, request)[0]
+        action = self.dispatcher.request_arrived(now, request)[0]
         assert isinstance(action, Send)
         return action
 
@@ -270,7 +270,7 @@
             self.dispatcher.pools["llm"].servers[name].prefill_until = 60_000.0
         self.next_id += 1
         request = DispatchRequest(99, SHORT_STREAM_ROUTE, "llm", "t", 1, 0.0, 2_000.0, 300, 80, (), "m")
-        action = self.dispatcher.arrived(0.0, request)[0]
+        action = self.dispatcher.request_arrived(0.0, request)[0]
         assert isinstance(action, Refuse)
         self.assertEqual(action.reason, "overloaded")
 
@@ -281,7 +281,7 @@
 
     def test_large_fleet_keeps_a_shared_segment_on_its_preferred_servers(self) -> None:
         names = [f"s{number}" for number in range(200)]
-        self.dispatcher.servers(0.0, "llm", [ServerInfo(name, name, "z", 12) for name in names])
+        self.dispatcher.update_servers(0.0, "llm", [ServerInfo(name, name, "z", 12) for name in names])
         sent = set()
         for turn in range(8):
             send = self.send(turn * 1_000.0, SHORT_STREAM_ROUTE)
