--- a/barleybarrow/budget.py
+++ b/barleybarrow/budget.py
@@ -5,7 +5,7 @@
 
 from dataclasses import dataclass
 
-SLACK = 1e-9  # of a repeat
+ROUNDING_TOLERANCE = 1e-9  # of a repeat
 
 
 @dataclass(frozen=True)
@@ -29,7 +29,7 @@
     @property
     def empty(self) -> bool:
         """Whether no repeat is paid for; what rounding may take from one does not count."""
-        return self.level < 1.0 - SLACK
+        return self.level < 1.0 - ROUNDING_TOLERANCE
 
     def charge(self, repeated: bool) -> None:
         """A request was let in: a first try earns, a repeat costs one."""
--- a/barleybarrow/simulator_adapter.py
+++ b/barleybarrow/simulator_adapter.py
@@ -29,7 +29,7 @@
     "warm_copy": face.ListScope.COMPLETE,
     "lost": face.ListScope.LOST,
 }
-REPEATED = 2
+REPEATED_FLAG = 2
 
 
 class MalformedLineError(Exception):
@@ -44,33 +44,35 @@
     return {REPORTS[name]: float(value) for name, _, value in pairs if name in REPORTS}
 
 
-def read_arrived(p: list[str]) -> face.Arrived:
+def read_arrived(fields: list[str]) -> face.Arrived:
     """DEMAND i job clientGroup resource grade deadline options workHint."""
-    tenant = 0 if p[3] == "-" else int(p[3])
-    repeated = len(p) > 7 and p[7] != "-" and bool(int(p[7]) & REPEATED)
-    return face.Arrived(int(p[2]), int(p[5]), float(p[6]), tenant, repeated)
+    tenant = 0 if fields[3] == "-" else int(fields[3])
+    repeated = len(fields) > 7 and fields[7] != "-" and bool(int(fields[7]) & REPEATED_FLAG)
+    return face.Arrived(int(fields[2]), int(fields[5]), float(fields[6]), tenant, repeated)
 
 
-def read_finished(p: list[str]) -> face.Finished:
+def read_finished(fields: list[str]) -> face.Finished:
     """SETTLED i job roundNo backend how timeTaken complete stats."""
-    report = read_report(p[8]) if len(p) > 8 else None
-    return face.Finished(int(p[2]), int(p[3]), OUTCOMES[p[5]], float(p[6]), p[7] == "1", report)
+    report = read_report(fields[8]) if len(fields) > 8 else None
+    return face.Finished(
+        int(fields[2]), int(fields[3]), OUTCOMES[fields[5]], float(fields[6]), fields[7] == "1", report
+    )
 
 
-def read_probed(p: list[str]) -> face.Probed:
+def read_probed(fields: list[str]) -> face.Probed:
     """STATUS_BACK i backend how timeTaken stats."""
-    report = read_report(p[5]) if len(p) > 5 else None
-    return face.Probed(p[2], OUTCOMES[p[3]], float(p[4]), report)
+    report = read_report(fields[5]) if len(fields) > 5 else None
+    return face.Probed(fields[2], OUTCOMES[fields[3]], float(fields[4]), report)
 
 
 def read_entry(line: str) -> face.Entry:
     """ROW backend readiness readyAt cluster scale hw dc."""
-    p = line.split()
-    if len(p) < 8 or p[0] != "ROW":
+    fields = line.split()
+    if len(fields) < 8 or fields[0] != "ROW":
         raise ValueError("a list entry was expected")
-    started = 0.0 if p[3] == "-" else float(p[3])
-    cell, kind, zone = (0 if x == "-" else int(x) for x in (p[4], p[6], p[7]))
-    return face.Entry(p[1], STATES[p[2]], started, cell, zone, kind)
+    started = 0.0 if fields[3] == "-" else float(fields[3])
+    cell, kind, zone = (0 if x == "-" else int(x) for x in (fields[4], fields[6], fields[7]))
+    return face.Entry(fields[1], STATES[fields[2]], started, cell, zone, kind)
 
 
 READERS: dict[str, Callable[[list[str]], face.Event]] = {
@@ -113,52 +115,56 @@
                 now = float(head[1])
             except ValueError as error:
                 raise MalformedLineError(f"no clock time: {line.strip()[:80]}") from error
-            reply = self.batch(now, source)
+            reply = self.run_batch(now, source)
             reply.append(f"NEXT {head[2]}\n")
             self.out.write("".join(reply))
             self.out.flush()
 
-    def batch(self, now: float, source: Iterable[str]) -> list[str]:
+    def run_batch(self, now: float, source: Iterable[str]) -> list[str]:
         """Carry out one batch and return the lines of its reply."""
         reply: list[str] = []
         for line in source:
-            name, _, _ = line.partition(" ")
-            if name.rstrip() == "EOF_BATCH":
+            command, _, _ = line.partition(" ")
+            if command.rstrip() == "EOF_BATCH":
                 return reply
             try:
-                self.event(now, name, line, source, reply)
+                self.handle_event(now, command, line, source, reply)
             except (ValueError, KeyError, IndexError, TypeError, StopIteration) as error:
                 raise MalformedLineError(f"cannot read: {line.strip()[:80]} ({error})") from error
         raise MalformedLineError("input ended inside a batch")
 
-    def event(self, now: float, name: str, line: str, source: Iterable[str], reply: list[str]) -> None:
+    def handle_event(
+        self, now: float, command: str, line: str, source: Iterable[str], reply: list[str]
+    ) -> None:
         """Read one event and let its instance act on it."""
-        if name == "ATTACH":
+        if command == "ATTACH":
             _, inst, seed, conf = line.split(" ", 3)
             settings, i = read_settings(json.loads(conf)), int(inst)
-            self.act(i, reply, lambda: self.start(i, settings, int(seed), now))
-        elif name == "MEMBERS":
-            p = line.split()
-            entries = [read_entry(next(iter(source))) for _ in range(int(p[4]) if len(p) > 4 else 0)]
-            self.give(int(p[1]), now, face.ListChanged(SCOPES[p[2]], entries), reply)
-        elif name == "HALT":
+            self.write_actions(i, reply, lambda: self.start_instance(i, settings, int(seed), now))
+        elif command == "MEMBERS":
+            fields = line.split()
+            entries = [
+                read_entry(next(iter(source))) for _ in range(int(fields[4]) if len(fields) > 4 else 0)
+            ]
+            self.dispatch(int(fields[1]), now, face.ListChanged(SCOPES[fields[2]], entries), reply)
+        elif command == "HALT":
             self.instances.pop(int(line.split()[1]), None)
-        elif name in READERS:
-            p = line.split()
-            self.give(int(p[1]), now, READERS[name](p), reply)
+        elif command in READERS:
+            fields = line.split()
+            self.dispatch(int(fields[1]), now, READERS[command](fields), reply)
 
-    def start(self, i: int, settings: face.Settings, seed: int, now: float) -> list[face.Action]:
+    def start_instance(self, i: int, settings: face.Settings, seed: int, now: float) -> list[face.Action]:
         """Start an instance without memory."""
         self.instances[i] = Balancer(settings, seed, now)
         return self.instances[i].begin()
 
-    def give(self, i: int, now: float, event: face.Event, reply: list[str]) -> None:
+    def dispatch(self, i: int, now: float, event: face.Event, reply: list[str]) -> None:
         """Hand an event to its instance, if it runs."""
         instance = self.instances.get(i)
         if instance is not None:
-            self.act(i, reply, lambda: instance.handle(now, event))
+            self.write_actions(i, reply, lambda: instance.handle(now, event))
 
-    def act(self, i: int, reply: list[str], decide: Callable[[], list[face.Action]]) -> None:
+    def write_actions(self, i: int, reply: list[str], decide: Callable[[], list[face.Action]]) -> None:
         """Write the decided actions, or that the decision code has failed."""
         try:
             actions = decide()
--- a/tests/test_brain.py
+++ b/tests/test_brain.py
@@ -509,7 +509,7 @@
 def test_what_never_ran_may_go_elsewhere_though_the_budget_for_repeats_is_spent():
     # guards against refusing, in a release, what the next backend would serve
     proxy = crowd(60)
-    proxy.brain.budget = 0.0
+    proxy.brain.retry_budget = 0.0
     r = proxy.arrive()
     proxy.finish(r, Outcome.CONNECT_FAILED, elapsed=1.0)
     assert r not in proxy.answers and len(proxy.sent) == 2
@@ -524,7 +524,7 @@
         proxy.now += 20
     proxy.list(face.Entry("new", State.LIVE, started=proxy.now), scope=ListScope.CHANGES)
     new = proxy.brain.backends["new"]
-    new.pace = proxy.brain.heavy  # what it is allowed by now
+    new.pace = proxy.brain.max_cost  # what it is allowed by now
     proxy.brain.place(new)
     assert proxy.backend(proxy.arrive(UNSAFE)) == "new"
 
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -89,5 +89,5 @@
 
 @pytest.mark.parametrize("proxies", [5, 30])
 def test_a_ramp_that_allows_each_too_much_would_be_found(monkeypatch, proxies):
-    monkeypatch.setattr(brain, "COLD_SHARE", 3.0)
+    monkeypatch.setattr(brain, "COLD_START_SHARE", 3.0)
     assert worst_window(proxies, 0.0, 7) > 1.0
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -234,7 +234,7 @@
             "refused what may have run",
             [("arrive", 800), ("settle", 1)],
         ),
-        (broken_table("end", lambda self, r: None), "lost", [("arrive", 801)]),
+        (broken_table("give_up", lambda self, r: None), "lost", [("arrive", 801)]),
     ],
 )
 def test_the_checker_notices_a_rule_that_was_taken_out(monkeypatch, patch, message, steps):
