--- a/barleybarrow/interface.py
+++ b/barleybarrow/interface.py
@@ -1,7 +1,7 @@
-"""The interface of the decision module: settings, events, actions and outcomes.
+"""The interface of the routing policy: settings, events, actions and outcomes.
 
-Every time is in milliseconds: clock times, spans, time-outs and rates alike.
-Zones, machine kinds, tenants and request classes are indices; backends are opaque texts.
+All times are in milliseconds: clock times, durations and time-outs; rates are per millisecond.
+Zones, machine kinds, tenants and request classes are indices; backends are opaque names.
 """
 
 from dataclasses import dataclass, field
@@ -9,7 +9,7 @@
 
 
 class Effect(Enum):
-    """How far a request of a class may be repeated."""
+    """Whether a request of a class may be executed twice: always, if deduplicated by its key, or never."""
 
     SAFE = "safe"
     KEYED = "keyed"
@@ -17,7 +17,7 @@
 
 
 class Group(Enum):
-    """Which backends drop the repeats of a keyed request."""
+    """The backends that share the deduplication of a keyed request."""
 
     ALL = "all"
     ZONE = "zone"
@@ -38,7 +38,7 @@
 
 
 class State(Enum):
-    """What the list says of a backend."""
+    """State of a listed backend."""
 
     LIVE = "live"
     DRAINING = "draining"
@@ -46,7 +46,7 @@
 
 
 class ListScope(Enum):
-    """What a list event holds."""
+    """What a list event holds: changes, the complete list, or the loss of the subscription."""
 
     CHANGES = "changes"
     COMPLETE = "complete"
@@ -54,16 +54,16 @@
 
 
 class SettingsError(ValueError):
-    """The settings cannot be worked with."""
+    """The settings are invalid."""
 
 
 class UnknownEventError(TypeError):
-    """The event is of no type that this interface names."""
+    """The event has none of the types of this interface."""
 
 
 @dataclass(slots=True)
 class RequestClass:
-    """A class of requests; aim and deadline are spans from the arrival."""
+    """A class of requests. The target latency and the deadline count from the arrival."""
 
     aim: float
     deadline: float
@@ -77,7 +77,7 @@
 
 @dataclass(slots=True)
 class Settings:
-    """What a proxy knows when it starts."""
+    """Settings of a proxy, given at its start."""
 
     classes: list[RequestClass]
     tick: float
@@ -110,7 +110,7 @@
     kinds: list[str] = field(default_factory=list)
 
     def check(self) -> None:
-        """Raise SettingsError where no decision could be made by these settings."""
+        """Raise SettingsError for settings that the policy cannot work with."""
         if not self.classes:
             raise SettingsError("no request classes")
         if type(self.proxies) is not int or self.proxies < 1:
@@ -126,7 +126,7 @@
 
 @dataclass(slots=True)
 class Entry:
-    """One backend of a list; started is a clock time, 0 for long ago."""
+    """One listed backend; started is a clock time, 0 for long ago."""
 
     backend: str
     state: State
@@ -138,29 +138,29 @@
 
 @dataclass(slots=True)
 class ListChanged:
-    """The list of backends, changes to it, or word that a call for it failed."""
+    """The list of backends, changes to it, or the failure of a subscription."""
 
     scope: ListScope
     entries: list[Entry]
-    version: int = 0  # as discovery counts them
+    version: int = 0  # as discovery numbers them
 
 
 @dataclass(slots=True)
 class Arrived:
-    """A request is here; deadline is the clock time at which this try is given up."""
+    """A request arrived; deadline is the clock time at which this try is given up."""
 
     request: int
     klass: int
     deadline: float
     tenant: int = 0
     repeated: bool = False
-    bound: str | None = None  # the backend at which it may have run already; empty: it may go to none
-    window_end: float = 0.0  # clock time until which that one, and its group, drop a repeat
+    bound: str | None = None  # the backend that may have run it already; if empty, none may get it
+    window_end: float = 0.0  # clock time until which that backend, and its group, drop a repeat
 
 
 @dataclass(slots=True)
 class Finished:
-    """An attempt ended; complete when the request needs no further answer."""
+    """An attempt ended; complete if the request needs no further answer."""
 
     request: int
     attempt: int
@@ -172,7 +172,7 @@
 
 @dataclass(slots=True)
 class Began:
-    """A streamed answer has begun: the attempt now belongs to the client."""
+    """A streamed answer has begun: from now on the client sees this attempt."""
 
     request: int
     attempt: int
@@ -180,14 +180,14 @@
 
 @dataclass(slots=True)
 class Left:
-    """The client is gone, or the request was closed from outside."""
+    """The client disconnected, or the request was closed otherwise."""
 
     request: int
 
 
 @dataclass(slots=True)
 class TimerDue:
-    """A timer set earlier has fallen due."""
+    """A timer expired."""
 
     token: int
 
@@ -204,24 +204,24 @@
 
 @dataclass(slots=True)
 class Hearsay:
-    """What other proxies say of one life of a backend, weighed; see `barleybarrow.knowledge`."""
+    """Weighted estimate of other proxies for one incarnation of a backend; see `barleybarrow.knowledge`."""
 
     backend: str
-    started: float  # as in its Entry: another start is another life, of which this says nothing
-    slower: float  # log of how many times the fleet's usual latency it takes; under 0 it is faster
-    weight: float  # 0 to 1: how far this counts now, against nothing known at first hand
+    started: float  # as in its Entry: the estimate does not apply to another incarnation
+    slower: float  # log of its latency relative to the fleet's usual one; below 0 it is faster
+    weight: float  # 0 to 1: how far it counts now if this proxy has measured nothing itself
 
 
 @dataclass(slots=True)
 class Told:
-    """Hearsay. It can only lower a backend in the ranking, and fades."""
+    """Estimates of other proxies. They can only lower a backend's rank, and they decay."""
 
     hearsay: list[Hearsay]
 
 
 @dataclass(slots=True)
 class Send:
-    """Start an attempt; timeout is a span, 0 for until the client gives up."""
+    """Start an attempt; timeout is a duration, 0 for as long as the client waits."""
 
     request: int
     backend: str
@@ -230,7 +230,7 @@
 
 @dataclass(slots=True)
 class Refuse:
-    """Final answer: not run, trying again is harmless after the given span."""
+    """Final answer: refused; the client may safely retry after the given duration."""
 
     request: int
     retry_after: float
@@ -238,14 +238,14 @@
 
 @dataclass(slots=True)
 class Fail:
-    """Final answer: failed, nothing promised."""
+    """Final answer: failed; it may have taken effect."""
 
     request: int
 
 
 @dataclass(slots=True)
 class Cancel:
-    """Stop waiting for an attempt."""
+    """Abandon an attempt."""
 
     request: int
     attempt: int
@@ -260,7 +260,7 @@
 
 @dataclass(slots=True)
 class SetTimer:
-    """Ask for TimerDue at a clock time."""
+    """Request a TimerDue at a clock time."""
 
     at: float
     token: int
@@ -268,12 +268,12 @@
 
 @dataclass(slots=True)
 class Watch:
-    """Ask for list changes from now on."""
+    """Subscribe to list changes."""
 
 
 @dataclass(slots=True)
 class Probe:
-    """Ask a backend for its report."""
+    """Request a load report from a backend."""
 
     backend: str
 
--- a/barleybarrow/settings.py
+++ b/barleybarrow/settings.py
@@ -1,4 +1,4 @@
-"""The settings as the operators word them, translated for the decision module and both its adapters."""
+"""Translates the operators' settings into those of the routing policy, for both of its adapters."""
 
 from typing import Any
 
@@ -16,10 +16,10 @@
 
 
 def read_settings(conf: dict[str, Any]) -> face.Settings:
-    """Translate the settings of an instance, leaving aside what is not known."""
+    """Translate the settings of a proxy; unknown keys are ignored."""
     limits, rules = conf.get("limits", {}), conf.get("rules", {})
     report = conf.get("report", {})
-    on_probe = report.get("fields", []) if report.get("how") == "pull" else []
+    probe_fields = report.get("fields", []) if report.get("how") == "pull" else []
     prices, goal = conf.get("prices", {}), conf.get("goal", {})
     classes = [
         face.RequestClass(
@@ -44,7 +44,7 @@
         parallel=limits.get("parallelTries", False),
         cancelling=limits.get("cancelling", False),
         probing=limits.get("probes", False),
-        probe_reports=[REPORTS[f] for f in on_probe if f in REPORTS],
+        probe_reports=[REPORTS[name] for name in probe_fields if name in REPORTS],
         max_retry_after=limits.get("maxRetryAfter", 0.0) if limits.get("retryAfter") else 0.0,
         conn_idle=limits.get("connIdle", 0.0),
         connect_timeout=limits.get("connectTimeout", 0.0),
--- a/barleybarrow/simulator_adapter.py
+++ b/barleybarrow/simulator_adapter.py
@@ -1,6 +1,6 @@
-"""Wire adapter: reads batches of events, lets the instances decide, writes their actions.
+"""Adapter to a simulator: reads batches of events, passes them to policy instances, writes their actions.
 
-Run as ``python -m barleybarrow.simulator_adapter``. It translates and decides nothing.
+Run as ``python -m barleybarrow.simulator_adapter``. It translates only; all decisions are the policy's.
 """
 
 import json
@@ -33,11 +33,11 @@
 
 
 class MalformedLineError(Exception):
-    """A line that cannot be read."""
+    """An input line cannot be parsed."""
 
 
 def read_report(text: str) -> dict[str, float] | None:
-    """Translate a load report; names that are not known are dropped."""
+    """Parse a load report; unknown names are ignored."""
     if text == "-":
         return None
     pairs = (pair.partition(":") for pair in text.split(","))
@@ -96,14 +96,14 @@
 
 
 class SimulatorAdapter:
-    """Hosts the instances and carries their events and actions."""
+    """Hosts the policy instances, one per simulated proxy, and translates their events and actions."""
 
     def __init__(self, out: TextIO) -> None:
         self.out = out
         self.instances: dict[int, Balancer] = {}
 
     def run(self, lines: Iterable[str]) -> None:
-        """Answer batch after batch until the input ends."""
+        """Process batches until the input ends."""
         source = iter(lines)
         for line in source:
             if not line.strip():
@@ -121,7 +121,7 @@
             self.out.flush()
 
     def run_batch(self, now: float, source: Iterable[str]) -> list[str]:
-        """Carry out one batch and return the lines of its reply."""
+        """Process one batch and return the lines of the reply."""
         reply: list[str] = []
         for line in source:
             command, _, _ = line.partition(" ")
@@ -136,7 +136,7 @@
     def handle_event(
         self, now: float, command: str, line: str, source: Iterable[str], reply: list[str]
     ) -> None:
-        """Read one event and let its instance act on it."""
+        """Parse one event and pass it to its instance."""
         if command == "ATTACH":
             _, inst, seed, conf = line.split(" ", 3)
             settings, i = read_settings(json.loads(conf)), int(inst)
@@ -154,21 +154,21 @@
             self.dispatch(int(fields[1]), now, READERS[command](fields), reply)
 
     def start_instance(self, i: int, settings: face.Settings, seed: int, now: float) -> list[face.Action]:
-        """Start an instance without memory."""
+        """Start an instance, without state of an earlier one."""
         self.instances[i] = Balancer(settings, seed, now)
         return self.instances[i].begin()
 
     def dispatch(self, i: int, now: float, event: face.Event, reply: list[str]) -> None:
-        """Hand an event to its instance, if it runs."""
+        """Pass an event to its instance, if it is running."""
         instance = self.instances.get(i)
         if instance is not None:
             self.write_actions(i, reply, lambda: instance.handle(now, event))
 
     def write_actions(self, i: int, reply: list[str], decide: Callable[[], list[face.Action]]) -> None:
-        """Write the decided actions, or that the decision code has failed."""
+        """Write the resulting actions, or report that the policy failed."""
         try:
             actions = decide()
-        except Exception as error:  # whatever breaks in the brain is for the operators to see
+        except Exception as error:  # any fault of the policy is reported to the operators
             text = " ".join(f"{type(error).__name__}: {error}".split())
             reply.append(f"GIVE_IN {i} {text}\n")
             return
@@ -177,7 +177,7 @@
 
 
 def main() -> int:
-    """Serve standard input until it ends."""
+    """Process standard input until it ends."""
     try:
         SimulatorAdapter(sys.stdout).run(sys.stdin)
     except MalformedLineError as error:
