--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,6 +1,6 @@
-"""Random legal events: the four rules hold; and the checker can fail.
+"""Property test: the four rules hold for random legal events, and the checker detects violations.
 
-The checker knows the rules and nothing of servers: no service times, no scores.
+The checker knows the rules only, nothing of servers: neither service times nor scores.
 """
 
 import pytest
@@ -13,20 +13,20 @@
 from barleybarrow.brain import Balancer
 from barleybarrow.interface import Effect, Group, ListScope, Outcome, State
 
-SLACK = 20.0
-PROVEN = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
+DEADLINE_TOLERANCE_MS = 20.0
+NOT_EXECUTED = (Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 NAMES = ("a", "b", "c", "d")
 
 
-class RuleBrokenError(AssertionError):
-    """A rule is broken."""
+class RuleViolationError(AssertionError):
+    """A rule is violated."""
 
 
 class Checker:
-    """Watches one proxy's events and actions for the four rules."""
+    """Checks the events and actions of one proxy against the four rules."""
 
     def __init__(self, conf):
-        self.conf, self.requests, self.told = conf, {}, {}
+        self.conf, self.requests, self.entries = conf, {}, {}
         self.cold_sends = {}
 
     def arrived(self, event):
@@ -40,11 +40,11 @@
     def listed(self, now, event):
         named = {e.backend: e for e in event.entries}
         if event.scope is ListScope.COMPLETE:
-            for name in list(self.told):
+            for name in list(self.entries):
                 if name not in named:
-                    self.told[name] = face.Entry(name, State.GONE)
+                    self.entries[name] = face.Entry(name, State.GONE)
         if event.scope is not ListScope.LOST:
-            self.told.update(named)
+            self.entries.update(named)
 
     def settled(self, event):
         r = self.requests[event.request]
@@ -58,27 +58,27 @@
             self.answered(now, action)
 
     def may_have_run(self, r):
-        return [a for a in r["attempts"] if a["outcome"] not in PROVEN]
+        return [a for a in r["attempts"] if a["outcome"] not in NOT_EXECUTED]
 
     def sent(self, now, action):
-        r, entry = self.requests[action.request], self.told[action.backend]
+        r, entry = self.requests[action.request], self.entries[action.backend]
         if r["closed"]:
-            raise RuleBrokenError("sent after the end")
+            raise RuleViolationError("sent after the end")
         if entry.state is not State.LIVE:
-            raise RuleBrokenError("sent to a backend that drains or is gone")
+            raise RuleViolationError("sent to a backend that drains or is gone")
         running, effect = self.may_have_run(r), r["class"].effect
         if any(a["outcome"] is None for a in running) and not self.conf.parallel:
-            raise RuleBrokenError("two at once")
+            raise RuleViolationError("two at once")
         if running and effect is Effect.UNSAFE:
-            raise RuleBrokenError("unsafe sent twice")
+            raise RuleViolationError("unsafe sent twice")
         if running and effect is Effect.KEYED:
             first = running[0]
             if now > first["at"] + r["class"].window:
-                raise RuleBrokenError("keyed sent after its window")
+                raise RuleViolationError("keyed sent after its window")
             if r["class"].group is Group.ZONE and first["entry"].zone != entry.zone:
-                raise RuleBrokenError("keyed sent outside its group")
+                raise RuleViolationError("keyed sent outside its group")
         if len(r["attempts"]) >= self.conf.max_attempts:
-            raise RuleBrokenError("too many attempts")
+            raise RuleViolationError("too many attempts")
         r["attempts"].append({"at": now, "entry": entry, "outcome": None})
         age = now - entry.started
         if entry.started and age < self.conf.cold:
@@ -86,7 +86,7 @@
             sends.append(now)
             window = [t for t in sends if t > now - self.conf.tip_after]
             if len(window) > 12:
-                raise RuleBrokenError("a cold backend is pushed over")
+                raise RuleViolationError("a cold backend is pushed over")
 
     def answered(self, now, action):
         r = self.requests[action.request]
@@ -95,15 +95,15 @@
         running, effect = self.may_have_run(r), r["class"].effect
         if isinstance(action, face.Refuse) and running:
             if effect is Effect.UNSAFE or effect is Effect.KEYED and r["class"].group is not Group.ALL:
-                raise RuleBrokenError("refused what may have run")
+                raise RuleViolationError("refused what may have run")
         r["closed"] = True
-        if now > r["deadline"] + SLACK:
-            raise RuleBrokenError("answered too late")
+        if now > r["deadline"] + DEADLINE_TOLERANCE_MS:
+            raise RuleViolationError("answered too late")
 
     def overdue(self, now):
         for r in self.requests.values():
-            if not r["closed"] and now > r["deadline"] + SLACK:
-                raise RuleBrokenError("lost")
+            if not r["closed"] and now > r["deadline"] + DEADLINE_TOLERANCE_MS:
+                raise RuleViolationError("lost")
 
 
 STEPS = st.lists(
@@ -116,7 +116,7 @@
 
 
 class Play:
-    """Turns drawn numbers into legal events for one proxy, watched by the checker."""
+    """Turns drawn numbers into legal events for one proxy, under the checker."""
 
     def __init__(self, parallel):
         self.conf = settings(parallel=parallel, must_ask=True)
@@ -175,24 +175,25 @@
             if not self.check.requests[request]["closed"]:
                 self.give(face.Left(request))
         elif kind == "list":
-            self.relist(n)
+            self.change_list(n)
         elif kind == "wait":
             self.advance(n % 300)
         self.advance(n % 4)
 
-    def relist(self, n):
+    def change_list(self, n):
         name = NAMES[n % len(NAMES)]
-        how = n // 4 % 5
-        if how == 0:
+        choice = n // 4 % 5
+        if choice == 0:
             self.give(face.ListChanged(ListScope.LOST, []))
-        elif how == 1:
+        elif choice == 1:
             self.give(face.ListChanged(ListScope.COMPLETE, [face.Entry(name, State.LIVE)]))
         else:
-            state = (State.LIVE, State.DRAINING, State.GONE)[how - 2]
+            state = (State.LIVE, State.DRAINING, State.GONE)[choice - 2]
             entry = face.Entry(name, state, self.now, zone=n % 2)
             self.give(face.ListChanged(ListScope.CHANGES, [entry]))
 
 
+# Hypothesis derives the examples from the name and source of this function: a new wording draws others.
 @bounds(
     derandomize=True, max_examples=60, deadline=None, suppress_health_check=list(HealthCheck), database=None
 )
@@ -205,8 +206,8 @@
     assert all(r["closed"] for r in play.check.requests.values())
 
 
-def broken_table(name, value):
-    """A balancer with one of its rules taken out."""
+def without_rule(name, value):
+    """A patch that disables one rule of the balancer."""
 
     def patch(monkeypatch):
         monkeypatch.setattr(Balancer, name, value)
@@ -214,43 +215,43 @@
     return patch
 
 
-def drive(steps):
-    play = Play(True)
+def run_steps(steps):
+    driver = Play(True)
     for kind, n in steps:
-        play.step(kind, n)
-    play.advance(900)
+        driver.step(kind, n)
+    driver.advance(900)
 
 
 @pytest.mark.parametrize(
     ("patch", "message", "steps"),
     [
         (
-            broken_table("may_send", lambda self, r: True),
+            without_rule("may_send", lambda self, r: True),
             "unsafe sent twice",
             [("arrive", 800), ("settle", 1)],
         ),
         (
-            broken_table("may_refuse", lambda self, r: True),
+            without_rule("may_refuse", lambda self, r: True),
             "refused what may have run",
             [("arrive", 800), ("settle", 1)],
         ),
-        (broken_table("give_up", lambda self, r: None), "lost", [("arrive", 801)]),
+        (without_rule("give_up", lambda self, r: None), "lost", [("arrive", 801)]),
     ],
 )
-def test_the_checker_notices_a_rule_that_was_taken_out(monkeypatch, patch, message, steps):
+def test_checker_detects_a_disabled_rule(monkeypatch, patch, message, steps):
     patch(monkeypatch)
-    with pytest.raises(RuleBrokenError, match=message):
-        drive(steps)
+    with pytest.raises(RuleViolationError, match=message):
+        run_steps(steps)
 
 
-def test_the_checker_notices_sends_to_what_drains_and_floods_of_the_cold():
+def test_checker_detects_sends_to_draining_and_floods_of_cold_backends():
     check = Checker(settings())
     check.listed(0.0, face.ListChanged(ListScope.COMPLETE, [face.Entry("a", State.LIVE, started=1.0)]))
     for n in range(14):
         check.arrived(face.Arrived(n, 0, 800.0))
-    with pytest.raises(RuleBrokenError, match="pushed over"):
+    with pytest.raises(RuleViolationError, match="pushed over"):
         for n in range(14):
             check.action(2.0, face.Send(n, "a"))
     check.listed(3.0, face.ListChanged(ListScope.CHANGES, [face.Entry("a", State.DRAINING)]))
-    with pytest.raises(RuleBrokenError, match="drains"):
+    with pytest.raises(RuleViolationError, match="drains"):
         check.action(3.0, face.Send(0, "a"))
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The wire adapter, as a process on a hand-written transcript and piece by piece."""
+"""The simulator adapter: as a process on a hand-written transcript, and in parts."""
 
 import io
 import os
@@ -29,7 +29,7 @@
 
 
 def replies(text):
-    """Split what was written into batches, by sequence number."""
+    """Split the output into batches, by sequence number."""
     batches, lines = {}, []
     for line in text.splitlines():
         if line.startswith("NEXT "):
@@ -41,20 +41,20 @@
     return batches
 
 
-def test_a_transcript_is_answered_batch_by_batch():
+def test_transcript_is_answered_batch_by_batch():
     done = run(TRANSCRIPT)
     assert (done.returncode, done.stderr) == (0, "")
-    got = replies(done.stdout)
-    assert list(got) == [1, 2, 3, 4, 5, 6, 7]
-    assert got[1] == []
-    assert got[2] == ["OBSERVE 0 1"]
-    assert got[3] == ["SUBMIT_TO 0 11 10.0.0.1:5000 96.0", "NOTIFY_ME 0 1033.0 0"]
-    assert got[4] == ["NOTIFY_ME 0 1045.0 0"]
-    assert got[5] == ["RESPOND_ERROR 0 11"]
-    assert got[6] == got[7] == []
+    batches = replies(done.stdout)
+    assert list(batches) == [1, 2, 3, 4, 5, 6, 7]
+    assert batches[1] == []
+    assert batches[2] == ["OBSERVE 0 1"]
+    assert batches[3] == ["SUBMIT_TO 0 11 10.0.0.1:5000 96.0", "NOTIFY_ME 0 1033.0 0"]
+    assert batches[4] == ["NOTIFY_ME 0 1045.0 0"]
+    assert batches[5] == ["RESPOND_ERROR 0 11"]
+    assert batches[6] == batches[7] == []
 
 
-def test_the_same_events_give_the_same_actions_under_any_hash_seed():
+def test_actions_do_not_depend_on_the_hash_seed():
     assert run(TRANSCRIPT, "1").stdout == run(TRANSCRIPT, "2").stdout != ""
 
 
@@ -71,19 +71,19 @@
     ],
     ids=["no tick", "no clock", "bad number", "bad settings", "short list", "unknown outcome", "cut off"],
 )
-def test_malformed_input_gets_one_plain_line_and_a_failing_exit(text):
+def test_malformed_input_gives_one_line_on_stderr_and_exit_code_1(text):
     done = run(text)
     assert done.returncode == 1
     assert done.stderr.startswith("simulator adapter: ") and done.stderr.count("\n") == 1
     assert "Traceback" not in done.stderr
 
 
-def test_no_input_is_a_clean_end():
+def test_empty_input_exits_cleanly():
     done = run("")
     assert (done.returncode, done.stdout, done.stderr) == (0, "", "")
 
 
-def test_an_exception_in_the_brain_is_given_in_with_its_text(monkeypatch):
+def test_exception_of_the_policy_is_reported_with_its_text(monkeypatch):
     def broken(self, now, event):
         raise RuntimeError("out of\nideas")
 
@@ -95,22 +95,22 @@
     assert "GIVE_IN 0 RuntimeError: out of ideas\n" in out.getvalue()
 
 
-def test_impossible_settings_are_given_in():
+def test_invalid_settings_are_reported():
     done = run('TICK 1.0 1\nATTACH 0 7 {"classes":[]}\nEOF_BATCH\n')
     assert done.returncode == 0
     assert done.stdout.startswith("GIVE_IN 0 SettingsError: no request classes\n")
 
 
-def test_interleaved_instances_decide_as_they_would_alone():
-    both = []
+def test_interleaved_instances_decide_as_if_alone():
+    interleaved = []
     for line in TRANSCRIPT.splitlines():
         p = line.split(" ", 2)
-        both.append(line)
+        interleaved.append(line)
         if p[0] not in ("TICK", "EOF_BATCH", "ROW", "MEMBERS"):
-            both.append(f"{p[0]} 1 {p[2]}" if len(p) > 2 else f"{p[0]} 1")
+            interleaved.append(f"{p[0]} 1 {p[2]}" if len(p) > 2 else f"{p[0]} 1")
         elif p[0] == "ROW":
-            both += ["MEMBERS 1 warm_copy 1 1", line]
-    alone, mixed = replies(run(TRANSCRIPT).stdout), replies(run("\n".join(both) + "\n").stdout)
+            interleaved += ["MEMBERS 1 warm_copy 1 1", line]
+    alone, mixed = replies(run(TRANSCRIPT).stdout), replies(run("\n".join(interleaved) + "\n").stdout)
     for seq, lines in alone.items():
         assert [x for x in mixed[seq] if x.split()[1] == "0"] == lines
         second = [x for x in mixed[seq] if x.split()[1] == "1"]
