--- a/barleybarrow/state.py
+++ b/barleybarrow/state.py
@@ -12,7 +12,7 @@
 QueueItem = TypeVar("QueueItem", bound="Backend | Request")
 
 HASTE = 4.0  # other proxies' estimates decay this many times as fast as own measurements
-HINT_DECAY_PER_ANSWER = 0.7  # share of its log that an own answer leaves: two halve it
+PEER_DECAY_PER_ANSWER = 0.7  # share of its log that an own answer leaves: two halve it
 
 
 class Gauge:
@@ -130,7 +130,7 @@
         """Learn from an own answer; it displaces other proxies' estimates, which never enter the mean."""
         super().add_sample(sample, weight)
         if self.hint > 1.0:
-            self.hint **= HINT_DECAY_PER_ANSWER
+            self.hint **= PEER_DECAY_PER_ANSWER
 
     def apply_estimate(self, estimate: Hearsay, fleet_mean: float) -> None:
         """Let other proxies' estimate lower its rank; `fleet_mean`: log of the fleet's usual latency."""
