--- a/barleybarrow/limits/bounds.py
+++ b/barleybarrow/limits/bounds.py
@@ -14,9 +14,11 @@
 
 from barleybarrow.documents import QuotaUnit, Tenant
 
-MARGIN = 0.2  # of the room: for requests that run twice (resumed streams), and for clocks that differ
+ROOM_MARGIN_SHARE = (
+    0.2  # of the room: for requests that run twice (resumed streams), and for clocks that differ
+)
 DEBT_SHARE = 0.15
-LARGEST_REQUEST_TOKENS = 32_768.0  # a debt beyond the largest request would serve nobody
+MAX_REQUEST_TOKENS = 32_768.0  # a debt beyond the largest request would serve nobody
 RESERVE_SHARE = 0.3  # of the capacity
 REQUEST_SLACK_SHARE = 0.25  # of R W + B: QuotaSlack may count tokens, so it is not taken whole for requests
 RETRY_RATE_SHARE = 0.4  # of RetryBudgetMin, spread over the window
@@ -57,10 +59,10 @@
     if tenant.rate_per_s <= 0.0:
         return None
     steady = tenant.rate_per_s * bounds.quota_window_s + tenant.burst
-    slack, largest = bounds.quota_slack, LARGEST_REQUEST_TOKENS
+    slack, largest = bounds.quota_slack, MAX_REQUEST_TOKENS
     if tenant.unit != QuotaUnit.TOKENS:
         slack, largest = min(slack, REQUEST_SLACK_SHARE * steady), 1.0
-    room = (bounds.quota_overshoot * steady + slack) * (1.0 - MARGIN)
+    room = (bounds.quota_overshoot * steady + slack) * (1.0 - ROOM_MARGIN_SHARE)
     debt = min(DEBT_SHARE * room, largest)
     capacity = tenant.burst + room - debt
     return KeyLimit(
@@ -75,12 +77,12 @@
 
 def retry_limit(bounds: LimitBounds) -> KeyLimit:
     """How RetryBudgetMin of one service is divided: all parts stay below it together."""
-    least = bounds.retry_budget_min
+    budget_min = bounds.retry_budget_min
     return KeyLimit(
-        RETRY_RATE_SHARE * least / bounds.retry_window_s,
-        RETRY_BURST_SHARE * least,
+        RETRY_RATE_SHARE * budget_min / bounds.retry_window_s,
+        RETRY_BURST_SHARE * budget_min,
         0.0,
-        RETRY_CREDIT_SHARE * least,
+        RETRY_CREDIT_SHARE * budget_min,
         0.0,
         0.0,
     )
--- a/barleybarrow/limits/credit_machine.py
+++ b/barleybarrow/limits/credit_machine.py
@@ -1,8 +1,8 @@
-"""One process's part in the limits that all proxies share: proxy, keeper or warden.
+"""State machine of one process for the limits shared by all proxies: proxy, acceptor or credit server.
 
-The warden holds the lease of a majority of the keepers (`WardenLease`); it answers the reports of proxies
-with credit (`credit_ledger`, `members`). A proxy spends credit, or its base when it is out of touch
-(`credit_client`). A machine without I/O; told the time in milliseconds of its own monotonic clock.
+The credit server holds a lease granted by a majority of the acceptors (`warden_lease`) and answers the
+reports of proxies with credit (`credit_ledger`, `members`). A proxy spends credit, or its fallback share
+while it is disconnected (`credit_client`). No I/O; times are milliseconds of the process's monotonic clock.
 """
 
 from collections.abc import Callable
@@ -16,450 +16,488 @@
 from barleybarrow.limits.bounds import KeyLimit
 from barleybarrow.limits.credit_client import CreditClient
 from barleybarrow.limits.credit_ledger import CreditLedger
-from barleybarrow.limits.lent import LentFraction
+from barleybarrow.limits.lent import LentShare
 from barleybarrow.limits.members import Members
 from barleybarrow.limits.messages import (
-    CreditAnswer,
+    AcceptorState,
+    CreditReply,
     CreditReport,
-    Drained,
-    KeptRoster,
+    DrainedKeys,
     Message,
-    RosterAsk,
+    RosterAck,
     RosterEntry,
     RosterReply,
-    RosterTaken,
+    RosterRequest,
     RosterUpdate,
 )
 from barleybarrow.limits.warden_lease import DRIFT, Here, Promise, Role, Seek, WardenLease
 
-CLEAN_EVERY = 2000.0  # milliseconds between two looks for entries that nobody uses
+CLEANUP_INTERVAL_MS = 2000.0  # between two searches for unused entries
 
 
-class Term:
-    """What a warden keeps for one term."""
+class TermState:
+    """State of the credit server in one term."""
 
-    def __init__(self, now: float, limit_of: Callable[[str], KeyLimit | None], base_life: float) -> None:
-        self.lent = LentFraction(now)
-        self.members = Members(now, self.lent, base_life)
-        self.ledger = CreditLedger(self.lent, limit_of)
+    def __init__(self, now: float, limit_of: Callable[[str], KeyLimit | None], share_lifetime: float) -> None:
+        self.lent_share = LentShare(now)
+        self.members = Members(now, self.lent_share, share_lifetime)
+        self.ledger = CreditLedger(self.lent_share, limit_of)
         self.replies: dict[str, RosterReply] = {}
-        self.began_at = now
+        self.started_at = now
         self.version = 0
-        self.gathering = False  # the first proxies are waited for, so that their first bases are even
-        self.first = False  # whether the plan that is pending is the first of the system
-        self.pending: dict[str, float] | None = None  # the plan that keepers are to remember
+        self.collecting_proxies = False  # waits for the first proxies, to give them even shares
+        self.is_first_roster = False  # the pending plan is the first of the whole system
+        self.pending_plan: dict[str, float] | None = None  # plan that acceptors have yet to store
         self.entries: list[RosterEntry] = []
-        self.drained = Drained()
-        self.taken: set[str] = set()
-        self.roster_at = now
-        self.plan_at = now
+        self.drained = DrainedKeys()
+        self.acked_by: set[str] = set()
+        self.next_roster_send_at = now
+        self.next_plan_at = now
 
 
-Word = RosterTaken | RosterReply | Promise
+DeferredMessage = RosterAck | RosterReply | Promise
 
 
 @dataclass(frozen=True, slots=True)
-class GivenReply:
-    """The newest roster that this keeper has told a new warden."""
+class LastRosterReply:
+    """The newest roster that this acceptor has sent to a new credit server."""
 
-    name: str = ""
+    recipient: str = ""
     reply: RosterReply = RosterReply(0, False, 0, [])
 
 
 @dataclass(frozen=True, slots=True)
-class Untold:
-    """Word to a warden or seeker that waits until what it says is stored."""
+class DeferredSend:
+    """A message to a credit server or candidate, held back until the state that it reports is stored."""
 
-    name: str
-    word: Word
+    recipient: str
+    message: DeferredMessage
     revision: int
 
 
 class CreditMachine(WardenLease):
-    """All parts of one process. `asks`: it is a proxy. `fresh`: this is the first start of the system."""
+    """All roles of one process.
+
+    `is_proxy`: requests are admitted here. `bootstrap`: this is the first start of the whole system.
+    """
 
     def __init__(
         self,
         name: str,
-        keepers: list[str],
+        acceptors: list[str],
         rng: Random,
         now: float,
         limit_of: Callable[[str], KeyLimit | None],
-        asks: bool = True,
-        fresh: bool = False,
+        is_proxy: bool = True,
+        bootstrap: bool = False,
     ) -> None:
-        super().__init__(name, keepers, rng, now, spans.LEASE_TIMES)
+        super().__init__(name, acceptors, rng, now, spans.LEASE_TIMES)
         self.limit_of = limit_of
-        self.may_lead = fresh  # else not before it knows the limits
-        self.kept = KeptRoster(fresh, 0, [])
-        self.durable = False  # what this keeper remembers is stored before it says so
-        self.revision = 0  # of what this keeper remembers: rises with each change in this process
+        self.can_serve = bootstrap  # else only once it knows the limits
+        self.acceptor_state = AcceptorState(bootstrap, 0, [])
+        self.durable = False  # the acceptor's state is stored before it is reported
+        self.revision = 0  # of the acceptor's state: grows with each change in this incarnation
         self.stored_revision = 0
-        self.promise_revision = 0  # the revision that first held the newest promise
-        self.last_reply = GivenReply()
-        self.to_tell: list[Untold] = []  # who is to hear once a revision is stored
-        self.client = CreditClient(self.run, now, limit_of) if asks else None
-        self.books: Term | None = None
-        self.heard: dict[str, float] = {}  # proxies, and when they reported last
-        self.clean_at = now + CLEAN_EVERY
-
-    def keepers_changed(self, now: float, keepers: list[str]) -> None:
-        """Other keepers. One that is new promises nobody anything for as long as an older lease may last."""
-        joins = self.name in keepers and self.name not in self.keepers
-        self.keepers = list(keepers)
-        if joins:
+        self.promise_revision = 0  # first revision that holds the newest promise
+        self.last_roster_reply = LastRosterReply()
+        self.deferred_sends: list[DeferredSend] = []  # to be sent once their revision is stored
+        self.client = CreditClient(self.incarnation, now, limit_of) if is_proxy else None
+        self.books: TermState | None = None
+        self.last_report_at: dict[str, float] = {}  # by proxy
+        self.next_cleanup_at = now + CLEANUP_INTERVAL_MS
+
+    def set_acceptors(self, now: float, acceptors: list[str]) -> None:
+        """Replace the set of acceptors. A new one makes no promise while an older lease may be in force."""
+        joining = self.name in acceptors and self.name not in self.acceptors
+        self.acceptors = list(acceptors)
+        if joining:
             self.promised_until = max(self.promised_until, now + self.times.lease * DRIFT)
-            self.seek_again(now)
-        elif self.name not in keepers and self.role is not Role.PROXY:
-            self.give_back()
+            self.resume_lease(now)
+        elif self.name not in acceptors and self.role is not Role.PROXY:
+            self.release_promises()
             self.step_down(now)
 
-    def limits_known(self, now: float) -> None:
-        """A configuration is here: without one a warden could grant nothing, while others may have it."""
-        if not self.may_lead:
-            self.may_lead = True
-            self.seek_at = min(self.seek_at, now + self.rng.uniform(0.0, spans.SEEK_AGAIN))
+    def on_limits_known(self, now: float) -> None:
+        """A configuration has arrived: without one a credit server could grant nothing, but others might."""
+        if not self.can_serve:
+            self.can_serve = True
+            self.election_timer_at = min(
+                self.election_timer_at, now + self.rng.uniform(0.0, spans.MAX_ELECTION_JITTER_MS)
+            )
 
     # The lease
 
     def elected(self, now: float) -> None:
-        base_life = spans.BASE_LIFE_STORED if self.durable else spans.BASE_LIFE
-        self.books = Term(now, self.limit_of, base_life)
-        self.books.version = self.kept.version
-        self.heard.clear()
-        self.ask_rosters(now, self.books)
+        share_lifetime = spans.STORED_SHARE_LIFETIME_MS if self.durable else spans.SHARE_LIFETIME_MS
+        self.books = TermState(now, self.limit_of, share_lifetime)
+        self.books.version = self.acceptor_state.version
+        self.last_report_at.clear()
+        self.request_rosters(now, self.books)
         if self.client is not None:
-            self.client.warden_changed(now, self.term)
+            self.client.on_credit_server_changed(now, self.term)
 
     def stepped_down(self, now: float) -> None:
         self.books = None
-        self.seek_soon(now)
+        self.schedule_election(now)
 
-    def freed(self, now: float) -> None:
+    def on_promise_released(self, now: float) -> None:
         if self.role is Role.PROXY:
-            self.warden_at = -inf
-            self.seek_soon(now)
-
-    def seek_again(self, now: float) -> None:
-        """Where the process before this one was the warden, nobody else can be: seek at once."""
-        if self.role is Role.PROXY and not self.warden and self.is_remembered(self.name):
-            self.warden_at = -inf
-            self.seek_at = now
-
-    def seek_soon(self, now: float) -> None:
-        """As a keeper: seek when the promise to the warden that went is over."""
-        own = self.promised == self.name or (not self.promised and self.is_remembered(self.name))
-        free_at = now if own else max(now, self.promised_until)
-        self.seek_at = free_at + self.rng.uniform(0.0, spans.SEEK_AGAIN)
+            self.credit_server_heard_at = -inf
+            self.schedule_election(now)
+
+    def resume_lease(self, now: float) -> None:
+        """Request the lease at once if the previous incarnation held it, as nobody else can hold it."""
+        if self.role is Role.PROXY and not self.warden and self.matches_recovered_promise(self.name):
+            self.credit_server_heard_at = -inf
+            self.election_timer_at = now
+
+    def schedule_election(self, now: float) -> None:
+        """Become a candidate when the promise to the lost credit server expires."""
+        own = self.promised_to == self.name or (
+            not self.promised_to and self.matches_recovered_promise(self.name)
+        )
+        released_at = now if own else max(now, self.promised_until)
+        self.election_timer_at = released_at + self.rng.uniform(0.0, spans.MAX_ELECTION_JITTER_MS)
 
     def warden_changed(self, now: float) -> None:
         if self.client is not None:
-            self.client.warden_changed(now, self.term)
+            self.client.on_credit_server_changed(now, self.term)
 
-    def listeners(self, now: float) -> list[str]:
-        keepers = set(self.keepers)
+    def heartbeat_targets(self, now: float) -> list[str]:
+        acceptors = set(self.acceptors)
         return [
             name
             for name in self.reach
-            if name in keepers or now - self.heard.get(name, -inf) > spans.SILENT_HERE
+            if name in acceptors or now - self.last_report_at.get(name, -inf) > spans.HEARTBEAT_SILENCE_MS
         ]
 
-    def reach_changed(self, now: float, reach: list[str]) -> None:
-        """Links came up or went down. A warden greets those that are new; keepers miss one that went."""
-        before, self.reach = set(self.reach), list(reach)
-        new = set(reach) - before
+    def set_reachable(self, now: float, reachable: list[str]) -> None:
+        """Handle links that came up or went down.
+
+        A credit server sends a heartbeat to new peers; an acceptor that lost its credit server prepares to
+        become a candidate.
+        """
+        before, self.reach = set(self.reach), list(reachable)
+        new = set(reachable) - before
         if self.books is not None:
-            self.books.taken -= new  # one that comes back may have lost what it stored
+            self.books.acked_by -= new  # a peer that reconnects may have lost its stored state
         lost = self.warden in before and self.warden not in self.reach
-        if lost and self.role is Role.PROXY and self.name in self.keepers:
-            self.warden_at = -inf
-            self.seek_soon(now)
+        if lost and self.role is Role.PROXY and self.name in self.acceptors:
+            self.credit_server_heard_at = -inf
+            self.schedule_election(now)
         if self.role is Role.WARDEN and now < self.lease_end:
             self.out.extend((name, Here(self.term)) for name in sorted(new))
         elif self.role is Role.SEEKING:
-            self.out.extend((name, Seek(self.run, self.token)) for name in sorted(new & set(self.keepers)))
+            self.out.extend(
+                (name, Seek(self.incarnation, self.token)) for name in sorted(new & set(self.acceptors))
+            )
 
     def resign(self, now: float, released: bool = False) -> None:
-        """Planned end: another warden may follow at once, and others may use what this proxy held.
+        """Planned shutdown: another credit server may follow, and others may use this proxy's share.
 
-        `released`: at once; else once no process of its name can have taken it up.
+        With `released` its share is free at once, else once no new incarnation can inherit it any more.
         """
         if self.client is not None and self.warden and self.warden != self.name:
-            self.out.append((self.warden, self.client.leave(now, released)))
+            self.out.append((self.warden, self.client.build_final_report(now, released)))
         if self.role is Role.WARDEN:
-            self.give_back()
+            self.release_promises()
             self.step_down(now)
 
     # Time
 
-    def next(self) -> float:
-        """When `tick` is to be called."""
-        found = min(self.next_of_lease(), self.clean_at)
+    def next_wakeup(self) -> float:
+        """Time at which `tick` is to be called."""
+        wakeup = min(self.next_of_lease(), self.next_cleanup_at)
         if self.client is not None:
-            found = min(found, self.client.next(bool(self.warden)))
+            wakeup = min(wakeup, self.client.next_wakeup(bool(self.warden)))
         if self.books is not None:
-            found = min(found, self.books.plan_at)
-        return found
+            wakeup = min(wakeup, self.books.next_plan_at)
+        return wakeup
 
     def tick(self, now: float) -> None:
-        """Do what is due."""
+        """Run the actions that are due."""
         self.tick_lease(now)
-        if self.books is not None and now >= self.books.plan_at:
-            self.tick_books(now, self.books)
+        if self.books is not None and now >= self.books.next_plan_at:
+            self.tick_term(now, self.books)
         if self.client is not None:
             self.client.tick(now)
-            if self.warden and now >= self.client.report_at:
+            if self.warden and now >= self.client.next_report_at:
                 self.send_report(now, self.client)
-            if now >= self.clean_at:
-                self.client.clean(now)
-        if now >= self.clean_at:
-            self.clean_at = now + CLEAN_EVERY
+            if now >= self.next_cleanup_at:
+                self.client.cleanup(now)
+        if now >= self.next_cleanup_at:
+            self.next_cleanup_at = now + CLEANUP_INTERVAL_MS
 
     def send_report(self, now: float, client: CreditClient) -> None:
         report = client.report(now)
         if self.warden != self.name:
             self.out.append((self.warden, report))
             return
-        answer = self.answer(now, self.name, report)
-        if answer is not None:
-            client.answer(now, answer)
-
-    def tick_books(self, now: float, books: Term) -> None:
-        books.plan_at = now + spans.PLAN_EVERY
-        for name in books.members.silent(now):
-            books.ledger.write_off(name)
-        books.members.forget(now)
-        if now >= books.began_at + spans.CREDIT_LIFE:  # by then all proxies in touch have reported
-            books.ledger.floors.lent_changed(books.lent.value)
-        books.ledger.clean(now)
-        if books.pending is None:
-            self.make_plan(now, books)
-        elif now >= books.roster_at:
-            self.send_roster(now, books)
-        if books.pending is None and now >= books.roster_at:
-            self.send_to_missing(now, books)
-        if not books.members.is_known(now):
-            self.ask_rosters(now, books)
-            self.read_rosters(now, books)  # other keepers may be a majority since
-            answered = sum(name in books.replies for name in self.keepers)
-            late = now >= books.began_at + spans.ROSTER_PATIENCE
-            books.ledger.floors.unchecked |= late and answered >= self.majority
-
-    # The roster: as the warden
-
-    def ask_rosters(self, now: float, books: Term) -> None:
-        if self.name not in books.replies:
-            self.reply_roster(now, self.name, self.term)
-        for name in self.keepers:
-            if name != self.name and name not in books.replies:
-                self.out.append((name, RosterAsk(self.term)))
-
-    def read_rosters(self, now: float, books: Term) -> None:
-        """A majority that has forgotten nothing knows the most that anybody may hold."""
-        replies = [reply for name, reply in books.replies.items() if name in self.keepers]
-        books.version = max([books.version, *(reply.version for reply in replies)])
+        reply = self.handle_report(now, self.name, report)
+        if reply is not None:
+            client.handle_reply(now, reply)
+
+    def tick_term(self, now: float, state: TermState) -> None:
+        state.next_plan_at = now + spans.PLAN_INTERVAL_MS
+        for name in state.members.take_expired(now):
+            state.ledger.write_off(name)
+        state.members.remove_expired(now)
+        if now >= state.started_at + spans.CREDIT_LIFETIME_MS:  # all connected proxies have reported by now
+            state.ledger.floors.set_lent_share(state.lent_share.value)
+        state.ledger.cleanup(now)
+        if state.pending_plan is None:
+            self.update_plan(now, state)
+        elif now >= state.next_roster_send_at:
+            self.send_roster(now, state)
+        if state.pending_plan is None and now >= state.next_roster_send_at:
+            self.resend_roster(now, state)
+        if not state.members.is_complete(now):
+            self.request_rosters(now, state)
+            self.recover_roster(now, state)  # the set of acceptors may have changed
+            reply_count = sum(name in state.replies for name in self.acceptors)
+            timed_out = now >= state.started_at + spans.ROSTER_RECOVERY_TIMEOUT_MS
+            state.ledger.floors.drains_unchecked |= timed_out and reply_count >= self.majority
+
+    # The roster: as the credit server
+
+    def request_rosters(self, now: float, state: TermState) -> None:
+        if self.name not in state.replies:
+            self.send_roster_reply(now, self.name, self.term)
+        for name in self.acceptors:
+            if name != self.name and name not in state.replies:
+                self.out.append((name, RosterRequest(self.term)))
+
+    def recover_roster(self, now: float, state: TermState) -> None:
+        """Adopt the newest roster of a majority that has lost no state: it bounds every proxy's share."""
+        replies = [reply for name, reply in state.replies.items() if name in self.acceptors]
+        state.version = max([state.version, *(reply.version for reply in replies)])
         known = [reply for reply in replies if reply.known]
-        if books.members.is_known(now) or len(known) < self.majority:
+        if state.members.is_complete(now) or len(known) < self.majority:
             return
         version = max(reply.version for reply in known)
         entries: dict[tuple[str, int], RosterEntry] = {}
         for reply in known:
             for entry in reply.entries if reply.version == version else []:
-                old = entries.get((entry.name, entry.run))
-                if old is None or entry.base > old.base:
-                    entries[entry.name, entry.run] = entry
-        books.members.adopt(now, list(entries.values()))
+                old = entries.get((entry.name, entry.incarnation))
+                if old is None or entry.fallback_share > old.fallback_share:
+                    entries[entry.name, entry.incarnation] = entry
+        state.members.adopt_roster(now, list(entries.values()))
         drained = [reply.drained for reply in known if reply.version == version]
-        books.ledger.begin_floors(drained[0] if version else Drained(False))
+        state.ledger.set_initial_drained(drained[0] if version else DrainedKeys(False))
         if version == 0:
-            books.gathering = True
-            self.commit(now, books, {})  # nobody has granted anything before: buckets may begin full then
+            state.collecting_proxies = True
+            self.propose_roster(now, state, {})  # no earlier grants: buckets may start full
 
-    def make_plan(self, now: float, books: Term) -> None:
-        if books.gathering and now < books.began_at + spans.GATHER:
+    def update_plan(self, now: float, state: TermState) -> None:
+        if state.collecting_proxies and now < state.started_at + spans.INITIAL_PROXY_WAIT_MS:
             return
-        plan = books.members.plan(now)
+        plan = state.members.plan(now)
         if plan is not None:
-            self.commit(now, books, plan)
+            self.propose_roster(now, state, plan)
         else:
-            self.remember_drained(now, books)
-
-    def remember_drained(self, now: float, books: Term) -> None:
-        """Have the keepers remember at once which buckets are needed below their floors."""
-        if books.ledger.floors.changed and books.pending is None and books.members.is_known(now):
-            self.commit(now, books, books.members.planned)
-
-    def commit(self, now: float, books: Term, plan: dict[str, float]) -> None:
-        """Have a majority of the keepers remember a plan before anybody is told of it."""
-        books.members.raising = False
-        books.first = books.version == 0
-        books.pending, books.version = plan, books.version + 1
-        books.entries = books.members.roster(plan)
-        books.drained = books.ledger.floors.to_remember()
-        books.taken = set()
-        self.send_roster(now, books)
-
-    def send_roster(self, now: float, books: Term) -> None:
-        books.roster_at = now + spans.ROSTER_REPEAT
-        self.keep(now, self.name, RosterUpdate(books.version, books.entries, books.drained, self.term))
-        for name in self.keepers:
-            if name != self.name and name not in books.taken:
-                self.out.append((name, RosterUpdate(books.version, books.entries, books.drained, self.term)))
-
-    def send_to_missing(self, now: float, books: Term) -> None:
-        """Have keepers that a majority did not wait for, or that came later, remember the roster as well."""
-        if not books.taken:
-            return  # nothing was planned in this term yet
-        books.roster_at = now + spans.ROSTER_REPEAT
-        for name in self.keepers:
-            if name != self.name and name not in books.taken:
-                self.out.append((name, RosterUpdate(books.version, books.entries, books.drained, self.term)))
-
-    def roster_taken(self, now: float, books: Term, name: str, m: RosterTaken) -> None:
-        if (m.term, m.version) != (self.term, books.version) or name not in self.keepers:
+            self.replicate_drained_keys(now, state)
+
+    def replicate_drained_keys(self, now: float, state: TermState) -> None:
+        """Have the acceptors store at once which buckets are needed below their floors."""
+        if state.ledger.floors.has_changes and state.pending_plan is None and state.members.is_complete(now):
+            self.propose_roster(now, state, state.members.planned_shares)
+
+    def propose_roster(self, now: float, state: TermState, plan: dict[str, float]) -> None:
+        """Have a majority of the acceptors store a plan before any proxy learns of it."""
+        state.members.may_raise = False
+        state.is_first_roster = state.version == 0
+        state.pending_plan, state.version = plan, state.version + 1
+        state.entries = state.members.roster(plan)
+        state.drained = state.ledger.floors.propose()
+        state.acked_by = set()
+        self.send_roster(now, state)
+
+    def send_roster(self, now: float, state: TermState) -> None:
+        state.next_roster_send_at = now + spans.ROSTER_RESEND_INTERVAL_MS
+        self.accept_roster(
+            now, self.name, RosterUpdate(state.version, state.entries, state.drained, self.term)
+        )
+        for name in self.acceptors:
+            if name != self.name and name not in state.acked_by:
+                self.out.append((name, RosterUpdate(state.version, state.entries, state.drained, self.term)))
+
+    def resend_roster(self, now: float, state: TermState) -> None:
+        """Send the roster to acceptors that have not acknowledged it, including those that joined later."""
+        if not state.acked_by:
+            return  # no plan in this term yet
+        state.next_roster_send_at = now + spans.ROSTER_RESEND_INTERVAL_MS
+        for name in self.acceptors:
+            if name != self.name and name not in state.acked_by:
+                self.out.append((name, RosterUpdate(state.version, state.entries, state.drained, self.term)))
+
+    def on_roster_ack(self, now: float, state: TermState, name: str, ack: RosterAck) -> None:
+        if (ack.term, ack.version) != (self.term, state.version) or name not in self.acceptors:
             return
-        books.taken.add(name)
-        if books.pending is not None and len(books.taken) >= self.majority:
-            books.members.planned, books.members.raising = books.pending, True
-            books.pending = None
-            books.ledger.floors.remembered()
-            if books.first:
-                books.ledger.fresh = True
-
-    # The roster: as a keeper
-
-    def reply_roster(self, now: float, name: str, term: int) -> None:
-        """Tell a new warden what is kept. From then on it may drain buckets: that is remembered first."""
-        kept, last = self.kept, self.last_reply
-        if (last.name, last.reply.term, last.reply.version) == (name, term, kept.version):
-            reply = last.reply  # asked again: what was kept when the term began
+        state.acked_by.add(name)
+        if state.pending_plan is not None and len(state.acked_by) >= self.majority:
+            state.members.planned_shares, state.members.may_raise = state.pending_plan, True
+            state.pending_plan = None
+            state.ledger.floors.confirm()
+            if state.is_first_roster:
+                state.ledger.no_prior_grants = True
+
+    # The roster: as an acceptor
+
+    def send_roster_reply(self, now: float, name: str, term: int) -> None:
+        """Send the stored roster to a new credit server.
+
+        From then on that server may drain any bucket, so all keys are stored as drained first.
+        """
+        stored, last_reply = self.acceptor_state, self.last_roster_reply
+        if (last_reply.recipient, last_reply.reply.term, last_reply.reply.version) == (
+            name,
+            term,
+            stored.version,
+        ):
+            reply = last_reply.reply  # a repeated request: the state at the start of the term
         else:
-            reply = RosterReply(term, kept.known, kept.version, kept.entries, kept.drained)
-            self.last_reply = GivenReply(name, reply)
-        if not kept.drained.all:
-            self.remember(msgspec.structs.replace(kept, drained=Drained()))
-        self.tell_when_stored(name, reply)
-        self.tell_what_is_stored(now)
-
-    def restore(self, now: float, kept: KeptRoster) -> None:
-        """Before the start: what an earlier process of this keeper has stored."""
-        self.kept, self.remembered = kept, kept.promised
-        self.may_lead = self.may_lead or kept.promised == self.name  # nobody else can follow sooner
-        if self.name in self.keepers:
-            self.seek_again(now)
-
-    def is_remembered(self, name: str) -> bool:
-        """A stored promise says something only while the keepers are those of its time."""
-        return super().is_remembered(name) and set(self.kept.keepers) == set(self.keepers)
-
-    def promise_made(self, now: float, name: str, token: int) -> None:
-        """A new promise is stored before it counts; one that is renewed need not be stored again."""
+            reply = RosterReply(term, stored.known, stored.version, stored.entries, stored.drained)
+            self.last_roster_reply = LastRosterReply(name, reply)
+        if not stored.drained.all_keys:
+            self.update_acceptor_state(msgspec.structs.replace(stored, drained=DrainedKeys()))
+        self.send_when_stored(name, reply)
+        self.flush_stored(now)
+
+    def restore(self, now: float, stored: AcceptorState) -> None:
+        """Restore the state stored by an earlier incarnation; called before the start."""
+        self.acceptor_state, self.recovered_promise = stored, stored.promised_to
+        self.can_serve = self.can_serve or stored.promised_to == self.name  # no other can be elected sooner
+        if self.name in self.acceptors:
+            self.resume_lease(now)
+
+    def matches_recovered_promise(self, name: str) -> bool:
+        """A stored promise is valid only while the set of acceptors is unchanged."""
+        return super().matches_recovered_promise(name) and set(self.acceptor_state.acceptors) == set(
+            self.acceptors
+        )
+
+    def on_promise(self, now: float, name: str, ballot: int) -> None:
+        """Store a new promise before confirming it; a renewed one need not be stored again."""
         if not self.durable:
-            self.confirm_promise(now, name, token)
+            self.confirm_promise(now, name, ballot)
             return
-        if self.kept.promised != name or self.kept.keepers != self.keepers:
-            self.remember(msgspec.structs.replace(self.kept, promised=name, keepers=list(self.keepers)))
+        if self.acceptor_state.promised_to != name or self.acceptor_state.acceptors != self.acceptors:
+            self.update_acceptor_state(
+                msgspec.structs.replace(self.acceptor_state, promised_to=name, acceptors=list(self.acceptors))
+            )
             self.promise_revision = self.revision
         if self.stored_revision >= self.promise_revision:
-            self.confirm_promise(now, name, token)
+            self.confirm_promise(now, name, ballot)
         else:
-            self.tell_when_stored(name, Promise(token, True))
+            self.send_when_stored(name, Promise(ballot, True))
 
-    def keep(self, now: float, warden: str, m: RosterUpdate) -> None:
-        """Remember a roster, and tell the warden, once it is stored where this keeper stores anything."""
+    def accept_roster(self, now: float, credit_server: str, update: RosterUpdate) -> None:
+        """Accept a roster; acknowledged once stored, where this acceptor has a disk."""
         changed = msgspec.structs.replace(
-            self.kept, known=True, version=m.version, entries=m.entries, drained=m.drained
+            self.acceptor_state,
+            known=True,
+            version=update.version,
+            entries=update.entries,
+            drained=update.drained,
         )
-        if changed != self.kept:
-            self.remember(changed)
-        self.tell_when_stored(warden, RosterTaken(m.version, m.term))
-        self.tell_what_is_stored(now)
+        if changed != self.acceptor_state:
+            self.update_acceptor_state(changed)
+        self.send_when_stored(credit_server, RosterAck(update.version, update.term))
+        self.flush_stored(now)
 
-    def remember(self, kept: KeptRoster) -> None:
-        self.kept = kept
+    def update_acceptor_state(self, state: AcceptorState) -> None:
+        self.acceptor_state = state
         self.revision += 1
 
-    def tell_when_stored(self, name: str, word: Word) -> None:
-        others = [old for old in self.to_tell if (old.name, type(old.word)) != (name, type(word))]
-        self.to_tell = [*others, Untold(name, word, self.revision)]
+    def send_when_stored(self, name: str, message: DeferredMessage) -> None:
+        others = [
+            deferred
+            for deferred in self.deferred_sends
+            if (deferred.recipient, type(deferred.message)) != (name, type(message))
+        ]
+        self.deferred_sends = [*others, DeferredSend(name, message, self.revision)]
 
-    def tell_what_is_stored(self, now: float) -> None:
+    def flush_stored(self, now: float) -> None:
         if not self.durable or self.stored_revision >= self.revision:
-            self.stored(now, self.revision)
+            self.on_stored(now, self.revision)
 
-    def stored(self, now: float, revision: int) -> None:
-        """What this keeper remembers is stored, up to this revision."""
+    def on_stored(self, now: float, revision: int) -> None:
+        """The acceptor's state is stored up to this revision."""
         self.stored_revision = max(self.stored_revision, revision)
-        ready = [untold for untold in self.to_tell if untold.revision <= revision]
-        self.to_tell = [untold for untold in self.to_tell if untold.revision > revision]
-        for untold in ready:
-            self.tell(now, untold.name, untold.word)
-
-    def tell(self, now: float, name: str, word: Word) -> None:
-        if isinstance(word, Promise):
-            self.confirm_promise(now, name, word.token)
+        ready = [deferred for deferred in self.deferred_sends if deferred.revision <= revision]
+        self.deferred_sends = [deferred for deferred in self.deferred_sends if deferred.revision > revision]
+        for deferred in ready:
+            self.send_stored(now, deferred.recipient, deferred.message)
+
+    def send_stored(self, now: float, name: str, message: DeferredMessage) -> None:
+        if isinstance(message, Promise):
+            self.confirm_promise(now, name, message.ballot)
         elif name != self.name:
-            self.out.append((name, word))
+            self.out.append((name, message))
         else:
-            self.receive_roster(now, name, word)
+            self.receive_roster_message(now, name, message)
 
     # Messages
 
-    def receive(self, now: float, sender: str, m: Message) -> None:
-        """Take a message of another process."""
-        if isinstance(m, CreditReport):
-            answer = self.answer(now, sender, m)
-            if answer is not None:
-                self.out.append((sender, answer))
-        elif isinstance(m, CreditAnswer):
+    def receive(self, now: float, sender: str, message: Message) -> None:
+        """Handle a message of another process."""
+        if isinstance(message, CreditReport):
+            reply = self.handle_report(now, sender, message)
+            if reply is not None:
+                self.out.append((sender, reply))
+        elif isinstance(message, CreditReply):
             if sender == self.warden and self.client is not None:
-                self.client.answer(now, m)
-        elif isinstance(m, RosterUpdate):
-            if sender == self.promised and m.version >= self.kept.version:
-                self.keep(now, sender, m)
-        elif isinstance(m, RosterAsk):
-            self.reply_roster(now, sender, m.term)
-        elif isinstance(m, RosterTaken | RosterReply):
-            self.receive_roster(now, sender, m)
+                self.client.handle_reply(now, message)
+        elif isinstance(message, RosterUpdate):
+            if sender == self.promised_to and message.version >= self.acceptor_state.version:
+                self.accept_roster(now, sender, message)
+        elif isinstance(message, RosterRequest):
+            self.send_roster_reply(now, sender, message.term)
+        elif isinstance(message, RosterAck | RosterReply):
+            self.receive_roster_message(now, sender, message)
         else:
-            self.receive_lease(now, sender, m)
+            self.receive_lease(now, sender, message)
 
-    def receive_roster(self, now: float, sender: str, m: RosterTaken | RosterReply) -> None:
-        books = self.books
-        if books is None or now >= self.lease_end:
+    def receive_roster_message(self, now: float, sender: str, message: RosterAck | RosterReply) -> None:
+        state = self.books
+        if state is None or now >= self.lease_end:
             return
-        if isinstance(m, RosterTaken):
-            self.roster_taken(now, books, sender, m)
-        elif m.term == self.term:
-            books.replies[sender] = m
-            self.read_rosters(now, books)
-
-    def answer(self, now: float, sender: str, m: CreditReport) -> CreditAnswer | None:
-        """As the warden: book and answer a report; None where it is of another term or too late."""
-        books = self.books
-        if books is None or now >= self.lease_end or m.term != self.term:
+        if isinstance(message, RosterAck):
+            self.on_roster_ack(now, state, sender, message)
+        elif message.term == self.term:
+            state.replies[sender] = message
+            self.recover_roster(now, state)
+
+    def handle_report(self, now: float, sender: str, report: CreditReport) -> CreditReply | None:
+        """Record a proxy's report as the credit server; None for another term or an outdated report."""
+        state = self.books
+        if state is None or now >= self.lease_end or report.term != self.term:
             return None
-        if m.leaving:
-            if books.members.leave(now, sender, m.run, m.released):
-                books.ledger.write_off(sender)
+        if report.leaving:
+            if state.members.handle_departure(now, sender, report.incarnation, report.released):
+                state.ledger.write_off(sender)
             return None
-        heard = books.members.hear(now, sender, m)
-        if heard is None:
+        recorded = state.members.handle_report(now, sender, report)
+        if recorded is None:
             return None
-        self.heard[sender] = now
-        member, new_run = heard
-        if new_run:
-            books.ledger.write_off(sender)
-        void_at = member.answered_at + spans.CREDIT_LIFE * DRIFT
-        books.ledger.old_credit_is_over = books.members.old_credit_is_over(now)
-        grants = [books.ledger.take(now, sender, item, void_at) for item in m.items]
-        self.remember_drained(now, books)
-        base = books.members.tell(now, sender, member, m.number)
-        given = [grant for grant in grants if grant is not None]
-        return CreditAnswer(m.term, m.number, base, given, self.base_life(books))
-
-    def base_life(self, books: Term) -> float:
-        """How long a base that is told now counts: longer where every keeper has stored the roster."""
-        if self.durable and books.taken.issuperset(self.keepers):
-            return spans.BASE_LIFE_STORED
-        return spans.BASE_LIFE
+        self.last_report_at[sender] = now
+        member, restarted = recorded
+        if restarted:
+            state.ledger.write_off(sender)
+        credit_expires_at = member.last_reply_at + spans.CREDIT_LIFETIME_MS * DRIFT
+        state.ledger.prior_credit_expired = state.members.prior_credit_expired(now)
+        grants = [
+            state.ledger.handle_entry_report(now, sender, item, credit_expires_at) for item in report.items
+        ]
+        self.replicate_drained_keys(now, state)
+        fallback_share = state.members.assign_share(now, sender, member, report.number)
+        sent_grants = [grant for grant in grants if grant is not None]
+        return CreditReply(
+            report.term, report.number, fallback_share, sent_grants, self.share_lifetime(state)
+        )
+
+    def share_lifetime(self, state: TermState) -> float:
+        """Lifetime of a fallback share sent now; longer if every acceptor has stored the roster."""
+        if self.durable and state.acked_by.issuperset(self.acceptors):
+            return spans.STORED_SHARE_LIFETIME_MS
+        return spans.SHARE_LIFETIME_MS
--- a/barleybarrow/limits/floors.py
+++ b/barleybarrow/limits/floors.py
@@ -8,70 +8,74 @@
 
 from collections.abc import Collection
 
-from barleybarrow.limits.messages import MOST_DRAINED, Drained
+from barleybarrow.limits.messages import MAX_DRAINED_KEYS, DrainedKeys
 
 FLOOR_SHARE = 0.25  # of the capacity: what is left beside all credit (`CREDIT_SHARE`) at rest is above it
 REFILLED_SHARE = 0.33  # of the capacity: above it a bucket counts as drained no longer
-DRAINED_LEAST = 3000.0  # milliseconds that a key stays drained: each change is a write of all keepers
-LEAST_LENT = 0.5  # of every limit; with less lent to the warden, all buckets may be below their floor
+MIN_DRAINED_MS = 3000.0  # milliseconds that a key stays drained: each change is a write of all keepers
+ALL_DRAINED_LENT_SHARE = (
+    0.5  # of every limit; with less lent to the warden, all buckets may be below their floor
+)
 
 
-class Floors:
+class BucketFloors:
     """The drained keys of one term, as the warden knows them and as a majority of the keepers does."""
 
     def __init__(self) -> None:
-        self.before = Drained()  # what the keepers remembered when the term began
-        self.all = False
-        self.since: dict[str, float] = {}  # drained keys, from when on
-        self.stored = Drained(False)  # remembered by a majority
-        self.pending: Drained | None = None  # on its way to the keepers
-        self.changed = False  # there is something that the keepers are to remember
-        self.unchecked = False  # the keepers could not say what was drained: in this term, all buckets count
+        self.initially_drained = DrainedKeys()  # what the keepers remembered when the term began
+        self.all_drained = False
+        self.drained_since: dict[str, float] = {}  # drained keys, from when on
+        self.acked = DrainedKeys(False)  # remembered by a majority
+        self.proposed: DrainedKeys | None = None  # on its way to the keepers
+        self.has_changes = False  # there is something that the keepers are to remember
+        self.drains_unchecked = (
+            False  # the keepers could not say what was drained: in this term, all buckets count
+        )
 
-    def was_drained(self, key: str) -> bool:
+    def was_initially_drained(self, key: str) -> bool:
         """Whether the bucket of a key may have been below its floor when the term began."""
-        return self.before.all or key in self.before.keys
+        return self.initially_drained.all_keys or key in self.initially_drained.keys
 
     def may_drain(self, key: str) -> bool:
         """Whether this key's bucket may be taken below its floor now."""
-        if self.unchecked:
+        if self.drains_unchecked:
             return True
-        if key not in self.since and not self.all:
+        if key not in self.drained_since and not self.all_drained:
             return False
-        return self.stored.all or key in self.stored.keys
+        return self.acked.all_keys or key in self.acked.keys
 
-    def drain(self, now: float, key: str) -> None:
+    def mark_drained(self, now: float, key: str) -> None:
         """The bucket of a key is needed below its floor, or is there already."""
-        if key not in self.since:
-            self.since[key] = now
-            self.changed = True
+        if key not in self.drained_since:
+            self.drained_since[key] = now
+            self.has_changes = True
 
-    def refilled(self, now: float, key: str) -> None:
+    def mark_refilled(self, now: float, key: str) -> None:
         """The bucket of a key is well above its floor."""
-        if key in self.since and now - self.since[key] >= DRAINED_LEAST:
-            del self.since[key]
-            self.changed = True
+        if key in self.drained_since and now - self.drained_since[key] >= MIN_DRAINED_MS:
+            del self.drained_since[key]
+            self.has_changes = True
 
     def forget(self, keys: Collection[str]) -> None:
         """These keys have full buckets, and nobody uses them."""
         for key in keys:
-            if self.since.pop(key, None) is not None:
-                self.changed = True
+            if self.drained_since.pop(key, None) is not None:
+                self.has_changes = True
 
-    def lent_changed(self, fraction: float) -> None:
+    def set_lent_share(self, share: float) -> None:
         """This fraction of every limit is lent to the warden."""
-        if (fraction < LEAST_LENT) != self.all:
-            self.all = not self.all
-            self.changed = True
+        if (share < ALL_DRAINED_LENT_SHARE) != self.all_drained:
+            self.all_drained = not self.all_drained
+            self.has_changes = True
 
-    def to_remember(self) -> Drained:
+    def propose(self) -> DrainedKeys:
         """What keepers are to remember from now on."""
-        self.changed = False
-        full = self.all or self.unchecked or len(self.since) > MOST_DRAINED
-        self.pending = Drained(True) if full else Drained(False, sorted(self.since))
-        return self.pending
+        self.has_changes = False
+        all_keys = self.all_drained or self.drains_unchecked or len(self.drained_since) > MAX_DRAINED_KEYS
+        self.proposed = DrainedKeys(True) if all_keys else DrainedKeys(False, sorted(self.drained_since))
+        return self.proposed
 
-    def remembered(self) -> None:
+    def confirm(self) -> None:
         """A majority of the keepers remembers what was pending."""
-        if self.pending is not None:
-            self.stored, self.pending = self.pending, None
+        if self.proposed is not None:
+            self.acked, self.proposed = self.proposed, None
--- a/barleybarrow/limits/limits.py
+++ b/barleybarrow/limits/limits.py
@@ -12,15 +12,23 @@
 from barleybarrow.limits.bounds import KeyLimit, LimitBounds, quota_limit, retry_limit
 from barleybarrow.limits.credit_client import Verdict
 from barleybarrow.limits.credit_machine import CreditMachine
-from barleybarrow.limits.messages import MessageError, decode, decode_roster, encode, encode_roster
+from barleybarrow.limits.messages import (
+    MessageError,
+    decode,
+    decode_acceptor_state,
+    encode,
+    encode_acceptor_state,
+)
 from barleybarrow.limits.retries import RetryBudget
 from barleybarrow.limits.tenants import TenantTable
 
 QUOTA_PREFIX, TOKENS_PREFIX = "quota:", "tokens:"  # two, as credit of one unit must not be spent in the other
 RETRY_PREFIX = "retry:"
-REPEAT_COST = 1.0
-RETRY_AFTER_LEAST, RETRY_AFTER_MOST = 350.0, 5000.0  # milliseconds that a refused client is told to wait
-RETRY_SPREAD = 1.0  # at most so much of that wait more, by chance: clients refused together come back apart
+RETRY_COST = 1.0
+MIN_RETRY_AFTER_MS, MAX_RETRY_AFTER_MS = 350.0, 5000.0  # milliseconds that a refused client is told to wait
+RETRY_AFTER_JITTER = (
+    1.0  # at most so much of that wait more, by chance: clients refused together come back apart
+)
 
 __all__ = ["Limits", "Verdict"]
 
@@ -34,7 +42,7 @@
     def __init__(
         self,
         name: str,
-        keepers: list[str],
+        acceptors: list[str],
         rng: Random,
         now: float,
         bounds: LimitBounds,
@@ -46,17 +54,17 @@
         self.retries = RetryBudget(bounds)
         self.limits: dict[str, KeyLimit] = {}  # by key
         self.quota_keys: dict[str, str] = {}  # by name of the tenant
-        self.machine = CreditMachine(name, keepers, rng, now, self.limits.get, asks, fresh)
+        self.machine = CreditMachine(name, acceptors, rng, now, self.limits.get, asks, fresh)
         self.client = self.machine.client
         self.counts = {"admitted": 0, "refused": 0, "waited": 0, "repeats_refused": 0}
 
     def configure(self, now: float, tenants: list[Tenant], services: list[Service]) -> None:
         """Take the tenants and services of a new configuration; it holds from this call on."""
-        self.machine.limits_known(now)
+        self.machine.on_limits_known(now)
         for name in self.tenants.replace(tenants):
-            self.quota_changed(name)
+            self.update_quota(name)
         names = {service.name for service in services}
-        self.retries.keep_only(names)
+        self.retries.retain(names)
         share = retry_limit(self.bounds)
         stale = [key for key in self.limits if key.startswith(RETRY_PREFIX)]
         for key in stale:
@@ -65,7 +73,7 @@
         for service in names:
             self.limits[RETRY_PREFIX + service] = share
 
-    def quota_changed(self, name: str) -> None:
+    def update_quota(self, name: str) -> None:
         tenant = self.tenants.by_name.get(name)
         self.limits.pop(self.quota_keys.pop(name, ""), None)
         limit = quota_limit(tenant, self.bounds) if tenant is not None else None
@@ -89,7 +97,7 @@
         key = self.quota_keys.get(tenant.name)
         if key is None or self.client is None:
             return Verdict.ADMITTED
-        verdict = self.client.take(now, key, self.limits[key], cost, ticket)
+        verdict = self.client.acquire(now, key, self.limits[key], cost, ticket)
         if verdict is Verdict.PENDING:
             self.counts["waited"] += 1
         else:
@@ -107,32 +115,32 @@
 
     def verdicts(self) -> list[tuple[int, bool]]:
         """Tickets whose wait is over since the last call, and whether they are admitted."""
-        if self.client is None or not self.client.settled:
+        if self.client is None or not self.client.decisions:
             return []
-        settled, self.client.settled = self.client.settled, []
-        for _, admitted in settled:
+        decisions, self.client.decisions = self.client.decisions, []
+        for _, admitted in decisions:
             self.counts["admitted" if admitted else "refused"] += 1
-        return settled
+        return decisions
 
     def retry_after_ms(self, tenant: Tenant, cost: float) -> float:
         """How long the client of a refused request had best wait, in milliseconds."""
         key = self.quota_keys.get(tenant.name)
-        whole = 1000.0 * cost / self.limits[key].rate if key is not None else 0.0
-        spread = 1.0 + RETRY_SPREAD * self.machine.rng.random()
-        return min(RETRY_AFTER_MOST, max(RETRY_AFTER_LEAST, whole) * spread)
+        refill_ms = 1000.0 * cost / self.limits[key].rate if key is not None else 0.0
+        spread = 1.0 + RETRY_AFTER_JITTER * self.machine.rng.random()
+        return min(MAX_RETRY_AFTER_MS, max(MIN_RETRY_AFTER_MS, refill_ms) * spread)
 
     def requested(self, now: float, service: str) -> None:
         """Count a client's request for a service."""
-        self.retries.requested(now, service)
+        self.retries.record_request(now, service)
 
     def may_repeat(self, now: float, service: str) -> bool:
         """Take one arrival beyond a request's first from the retry budget; False where it is used up."""
-        if self.retries.take(now, service):
+        if self.retries.try_take(now, service):
             return True
         key = RETRY_PREFIX + service
         limit = self.limits.get(key)
         if limit is not None and self.client is not None:
-            if self.client.take(now, key, limit, REPEAT_COST, None) is Verdict.ADMITTED:
+            if self.client.acquire(now, key, limit, RETRY_COST, None) is Verdict.ADMITTED:
                 return True
         self.counts["repeats_refused"] += 1
         return False
@@ -140,17 +148,17 @@
     # The machine that shares the limits between processes
 
     @property
-    def in_touch(self) -> bool:
+    def is_connected(self) -> bool:
         """Whether a warden has answered this proxy lately; one that starts had best wait for it."""
-        return self.client is not None and self.client.applied > 0
+        return self.client is not None and self.client.applied_sequence > 0
 
-    def keepers_changed(self, now: float, keepers: list[str]) -> None:
+    def keepers_changed(self, now: float, acceptors: list[str]) -> None:
         """Take another set of keepers: the voters of the configuration shard."""
-        self.machine.keepers_changed(now, keepers)
+        self.machine.set_acceptors(now, acceptors)
 
-    def links_changed(self, now: float, reach: list[str]) -> None:
+    def links_changed(self, now: float, reachable: list[str]) -> None:
         """Say which processes can be reached now."""
-        self.machine.reach_changed(now, reach)
+        self.machine.set_reachable(now, reachable)
 
     def resign(self, now: float, released: bool = False) -> None:
         """Planned end: another warden may follow at once; a proxy admits nothing any more.
@@ -161,19 +169,19 @@
 
     def base(self, now: float) -> tuple[float, float]:
         """The part of each limit that this proxy may use out of touch, and for how many milliseconds."""
-        if self.client is None or now >= self.client.base_until:
+        if self.client is None or now >= self.client.fallback_share_until:
             return 0.0, 0.0
-        return self.client.base, self.client.base_until - now
+        return self.client.fallback_share, self.client.fallback_share_until - now
 
-    def inherit(self, now: float, base: float, until: float) -> None:
+    def inherit(self, now: float, share: float, until: float) -> None:
         """Take up the base of the process before this one, where no warden has answered yet."""
         if self.client is not None:
-            self.client.inherit(now, base, until)
+            self.client.inherit_fallback_share(now, share, until)
 
     @property
     def may_inherit(self) -> bool:
         """Whether no warden has answered this process."""
-        return self.client is not None and not self.client.answered
+        return self.client is not None and not self.client.was_answered
 
     # What a keeper with a disk stores
 
@@ -182,7 +190,7 @@
         self.machine.durable = True
         if stored is not None:
             try:
-                self.machine.restore(now, decode_roster(stored))
+                self.machine.restore(now, decode_acceptor_state(stored))
             except MessageError:
                 return
 
@@ -191,11 +199,11 @@
         machine = self.machine
         if not machine.durable or machine.stored_revision >= machine.revision:
             return None
-        return machine.revision, encode_roster(machine.kept)
+        return machine.revision, encode_acceptor_state(machine.acceptor_state)
 
     def stored(self, now: float, revision: int) -> None:
         """A revision is stored and synced."""
-        self.machine.stored(now, revision)
+        self.machine.on_stored(now, revision)
 
     # Time and messages
 
@@ -205,7 +213,7 @@
 
     def next_wakeup(self) -> float:
         """When `tick` is to be called next."""
-        return self.machine.next()
+        return self.machine.next_wakeup()
 
     def receive(self, now: float, sender: str, payload: bytes) -> None:
         """Take a message of another process; one that can't be read is dropped."""
--- a/barleybarrow/limits/predecessors.py
+++ b/barleybarrow/limits/predecessors.py
@@ -9,10 +9,10 @@
 
 from dataclasses import dataclass
 
-from barleybarrow.limits.spans import BASE_LIFE_STORED
+from barleybarrow.limits.spans import STORED_SHARE_LIFETIME_MS
 from barleybarrow.limits.warden_lease import DRIFT
 
-MOST_REMEMBERED = 512  # peers; each is pinged by a few
+MAX_REMEMBERED_PEERS = 512  # peers; each is pinged by a few
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,35 +30,35 @@
     """What one proxy remembers of its peers, and which peers remember something of it."""
 
     def __init__(self) -> None:
-        self._remembered: dict[str, HeldBase] = {}  # by peer, until a moment
-        self._rememberers: dict[str, float] = {}  # peers that may remember this one's base: until when
+        self._peer_shares: dict[str, HeldBase] = {}  # by peer, until a moment
+        self._remembered_until: dict[str, float] = {}  # peers that may remember this one's base: until when
 
-    def told(self, peer: str, asked_at: float, held: HeldBase, released: bool) -> None:
+    def told(self, peer: str, sent_at: float, held: HeldBase, released: bool) -> None:
         """A peer has answered a ping sent at `asked_at`: what it holds, or that it ends and gives it up."""
         if released:
-            self._remembered.pop(peer, None)
+            self._peer_shares.pop(peer, None)
         elif held.part > 0.0:
-            self._remembered.pop(peer, None)
-            self._remembered[peer] = HeldBase(held.part, asked_at + held.time / DRIFT)
-            while len(self._remembered) > MOST_REMEMBERED:
-                del self._remembered[next(iter(self._remembered))]
+            self._peer_shares.pop(peer, None)
+            self._peer_shares[peer] = HeldBase(held.part, sent_at + held.time / DRIFT)
+            while len(self._peer_shares) > MAX_REMEMBERED_PEERS:
+                del self._peer_shares[next(iter(self._peer_shares))]
 
     def remembered(self, now: float, peer: str) -> HeldBase:
         """What a process at this address held, and for how many milliseconds more."""
-        known = self._remembered.get(peer)
-        if known is None or now >= known.time:
+        peer_share = self._peer_shares.get(peer)
+        if peer_share is None or now >= peer_share.time:
             return NO_BASE
-        return HeldBase(known.part, known.time - now)
+        return HeldBase(peer_share.part, peer_share.time - now)
 
     def pinged(self, now: float, peer: str, remembers: bool, held: HeldBase) -> None:
         """A peer pings this proxy, and is about to be told what it holds."""
         if held.part > 0.0:
-            self._rememberers[peer] = now + held.time * DRIFT
+            self._remembered_until[peer] = now + held.time * DRIFT
         elif remembers:
-            self._rememberers.setdefault(peer, now + BASE_LIFE_STORED * DRIFT)
+            self._remembered_until.setdefault(peer, now + STORED_SHARE_LIFETIME_MS * DRIFT)
         else:
-            self._rememberers.pop(peer, None)
+            self._remembered_until.pop(peer, None)
 
     def is_released(self, now: float) -> bool:
         """Whether no peer remembers this proxy's base any more."""
-        return all(until <= now for until in self._rememberers.values())
+        return all(until <= now for until in self._remembered_until.values())
--- a/barleybarrow/limits/retries.py
+++ b/barleybarrow/limits/retries.py
@@ -18,12 +18,12 @@
 class ServiceBudget:
     """Requests of one service in the last window, and the repeats that they paid for."""
 
-    __slots__ = ("repeats", "requests", "total")
+    __slots__ = ("retries", "requests", "total")
 
     def __init__(self) -> None:
         self.requests: deque[tuple[float, int]] = deque()  # end of the slot, count
         self.total = 0
-        self.repeats: deque[float] = deque()
+        self.retries: deque[float] = deque()
 
 
 class RetryBudget:
@@ -34,20 +34,20 @@
         self.window_ms = bounds.retry_window_s * 1000.0
         self.services: dict[str, ServiceBudget] = {}
 
-    def keep_only(self, names: set[str]) -> None:
+    def retain(self, names: set[str]) -> None:
         """Forget services that the configuration no longer has."""
         for name in [name for name in self.services if name not in names]:
             del self.services[name]
 
-    def service(self, name: str) -> ServiceBudget:
-        found = self.services.get(name)
-        if found is None:
-            found = self.services[name] = ServiceBudget()
-        return found
+    def service_budget(self, name: str) -> ServiceBudget:
+        budget = self.services.get(name)
+        if budget is None:
+            budget = self.services[name] = ServiceBudget()
+        return budget
 
-    def requested(self, now: float, service: str) -> None:
+    def record_request(self, now: float, service: str) -> None:
         """Count a client's request."""
-        budget = self.service(service)
+        budget = self.service_budget(service)
         slot = now - now % SLOT_MS
         if budget.requests and budget.requests[-1][0] == slot:
             budget.requests[-1] = slot, budget.requests[-1][1] + 1
@@ -60,14 +60,14 @@
         start = now - self.window_ms
         while budget.requests and budget.requests[0][0] < start:
             budget.total -= budget.requests.popleft()[1]
-        while budget.repeats and budget.repeats[0] <= start:
-            budget.repeats.popleft()
+        while budget.retries and budget.retries[0] <= start:
+            budget.retries.popleft()
 
-    def take(self, now: float, service: str) -> bool:
+    def try_take(self, now: float, service: str) -> bool:
         """Take one repeat that own requests pay for; False where none is left."""
-        budget = self.service(service)
+        budget = self.service_budget(service)
         self.expire(now, budget)
-        if len(budget.repeats) + 1 > self.ratio * budget.total:
+        if len(budget.retries) + 1 > self.ratio * budget.total:
             return False
-        budget.repeats.append(now)
+        budget.retries.append(now)
         return True
--- a/barleybarrow/limits/tenants.py
+++ b/barleybarrow/limits/tenants.py
@@ -24,17 +24,17 @@
         """
         previous, self.by_name = self.by_name, {tenant.name: tenant for tenant in tenants}
         changed = {name for name in previous if name not in self.by_name}
-        fresh = []
+        updated = []
         for name, tenant in self.by_name.items():
-            before = previous.get(name)
-            if before is tenant:
+            old = previous.get(name)
+            if old is tenant:
                 continue
-            if before is None or quota_of(before) != quota_of(tenant):
+            if old is None or quota_of(old) != quota_of(tenant):
                 changed.add(name)
-            fresh.append((before, tenant))
+            updated.append((old, tenant))
         self._drop_keys(previous[name] for name in changed if name not in self.by_name)
-        self._drop_keys(before for before, _ in fresh if before is not None)
-        for _, tenant in fresh:
+        self._drop_keys(before for before, _ in updated if before is not None)
+        for _, tenant in updated:
             self.by_key.update(dict.fromkeys(tenant.api_keys, tenant))
         return changed
 
--- a/barleybarrow/limits/warden_lease.py
+++ b/barleybarrow/limits/warden_lease.py
@@ -1,16 +1,17 @@
-"""One warden at a time: a lease that a majority of the keepers grants (PaxosLease: Trencseni, 2009).
+"""Elects at most one credit server at a time by a lease that a majority of acceptors grants.
 
-A machine without I/O, told the time in milliseconds of its own monotonic clock. A keeper promises itself to
-one seeker for a while; who has the promises of a majority is the warden until the lease ends, which counts
-from its question.
+The protocol is PaxosLease (Trencseni, 2009). A state machine without I/O; times are milliseconds of the
+process's own monotonic clock. An acceptor promises the lease to one candidate for a limited time. The
+candidate with promises of a majority is the credit server until the lease expires, counted from the moment
+at which it sent the request.
 
-| role | what it does | leaves it |
+| state | action | transitions |
 | --- | --- | --- |
-| PROXY | waits for a warden | a keeper that hears of no warden: SEEKING |
-| SEEKING | asks all keepers for a lease | a majority says yes: WARDEN; it is late, or one is heard: PROXY |
-| WARDEN | renews its lease | it is not renewed in time: PROXY |
+| follower | waits for heartbeats | an acceptor without heartbeats: candidate |
+| candidate | requests the lease | promises of a majority: credit server; time-out or heartbeat: follower |
+| credit server | renews the lease | not renewed in time: follower |
 
-Subclasses say what a warden does, and what those who hear one do.
+Subclasses implement the work of the credit server and of the processes that receive its heartbeats.
 """
 
 from collections import Counter
@@ -22,34 +23,34 @@
 
 from msgspec import Meta, Struct
 
-DRIFT = 1.05  # two monotonic clocks do not differ by more over such spans
+DRIFT = 1.05  # largest ratio between the rates of two monotonic clocks
 
 Token = Annotated[int, Meta(ge=0, lt=2**62)]
 
 
 class Seek(Struct, array_like=True, frozen=True, tag=1):
-    """Promise to take nobody else for the warden for the lease's time; with `give`, take that back."""
+    """Requests a promise for the duration of the lease, or releases an earlier one with `release`."""
 
-    run: Token  # of the process; its tokens grow
-    token: Token
-    give: bool = False
+    incarnation: Token  # random for each process; ballots grow within one incarnation
+    ballot: Token
+    release: bool = False
 
 
 class Promise(Struct, array_like=True, frozen=True, tag=2):
-    """A keeper's answer to a Seek."""
+    """An acceptor's reply to a request for the lease."""
 
-    token: Token
-    good: bool
+    ballot: Token
+    granted: bool
 
 
 class Here(Struct, array_like=True, frozen=True, tag=3):
-    """I am the warden; each time that one becomes it has a term of its own."""
+    """Heartbeat of the credit server; each election begins a new term."""
 
     term: Token
 
 
 class Role(Enum):
-    """What a process is in the lease."""
+    """State of a process in the lease protocol."""
 
     PROXY = "proxy"
     SEEKING = "seeking"
@@ -58,200 +59,209 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseTimes:
-    """Spans of the lease, in milliseconds."""
+    """Timings of the lease, in milliseconds."""
 
-    lease: float = 3000.0  # that a keeper promises itself to one warden
-    renew: float = 1000.0  # between two renewals
-    seek: float = 600.0  # until a seeker gives up
-    here: float = 300.0  # between two words of a warden
-    no_warden: float = 1200.0  # of silence, until a keeper seeks
+    lease: float = 3000.0  # duration of a promise
+    renewal_interval_ms: float = 1000.0
+    candidacy_timeout_ms: float = 600.0
+    heartbeat_interval_ms: float = 300.0
+    election_timeout_ms: float = 1200.0  # without a heartbeat, until an acceptor becomes a candidate
 
 
 class WardenLease:
-    """A process's part in the lease: keeper, seeker, warden, or one that only hears of wardens."""
+    """One process in the lease protocol; one that is no acceptor only follows heartbeats."""
 
-    def __init__(self, name: str, keepers: list[str], rng: Random, now: float, times: LeaseTimes) -> None:
-        self.name, self.keepers, self.rng, self.times = name, keepers, rng, times
+    def __init__(self, name: str, acceptors: list[str], rng: Random, now: float, times: LeaseTimes) -> None:
+        self.name, self.acceptors, self.rng, self.times = name, acceptors, rng, times
         self.reach: list[str] = []
         self.out: list[tuple[str, Any]] = []
         self.counts: Counter[str] = Counter()
-        self.warden, self.term, self.warden_at = "", 0, now
-        self.promised, self.promised_until = "", now + times.lease * DRIFT  # it may have before it started
-        self.promised_for = (0, 0)  # run and token of the question
-        self.may_lead = True  # whether this process can do what a warden does
-        self.gives_way = (
-            False  # another had better: this one leads something else, and both would be lost at once
-        )
-        self._gave_way = False  # once, since a warden was heard
-        self.remembered = ""  # whom the process before this one had promised itself to; "": not known
+        self.warden, self.term, self.credit_server_heard_at = "", 0, now
+        self.promised_to, self.promised_until = (
+            "",
+            now + times.lease * DRIFT,
+        )  # maybe promised before a restart
+        self.promised_request = (0, 0)  # incarnation and ballot of the request
+        self.can_serve = True  # whether this process is able to serve credit, and so may be a candidate
+        # Lets other candidates go first: this process leads another group and would lose both roles at once.
+        self.gives_way = False
+        self._deferred_candidacy = False  # done once since the last heartbeat
+        self.recovered_promise = ""  # recipient of the promise of the previous incarnation; "": not known
         self.role = Role.PROXY
-        self.run, self.token, self.token_at = rng.getrandbits(60), rng.getrandbits(40), -inf
+        self.incarnation, self.token, self.ballot_sent_at = rng.getrandbits(60), rng.getrandbits(40), -inf
         self.promises: set[str] = set()
         self.lease_end = -inf
-        self.here_at = self.renew_at = -inf
-        self.seek_at = now + self.patience()
+        self.next_heartbeat_at = self.next_renewal_at = -inf
+        self.election_timer_at = now + self.draw_election_timeout()
 
-    # What subclasses say
+    # Hooks for subclasses
 
     def elected(self, now: float) -> None:
-        """This process is the warden from now on."""
+        """Called when this process becomes the credit server."""
 
     def stepped_down(self, now: float) -> None:
-        """This process seeks no longer, or is the warden no longer."""
+        """Called when this process is no longer a candidate or the credit server."""
 
     def warden_changed(self, now: float) -> None:
-        """Another warden was heard, or another term of the same."""
+        """Called on the first heartbeat of another credit server or of a new term."""
 
-    def freed(self, now: float) -> None:
-        """As a keeper: the one that this process was promised to gave the promise back."""
+    def on_promise_released(self, now: float) -> None:
+        """Called on an acceptor whose promise was released by its holder."""
 
-    def listeners(self, now: float) -> list[str]:
-        """Whom a warden tells that it is there."""
+    def heartbeat_targets(self, now: float) -> list[str]:
+        """Recipients of the credit server's heartbeats."""
         return self.reach
 
-    def promise_made(self, now: float, name: str, token: int) -> None:
-        """As a keeper: this process has promised itself to this seeker, which may be told now."""
-        self.confirm_promise(now, name, token)
+    def on_promise(self, now: float, name: str, ballot: int) -> None:
+        """Called on an acceptor that has made a promise; confirms it to the candidate."""
+        self.confirm_promise(now, name, ballot)
 
-    def is_remembered(self, name: str) -> bool:
-        """Whether an earlier process of this keeper is known to have promised itself to nobody else."""
-        return bool(name) and name == self.remembered
+    def matches_recovered_promise(self, name: str) -> bool:
+        """Whether the acceptor's previous incarnation is known to have made its last promise to this name."""
+        return bool(name) and name == self.recovered_promise
 
     # Time
 
-    def patience(self) -> float:
-        return self.times.no_warden + self.rng.uniform(0.0, self.times.no_warden)
+    def draw_election_timeout(self) -> float:
+        return self.times.election_timeout_ms + self.rng.uniform(0.0, self.times.election_timeout_ms)
 
     @property
     def majority(self) -> int:
-        return len(self.keepers) // 2 + 1
+        return len(self.acceptors) // 2 + 1
 
     def next_of_lease(self) -> float:
-        """When the lease has something to do next."""
+        """Time of the next action of the lease."""
         if self.role is Role.WARDEN:
-            return min(self.seek_at, self.here_at, self.renew_at, self.lease_end)
-        return self.seek_at
+            return min(self.election_timer_at, self.next_heartbeat_at, self.next_renewal_at, self.lease_end)
+        return self.election_timer_at
 
     def tick_lease(self, now: float) -> None:
         if self.role is Role.WARDEN:
-            self.tick_warden(now)
-        if now < self.seek_at:
+            self.tick_credit_server(now)
+        if now < self.election_timer_at:
             return
-        self.seek_at = now + self.patience()
+        self.election_timer_at = now + self.draw_election_timeout()
         if self.role is Role.SEEKING:
             self.step_down(now)
-        elif self.role is Role.PROXY and self.name in self.keepers and self.may_lead:
-            if now - self.warden_at >= self.times.no_warden:
-                self.seek_now(now)
-
-    def seek_now(self, now: float) -> None:
-        """Ask for the lease, or leave it to others for a while; whoever held it before gets it soonest."""
-        if self.gives_way and not self._gave_way and not self.is_remembered(self.name):
-            self._gave_way = True
-            self.seek_at = now + self.times.no_warden
+        elif self.role is Role.PROXY and self.name in self.acceptors and self.can_serve:
+            if now - self.credit_server_heard_at >= self.times.election_timeout_ms:
+                self.start_election(now)
+
+    def start_election(self, now: float) -> None:
+        """Become a candidate, or defer once to others; the previous holder never defers."""
+        if self.gives_way and not self._deferred_candidacy and not self.matches_recovered_promise(self.name):
+            self._deferred_candidacy = True
+            self.election_timer_at = now + self.times.election_timeout_ms
             return
         self.role = Role.SEEKING
-        self.seek_at = now + self.times.seek
+        self.election_timer_at = now + self.times.candidacy_timeout_ms
         self.ask_keepers(now)
 
-    def tick_warden(self, now: float) -> None:
+    def tick_credit_server(self, now: float) -> None:
         if now >= self.lease_end:
             self.counts["leases_lost"] += 1
             self.step_down(now)
             return
-        if now >= self.renew_at:
-            self.renew_at = now + self.times.renew
+        if now >= self.next_renewal_at:
+            self.next_renewal_at = now + self.times.renewal_interval_ms
             self.ask_keepers(now)
-        if now >= self.here_at:
-            self.here_at = now + self.times.here
-            for name in self.listeners(now):
+        if now >= self.next_heartbeat_at:
+            self.next_heartbeat_at = now + self.times.heartbeat_interval_ms
+            for name in self.heartbeat_targets(now):
                 self.out.append((name, Here(self.term)))
 
     def step_down(self, now: float) -> None:
         if self.role is Role.SEEKING:
-            self.give_back()
-        if self.promised == self.name:
+            self.release_promises()
+        if self.promised_to == self.name:
             self.promised_until = now
         self.role, self.warden = Role.PROXY, ""
-        self.seek_at = now + self.patience()
+        self.election_timer_at = now + self.draw_election_timeout()
         self.stepped_down(now)
 
-    def give_back(self) -> None:
-        """Free the keepers that have promised themselves to this process."""
-        for name in self.keepers:
+    def release_promises(self) -> None:
+        """Release the promises that acceptors made to this process."""
+        for name in self.acceptors:
             if name != self.name:
-                self.out.append((name, Seek(self.run, self.token, True)))
+                self.out.append((name, Seek(self.incarnation, self.token, True)))
 
     # The lease
 
     def ask_keepers(self, now: float) -> None:
-        self.token, self.token_at = self.token + 1, now
+        self.token, self.ballot_sent_at = self.token + 1, now
         self.promises = set()
-        if self.promise(now, self.name, (self.run, self.token)):
-            self.promise_made(now, self.name, self.token)
-        for name in self.keepers:
+        if self.try_promise(now, self.name, (self.incarnation, self.token)):
+            self.on_promise(now, self.name, self.token)
+        for name in self.acceptors:
             if name != self.name:
-                self.out.append((name, Seek(self.run, self.token)))
+                self.out.append((name, Seek(self.incarnation, self.token)))
 
-    def confirm_promise(self, now: float, name: str, token: int) -> None:
-        """Tell a seeker, which may be this process, that this keeper has promised itself to it."""
+    def confirm_promise(self, now: float, name: str, ballot: int) -> None:
+        """Confirm a promise to its candidate, which may be this process."""
         if name != self.name:
-            self.out.append((name, Promise(token, True)))
-        elif token == self.token:
+            self.out.append((name, Promise(ballot, True)))
+        elif ballot == self.token:
             self.promises.add(name)
-            self.count(now)
-
-    def promise(self, now: float, name: str, what: tuple[int, int]) -> bool:
-        """As a keeper: whether this one is promised to nobody else; an old question changes nothing."""
-        old = self.promised == name and self.promised_for[0] == what[0] and what[1] <= self.promised_for[1]
-        holder = self.promised or (name if self.is_remembered(name) else "")
-        if old or (now < self.promised_until and holder != name):
+            self.count_promises(now)
+
+    def try_promise(self, now: float, name: str, request_id: tuple[int, int]) -> bool:
+        """Make a promise as an acceptor; False while promised to another, or for an outdated request."""
+        outdated = (
+            self.promised_to == name
+            and self.promised_request[0] == request_id[0]
+            and request_id[1] <= self.promised_request[1]
+        )
+        holder = self.promised_to or (name if self.matches_recovered_promise(name) else "")
+        if outdated or (now < self.promised_until and holder != name):
             return False
-        self.promised, self.promised_for = name, what
+        self.promised_to, self.promised_request = name, request_id
         self.promised_until = now + self.times.lease * DRIFT
         return True
 
-    def count(self, now: float) -> None:
+    def count_promises(self, now: float) -> None:
         if len(self.promises) < self.majority or self.role is Role.PROXY:
             return
-        self.lease_end = self.token_at + self.times.lease
+        self.lease_end = self.ballot_sent_at + self.times.lease
         if self.role is Role.SEEKING and now < self.lease_end:
             self.role, self.warden = Role.WARDEN, self.name
             self.term = self.token
             self.counts["elected"] += 1
-            self.renew_at, self.here_at = self.token_at + self.times.renew, now
+            self.next_renewal_at, self.next_heartbeat_at = (
+                self.ballot_sent_at + self.times.renewal_interval_ms,
+                now,
+            )
             self.elected(now)
 
     # Messages
 
-    def receive_lease(self, now: float, sender: str, m: Seek | Promise | Here) -> None:
-        if isinstance(m, Seek):
-            self.sought(now, sender, m)
-        elif isinstance(m, Promise):
-            if m.token == self.token and m.good and sender in self.keepers:
+    def receive_lease(self, now: float, sender: str, message: Seek | Promise | Here) -> None:
+        if isinstance(message, Seek):
+            self.on_lease_request(now, sender, message)
+        elif isinstance(message, Promise):
+            if message.ballot == self.token and message.granted and sender in self.acceptors:
                 self.promises.add(sender)
-                self.count(now)
+                self.count_promises(now)
         else:
-            self.heard_warden(now, sender, m.term)
+            self.on_heartbeat(now, sender, message.term)
 
-    def sought(self, now: float, sender: str, m: Seek) -> None:
-        if self.name not in self.keepers or sender not in self.keepers:
+    def on_lease_request(self, now: float, sender: str, request: Seek) -> None:
+        if self.name not in self.acceptors or sender not in self.acceptors:
             return
-        if not m.give:
-            if self.promise(now, sender, (m.run, m.token)):
-                self.promise_made(now, sender, m.token)
+        if not request.release:
+            if self.try_promise(now, sender, (request.incarnation, request.ballot)):
+                self.on_promise(now, sender, request.ballot)
             else:
-                self.out.append((sender, Promise(m.token, False)))
-        elif self.promised == sender and self.promised_for == (m.run, m.token):
+                self.out.append((sender, Promise(request.ballot, False)))
+        elif self.promised_to == sender and self.promised_request == (request.incarnation, request.ballot):
             self.promised_until = now
-            self.freed(now)
+            self.on_promise_released(now)
 
-    def heard_warden(self, now: float, sender: str, term: int) -> None:
-        self._gave_way = False
+    def on_heartbeat(self, now: float, sender: str, term: int) -> None:
+        self._deferred_candidacy = False
         if self.role is Role.SEEKING:
             self.step_down(now)
         if self.role is Role.PROXY:
             if (sender, term) != (self.warden, self.term):
                 self.warden, self.term = sender, term
                 self.warden_changed(now)
-            self.warden_at = now
+            self.credit_server_heard_at = now
--- a/tests/fleet/limits_support.py
+++ b/tests/fleet/limits_support.py
@@ -11,17 +11,17 @@
 from brackenusher.cluster import messages as cluster_messages
 from brackenusher.cluster.limits_driver import MACHINE
 
-TOKENS = LimitBounds(quota_slack=72_000.0)
+TOKEN_BOUNDS = LimitBounds(quota_slack=72_000.0)
 
 
-def tenant(name: str, rate: float = 0.0, **more: Any) -> Tenant:
+def make_tenant(name: str, rate: float = 0.0, **more: Any) -> Tenant:
     return Tenant(name, [f"{name}-1", f"{name}-2"], rate_per_s=rate, burst=rate, **more)
 
 
-def single(limits_of: list[Tenant], window: LimitBounds = TOKENS) -> tuple[Limits, float]:
+def single_node(tenants: list[Tenant], bounds: LimitBounds = TOKEN_BOUNDS) -> tuple[Limits, float]:
     """A process that is the only keeper and a proxy at once, after it has become the warden."""
-    limits = Limits("a", ["a"], random.Random(1), 0.0, window, fresh=True)
-    limits.configure(0.0, limits_of, [Service("s")])
+    limits = Limits("a", ["a"], random.Random(1), 0.0, bounds, fresh=True)
+    limits.configure(0.0, tenants, [Service("s")])
     now = 0.0
     while now < 4000.0:
         now = max(now + 1.0, limits.next_wakeup())
@@ -32,13 +32,13 @@
 class FakeLinks:
     """One process's end of links that deliver on the same loop."""
 
-    def __init__(self, address: str, net: dict[str, "FakeLinks"]) -> None:
-        self.address, self.net = address, net
+    def __init__(self, address: str, network: dict[str, "FakeLinks"]) -> None:
+        self.address, self.network = address, network
         self.handler: Callable[[str, Any], None] = lambda sender, message: None
-        net[address] = self
+        network[address] = self
 
     def connected(self) -> dict[str, object]:
-        return {name: object() for name in self.net if name != self.address}
+        return {name: object() for name in self.network if name != self.address}
 
     def on_message(self, kind: type, handler: Callable[[str, Any], None]) -> None:
         self.handler = handler
@@ -49,5 +49,5 @@
     def send(self, address: str, message: Any) -> bool:
         assert isinstance(message, cluster_messages.MachineMessage) and message.machine == MACHINE
         loop = asyncio.get_running_loop()
-        loop.call_soon(lambda: self.net[address].handler(self.address, message))
+        loop.call_soon(lambda: self.network[address].handler(self.address, message))
         return True
--- a/tests/fleet/limits_world.py
+++ b/tests/fleet/limits_world.py
@@ -17,14 +17,14 @@
 from barleybarrow.limits.predecessors import NO_BASE, HeldBase, PredecessorBases
 from barleybarrow.limits.warden_lease import DRIFT
 from barleybarrow.replication.rendezvous import ranked
-from tests.fleet.limits_oracle import LimitsOracle, Process, Tally
-
-HALF_TRIP = (0.3, 3.0)  # milliseconds, one way
-LINK_LOSS_SEEN = 1600.0  # until a process knows that a link is cut
-LEARN = 300.0  # milliseconds, at most, until a process knows of other keepers
-SYNC = 2.0  # milliseconds of a write to the disk
-PING_EVERY, PINGED = 1000.0, 3  # milliseconds; peers that each proxy pings
-PING_LOSS, LATE_PINGS = 0.02, 0.02
+from tests.fleet.limits_oracle import LimitsOracle, Process, TenantStats
+
+ONE_WAY_DELAY_MS = (0.3, 3.0)  # milliseconds, one way
+LINK_LOSS_DETECTION_MS = 1600.0  # until a process knows that a link is cut
+MAX_ACCEPTORS_DELAY_MS = 300.0  # milliseconds, at most, until a process knows of other keepers
+SYNC_MS = 2.0  # milliseconds of a write to the disk
+PING_INTERVAL_MS, PINGED_PEERS = 1000.0, 3  # milliseconds; peers that each proxy pings
+PING_LOSS_RATE, LATE_PING_RATE = 0.02, 0.02
 SERVICE = "engines"
 
 
@@ -33,12 +33,12 @@
     """Requests of one tenant over all proxies: so many a second, with these weights of proxies."""
 
     tenant: str
-    per_s: float
-    cost: tuple[float, float] = (1.0, 1.0)  # least and most
+    requests_per_s: float
+    cost_range: tuple[float, float] = (1.0, 1.0)  # least and most
     weights: list[float] = field(default_factory=list)  # by proxy; empty: even
     start: float = 0.0
-    end: float = 1e12
-    repeats: float = 0.0  # share of the requests that ask to be repeated
+    ends_at: float = 1e12
+    retry_share: float = 0.0  # share of the requests that ask to be repeated
 
 
 class World(LimitsOracle):
@@ -46,255 +46,266 @@
 
     def __init__(
         self,
-        proxies: int,
+        proxy_count: int,
         tenants: list[Tenant],
         seed: int = 1,
         keepers: int = 3,
         bounds: LimitBounds | None = None,
         drift: float = 0.0,
         loss: float = 0.0,
-        doubled: float = 0.0,
+        duplicated: float = 0.0,
         late: float = 0.0,
         durable: bool = False,
     ) -> None:
         self.rng = random.Random(seed)
         self.bounds = bounds or LimitBounds()
         self.tenants = {tenant.name: tenant for tenant in tenants}
-        self.loss, self.doubled, self.late = loss, doubled, late
+        self.loss, self.duplicated, self.delayed = loss, duplicated, late
         self.durable = durable  # keepers have disks
         self.disks: dict[str, bytes] = {}
-        self.sync_ms = SYNC
-        self.ping_loss, self.late_pings = PING_LOSS, LATE_PINGS
+        self.sync_ms = SYNC_MS
+        self.ping_loss_rate, self.late_ping_rate = PING_LOSS_RATE, LATE_PING_RATE
         self.now = 0.0
-        self.number = count()
+        self.event_numbers = count()
         self.events: list[tuple[float, int, str, tuple]] = []
         self.keepers = [f"c{i}" for i in range(keepers)]
-        self.proxies = [f"p{i}" for i in range(proxies)]
+        self.proxies = [f"p{i}" for i in range(proxy_count)]
         self.processes: dict[str, Process] = {}
-        self.cut: dict[str, float] = {}  # process, since
-        self.tally = {name: Tally() for name in self.tenants}
+        self.cut_since: dict[str, float] = {}  # process, since
+        self.tally = {name: TenantStats() for name in self.tenants}
         self.pending: dict[tuple[str, int], tuple[str, float, float]] = {}
-        self.ticket = count(1)
-        self.messages = self.bytes = 0
+        self.tickets = count(1)
+        self.message_count = self.byte_count = 0
         self.services = [Service(SERVICE)]
         self.unconfigured: set[str] = set()  # keepers that start without a configuration
-        self.requested: list[float] = []
-        self.repeated: list[float] = []
+        self.request_times: list[float] = []
+        self.retry_times: list[float] = []
         for name in [*self.keepers, *self.proxies]:
             self.processes[name] = Process(
                 name, self.rng.uniform(0, 1e6), 1 + self.rng.uniform(-drift, drift)
             )
-            self.start(name, fresh=True)
+            self.start(name, bootstrap=True)
 
     # What is done to the fleet
 
-    def start(self, name: str, fresh: bool = False) -> None:
+    def start(self, name: str, bootstrap: bool = False) -> None:
         process = self.processes.get(name)
         if process is None:
             return
-        clock = process.clock(self.now)
+        clock = process.clock_time(self.now)
         rng = random.Random(self.rng.getrandbits(40))
-        asks = name in self.proxies
-        process.machine = Limits(name, list(self.keepers), rng, clock, self.bounds, asks, fresh)
-        process.life, process.leaving = process.life + 1, False
-        if asks:
-            process.bases = PredecessorBases()
-            self.at(self.now + self.rng.uniform(0.0, PING_EVERY), "pings", process, process.life)
-        if self.durable and not asks:
-            process.machine.restore(clock, self.disks.get(name))
+        is_proxy = name in self.proxies
+        process.limits = Limits(name, list(self.keepers), rng, clock, self.bounds, is_proxy, bootstrap)
+        process.incarnation, process.leaving = process.incarnation + 1, False
+        if is_proxy:
+            process.predecessor_shares = PredecessorBases()
+            self.at(self.now + self.rng.uniform(0.0, PING_INTERVAL_MS), "pings", process, process.incarnation)
+        if self.durable and not is_proxy:
+            process.limits.restore(clock, self.disks.get(name))
         if name not in self.unconfigured:
-            process.machine.configure(clock, list(self.tenants.values()), self.services)
-        self.links()
+            process.limits.configure(clock, list(self.tenants.values()), self.services)
+        self.update_links()
         self.wake(process)
 
     def leave(self, name: str) -> None:
         """The planned end of a proxy, some seconds after it has begun to say that it leaves."""
         process = self.processes[name]
-        assert process.machine is not None and process.bases is not None
-        clock = process.clock(self.now)
-        process.machine.resign(clock, process.bases.is_released(clock))
+        assert process.limits is not None and process.predecessor_shares is not None
+        clock = process.clock_time(self.now)
+        process.limits.resign(clock, process.predecessor_shares.is_released(clock))
         self.flush(process)
 
     def kill(self, name: str) -> None:
         if name not in self.processes:
             return
-        self.processes[name].machine = None
+        self.processes[name].limits = None
         for key in [key for key in self.pending if key[0] == name]:
             del self.pending[key]
-        self.links()
+        self.update_links()
 
     def cut_off(self, name: str) -> None:
-        self.cut[name] = self.now
-        self.at(self.now + LINK_LOSS_SEEN, "links")
+        self.cut_since[name] = self.now
+        self.at(self.now + LINK_LOSS_DETECTION_MS, "links")
 
-    def join(self, name: str) -> None:
-        self.cut.pop(name, None)
-        self.links()
+    def reconnect(self, name: str) -> None:
+        self.cut_since.pop(name, None)
+        self.update_links()
 
-    def replace_keeper(self, old: str) -> None:
+    def replace_acceptor(self, old: str) -> None:
         """A keeper is lost for good; a new one, on an empty disk, takes its place. Others learn it later."""
         if old not in self.keepers:
             return
         self.kill(old)
         del self.processes[old]
-        new = f"c{len(self.keepers) + next(self.number)}"
+        new = f"c{len(self.keepers) + next(self.event_numbers)}"
         self.processes[new] = Process(new, self.rng.uniform(0, 1e6), 1.0)
         self.keepers = [*(name for name in self.keepers if name != old), new]
         self.start(new)
         for name in self.processes:
-            self.at(self.now + self.rng.uniform(0.0, LEARN), "keepers", name, list(self.keepers))
+            self.at(
+                self.now + self.rng.uniform(0.0, MAX_ACCEPTORS_DELAY_MS),
+                "acceptors",
+                name,
+                list(self.keepers),
+            )
 
-    def on_keepers(self, name: str, keepers: list[str]) -> None:
+    def on_acceptors(self, name: str, acceptors: list[str]) -> None:
         process = self.processes.get(name)
-        if process is not None and process.machine is not None:
-            process.machine.keepers_changed(process.clock(self.now), keepers)
+        if process is not None and process.limits is not None:
+            process.limits.keepers_changed(process.clock_time(self.now), acceptors)
             self.flush(process)
 
     def set_tenant(self, tenant: Tenant) -> None:
         self.tenants[tenant.name] = tenant
         for process in self.processes.values():
-            if process.machine is not None:
-                clock = process.clock(self.now)
-                process.machine.configure(clock, list(self.tenants.values()), self.services)
+            if process.limits is not None:
+                clock = process.clock_time(self.now)
+                process.limits.configure(clock, list(self.tenants.values()), self.services)
 
-    def joined(self, one: str, other: str) -> bool:
-        return one not in self.cut and other not in self.cut
+    def are_connected(self, a: str, b: str) -> bool:
+        return a not in self.cut_since and b not in self.cut_since
 
-    def links(self) -> None:
+    def update_links(self) -> None:
         for name, process in self.processes.items():
-            if process.machine is None:
+            if process.limits is None:
                 continue
             peers = [*self.keepers, *self.proxies] if name in self.keepers else self.keepers
-            reach = [
+            reachable = [
                 peer
                 for peer in peers
                 if peer != name
                 and peer in self.processes
-                and self.processes[peer].machine is not None
-                and self.linked(name, peer)
+                and self.processes[peer].limits is not None
+                and self.is_link_up(name, peer)
             ]
-            process.machine.links_changed(process.clock(self.now), reach)
+            process.limits.links_changed(process.clock_time(self.now), reachable)
             self.flush(process)
 
-    def linked(self, one: str, other: str) -> bool:
+    def is_link_up(self, a: str, b: str) -> bool:
         """A link that was cut lately still seems to be there."""
-        since = [self.cut[name] for name in (one, other) if name in self.cut]
-        return not since or self.now - min(since) < LINK_LOSS_SEEN
+        cut_times = [self.cut_since[name] for name in (a, b) if name in self.cut_since]
+        return not cut_times or self.now - min(cut_times) < LINK_LOSS_DETECTION_MS
 
     # Pings between proxies, which carry what they remember of each other's bases
 
-    def on_pings(self, process: Process, life: int) -> None:
-        if process.machine is None or process.life != life:
+    def on_pings(self, process: Process, incarnation: int) -> None:
+        if process.limits is None or process.incarnation != incarnation:
             return
-        self.at(self.now + PING_EVERY, "pings", process, life)
-        for target in ranked(process.name, [p for p in self.proxies if p != process.name])[:PINGED]:
+        self.at(self.now + PING_INTERVAL_MS, "pings", process, incarnation)
+        for target in ranked(process.name, [p for p in self.proxies if p != process.name])[:PINGED_PEERS]:
             self.ping(process, target)
 
     def ping(self, process: Process, target: str) -> None:
-        assert process.bases is not None
-        clock = process.clock(self.now)
-        remembers = process.bases.remembered(clock, target).part > 0.0
-        self.carry("ping", process.name, target, (process.life, clock, remembers))
+        assert process.predecessor_shares is not None
+        clock = process.clock_time(self.now)
+        remembers = process.predecessor_shares.remembered(clock, target).part > 0.0
+        self.send_datagram("ping", process.name, target, (process.incarnation, clock, remembers))
 
-    def carry(self, kind: str, sender: str, target: str, what: tuple) -> None:
+    def send_datagram(self, kind: str, sender: str, target: str, payload: tuple) -> None:
         """A datagram: it may be lost, late or doubled."""
-        if not self.joined(sender, target) or self.rng.random() < max(self.loss, self.ping_loss):
+        if not self.are_connected(sender, target) or self.rng.random() < max(self.loss, self.ping_loss_rate):
             return
-        for _ in range(2 if self.rng.random() < self.doubled else 1):
-            late = self.rng.expovariate(1 / 3000.0) if self.rng.random() < self.late_pings else 0.0
-            self.at(self.now + self.rng.uniform(*HALF_TRIP) + late, kind, sender, target, *what)
+        for _ in range(2 if self.rng.random() < self.duplicated else 1):
+            delay = self.rng.expovariate(1 / 3000.0) if self.rng.random() < self.late_ping_rate else 0.0
+            self.at(self.now + self.rng.uniform(*ONE_WAY_DELAY_MS) + delay, kind, sender, target, *payload)
 
-    def on_ping(self, sender: str, target: str, life: int, asked_at: float, remembers: bool) -> None:
+    def on_ping(self, sender: str, target: str, incarnation: int, sent_at: float, remembers: bool) -> None:
         process = self.processes[target]
-        if process.machine is None or process.bases is None or not self.joined(sender, target):
+        if (
+            process.limits is None
+            or process.predecessor_shares is None
+            or not self.are_connected(sender, target)
+        ):
             return
-        clock = process.clock(self.now)
-        held = NO_BASE if process.leaving else HeldBase(*process.machine.base(clock))
-        process.bases.pinged(clock, sender, remembers, held)
-        remembered = process.bases.remembered(clock, sender)
-        self.carry("ack", target, sender, (life, asked_at, held, process.leaving, remembered))
-        if remembers and process.machine.may_inherit and not held.part:
+        clock = process.clock_time(self.now)
+        share = NO_BASE if process.leaving else HeldBase(*process.limits.base(clock))
+        process.predecessor_shares.pinged(clock, sender, remembers, share)
+        sender_share = process.predecessor_shares.remembered(clock, sender)
+        self.send_datagram(
+            "ack", target, sender, (incarnation, sent_at, share, process.leaving, sender_share)
+        )
+        if remembers and process.limits.may_inherit and not share.part:
             self.ping(process, sender)
 
     def on_ack(
         self,
         sender: str,
         target: str,
-        life: int,
-        asked_at: float,
-        held: HeldBase,
+        incarnation: int,
+        sent_at: float,
+        share: HeldBase,
         released: bool,
-        remembered: HeldBase,
+        own_share: HeldBase,
     ) -> None:
         process = self.processes[target]
-        if process.machine is None or process.bases is None or process.life != life:
+        if process.limits is None or process.predecessor_shares is None or process.incarnation != incarnation:
             return
-        process.bases.told(sender, asked_at, held, released)
-        if remembered.part > 0.0:
-            clock = process.clock(self.now)
-            process.machine.inherit(clock, remembered.part, asked_at + remembered.time / DRIFT)
+        process.predecessor_shares.told(sender, sent_at, share, released)
+        if own_share.part > 0.0:
+            clock = process.clock_time(self.now)
+            process.limits.inherit(clock, own_share.part, sent_at + own_share.time / DRIFT)
 
     # Time
 
-    def at(self, when: float, kind: str, *what: object) -> None:
-        heapq.heappush(self.events, (when, next(self.number), kind, what))
+    def at(self, when: float, kind: str, *args: object) -> None:
+        heapq.heappush(self.events, (when, next(self.event_numbers), kind, args))
 
     def wake(self, process: Process) -> None:
-        if process.machine is not None:
-            when = max(self.now + 0.05, process.when(process.machine.next_wakeup()))
+        if process.limits is not None:
+            when = max(self.now + 0.05, process.real_time(process.limits.next_wakeup()))
             process.wake_at = when
             self.at(when, "wake", process)
 
-    def run(self, until: float) -> None:
-        while self.events and self.events[0][0] <= until:
-            self.now, _, kind, what = heapq.heappop(self.events)
-            getattr(self, f"on_{kind}")(*what)
-        self.now = until
+    def run(self, ends_at: float) -> None:
+        while self.events and self.events[0][0] <= ends_at:
+            self.now, _, kind, args = heapq.heappop(self.events)
+            getattr(self, f"on_{kind}")(*args)
+        self.now = ends_at
 
-    def on_call(self, name: str, *what: object) -> None:
-        getattr(self, name)(*what)
+    def on_call(self, name: str, *args: object) -> None:
+        getattr(self, name)(*args)
 
     def on_links(self) -> None:
-        self.links()
+        self.update_links()
 
     def on_wake(self, process: Process) -> None:
-        if process.machine is not None and process.wake_at == self.now:
-            process.machine.tick(process.clock(self.now))
+        if process.limits is not None and process.wake_at == self.now:
+            process.limits.tick(process.clock_time(self.now))
             self.flush(process)
 
-    def on_stored(self, process: Process, machine: Limits, version: int, roster: bytes) -> None:
-        if process.machine is machine:
-            self.disks[process.name] = roster
-            machine.stored(process.clock(self.now), version)
+    def on_stored(self, process: Process, machine: Limits, revision: int, state: bytes) -> None:
+        if process.limits is machine:
+            self.disks[process.name] = state
+            machine.stored(process.clock_time(self.now), revision)
             self.flush(process)
 
     def on_message(self, sender: str, name: str, payload: bytes) -> None:
         process = self.processes.get(name)
-        if process is None or process.machine is None or not self.joined(sender, name):
+        if process is None or process.limits is None or not self.are_connected(sender, name):
             return
-        process.machine.receive(process.clock(self.now), sender, payload)
+        process.limits.receive(process.clock_time(self.now), sender, payload)
         self.flush(process)
 
     def flush(self, process: Process) -> None:
-        machine = process.machine
+        machine = process.limits
         assert machine is not None
         for address, payload in machine.outbox():
-            self.messages += 1
-            self.bytes += len(payload) + 16
-            if not self.joined(process.name, address) or self.rng.random() < self.loss:
+            self.message_count += 1
+            self.byte_count += len(payload) + 16
+            if not self.are_connected(process.name, address) or self.rng.random() < self.loss:
                 continue
-            for _ in range(2 if self.rng.random() < self.doubled else 1):
-                delay = self.rng.uniform(*HALF_TRIP)
-                if self.rng.random() < self.late:
+            for _ in range(2 if self.rng.random() < self.duplicated else 1):
+                delay = self.rng.uniform(*ONE_WAY_DELAY_MS)
+                if self.rng.random() < self.delayed:
                     delay += self.rng.expovariate(1 / 600.0)
                 self.at(self.now + delay, "message", process.name, address, payload)
         for ticket, admitted in machine.verdicts():
-            found = self.pending.pop((process.name, ticket), None)
-            if found is not None:
-                self.decided(found[0], found[1], admitted, self.now - found[2])
-        stored = machine.to_store()
-        if stored is not None:
-            self.at(self.now + self.sync_ms, "stored", process, machine, *stored)
+            request = self.pending.pop((process.name, ticket), None)
+            if request is not None:
+                self.record_decision(request[0], request[1], admitted, self.now - request[2])
+        write = machine.to_store()
+        if write is not None:
+            self.at(self.now + self.sync_ms, "stored", process, machine, *write)
         self.wake(process)
 
     # Requests
@@ -304,50 +315,54 @@
         self.at(max(self.now, demand.start), "request", demand, list(accumulate(weights)))
 
     def on_request(self, demand: Demand, weights: list[float]) -> None:
-        if self.now >= demand.end:
+        if self.now >= demand.ends_at:
             return
-        self.at(self.now + self.rng.expovariate(demand.per_s / 1000.0), "request", demand, weights)
+        self.at(self.now + self.rng.expovariate(demand.requests_per_s / 1000.0), "request", demand, weights)
         index = bisect_right(weights, self.rng.random() * weights[-1])
         process = self.processes[self.proxies[min(index, len(self.proxies) - 1)]]
-        if process.machine is None:
+        if process.limits is None:
             return
-        least, most = demand.cost
-        cost = least if least == most else float(int(least * (most / least) ** self.rng.random()))
-        tally = self.tally[demand.tenant]
-        tally.asked += 1
-        tally.asked_cost += cost
-        self.repeat(process, demand.repeats)
-        ticket = next(self.ticket)
+        min_cost, max_cost = demand.cost_range
+        cost = (
+            min_cost
+            if min_cost == max_cost
+            else float(int(min_cost * (max_cost / min_cost) ** self.rng.random()))
+        )
+        stats = self.tally[demand.tenant]
+        stats.asked += 1
+        stats.requested_cost += cost
+        self.maybe_retry(process, demand.retry_share)
+        ticket = next(self.tickets)
         tenant = self.tenants[demand.tenant]
-        verdict = process.machine.decide(process.clock(self.now), tenant, cost, ticket)
+        verdict = process.limits.decide(process.clock_time(self.now), tenant, cost, ticket)
         if verdict is Verdict.PENDING:
             self.pending[process.name, ticket] = demand.tenant, cost, self.now
         else:
-            self.decided(demand.tenant, cost, verdict is Verdict.ADMITTED, 0.0)
+            self.record_decision(demand.tenant, cost, verdict is Verdict.ADMITTED, 0.0)
         self.flush(process)
 
-    def repeat(self, process: Process, share: float) -> None:
+    def maybe_retry(self, process: Process, share: float) -> None:
         """A request for the service, which may have to be sent a second time."""
-        machine, clock = process.machine, process.clock(self.now)
+        machine, clock = process.limits, process.clock_time(self.now)
         assert machine is not None
         machine.requested(clock, SERVICE)
-        self.requested.append(self.now)
+        self.request_times.append(self.now)
         if share and self.rng.random() < share and machine.may_repeat(clock, SERVICE):
-            self.repeated.append(self.now)
+            self.retry_times.append(self.now)
 
-    def decided(self, tenant: str, cost: float, admitted: bool, wait: float) -> None:
-        tally = self.tally[tenant]
-        tally.waits.append(wait)
+    def record_decision(self, tenant: str, cost: float, admitted: bool, wait_ms: float) -> None:
+        stats = self.tally[tenant]
+        stats.waits_ms.append(wait_ms)
         if admitted:
-            tally.admitted.append((self.now, cost))
+            stats.admitted.append((self.now, cost))
         else:
-            tally.refused += 1
+            stats.refused += 1
 
     # What may never happen
 
-    def on_check(self, every: float) -> None:
-        self.check()
-        self.at(self.now + every, "check", every)
+    def on_check(self, interval_ms: float) -> None:
+        self.check_invariants()
+        self.at(self.now + interval_ms, "check", interval_ms)
 
 
 def token_tenant(name: str, rate: float, burst: float | None = None) -> Tenant:
--- a/tests/fleet/play_limits_worlds.py
+++ b/tests/fleet/play_limits_worlds.py
@@ -2,19 +2,19 @@
 
 import sys
 
-from tests.fleet.limits_schedules import LENGTH, broken, coming_and_going, troubled_world
+from tests.fleet.limits_schedules import SIMULATION_MS, random_faults, repeated_restarts, run_and_check
 
 
-def main(first: int, worlds: int) -> int:
+def main(first_seed: int, runs: int) -> int:
     """Play them, every second one with keepers that end again and again: how many were broken."""
-    found = 0
-    for seed in range(first, first + worlds):
-        problem = broken(coming_and_going(seed) if seed % 2 else troubled_world(seed, LENGTH))
+    failures = 0
+    for seed in range(first_seed, first_seed + runs):
+        problem = run_and_check(repeated_restarts(seed) if seed % 2 else random_faults(seed, SIMULATION_MS))
         if problem:
-            found += 1
+            failures += 1
             print(seed, problem, flush=True)
-    print(f"{worlds} worlds from seed {first}: {found} broken")
-    return found
+    print(f"{runs} worlds from seed {first_seed}: {failures} broken")
+    return failures
 
 
 if __name__ == "__main__":
--- a/tests/fleet/test_limits.py
+++ b/tests/fleet/test_limits.py
@@ -11,25 +11,25 @@
 from barleybarrow.limits.retries import RetryBudget
 from barleybarrow.limits.tenants import TenantTable, request_cost
 from brackenusher.cluster.limits_driver import LimitsDriver
-from tests.fleet.limits_support import TOKENS, FakeLinks, single, tenant
+from tests.fleet.limits_support import TOKEN_BOUNDS, FakeLinks, make_tenant, single_node
 from tests.fleet.virtual_time import VirtualLoop
 
 
-class Keys(unittest.TestCase):
+class ApiKeyTests(unittest.TestCase):
     def test_each_key_of_a_tenant_finds_it(self) -> None:
-        limits, _ = single([tenant("one"), tenant("two")])
+        limits, _ = single_node([make_tenant("one"), make_tenant("two")])
         for key, name in (("one-1", "one"), ("one-2", "one"), ("two-2", "two")):
             found = limits.authenticate(key)
             assert found is not None
             self.assertEqual(found.name, name)
 
     def test_unknown_and_missing_keys_find_nobody(self) -> None:
-        limits, _ = single([tenant("one")])
+        limits, _ = single_node([make_tenant("one")])
         for key in (None, "", "one", "one-3"):
             self.assertIsNone(limits.authenticate(key))
 
     def test_keys_follow_the_configuration(self) -> None:
-        limits, now = single([tenant("one"), tenant("two")])
+        limits, now = single_node([make_tenant("one"), make_tenant("two")])
         limits.configure(now, [Tenant("one", ["fresh"])], [])
         self.assertIsNone(limits.authenticate("one-1"))
         self.assertIsNone(limits.authenticate("two-1"))
@@ -37,17 +37,19 @@
 
     def test_only_changed_quotas_are_named(self) -> None:
         table = TenantTable()
-        table.replace([tenant("one", 5.0), tenant("two", 5.0), tenant("three", 5.0)])
-        changed = table.replace([tenant("one", 5.0, priority=1), tenant("two", 6.0), tenant("four", 1.0)])
+        table.replace([make_tenant("one", 5.0), make_tenant("two", 5.0), make_tenant("three", 5.0)])
+        changed = table.replace(
+            [make_tenant("one", 5.0, priority=1), make_tenant("two", 6.0), make_tenant("four", 1.0)]
+        )
         self.assertEqual(changed, {"two", "three", "four"})
 
 
-class Costs(unittest.TestCase):
+class RequestCostTests(unittest.TestCase):
     def test_requests_count_one(self) -> None:
-        self.assertEqual(request_cost(tenant("one", 5.0), "100,20"), 1.0)
+        self.assertEqual(request_cost(make_tenant("one", 5.0), "100,20"), 1.0)
 
     def test_tokens_count_prompt_and_output(self) -> None:
-        paying = tenant("one", 5.0, unit=QuotaUnit.TOKENS, plain_tokens=200)
+        paying = make_tenant("one", 5.0, unit=QuotaUnit.TOKENS, plain_tokens=200)
         for value, cost in (("1460,80", 1540.0), ("1460, 80", 1540.0), ("0,0", 0.0)):
             self.assertEqual(request_cost(paying, value), cost)
         unread: list[str | None] = [None, "", "12", "a,b", "1,2,3", "-5,1"]
@@ -55,18 +57,18 @@
             self.assertEqual(request_cost(paying, text), 200.0, text)
 
 
-class Quotas(unittest.TestCase):
+class QuotaTests(unittest.TestCase):
     def test_no_limit(self) -> None:
-        limits, now = single([tenant("one")])
-        self.assertTrue(all(limits.admit(now, tenant("one"), 1e9) for _ in range(100)))
+        limits, now = single_node([make_tenant("one")])
+        self.assertTrue(all(limits.admit(now, make_tenant("one"), 1e9) for _ in range(100)))
 
     def test_tenant_that_the_configuration_does_not_name(self) -> None:
-        limits, now = single([])
-        self.assertTrue(limits.admit(now, tenant("one", 5.0), 1.0))
+        limits, now = single_node([])
+        self.assertTrue(limits.admit(now, make_tenant("one", 5.0), 1.0))
 
     def test_waiting_request_is_decided_once(self) -> None:
-        paying = tenant("one", 10_000.0, unit=QuotaUnit.TOKENS)
-        limits, now = single([paying])
+        paying = make_tenant("one", 10_000.0, unit=QuotaUnit.TOKENS)
+        limits, now = single_node([paying])
         self.assertIs(limits.decide(now, paying, 9000.0, 7), Verdict.PENDING)
         for _ in range(5):
             now += 3.0
@@ -75,29 +77,29 @@
         self.assertEqual(limits.verdicts(), [])
 
     def test_cancelled_request_is_not_decided(self) -> None:
-        paying = tenant("one", 10_000.0, unit=QuotaUnit.TOKENS)
-        limits, now = single([paying])
+        paying = make_tenant("one", 10_000.0, unit=QuotaUnit.TOKENS)
+        limits, now = single_node([paying])
         limits.decide(now, paying, 9000.0, 7)
         limits.cancel(7)
         limits.tick(now + 1000.0)
         self.assertEqual(limits.verdicts(), [])
 
     def test_credit_of_one_unit_is_not_spent_in_another(self) -> None:
-        paying = tenant("one", 1000.0, unit=QuotaUnit.TOKENS)
-        limits, now = single([paying])
+        paying = make_tenant("one", 1000.0, unit=QuotaUnit.TOKENS)
+        limits, now = single_node([paying])
         for _ in range(100):
             now += 3.0
             limits.tick(now)
             limits.admit(now, paying, 10.0)
         assert limits.client is not None
         self.assertGreater(limits.client.entries["tokens:one"].credit, 1.0)
-        counting = tenant("one", 5.0)
+        counting = make_tenant("one", 5.0)
         limits.configure(now, [counting], [])
         self.assertFalse(limits.admit(now, counting, 1.0))
 
     def test_refusal_names_a_wait(self) -> None:
-        paying = tenant("one", 100.0)
-        limits, now = single([paying])
+        paying = make_tenant("one", 100.0)
+        limits, now = single_node([paying])
         refused = 0
         for _ in range(2000):
             now += 1.0
@@ -108,8 +110,8 @@
         self.assertLessEqual(limits.retry_after_ms(paying, 1.0), 5000.0)
 
     def test_without_a_warden_requests_wait_a_bounded_time(self) -> None:
-        paying = tenant("one", 100.0)
-        limits = Limits("p", ["a", "b", "c"], random.Random(1), 0.0, TOKENS)
+        paying = make_tenant("one", 100.0)
+        limits = Limits("p", ["a", "b", "c"], random.Random(1), 0.0, TOKEN_BOUNDS)
         limits.configure(0.0, [paying], [])
         self.assertIs(limits.decide(0.0, paying, 1.0, 1), Verdict.PENDING)
         self.assertLessEqual(limits.next_wakeup(), 150.0)
@@ -118,7 +120,7 @@
         self.assertIs(limits.decide(2000.0, paying, 1.0, 2), Verdict.REFUSED)  # it was never given a base
 
 
-class Room(unittest.TestCase):
+class BoundsTests(unittest.TestCase):
     def test_parts_stay_below_the_rule(self) -> None:
         for unit in QuotaUnit:
             for rate in (0.5, 10.0, 18_000.0, 1e6):
@@ -139,58 +141,58 @@
         self.assertLessEqual(used, 0.951 * window.retry_budget_min)
 
 
-class Ledger(unittest.TestCase):
-    LIMIT = bounds.KeyLimit(100.0, 100.0, 0.0, 80.0, 1.0, 25.0)
+class CreditLedgerTests(unittest.TestCase):
+    KEY_LIMIT = bounds.KeyLimit(100.0, 100.0, 0.0, 80.0, 1.0, 25.0)
 
-    def ledger(self) -> credit_ledger.CreditLedger:
-        part = lent.LentFraction(0.0)
-        part.set_free(0.0, 1.0)
-        ledger = credit_ledger.CreditLedger(part, lambda key: self.LIMIT)
-        ledger.fresh = True
+    def make_ledger(self) -> credit_ledger.CreditLedger:
+        lent_share = lent.LentShare(0.0)
+        lent_share.set_unassigned(0.0, 1.0)
+        ledger = credit_ledger.CreditLedger(lent_share, lambda key: self.KEY_LIMIT)
+        ledger.no_prior_grants = True
         return ledger
 
-    def take(
+    def report_entry(
         self, ledger: credit_ledger.CreditLedger, *item: float, now: float = 0.0
     ) -> messages.Grant | None:
-        return ledger.take(now, "p", messages.Item("k", *item), 1e9)  # type: ignore[arg-type]
+        return ledger.handle_entry_report(now, "p", messages.EntryReport("k", *item), 1e9)  # type: ignore[arg-type]
 
     def test_the_same_need_is_granted_once(self) -> None:
-        ledger = self.ledger()
+        ledger = self.make_ledger()
         for _ in range(3):
-            grant = self.take(ledger, 1, 0.0, 0.0, 30.0, 10.0, 0.0)
+            grant = self.report_entry(ledger, 1, 0.0, 0.0, 30.0, 10.0, 0.0)
             assert grant is not None
             self.assertEqual(grant.granted, 30.0)
         self.assertEqual(ledger.accounts["k"].level, 70.0)
 
     def test_the_same_return_is_refunded_once(self) -> None:
-        ledger = self.ledger()
-        self.take(ledger, 1, 0.0, 0.0, 30.0, 10.0, 0.0)
+        ledger = self.make_ledger()
+        self.report_entry(ledger, 1, 0.0, 0.0, 30.0, 10.0, 0.0)
         for _ in range(3):
-            self.take(ledger, 1, 10.0, 20.0, 0.0, 0.0, 0.0)
+            self.report_entry(ledger, 1, 10.0, 20.0, 0.0, 0.0, 0.0)
         self.assertEqual(ledger.accounts["k"].level, 90.0)
         self.assertEqual(ledger.accounts["k"].outstanding, 0.0)
 
     def test_totals_that_come_late_change_nothing(self) -> None:
-        ledger = self.ledger()
-        self.take(ledger, 1, 0.0, 0.0, 30.0, 10.0, 0.0)
-        self.take(ledger, 1, 20.0, 0.0, 0.0, 0.0, 0.0)
-        self.take(ledger, 1, 5.0, 0.0, 0.0, 0.0, 0.0)
+        ledger = self.make_ledger()
+        self.report_entry(ledger, 1, 0.0, 0.0, 30.0, 10.0, 0.0)
+        self.report_entry(ledger, 1, 20.0, 0.0, 0.0, 0.0, 0.0)
+        self.report_entry(ledger, 1, 5.0, 0.0, 0.0, 0.0, 0.0)
         self.assertEqual(ledger.accounts["k"].outstanding, 10.0)
-        self.take(ledger, 2, 0.0, 0.0, 0.0, 0.0, 0.0)
-        self.assertIsNone(self.take(ledger, 1, 30.0, 0.0, 0.0, 0.0, 0.0))
+        self.report_entry(ledger, 2, 0.0, 0.0, 0.0, 0.0, 0.0)
+        self.assertIsNone(self.report_entry(ledger, 1, 30.0, 0.0, 0.0, 0.0, 0.0))
 
     def test_credit_of_a_closed_entry_counts_until_its_time_is_over(self) -> None:
-        ledger = self.ledger()
-        ledger.take(0.0, "p", messages.Item("k", 1, 0.0, 0.0, 30.0, 10.0, 0.0), 500.0)
-        ledger.take(0.0, "p", messages.Item("k", 2, 0.0, 0.0, 0.0, 0.0, 0.0), 500.0)
-        self.assertEqual(ledger.account(499.0, "k", self.LIMIT).outstanding, 30.0)
-        self.assertEqual(ledger.account(500.0, "k", self.LIMIT).outstanding, 0.0)
+        ledger = self.make_ledger()
+        ledger.handle_entry_report(0.0, "p", messages.EntryReport("k", 1, 0.0, 0.0, 30.0, 10.0, 0.0), 500.0)
+        ledger.handle_entry_report(0.0, "p", messages.EntryReport("k", 2, 0.0, 0.0, 0.0, 0.0, 0.0), 500.0)
+        self.assertEqual(ledger.refreshed_account(499.0, "k", self.KEY_LIMIT).outstanding, 30.0)
+        self.assertEqual(ledger.refreshed_account(500.0, "k", self.KEY_LIMIT).outstanding, 0.0)
 
 
-class Lent(unittest.TestCase):
+class LentShareTests(unittest.TestCase):
     def test_the_integral_follows_loans_to_their_ends(self) -> None:
-        part = lent.LentFraction(0.0)
-        part.set_free(0.0, 0.25)
+        part = lent.LentShare(0.0)
+        part.set_unassigned(0.0, 0.25)
         part.lend(0.0, "p", 0.5, 100.0)
         part.lend(50.0, "p", 0.5, 200.0)
         part.advance(1000.0)
@@ -198,37 +200,37 @@
         self.assertAlmostEqual(part.value, 0.25)
 
     def test_it_is_never_above_one(self) -> None:
-        part = lent.LentFraction(0.0)
-        part.set_free(0.0, 0.8)
+        part = lent.LentShare(0.0)
+        part.set_unassigned(0.0, 0.8)
         part.lend(0.0, "p", 0.5, 100.0)
         self.assertEqual(part.value, 1.0)
 
 
-class Messages(unittest.TestCase):
+class MessageTests(unittest.TestCase):
     def test_round_trip(self) -> None:
-        item = messages.Item("quota:one", 3, 10.0, 0.0, 5.0, 5.0, 7.0)
+        item = messages.EntryReport("quota:one", 3, 10.0, 0.0, 5.0, 5.0, 7.0)
         report = messages.CreditReport(1, 2, 3, 4, 0.5, [item])
         self.assertEqual(messages.decode(messages.encode(report)), report)
 
     def test_bytes_that_are_no_message(self) -> None:
-        limits, now = single([])
+        limits, now = single_node([])
         for payload in (b"", b"\xff\xfe", b"\x93\x01\x02\x03", bytes(50), b"\x96\x06\xff\x00\x00\x00\x90"):
             limits.receive(now, "x", payload)
         self.assertEqual(limits.outbox(), [])
 
 
-class Retries(unittest.TestCase):
+class RetryBudgetTests(unittest.TestCase):
     def test_own_requests_pay(self) -> None:
         budget = RetryBudget(LimitBounds(retry_budget_ratio=0.2))
         for at in range(100):
-            budget.requested(float(at), "s")
-        taken = sum(budget.take(100.0, "s") for _ in range(100))
+            budget.record_request(float(at), "s")
+        taken = sum(budget.try_take(100.0, "s") for _ in range(100))
         self.assertEqual(taken, 15)
-        self.assertFalse(budget.take(5000.0, "s"))
-        self.assertFalse(budget.take(20_000.0, "s"))
+        self.assertFalse(budget.try_take(5000.0, "s"))
+        self.assertFalse(budget.try_take(20_000.0, "s"))
 
     def test_the_least_budget_is_shared(self) -> None:
-        limits, now = single([])
+        limits, now = single_node([])
         taken = 0
         for _ in range(3000):
             now += 3.0
@@ -238,39 +240,39 @@
         self.assertLessEqual(taken, 60)
 
     def test_a_service_that_is_gone(self) -> None:
-        limits, now = single([])
+        limits, now = single_node([])
         self.assertFalse(limits.may_repeat(now, "other"))
 
 
-class Driver(unittest.TestCase):
+class LimitsDriverTests(unittest.TestCase):
     def test_requests_wait_for_the_warden(self) -> None:
         loop = VirtualLoop()
         try:
-            loop.run_until_complete(self.conversation(loop))
+            loop.run_until_complete(self.run_proxy_and_credit_server(loop))
         finally:
             loop.close()
 
-    async def conversation(self, loop: VirtualLoop) -> None:
-        paying = tenant("one", 20_000.0, unit=QuotaUnit.TOKENS)
-        net: dict[str, FakeLinks] = {}
+    async def run_proxy_and_credit_server(self, loop: VirtualLoop) -> None:
+        paying = make_tenant("one", 20_000.0, unit=QuotaUnit.TOKENS)
+        network: dict[str, FakeLinks] = {}
         drivers = {}
         for name in ("c", "p"):
-            limits = Limits(name, ["c"], random.Random(1), 0.0, TOKENS, asks=name == "p", fresh=True)
+            limits = Limits(name, ["c"], random.Random(1), 0.0, TOKEN_BOUNDS, asks=name == "p", fresh=True)
             limits.configure(0.0, [paying], [Service("s")])
-            links = FakeLinks(name, net)
+            links = FakeLinks(name, network)
             drivers[name] = LimitsDriver(limits, links, lambda: loop.time() * 1000.0)  # type: ignore[arg-type]
         for driver in drivers.values():
             driver.start()
         await asyncio.sleep(5.0)
         proxy = drivers["p"]
-        self.assertTrue(proxy.limits.in_touch)
+        self.assertTrue(proxy.limits.is_connected)
         verdict = proxy.admit(paying, 9000.0)
         assert isinstance(verdict, asyncio.Future)
         self.assertTrue(await verdict)
-        given_up = [proxy.admit(paying, 9000.0) for _ in range(20)]
+        requests = [proxy.admit(paying, 9000.0) for _ in range(20)]
         results = []
-        for waiting in given_up:
-            results.append(await waiting if isinstance(waiting, asyncio.Future) else waiting)
+        for request in requests:
+            results.append(await request if isinstance(request, asyncio.Future) else request)
         self.assertIn(True, results)
         self.assertIn(False, results)
         await asyncio.sleep(3.0)
--- a/tests/fleet/test_limits_predecessors.py
+++ b/tests/fleet/test_limits_predecessors.py
@@ -5,17 +5,17 @@
 from unittest import mock
 
 from barleybarrow.limits import credit_client, members, predecessors
-from barleybarrow.limits.lent import LentFraction
+from barleybarrow.limits.lent import LentShare
 from barleybarrow.limits.messages import CreditReport
 from barleybarrow.limits.predecessors import NO_BASE, HeldBase, PredecessorBases
-from barleybarrow.limits.spans import BASE_LIFE_STORED
-from tests.fleet.limits_schedules import broken, coming_and_going
+from barleybarrow.limits.spans import STORED_SHARE_LIFETIME_MS
+from tests.fleet.limits_schedules import repeated_restarts, run_and_check
 from tests.fleet.limits_world import World, token_tenant
 
-BUG_SEEDS = range(360, 420)
+MUTATION_SEEDS = range(360, 420)
 
 
-class RememberedTest(unittest.TestCase):
+class PeerShareTests(unittest.TestCase):
     """Times count from the question, on the asking side's clock."""
 
     def test_what_a_peer_held_is_told_for_the_rest_of_its_time(self) -> None:
@@ -49,91 +49,103 @@
 
     def test_memory_is_bounded(self) -> None:
         bases = PredecessorBases()
-        for number in range(predecessors.MOST_REMEMBERED + 10):
+        for number in range(predecessors.MAX_REMEMBERED_PEERS + 10):
             bases.told(f"p{number}", 0.0, HeldBase(0.1, 1000.0), released=False)
         self.assertEqual(bases.remembered(1.0, "p0"), NO_BASE)
         self.assertEqual(bases.remembered(1.0, "p20").part, 0.1)
 
 
-class ReservedTest(unittest.TestCase):
+class ReservedShareTests(unittest.TestCase):
     """What a name held is given to nobody else for as long as its next process may take it up."""
 
-    def planned(self, now: float) -> dict[str, float]:
+    def planned_shares(self, now: float) -> dict[str, float]:
         """The plan after the holder of all has started anew, and another proxy has come."""
-        books = members.Members(0.0, LentFraction(0.0), BASE_LIFE_STORED)
-        books.known_at = 0.0
-        books.hear(0.0, "one", CreditReport(1, 1, 1, 0, 0.0, []))
-        books.raising, books.planned = True, {"one": 1.0}
-        books.tell(0.0, "one", books.members["one"], 1)
-        books.hear(100.0, "one", CreditReport(2, 1, 1, 0, 0.0, []))
-        books.tell(now, "one", books.members["one"], 1)
-        books.set_held(books.members["one"], 0.0)
-        books.hear(now, "other", CreditReport(3, 1, 1, 0, 0.0, []))
-        books.tell(now, "other", books.members["other"], 1)
-        books.forget(now)
-        plan = books.plan(now)
+        members_state = members.Members(0.0, LentShare(0.0), STORED_SHARE_LIFETIME_MS)
+        members_state.complete_at = 0.0
+        members_state.handle_report(0.0, "one", CreditReport(1, 1, 1, 0, 0.0, []))
+        members_state.may_raise, members_state.planned_shares = True, {"one": 1.0}
+        members_state.assign_share(0.0, "one", members_state.members["one"], 1)
+        members_state.handle_report(100.0, "one", CreditReport(2, 1, 1, 0, 0.0, []))
+        members_state.assign_share(now, "one", members_state.members["one"], 1)
+        members_state.set_held_share(members_state.members["one"], 0.0)
+        members_state.handle_report(now, "other", CreditReport(3, 1, 1, 0, 0.0, []))
+        members_state.assign_share(now, "other", members_state.members["other"], 1)
+        members_state.remove_expired(now)
+        plan = members_state.plan(now)
         assert plan is not None
         return plan
 
     def test_while_it_may_be_taken_up(self) -> None:
-        self.assertEqual(self.planned(1000.0)["other"], 0.0)
+        self.assertEqual(self.planned_shares(1000.0)["other"], 0.0)
 
     def test_not_for_longer(self) -> None:
-        self.assertEqual(self.planned(1.1 * BASE_LIFE_STORED)["other"], 0.5)
+        self.assertEqual(self.planned_shares(1.1 * STORED_SHARE_LIFETIME_MS)["other"], 0.5)
 
     def test_the_world_ends_it_in_time(self) -> None:
-        self.assertEqual(self.taken_up_after(12_000.0), [True])
-        self.assertEqual(self.taken_up_after(1.1 * BASE_LIFE_STORED), [False])
+        self.assertEqual(self.inherits_after(12_000.0), [True])
+        self.assertEqual(self.inherits_after(1.1 * STORED_SHARE_LIFETIME_MS), [False])
 
-    def taken_up_after(self, pause: float) -> list[bool]:
+    def inherits_after(self, pause: float) -> list[bool]:
         """Whether a proxy that starts so long after the last warden takes up what it held."""
-        world = World(6, [token_tenant("t", 100_000.0)], seed=5, durable=True)
-        world.ping_loss = world.late_pings = 0.0
-        world.run(8000.0)
-        for name in world.keepers:
-            world.kill(name)
-        world.run(8000.0 + pause - 1000.0)
-        world.kill("p0")
-        world.run(8000.0 + pause)
-        world.start("p0")
-        world.run(world.now + 2500.0)
-        process = world.processes["p0"]
-        assert process.machine is not None
-        return [process.machine.base(process.clock(world.now))[0] > 0.0]
-
-
-class PlantedTest(unittest.TestCase):
+        sim = World(6, [token_tenant("t", 100_000.0)], seed=5, durable=True)
+        sim.ping_loss_rate = sim.late_ping_rate = 0.0
+        sim.run(8000.0)
+        for name in sim.keepers:
+            sim.kill(name)
+        sim.run(8000.0 + pause - 1000.0)
+        sim.kill("p0")
+        sim.run(8000.0 + pause)
+        sim.start("p0")
+        sim.run(sim.now + 2500.0)
+        process = sim.processes["p0"]
+        assert process.limits is not None
+        return [process.limits.base(process.clock_time(sim.now))[0] > 0.0]
+
+
+class InjectedBugTests(unittest.TestCase):
     """Each is found within the histories of `BUG_SEEDS`."""
 
-    def assert_found(self, owner: type, name: str, bug: Any) -> None:
-        for seed in BUG_SEEDS:
+    def assert_detected(self, owner: type, name: str, bug: Any) -> None:
+        for seed in MUTATION_SEEDS:
             with mock.patch.object(owner, name, bug):
-                if broken(coming_and_going(seed)):
+                if run_and_check(repeated_restarts(seed)):
                     return
         self.fail("the planted bug was not found")
 
     def assert_test_fails(self, test: str, owner: type, name: str, bug: Any) -> None:
         with mock.patch.object(owner, name, bug):
-            self.assertRaises(AssertionError, getattr(ReservedTest(test), test))
+            self.assertRaises(AssertionError, getattr(ReservedShareTests(test), test))
 
     def test_a_warden_that_gives_the_part_of_a_restarted_proxy_away(self) -> None:
-        def keep_floor(self: members.Members, member: members.Member, floor: float, until: float) -> None:
+        def reserve_predecessor_share(
+            self: members.Members, member: members.Member, share: float, until: float
+        ) -> None:
             return
 
-        self.assert_test_fails("test_while_it_may_be_taken_up", members.Members, "keep_floor", keep_floor)
+        self.assert_test_fails(
+            "test_while_it_may_be_taken_up",
+            members.Members,
+            "reserve_predecessor_share",
+            reserve_predecessor_share,
+        )
 
     def test_memory_that_outlives_its_time(self) -> None:
         def remembered(self: PredecessorBases, now: float, peer: str) -> HeldBase:
-            known = self._remembered.get(peer)
+            known = self._peer_shares.get(peer)
             return HeldBase(known.part, 20_000.0) if known is not None else NO_BASE
 
         self.assert_test_fails("test_the_world_ends_it_in_time", PredecessorBases, "remembered", remembered)
 
     def test_taken_up_beside_what_a_warden_gave(self) -> None:
-        def inherit(self: credit_client.CreditClient, now: float, base: float, until: float) -> None:
-            self.base, self.base_until = self.base + base, max(until, self.base_until)
-
-        self.assert_found(credit_client.CreditClient, "inherit", inherit)
+        def inherit_fallback_share(
+            self: credit_client.CreditClient, now: float, share: float, until: float
+        ) -> None:
+            self.fallback_share, self.fallback_share_until = (
+                self.fallback_share + share,
+                max(until, self.fallback_share_until),
+            )
+
+        self.assert_detected(credit_client.CreditClient, "inherit_fallback_share", inherit_fallback_share)
 
 
 if __name__ == "__main__":
