--- a/barleybarrow/limits/bounds.py
+++ b/barleybarrow/limits/bounds.py
@@ -1,38 +1,35 @@
-"""What the rules allow for one key over all proxies, and how the parts of the machine divide it.
+"""Bounds of one key over all proxies, and how the components of the shared limits divide them.
 
 Pure arithmetic. The rule for a quota of rate R and burst B: in each window W at most (R W + B) (1 + o) + S,
-where o is QuotaOvershoot and S is QuotaSlack. The machine admits R W + B and, beyond that, at most its `room`
-(o (R W + B) + S, less a margin), which is divided once for all:
+where o is QuotaOvershoot and S is QuotaSlack. The proxies admit R W + B and, beyond that, at most the `room`
+(o (R W + B) + S, less a margin), which has a fixed division:
 
-| part | what may come beyond R W + B in one window |
+| share | admitted beyond R W + B in one window |
 | --- | --- |
-| debt | the warden grants a request when its bucket is above zero, which takes it below zero once |
-| extra | the warden's bucket, the credit that it granted, and the fallback buckets hold B + extra together |
+| debt | a request granted while the bucket is above zero may take it below zero, once |
+| extra | the server's bucket, outstanding credit and all fallback buckets hold B + extra together |
 """
 
 from dataclasses import dataclass
 
 from barleybarrow.documents import QuotaUnit, Tenant
 
-ROOM_MARGIN_SHARE = (
-    0.2  # of the room: for requests that run twice (resumed streams), and for clocks that differ
-)
-DEBT_SHARE = 0.15
-MAX_REQUEST_TOKENS = 32_768.0  # a debt beyond the largest request would serve nobody
+ROOM_MARGIN_SHARE = 0.2  # of the room: for requests that run twice (resumed streams), and for clock drift
+DEBT_SHARE = 0.15  # of the room
+MAX_REQUEST_TOKENS = 32_768.0  # a debt beyond the largest request would be of no use
 RESERVE_SHARE = 0.3  # of the capacity
 REQUEST_SLACK_SHARE = 0.25  # of R W + B: QuotaSlack may count tokens, so it is not taken whole for requests
 RETRY_RATE_SHARE = 0.4  # of RetryBudgetMin, spread over the window
 RETRY_BURST_SHARE = 0.55  # the rest is margin
-RETRY_CREDIT_SHARE = 0.25  # part of the burst
-CREDIT_SHARE = (
-    0.65  # of the capacity: proxies hold it for the time without a warden; the rest is for who needs
-)
-# more than it holds, and lets the bucket of a new warden begin at its floor
+RETRY_CREDIT_SHARE = 0.25  # of RetryBudgetMin, within the burst
+# Of the capacity. Proxies hold this much for the time without a credit server; the rest is for those that
+# need more than they hold, and lets the buckets of a new credit server start at their floors.
+CREDIT_SHARE = 0.65
 
 
 @dataclass(frozen=True, slots=True)
 class LimitBounds:
-    """Bounds of the deployment, as in the settings file."""
+    """Bounds of the deployment, from the settings file."""
 
     quota_window_s: float = 8.0
     quota_overshoot: float = 0.1
@@ -44,18 +41,18 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyLimit:
-    """What all proxies together may use of one key, in the key's own unit (tokens or requests)."""
+    """Limit of one key over all proxies, in the key's own unit (tokens or requests)."""
 
-    rate: float  # a second
-    capacity: float  # of the warden's bucket, all credit outstanding, and all fallback buckets, together
+    rate: float  # per second
+    capacity: float  # of the credit server's bucket, outstanding credit and all fallback buckets together
     debt: float  # how far below zero one grant may take the bucket
-    credit: float  # the most that may be granted and not yet known to be spent, at all proxies together
-    largest: float  # request that credit ahead of need must leave room for
-    reserve: float  # level of the warden's bucket below which there is no credit ahead of need
+    credit: float  # maximum of credit granted and not yet reported as spent, over all proxies
+    largest: float  # cost of a request that credit granted ahead of need must leave room for
+    reserve: float  # level of the credit server's bucket below which no credit is granted ahead of need
 
 
 def quota_limit(tenant: Tenant, bounds: LimitBounds) -> KeyLimit | None:
-    """How a tenant's quota is divided; None where it has none."""
+    """Divide a tenant's quota; None if it has none."""
     if tenant.rate_per_s <= 0.0:
         return None
     steady = tenant.rate_per_s * bounds.quota_window_s + tenant.burst
@@ -76,7 +73,7 @@
 
 
 def retry_limit(bounds: LimitBounds) -> KeyLimit:
-    """How RetryBudgetMin of one service is divided: all parts stay below it together."""
+    """Divide RetryBudgetMin of one service; the sum of all uses stays below it."""
     budget_min = bounds.retry_budget_min
     return KeyLimit(
         RETRY_RATE_SHARE * budget_min / bounds.retry_window_s,
--- a/barleybarrow/limits/credit_client.py
+++ b/barleybarrow/limits/credit_client.py
@@ -1,8 +1,8 @@
-"""A proxy's side of the shared limits: credit that the warden granted, and what is used without one.
+"""A proxy's side of the shared limits: granted credit, and the fallback without a credit server.
 
-A request is admitted from credit at hand; where there is too little it waits for some milliseconds until
-the warden has answered. A proxy that had no answer for `FALL` uses its base: a fixed part of each limit
-that nobody else uses meanwhile. No I/O; told the time in milliseconds.
+A request is admitted from credit held locally; if that is too little, it waits some milliseconds for the
+reply of the credit server. A proxy without a reply for `FALLBACK_DELAY_MS` uses its fallback share: a fixed
+share of each limit that nobody else uses meanwhile. No I/O; times are monotonic milliseconds.
 """
 
 from collections import deque
@@ -22,25 +22,23 @@
     compact_number,
 )
 
-MAX_PENDING_PER_KEY = 64  # requests of one key that wait at a proxy
-PREFETCH_REQUESTS = 1.5  # mean costs of a request that a proxy holds beside what it needs
-PREFETCH_SPAN_S = (
-    1.0  # of its use that a proxy holds beside what it needs: for as long as a warden is missing
-)
-MIN_PREFETCHED_REQUESTS = 0.5  # of a request: with more left over, the warden grants credit ahead of need
-MEAN_COST_WEIGHT = 0.1  # weight of the newest request in the mean cost
-RATE_SMOOTHING_MS = 1000.0  # over which the rate of use is smoothed
-PREFETCH_IDLE_TIMEOUT_MS = 2000.0  # milliseconds since its last request that an entry wants credit at hand
-FIRST_SEQUENCE_RANGE = 2**40  # where the numbers of a life's reports begin: far apart for any two lives
-MAX_UNANSWERED_REPORTS = 64  # reports that may still be answered
+MAX_PENDING_PER_KEY = 64
+PREFETCH_REQUESTS = 1.5  # mean request costs to hold beyond pending requests
+PREFETCH_SPAN_S = 1.0  # of demand to hold beyond pending requests: covers the election of a credit server
+MIN_PREFETCHED_REQUESTS = 0.5  # of a mean request: credit left above this was granted ahead of need
+MEAN_COST_WEIGHT = 0.1  # of the newest request
+RATE_SMOOTHING_MS = 1000.0
+PREFETCH_IDLE_TIMEOUT_MS = 2000.0  # since the newest request of a key
+FIRST_SEQUENCE_RANGE = 2**40  # first sequence numbers of any two incarnations are far apart
+MAX_UNANSWERED_REPORTS = 64
 
 
 class Verdict(Enum):
-    """What became of a request."""
+    """Decision on a request."""
 
     ADMITTED = "admitted"
     REFUSED = "refused"
-    PENDING = "pending"  # the warden is asked
+    PENDING = "pending"  # awaits a reply of the credit server
 
 
 @dataclass(slots=True)
@@ -50,12 +48,12 @@
     ticket: int
     cost: float
     deadline: float
-    first_reported_in: int = 0  # number of the report that first named it; 0: none
+    first_reported_in: int = 0  # sequence number of a report; 0: none yet
 
 
 @dataclass(slots=True)
 class CreditEntry:
-    """What this proxy holds of one key."""
+    """Credit and fallback bucket of one key at this proxy."""
 
     key: str
     number: int
@@ -67,14 +65,14 @@
     carried_until: float = -inf
     pending: deque[PendingRequest] = field(default_factory=deque)
     blocked_until: float = -inf
-    ask_again_at: float = inf  # when a need that was put off is to be reported again
-    last_request_at: float = -inf  # the newest request
+    ask_again_at: float = inf  # when an ungranted need is to be reported again
+    last_request_at: float = -inf
     mean_cost: float = 0.0
-    rate_per_s: float = 0.0  # a second
-    unreported_demand: float = 0.0  # since the newest report
-    report_soon: bool = False  # the warden is to hear soon what is spent
-    has_prefetched: bool = False  # the warden grants credit ahead of need
-    fallback_level: float = 0.0  # of the fallback bucket
+    rate_per_s: float = 0.0
+    unreported_demand: float = 0.0
+    report_soon: bool = False  # the credit server asked for early reports
+    has_prefetched: bool = False  # the credit server grants credit ahead of need
+    fallback_level: float = 0.0
     fallback_level_at: float = -inf
 
     @property
@@ -85,7 +83,7 @@
 
 @dataclass(slots=True)
 class SentReport:
-    """A report that may still be answered."""
+    """A report that awaits its reply."""
 
     sent_at: float
     items: list[tuple[CreditEntry, int, float, float]]  # entry, its number, spent, returned
@@ -96,32 +94,29 @@
 
     def __init__(self, incarnation: int, now: float, limit_of: Callable[[str], KeyLimit | None]) -> None:
         self.incarnation, self.limit_of = incarnation, limit_of
-        self.term = 0  # 0: no warden is known
-        self.sequence = (
-            incarnation % FIRST_SEQUENCE_RANGE
-        )  # answers to an earlier life at this address are none to this one
+        self.term = 0  # 0: no known credit server
+        # Replies to an earlier incarnation at this address must not match a report of this one.
+        self.sequence = incarnation % FIRST_SEQUENCE_RANGE
         self.applied_sequence = 0
         self.fallback_share, self.fallback_share_until = 0.0, -inf
         self.fallback_at = now + spans.FALLBACK_DELAY_MS
-        self.was_answered = False  # a warden has answered this process
+        self.was_answered = False
         self.credit_valid_until = -inf
         self.entries: dict[str, CreditEntry] = {}
         self.entries_by_number: dict[int, CreditEntry] = {}
-        self.dirty: dict[int, CreditEntry] = {}  # by number: what the warden has not heard yet
+        self.dirty: dict[int, CreditEntry] = {}  # by number: to be reported
         self.last_entry_number = 0
         self.sent_reports: dict[int, SentReport] = {}
         self.last_report_at = -inf
-        self.early_report_at = (
-            now  # something is to be reported then, before the next report that is due anyway
-        )
-        self.decisions: list[tuple[int, bool]] = []  # tickets and whether they were admitted
+        self.early_report_at = now  # time of a report that is needed before the next regular one
+        self.decisions: list[tuple[int, bool]] = []  # ticket, admitted
         self.pending_count = 0
-        self.next_timeout_at = inf  # when the longest wait ends
+        self.next_timeout_at = inf
 
     # Requests
 
     def acquire(self, now: float, key: str, limit: KeyLimit, cost: float, ticket: int | None) -> Verdict:
-        """Take a request's cost. Without a ticket it does not wait: what would wait is refused."""
+        """Take a request's cost; a request without a ticket is refused where it would have to wait."""
         if now >= self.credit_valid_until > -inf:
             self.expire_credit(now)
         entry = self.entries.get(key) or self.open_entry(now, key)
@@ -150,12 +145,12 @@
         return entry
 
     def mark_dirty(self, now: float, entry: CreditEntry, within_ms: float) -> None:
-        """Have an entry reported within so many milliseconds, at most with the next report that is due."""
+        """Have an entry reported within this time, or with the next regular report if that is earlier."""
         self.dirty[entry.number] = entry
         self.early_report_at = min(self.early_report_at, now + within_ms)
 
     def spend(self, now: float, entry: CreditEntry, cost: float) -> bool:
-        """Take a cost from credit at hand."""
+        """Take a cost from credit held locally."""
         if now < entry.carried_until and entry.carried >= cost:
             entry.carried -= cost
             return True
@@ -167,9 +162,9 @@
         return True
 
     def spend_fallback(self, now: float, entry: CreditEntry, limit: KeyLimit, cost: float) -> bool:
-        """Take a cost from this proxy's own part of the limit.
+        """Take a cost from this proxy's fallback share of the limit.
 
-        Its bucket begins empty each time that the proxy falls out of touch, and fills from then on.
+        The fallback bucket starts empty each time that the proxy is disconnected.
         """
         share = self.fallback_share if now < self.fallback_share_until else 0.0
         if entry.fallback_level_at < self.fallback_at:
@@ -185,7 +180,7 @@
         return True
 
     def cancel(self, ticket: int) -> None:
-        """A request that waits has gone; its credit stays for the next."""
+        """Remove a pending request; its credit stays for the next one."""
         for entry in self.entries.values():
             for request in entry.pending:
                 if request.ticket == ticket:
@@ -193,10 +188,10 @@
                     self.pending_count -= 1
                     return
 
-    # Credit ends
+    # Expiry of credit
 
     def expire_credit(self, now: float) -> None:
-        """Credit is void once its time is over: entries begin anew, under other numbers."""
+        """Drop credit whose lifetime is over: all entries restart under new numbers."""
         self.credit_valid_until = -inf
         for entry in self.entries.values():
             self.renumber(entry)
@@ -211,7 +206,7 @@
         entry.granted = entry.spent = entry.returned = 0.0
 
     def on_credit_server_changed(self, now: float, term: int) -> None:
-        """Another term: credit of the one before may be spent until its time is over."""
+        """Begin a term; credit of the previous term may be spent until it expires."""
         self.term, self.applied_sequence = term, 0
         self.sent_reports.clear()
         for entry in self.entries.values():
@@ -229,7 +224,7 @@
 
     @property
     def idle_report_interval(self) -> float:
-        """Between two reports of a proxy that has nothing to say."""
+        """Milliseconds between two reports without a pending request."""
         proxies = 1.0 / self.fallback_share if self.fallback_share > 0.0 else spans.DEFAULT_PROXY_COUNT
         return min(
             spans.MAX_REPORT_INTERVAL_MS,
@@ -238,14 +233,14 @@
 
     @property
     def next_report_at(self) -> float:
-        """When the next report is due."""
+        """Time of the next report."""
         due = self.last_report_at + (
             spans.NEED_REPORT_INTERVAL_MS if self.pending_count else self.idle_report_interval
         )
         return max(self.last_report_at + spans.MIN_REPORT_GAP_MS, min(self.early_report_at, due))
 
     def report(self, now: float) -> CreditReport:
-        """What the warden is to hear now."""
+        """Build a report of all changed entries, up to `MAX_REPORT_ITEMS`."""
         if now >= self.fallback_share_until:
             self.fallback_share = 0.0
         span = min(RATE_SMOOTHING_MS, max(1.0, now - self.last_report_at))
@@ -258,7 +253,7 @@
             items.append(self.build_entry_report(now, entry))
             sent.append((entry, entry.number, entry.spent, entry.returned))
         self.sent_reports[self.sequence] = SentReport(now, sent)
-        if not self.was_answered:  # a warden may count on it that this process uses no base for so long
+        if not self.was_answered:  # the credit server may use this share for that long
             self.fallback_at = max(self.fallback_at, now + spans.FALLBACK_DELAY_MS)
         while len(self.sent_reports) > MAX_UNANSWERED_REPORTS:
             del self.sent_reports[next(iter(self.sent_reports))]
@@ -271,15 +266,15 @@
         )
 
     def inherit_fallback_share(self, now: float, share: float, until: float) -> None:
-        """Take up what the process before this one held, at the same address, until the same moment.
+        """Take over the share of the previous incarnation at this address, with the same expiry.
 
-        Only as long as no warden has answered this process: then its word counts.
+        Ignored once a credit server has replied to this process, as that reply is authoritative.
         """
         if not self.was_answered and now < until:
             self.fallback_share, self.fallback_share_until = share, until
 
     def build_final_report(self, now: float, released: bool) -> CreditReport:
-        """The last report of a process that ends: from now on it admits nothing."""
+        """Build the final report of a process that shuts down; from now on it admits nothing."""
         self.sequence += 1
         self.fallback_share, self.fallback_share_until, self.credit_valid_until, self.fallback_at = (
             0.0,
@@ -316,11 +311,11 @@
         )
 
     def prefetch_amount(self, entry: CreditEntry) -> float:
-        """Credit that a proxy would have at hand."""
+        """Credit to hold beyond pending requests."""
         return PREFETCH_REQUESTS * entry.mean_cost + PREFETCH_SPAN_S * entry.rate_per_s
 
     def handle_reply(self, now: float, reply: CreditReply) -> None:
-        """Take the warden's answer."""
+        """Apply a reply of the credit server."""
         report = self.sent_reports.pop(reply.sequence, None)
         if report is None or reply.term != self.term:
             return
@@ -330,9 +325,7 @@
         is_newest, self.was_answered = reply.sequence > self.applied_sequence, True
         if is_newest:
             if self.applied_sequence == 0:
-                self.early_report_at = (
-                    now  # the warden uses this proxy's base once it knows that it was heard
-                )
+                self.early_report_at = now  # the server uses this proxy's share once its reply is confirmed
             self.applied_sequence, self.fallback_at = reply.sequence, now + spans.FALLBACK_DELAY_MS
             self.fallback_share, self.fallback_share_until = (
                 reply.fallback_share,
@@ -352,7 +345,7 @@
                 )
 
     def resolve_pending(self, now: float, entry: CreditEntry, grant: Grant, sequence: int) -> None:
-        """Admit what waits as far as there is credit; refuse what the warden does not grant."""
+        """Admit pending requests as far as there is credit; refuse those that were not granted."""
         while entry.pending and self.spend(now, entry, entry.pending[0].cost):
             self.decide_first(entry, True)
         if not entry.pending or grant.wait_ms <= 0.0:
@@ -372,11 +365,11 @@
     # Time
 
     def next_wakeup(self, has_credit_server: bool) -> float:
-        """When there is something to do."""
+        """Time of the next action."""
         return min(self.next_report_at, self.next_timeout_at) if has_credit_server else self.next_timeout_at
 
     def tick(self, now: float) -> None:
-        """End waits and what has lapsed; `report` is the owner's call."""
+        """Expire credit and pending requests; the owner sends the reports."""
         if now >= self.credit_valid_until > -inf:
             self.expire_credit(now)
         if now >= self.next_timeout_at:
@@ -394,7 +387,7 @@
         return now >= self.fallback_at and self.spend_fallback(now, entry, limit, entry.pending[0].cost)
 
     def cleanup(self, now: float) -> None:
-        """Give back credit that nobody uses, and forget entries that nobody uses."""
+        """Return credit of idle entries, and remove entries that were idle for longer."""
         for entry in list(self.entries.values()):
             idle_ms = now - entry.last_request_at
             if entry.pending or idle_ms < spans.IDLE_CREDIT_TIMEOUT_MS:
--- a/barleybarrow/limits/credit_ledger.py
+++ b/barleybarrow/limits/credit_ledger.py
@@ -1,23 +1,25 @@
-"""The warden's books: one bucket a key, and the credit that each proxy holds of it.
+"""Ledger of the credit server: a token bucket for each key, and the credit granted from it to each proxy.
 
-Why the sum holds in every window, with R, capacity and debt of `barleybarrow.limits.bounds`, and L, the
-fraction of each limit that is lent to the warden. What proxies spend from t1 to t2 is what was granted
-meanwhile less what was returned, plus what was outstanding at t1 less what is at t2. The bucket gains R
-L a second and loses what is granted; no grant takes it below -debt, and bucket + outstanding never rises
-above L times the capacity. So
+Why the bound holds in every window, with R (rate), capacity and debt of `barleybarrow.limits.bounds`, and L,
+the share of each limit that is lent to the credit server: proxies spend from t1 to t2 what was granted in
+that time less what was returned, plus what was outstanding at t1 less what is outstanding at t2. The bucket
+gains R L a second and loses what is granted; no grant takes it below -debt, and bucket + outstanding never
+exceeds L times the capacity. So
 
     spent(t1, t2) <= R integral(L) + (bucket + outstanding)(t1) - (bucket + outstanding)(t2)
                   <= R integral(L) + L(t1) capacity + debt
 
-`outstanding` counts all credit that a proxy may still spend, for it falls only when a proxy says that
-credit is spent or returned, or when its time is over on every clock. What proxies spend without a
-warden comes from R (1 - L) and their fallback buckets (`credit_client`). A new warden knows no buckets:
-each begins at -debt. Where the keepers remember no draining (`floors`), it was at its floor at least, and
-what lacks to that is owed to it; the warden before could have granted as much. What that one had granted
-and may still be spent is not known: until it is over the most that could be, `credit`, counts as
-outstanding wherever a bucket rises, be it by its rate or by what is owed.
+`outstanding` covers all credit that a proxy may still spend: it only falls when a proxy reports credit as
+spent or returned, or when the credit has expired on every clock. Proxies without a credit server spend from
+R (1 - L) and their fallback buckets (`credit_client`).
 
-No I/O; told the time in milliseconds.
+A new credit server knows no bucket levels: each bucket starts at -debt. If the acceptors have not stored the
+key as drained (`floors`), the bucket was at its floor or above, and the difference to the floor is refilled;
+the previous credit server could have granted as much. Credit granted by that server may still be spent, in
+an unknown amount: until it has expired, the largest possible amount (`credit`) counts as outstanding
+whenever a bucket is raised, by its rate or by that refill.
+
+No I/O; times are milliseconds.
 """
 
 from collections.abc import Callable
@@ -30,23 +32,21 @@
 from barleybarrow.limits.lent import LentShare
 from barleybarrow.limits.messages import DrainedKeys, EntryReport, Grant, compact_number
 
-PREFETCH_CREDIT_SHARE = 0.95  # of the credit that may be outstanding, for credit ahead of need
-UNKNOWN_KEY_WAIT_MS = (
-    50.0  # milliseconds until a proxy asks again for a key that the warden does not know yet
-)
-DRAIN_ACK_WAIT_MS = 8.0  # milliseconds until the keepers will remember that a bucket is drained
-REPORT_WAIT_MS = 25.0  # milliseconds until credit of others will have been reported as spent
-REPORT_SOON_CREDIT_SHARE = 0.4  # of the credit that may be outstanding
-CONTENTION_SHARE = 0.5  # of a turn of all proxies that hold the key
-LARGEST_COST_LIFETIME_MS = 8000.0  # milliseconds that the largest request of late is remembered
-MAX_LARGEST_COST_SHARE = 0.6  # of the capacity: a request that is larger waits for no more
+PREFETCH_CREDIT_SHARE = 0.95  # of the credit that may be outstanding
+UNKNOWN_KEY_WAIT_MS = 50.0  # until a proxy asks again for a key that the credit server does not know yet
+DRAIN_ACK_WAIT_MS = 8.0  # until the acceptors will have stored that a bucket is drained
+REPORT_WAIT_MS = 25.0  # until other proxies will have reported spent credit
+REPORT_SOON_CREDIT_SHARE = 0.4  # of the credit that may be outstanding; above it proxies report early
+CONTENTION_SHARE = 0.5  # of a round in which every proxy with the key is granted one request
+LARGEST_COST_LIFETIME_MS = 8000.0
+MAX_LARGEST_COST_SHARE = 0.6  # of the capacity: larger requests do not wait for a higher level
 CLEANUP_BATCH_SIZE = 300  # accounts
-MIN_LENT_SHARE = 0.01  # lent to the warden; with less it tells no meaningful wait
+MIN_LENT_SHARE = 0.01  # with a smaller share lent, the computed wait would be meaningless
 
 
 @dataclass(slots=True)
 class ProxyEntry:
-    """What the warden knows of one proxy's entry."""
+    """Credit of one key at one proxy, as known to the credit server."""
 
     number: int
     granted: float
@@ -61,38 +61,37 @@
 
 @dataclass(slots=True)
 class KeyAccount:
-    """The bucket of one key and what is outstanding of it."""
+    """The bucket of one key and its outstanding credit."""
 
     level: float
-    lent_integral: float  # of the lent fraction, up to which the level counts
+    lent_integral: float  # integral of the lent share at the time of the level
     outstanding: float = 0.0
     pending_refill: float = 0.0  # added to the level as soon as there is room
-    largest_cost: float = 0.0  # the largest request of late
+    largest_cost: float = 0.0  # of the recent requests
     largest_cost_at: float = 0.0
     entries: dict[str, ProxyEntry] = field(default_factory=dict)  # by proxy
-    orphaned_credit: list[tuple[float, float]] = field(
-        default_factory=list
-    )  # credit of entries that went, until
+    # Credit of replaced entries: amount, expiry.
+    orphaned_credit: list[tuple[float, float]] = field(default_factory=list)
 
 
 class CreditLedger:
-    """All accounts of one term. `limit_of` gives the limit of a key, None where there is none."""
+    """All accounts of one term. `limit_of` returns the limit of a key, None if it has none."""
 
     def __init__(self, lent_share: LentShare, limit_of: Callable[[str], KeyLimit | None]) -> None:
         self.lent_share, self.limit_of = lent_share, limit_of
-        self.no_prior_grants = False  # no warden before has granted anything
+        self.no_prior_grants = False  # no earlier term has granted credit
         self.floors = BucketFloors()
-        self.prior_credit_expired = False  # what the warden before had granted is spent or void
+        self.prior_credit_expired = False  # credit of the previous term is spent or has expired
         self.accounts: dict[str, KeyAccount] = {}
-        self.keys_by_proxy: dict[str, set[str]] = {}  # by proxy, where it has or had entries
+        self.keys_by_proxy: dict[str, set[str]] = {}  # keys of current and earlier entries
         self.cleanup_queue: list[str] = []
 
     def initial_level(self, limit: KeyLimit) -> float:
-        """Where a bucket begins with the term."""
+        """Level of a bucket at the start of the term."""
         return limit.capacity if self.no_prior_grants else -limit.debt
 
     def refreshed_account(self, now: float, key: str, limit: KeyLimit) -> KeyAccount:
-        """The account of a key, with its bucket as full as it is now."""
+        """The account of a key, with its bucket refilled up to now."""
         self.lent_share.advance(now)
         account = self.accounts.get(key)
         if account is None:
@@ -106,7 +105,7 @@
         return account
 
     def refill(self, account: KeyAccount, limit: KeyLimit, gained: float) -> None:
-        """Add what the bucket has gained and what it is owed, as far as there is room beside all credit."""
+        """Add the gain and the pending refill, as far as outstanding credit leaves room."""
         max_level = limit.capacity * self.lent_share.value - account.outstanding
         room = max_level if self.no_prior_grants or self.prior_credit_expired else max_level - limit.credit
         raised = max(account.level, min(room, account.level + gained))
@@ -115,12 +114,12 @@
         account.level = min(max_level, raised + refilled)
 
     def set_pending_refill(self, key: str, account: KeyAccount, limit: KeyLimit) -> None:
-        """A bucket that was above its floor when the term began is to be raised to it."""
+        """Have a bucket raised to its floor if it was not below it at the start of the term."""
         if not self.no_prior_grants and not self.floors.was_initially_drained(key):
             account.pending_refill = FLOOR_SHARE * limit.capacity - self.initial_level(limit)
 
     def set_initial_drained(self, drained: DrainedKeys) -> None:
-        """The keepers have told which buckets were drained when the term began."""
+        """Apply the acceptors' stored record of the buckets drained at the start of the term."""
         self.floors.initially_drained = drained
         for key, account in self.accounts.items():
             limit = self.limit_of(key)
@@ -138,9 +137,9 @@
     def handle_entry_report(
         self, now: float, name: str, report: EntryReport, credit_expires_at: float
     ) -> Grant | None:
-        """Book what a proxy reports of one entry, and grant what it needs.
+        """Record a proxy's report of one entry, and grant what it needs.
 
-        `void_at`: when all credit that the proxy has been granted until now is over.
+        `credit_expires_at` is the expiry of all credit granted to the proxy up to now.
         """
         limit = self.limit_of(report.key)
         if limit is None:
@@ -165,7 +164,7 @@
     ) -> ProxyEntry | None:
         entry = account.entries.get(name)
         if entry is not None and report.entry_number < entry.number:
-            return None  # of an entry that the proxy has closed since
+            return None  # the proxy has replaced this entry since
         if entry is None or report.entry_number > entry.number:
             if entry is not None and entry.outstanding > 0.0:
                 account.orphaned_credit.append((entry.outstanding, credit_expires_at))
@@ -181,7 +180,10 @@
         return entry
 
     def track_largest_cost(self, now: float, account: KeyAccount, report: EntryReport) -> None:
-        """Large requests are admitted as often as small ones: all wait for what the largest of late needs."""
+        """Track the largest recent request.
+
+        All requests wait for the level that it needs, so that large ones are admitted as often as small ones.
+        """
         if report.needed <= 0.0:
             return
         if (
@@ -193,7 +195,7 @@
     def min_level_for(
         self, now: float, account: KeyAccount, limit: KeyLimit, entry: ProxyEntry, report: EntryReport
     ) -> float:
-        """The level that the bucket may be taken to; keepers are told where that is too high for the need."""
+        """Lowest level that a grant may leave; requests to mark the key drained if the need goes below."""
         if self.floors.may_drain(report.key):
             return -limit.debt
         min_level = FLOOR_SHARE * limit.capacity - account.pending_refill
@@ -204,7 +206,10 @@
     def grant_needed(
         self, account: KeyAccount, limit: KeyLimit, entry: ProxyEntry, report: EntryReport, min_level: float
     ) -> tuple[float, bool]:
-        """Grant what requests wait for. How long to wait for the rest, and whether for reports of others."""
+        """Grant credit for pending requests.
+
+        Returns the wait for the rest in milliseconds, and whether it awaits reports of other proxies.
+        """
         held = entry.outstanding
         short = report.needed - held
         if short <= 0.0:
@@ -228,7 +233,7 @@
         return self.rate_wait_ms(account, limit, report.first_cost), False
 
     def rate_wait_ms(self, account: KeyAccount, limit: KeyLimit, cost: float) -> float:
-        """Milliseconds until it is worth asking for the rate again."""
+        """Milliseconds until the rate may have refilled enough for this cost."""
         rate = limit.rate * max(MIN_LENT_SHARE, self.lent_share.value)
         missing = max(0.0, cost - limit.debt - account.level, -account.level)
         turn_cost = CONTENTION_SHARE * len(account.entries) * cost
@@ -237,7 +242,7 @@
     def grant_prefetch(
         self, account: KeyAccount, limit: KeyLimit, entry: ProxyEntry, report: EntryReport, min_level: float
     ) -> None:
-        """Grant credit ahead of need, while there is plenty."""
+        """Grant credit ahead of need, while the bucket is above its reserve."""
         held = entry.outstanding
         short = report.prefetch_target - held
         if short <= 0.0 or account.level < limit.reserve:
@@ -255,10 +260,10 @@
         account.outstanding += amount
         entry.granted += amount
 
-    # Proxies that went
+    # Lost proxies and cleanup
 
     def write_off(self, name: str) -> None:
-        """All credit of a proxy is over: it is spent or void."""
+        """Write off all credit of a proxy, as spent or expired."""
         for key in self.keys_by_proxy.pop(name, ()):
             account = self.accounts.get(key)
             entry = account.entries.pop(name, None) if account is not None else None
@@ -266,7 +271,7 @@
                 account.outstanding -= entry.outstanding
 
     def cleanup(self, now: float) -> None:
-        """Forget entries that nobody uses, and accounts that are as good as new; a part of them at a time."""
+        """Remove unused entries and accounts with full buckets, one batch of accounts a call."""
         if not self.cleanup_queue:
             self.cleanup_queue = list(self.accounts)
         for key in self.cleanup_queue[-CLEANUP_BATCH_SIZE:]:
@@ -290,7 +295,7 @@
             self.floors.forget([key])
 
     def update_drained(self, now: float, key: str, account: KeyAccount, limit: KeyLimit) -> None:
-        """Keepers are to know of buckets that are below their floor, and of those that are full again."""
+        """Mark a bucket as drained if it is below its floor, and as refilled if well above it."""
         if account.level >= REFILLED_SHARE * limit.capacity:
             self.floors.mark_refilled(now, key)
         elif account.level + account.pending_refill < FLOOR_SHARE * limit.capacity:
--- a/barleybarrow/limits/floors.py
+++ b/barleybarrow/limits/floors.py
@@ -1,43 +1,40 @@
-"""Which buckets may be below their floor: known to a majority of the keepers before any of them is.
+"""Tracks which buckets may be below their floor; a majority of the acceptors stores it before any of them is.
 
-A new warden knows no buckets. What it does know is that the bucket of a key was at its floor or above,
-unless the keepers remember that it may be drained; so it begins there. The warden of today therefore takes
-a bucket below its floor only once a majority remembers that, and tells them when it is well above again. No
-I/O; told the time in milliseconds.
+A new credit server knows no bucket levels, only that each bucket was at its floor or above, unless the
+acceptors have stored its key as drained; so buckets start at their floors. A credit server may therefore
+take a bucket below its floor only once a majority has stored the key as drained, and reports to them when
+the bucket is well above its floor again. No I/O; times are milliseconds.
 """
 
 from collections.abc import Collection
 
 from barleybarrow.limits.messages import MAX_DRAINED_KEYS, DrainedKeys
 
-FLOOR_SHARE = 0.25  # of the capacity: what is left beside all credit (`CREDIT_SHARE`) at rest is above it
-REFILLED_SHARE = 0.33  # of the capacity: above it a bucket counts as drained no longer
-MIN_DRAINED_MS = 3000.0  # milliseconds that a key stays drained: each change is a write of all keepers
-ALL_DRAINED_LENT_SHARE = (
-    0.5  # of every limit; with less lent to the warden, all buckets may be below their floor
-)
+FLOOR_SHARE = 0.25  # of the capacity: less than what an idle key has left beside all credit (`CREDIT_SHARE`)
+REFILLED_SHARE = 0.33  # of the capacity: above it a bucket is no longer drained
+MIN_DRAINED_MS = 3000.0  # that a key stays drained, as each change is a write on all acceptors
+ALL_DRAINED_LENT_SHARE = 0.5  # with a smaller share lent, all buckets may be below their floor
 
 
 class BucketFloors:
-    """The drained keys of one term, as the warden knows them and as a majority of the keepers does."""
+    """The drained keys of one term, as known to the credit server and as stored by the acceptors."""
 
     def __init__(self) -> None:
-        self.initially_drained = DrainedKeys()  # what the keepers remembered when the term began
+        self.initially_drained = DrainedKeys()  # as stored at the start of the term
         self.all_drained = False
-        self.drained_since: dict[str, float] = {}  # drained keys, from when on
-        self.acked = DrainedKeys(False)  # remembered by a majority
-        self.proposed: DrainedKeys | None = None  # on its way to the keepers
-        self.has_changes = False  # there is something that the keepers are to remember
-        self.drains_unchecked = (
-            False  # the keepers could not say what was drained: in this term, all buckets count
-        )
+        self.drained_since: dict[str, float] = {}
+        self.acked = DrainedKeys(False)  # stored by a majority
+        self.proposed: DrainedKeys | None = None  # sent to the acceptors
+        self.has_changes = False  # to be proposed
+        # The acceptors could not say which keys were drained: all count as drained in this term.
+        self.drains_unchecked = False
 
     def was_initially_drained(self, key: str) -> bool:
-        """Whether the bucket of a key may have been below its floor when the term began."""
+        """Whether the bucket of a key may have been below its floor at the start of the term."""
         return self.initially_drained.all_keys or key in self.initially_drained.keys
 
     def may_drain(self, key: str) -> bool:
-        """Whether this key's bucket may be taken below its floor now."""
+        """Whether the bucket of a key may be taken below its floor now."""
         if self.drains_unchecked:
             return True
         if key not in self.drained_since and not self.all_drained:
@@ -45,37 +42,37 @@
         return self.acked.all_keys or key in self.acked.keys
 
     def mark_drained(self, now: float, key: str) -> None:
-        """The bucket of a key is needed below its floor, or is there already."""
+        """Mark a key whose bucket is needed below its floor, or is there already."""
         if key not in self.drained_since:
             self.drained_since[key] = now
             self.has_changes = True
 
     def mark_refilled(self, now: float, key: str) -> None:
-        """The bucket of a key is well above its floor."""
+        """Unmark a key whose bucket is well above its floor, after `MIN_DRAINED_MS`."""
         if key in self.drained_since and now - self.drained_since[key] >= MIN_DRAINED_MS:
             del self.drained_since[key]
             self.has_changes = True
 
     def forget(self, keys: Collection[str]) -> None:
-        """These keys have full buckets, and nobody uses them."""
+        """Unmark unused keys with full buckets."""
         for key in keys:
             if self.drained_since.pop(key, None) is not None:
                 self.has_changes = True
 
     def set_lent_share(self, share: float) -> None:
-        """This fraction of every limit is lent to the warden."""
+        """Set the share of every limit that is lent to the credit server."""
         if (share < ALL_DRAINED_LENT_SHARE) != self.all_drained:
             self.all_drained = not self.all_drained
             self.has_changes = True
 
     def propose(self) -> DrainedKeys:
-        """What keepers are to remember from now on."""
+        """The drained keys that the acceptors are to store from now on."""
         self.has_changes = False
         all_keys = self.all_drained or self.drains_unchecked or len(self.drained_since) > MAX_DRAINED_KEYS
         self.proposed = DrainedKeys(True) if all_keys else DrainedKeys(False, sorted(self.drained_since))
         return self.proposed
 
     def confirm(self) -> None:
-        """A majority of the keepers remembers what was pending."""
+        """Record that a majority of the acceptors has stored the proposed keys."""
         if self.proposed is not None:
             self.acked, self.proposed = self.proposed, None
--- a/barleybarrow/limits/limits.py
+++ b/barleybarrow/limits/limits.py
@@ -1,9 +1,9 @@
 """The limits of one process: API keys, quotas and retry budgets that hold over all proxies together.
 
-Proxies call `authenticate`, `decide` (or `admit`), `requested` and `may_repeat`; control processes only
-keep the books (`asks=False`). A machine without I/O, told the time in milliseconds: its driver carries
-`outbox()` to the other processes and theirs to `receive`, calls `tick` when it is due, and hands
-`verdicts()` to requests that wait.
+Proxies authenticate and admit requests, count them and ask for retries; control processes only serve as
+acceptors and credit server. A state machine without I/O; times are monotonic milliseconds. Its driver sends
+the messages of `outbox()`, passes those of other processes to `receive`, calls `tick` when it is due, and
+hands decisions to pending requests.
 """
 
 from random import Random
@@ -22,21 +22,20 @@
 from barleybarrow.limits.retries import RetryBudget
 from barleybarrow.limits.tenants import TenantTable
 
-QUOTA_PREFIX, TOKENS_PREFIX = "quota:", "tokens:"  # two, as credit of one unit must not be spent in the other
+QUOTA_PREFIX, TOKENS_PREFIX = "quota:", "tokens:"  # credit of one unit must not be spent in the other
 RETRY_PREFIX = "retry:"
 RETRY_COST = 1.0
-MIN_RETRY_AFTER_MS, MAX_RETRY_AFTER_MS = 350.0, 5000.0  # milliseconds that a refused client is told to wait
-RETRY_AFTER_JITTER = (
-    1.0  # at most so much of that wait more, by chance: clients refused together come back apart
-)
+MIN_RETRY_AFTER_MS, MAX_RETRY_AFTER_MS = 350.0, 5000.0
+RETRY_AFTER_JITTER = 1.0  # at most this multiple is added at random, to spread clients refused together
 
 __all__ = ["Limits", "Verdict"]
 
 
 class Limits:
-    """Decides on each request: who sent it, and whether quota and retry budget allow it.
+    """Authenticates requests, and admits them by quota and retry budget.
 
-    `asks`: this is a proxy. `fresh`: this is the first start of the whole system (the setting Bootstrap).
+    The last two parameters say whether this process is a proxy, and whether this is the first start of the
+    whole system (the setting Bootstrap).
     """
 
     def __init__(
@@ -59,7 +58,7 @@
         self.counts = {"admitted": 0, "refused": 0, "waited": 0, "repeats_refused": 0}
 
     def configure(self, now: float, tenants: list[Tenant], services: list[Service]) -> None:
-        """Take the tenants and services of a new configuration; it holds from this call on."""
+        """Apply the tenants and services of a new configuration at once."""
         self.machine.on_limits_known(now)
         for name in self.tenants.replace(tenants):
             self.update_quota(name)
@@ -85,14 +84,14 @@
     # Requests
 
     def authenticate(self, key: str | None) -> Tenant | None:
-        """The tenant that holds the key; None for a key that nobody holds."""
+        """The tenant of an API key; None for an unknown key."""
         return self.tenants.authenticate(key)
 
     def decide(self, now: float, tenant: Tenant, cost: float, ticket: int | None) -> Verdict:
         """Take the cost of a request from its tenant's quota.
 
-        PENDING: the verdict comes by `verdicts()` under this ticket, within `spans.PATIENCE` and a tick.
-        Without a ticket a request does not wait.
+        PENDING: `verdicts()` returns the decision under this ticket within `spans.CREDIT_WAIT_TIMEOUT_MS`
+        and one tick. A request without a ticket does not wait.
         """
         key = self.quota_keys.get(tenant.name)
         if key is None or self.client is None:
@@ -105,16 +104,16 @@
         return verdict
 
     def admit(self, now: float, tenant: Tenant, cost: float) -> bool:
-        """As `decide`, at once: False also where the warden would have to be asked."""
+        """Decide at once; False also where the credit server would have to be asked."""
         return self.decide(now, tenant, cost, None) is Verdict.ADMITTED
 
     def cancel(self, ticket: int) -> None:
-        """The client of a request that waits has left."""
+        """Cancel a pending request whose client has disconnected."""
         if self.client is not None:
             self.client.cancel(ticket)
 
     def verdicts(self) -> list[tuple[int, bool]]:
-        """Tickets whose wait is over since the last call, and whether they are admitted."""
+        """Tickets decided since the last call, and whether they are admitted."""
         if self.client is None or not self.client.decisions:
             return []
         decisions, self.client.decisions = self.client.decisions, []
@@ -123,7 +122,7 @@
         return decisions
 
     def retry_after_ms(self, tenant: Tenant, cost: float) -> float:
-        """How long the client of a refused request had best wait, in milliseconds."""
+        """Delay in milliseconds after which the client of a refused request should retry."""
         key = self.quota_keys.get(tenant.name)
         refill_ms = 1000.0 * cost / self.limits[key].rate if key is not None else 0.0
         spread = 1.0 + RETRY_AFTER_JITTER * self.machine.rng.random()
@@ -134,7 +133,7 @@
         self.retries.record_request(now, service)
 
     def may_repeat(self, now: float, service: str) -> bool:
-        """Take one arrival beyond a request's first from the retry budget; False where it is used up."""
+        """Take one retry (an arrival beyond a request's first) from the budget; False if it is used up."""
         if self.retries.try_take(now, service):
             return True
         key = RETRY_PREFIX + service
@@ -145,48 +144,48 @@
         self.counts["repeats_refused"] += 1
         return False
 
-    # The machine that shares the limits between processes
+    # Sharing of the limits between processes
 
     @property
     def is_connected(self) -> bool:
-        """Whether a warden has answered this proxy lately; one that starts had best wait for it."""
+        """Whether the credit server of this term has replied; a starting proxy should wait for it."""
         return self.client is not None and self.client.applied_sequence > 0
 
     def keepers_changed(self, now: float, acceptors: list[str]) -> None:
-        """Take another set of keepers: the voters of the configuration shard."""
+        """Replace the set of acceptors: the voters of the configuration shard."""
         self.machine.set_acceptors(now, acceptors)
 
     def links_changed(self, now: float, reachable: list[str]) -> None:
-        """Say which processes can be reached now."""
+        """Set the processes that can be reached now."""
         self.machine.set_reachable(now, reachable)
 
     def resign(self, now: float, released: bool = False) -> None:
-        """Planned end: another warden may follow at once; a proxy admits nothing any more.
+        """Planned shutdown: another credit server may follow at once; a proxy admits nothing any more.
 
-        `released`: no peer remembers this proxy's base (`PredecessorBases`).
+        `released`: no peer remembers this proxy's share (`predecessors`).
         """
         self.machine.resign(now, released)
 
     def base(self, now: float) -> tuple[float, float]:
-        """The part of each limit that this proxy may use out of touch, and for how many milliseconds."""
+        """The share of each limit that this proxy may use while disconnected, and its lifetime in ms."""
         if self.client is None or now >= self.client.fallback_share_until:
             return 0.0, 0.0
         return self.client.fallback_share, self.client.fallback_share_until - now
 
     def inherit(self, now: float, share: float, until: float) -> None:
-        """Take up the base of the process before this one, where no warden has answered yet."""
+        """Inherit the share of the previous incarnation, unless a credit server has replied already."""
         if self.client is not None:
             self.client.inherit_fallback_share(now, share, until)
 
     @property
     def may_inherit(self) -> bool:
-        """Whether no warden has answered this process."""
+        """Whether no credit server has replied to this process."""
         return self.client is not None and not self.client.was_answered
 
-    # What a keeper with a disk stores
+    # Storage of an acceptor
 
     def restore(self, now: float, stored: bytes | None) -> None:
-        """Before the start: from now on what is kept is stored, and this was last; None: there is nothing."""
+        """Enable storage and restore the state stored last, if any; called before the start."""
         self.machine.durable = True
         if stored is not None:
             try:
@@ -195,28 +194,28 @@
                 return
 
     def to_store(self) -> tuple[int, bytes] | None:
-        """What waits to be stored, and its revision; `stored` is called when it is synced."""
+        """The revision and state to be stored, if any; the caller confirms it once it is synced."""
         machine = self.machine
         if not machine.durable or machine.stored_revision >= machine.revision:
             return None
         return machine.revision, encode_acceptor_state(machine.acceptor_state)
 
     def stored(self, now: float, revision: int) -> None:
-        """A revision is stored and synced."""
+        """Confirm that a revision is stored and synced."""
         self.machine.on_stored(now, revision)
 
     # Time and messages
 
     def tick(self, now: float) -> None:
-        """Do what is due."""
+        """Run the actions that are due."""
         self.machine.tick(now)
 
     def next_wakeup(self) -> float:
-        """When `tick` is to be called next."""
+        """Time at which `tick` is to be called next."""
         return self.machine.next_wakeup()
 
     def receive(self, now: float, sender: str, payload: bytes) -> None:
-        """Take a message of another process; one that can't be read is dropped."""
+        """Handle a message of another process; one that can't be decoded is dropped."""
         try:
             message = decode(payload)
         except MessageError:
@@ -224,7 +223,7 @@
         self.machine.receive(now, sender, message)
 
     def outbox(self) -> list[tuple[str, bytes]]:
-        """Messages to send, by address of the receiver; each is handed out once."""
+        """Take the messages to send, each with the address of its receiver."""
         if not self.machine.out:
             return []
         messages, self.machine.out = self.machine.out, []
--- a/barleybarrow/limits/members.py
+++ b/barleybarrow/limits/members.py
@@ -1,10 +1,11 @@
-"""The proxies that a warden knows, and the base of each: a fixed part of every limit; they add up to one.
-
-A base is only raised once a majority of the keepers remembers the new roster, so that the next warden knows
-the most that anybody may hold, also of those it can't reach. It is lowered by telling the proxy; what is
-freed counts only when the proxy has said that it heard. A base belongs to a name for its whole life: a
-proxy that starts anew out of touch may take up what the process before it held (`predecessors`), so that a
-part which was held within that time stays reserved for its name. No I/O; told the time in milliseconds.
+"""The proxies known to the credit server, and the fallback share of each; all shares add up to at most one.
+
+A share is only raised once a majority of the acceptors has stored the new roster, so that the next credit
+server knows an upper bound of every share, including those of unreachable proxies. A share is lowered by
+sending the lower value; the difference is free only once the proxy has applied it. A share belongs to a name
+for its whole lifetime: a proxy that restarts while disconnected may inherit the share of its previous
+incarnation (`predecessors`), so a share held within that time stays reserved for the name. No I/O; times are
+milliseconds.
 """
 
 from dataclasses import dataclass, field
@@ -14,14 +15,14 @@
 from barleybarrow.limits.messages import CreditReport, RosterEntry
 from barleybarrow.limits.warden_lease import DRIFT
 
-MAX_UNAPPLIED_REPLIES = 64  # answers that a proxy may still apply; it keeps as many questions
-MIN_SHARE_CHANGE = 0.02  # of a base: a smaller change is not worth a new roster
+MAX_UNAPPLIED_REPLIES = 64  # a proxy keeps as many unanswered reports
+MIN_SHARE_CHANGE = 0.02  # of a share: a smaller change is not worth a new roster
 ROUNDING_TOLERANCE = 1e-9
 
 
 @dataclass(slots=True)
 class SentShare:
-    """One answer to a proxy."""
+    """The share sent in one reply to a proxy."""
 
     sent_at: float
     fallback_share: float
@@ -29,25 +30,25 @@
 
 @dataclass(slots=True)
 class Member:
-    """One proxy."""
+    """A proxy and the shares that it may hold."""
 
     incarnation: int
-    last_reply_at: float  # when it was answered last; nothing that it holds counts from later
-    held_share: float = 0.0  # the most that its base may be
-    predecessor_share: float = 0.0  # the most that a process of this name held within the life of a base
+    last_reply_at: float  # credit and share held by the proxy were sent no later
+    held_share: float = 0.0  # upper bound of its fallback share
+    predecessor_share: float = 0.0  # upper bound of shares held under this name that may not have expired yet
     predecessor_share_until: float = 0.0
-    has_left: bool = False  # it has ended in order; what it held may be taken up by the next of its name
-    reported_share: float = 0.0  # as it said itself
+    has_left: bool = False  # shut down as planned; its next incarnation may inherit its share
+    reported_share: float = 0.0
     sequence: int = 0
     applied_sequence: int = 0
     last_report_at: float = 0.0
     sent_replies: dict[int, SentShare] = field(default_factory=dict)
-    retired_incarnations: set[int] = field(default_factory=set)  # earlier runs: their reports come too late
+    retired_incarnations: set[int] = field(default_factory=set)  # late reports of these are ignored
     written_off: bool = False
 
     @property
     def reserved_share(self) -> float:
-        """The part of each limit that no other name may be given."""
+        """The share of each limit that no other name may be given."""
         return max(self.held_share, self.predecessor_share)
 
 
@@ -56,34 +57,31 @@
 
     def __init__(self, now: float, lent_share: LentShare, share_lifetime: float) -> None:
         self.lent_share, self.share_lifetime = lent_share, share_lifetime
-        # Nobody unknown holds a base from then on: one lasts longer only while all keepers know the roster.
+        # By then unknown proxies hold no share; it lives longer only if all acceptors have stored the roster.
         self.complete_at = now + spans.SHARE_LIFETIME_MS * DRIFT
         self.members: dict[str, Member] = {}
-        self.reserved_total = 0.0  # reserved for all together
-        self.departed: dict[str, int] = {}  # runs that have said that they end
-        self.planned_shares: dict[str, float] = {}  # bases that may be told
-        self.may_raise = False  # whether a base may be raised to what is planned
-        self.prior_credit_expires_at = (
-            now + spans.CREDIT_LIFETIME_MS * DRIFT
-        )  # then no credit of the term before is left
-        self.prior_credit_holders: set[str] | None = (
-            None  # proxies that may hold such credit; None: not known
-        )
+        self.reserved_total = 0.0
+        self.departed: dict[str, int] = {}  # incarnations that have sent a final report, by name
+        self.planned_shares: dict[str, float] = {}
+        self.may_raise = False  # whether a share may be raised to its planned value
+        # Expiry of the credit of the previous term, and proxies that may hold such credit (None: not known).
+        self.prior_credit_expires_at = now + spans.CREDIT_LIFETIME_MS * DRIFT
+        self.prior_credit_holders: set[str] | None = None
 
     def is_complete(self, now: float) -> bool:
-        """Whether everybody who may hold a base is a member."""
+        """Whether every proxy that may hold a share is a member."""
         return now >= self.complete_at
 
     def prior_credit_expired(self, now: float) -> bool:
-        """Whether all credit of the term before is spent or void: its time is over, or its holders ended.
+        """Whether no credit of the previous term is left: it has expired, or all its holders have ended.
 
-        A proxy that joined within the last moments of that term is not in the roster; the margin of the
-        bounds covers the little that it may hold.
+        A proxy that joined in the last moments of that term is not in the roster; the margin of the bounds
+        covers the little credit that it may hold.
         """
         return now >= self.prior_credit_expires_at or self.prior_credit_holders == set()
 
     def adopt_roster(self, now: float, entries: list[RosterEntry]) -> None:
-        """Take what a majority of the keepers remembers; it is complete."""
+        """Adopt the roster stored by a majority of the acceptors, which is complete."""
         self.prior_credit_holders = {entry.name for entry in entries if not self.has_restarted(entry)}
         for entry in entries:
             member = self.members.get(entry.name)
@@ -104,12 +102,12 @@
         return member is not None and member.incarnation != entry.incarnation
 
     def remove_prior_holder(self, name: str) -> None:
-        """The process of this name that the term before knew has ended."""
+        """The incarnation of this name that was known to the previous term has ended."""
         if self.prior_credit_holders is not None:
             self.prior_credit_holders.discard(name)
 
     def set_held_share(self, member: Member, share: float, now: float | None = None) -> None:
-        """The most that this process may hold. What it held before stays reserved where `now` is given."""
+        """Set the bound of a member's share; with `now`, a higher earlier bound stays reserved for a time."""
         before = member.reserved_share
         if now is not None and share < member.held_share:
             member.predecessor_share = before
@@ -118,7 +116,7 @@
         self.reserved_total += member.reserved_share - before
 
     def reserve_predecessor_share(self, member: Member, share: float, until: float) -> None:
-        """Processes of this name may hold so much until then."""
+        """Reserve a share that earlier incarnations of this name may hold until this time."""
         before = member.reserved_share
         member.predecessor_share, member.predecessor_share_until = (
             max(member.predecessor_share, share),
@@ -134,14 +132,14 @@
     # Reports
 
     def handle_report(self, now: float, name: str, report: CreditReport) -> tuple[Member, bool] | None:
-        """Book a report; the member and whether it is another run than before. None: it comes too late."""
+        """Record a report; returns the member, and whether it has restarted. None for an outdated report."""
         if self.departed.get(name) == report.incarnation:
             return None
         member = self.members.get(name)
-        new_run = member is not None and member.incarnation != report.incarnation
+        restarted = member is not None and member.incarnation != report.incarnation
         if member is None:
             member = self.members[name] = Member(report.incarnation, now, held_share=0.0)
-        elif new_run:
+        elif restarted:
             if report.incarnation in member.retired_incarnations:
                 return None
             member = self.replace_incarnation(now, name, member, report.incarnation)
@@ -154,12 +152,12 @@
         )
         member.written_off = False
         self.handle_applied_reply(now, name, member, report)
-        return member, new_run
+        return member, restarted
 
     def handle_departure(self, now: float, name: str, incarnation: int, released: bool) -> bool:
-        """A process ends and uses nothing more; whether it was a member.
+        """Handle the final report of a process; returns whether it was a member.
 
-        `released`: no peer remembers what it held, so the next process of its name can't take it up.
+        `released`: no peer remembers its share, so its next incarnation can't inherit it.
         """
         member = self.members.get(name)
         if member is None or member.incarnation != incarnation:
@@ -178,7 +176,7 @@
         return True
 
     def replace_incarnation(self, now: float, name: str, old: Member, incarnation: int) -> Member:
-        """The process before has ended; what it held may have been taken up by one of its name."""
+        """Replace a member by its new incarnation, which may have inherited the old one's share."""
         self.remove_prior_holder(name)
         self.lent_share.end_loan(now, name)
         self.reserved_total -= old.reserved_share
@@ -192,7 +190,7 @@
         return member
 
     def handle_applied_reply(self, now: float, name: str, member: Member, report: CreditReport) -> None:
-        """It has applied an answer: what it was told before counts no longer."""
+        """Note the newest reply that a proxy has applied: shares sent before it are obsolete."""
         reply = member.sent_replies.get(report.applied_sequence)
         if reply is not None and report.applied_sequence >= member.applied_sequence:
             member.applied_sequence = report.applied_sequence
@@ -212,19 +210,19 @@
         self.update_unassigned(now)
 
     def share_for(self, member: Member, name: str) -> float:
-        """What a proxy is to be told."""
+        """The share to send to a proxy."""
         planned = self.planned_shares.get(name, 0.0 if self.planned_shares else member.reported_share)
         return planned if self.may_raise else min(planned, member.reserved_share)
 
     def assign_share(self, now: float, name: str, member: Member, sequence: int) -> float:
-        """The base that goes with the answer to this report."""
+        """Choose the share sent in reply to the report of this sequence number, and record it."""
         share = self.share_for(member, name)
         member.sent_replies[sequence] = SentShare(now, share)
         member.last_reply_at = now
         while len(member.sent_replies) > MAX_UNAPPLIED_REPLIES:
             del member.sent_replies[next(iter(member.sent_replies))]
         if share > member.held_share:
-            # It has no base to use until it has been without an answer for FALL, unless it may take one up.
+            # The proxy uses no share until FALLBACK_DELAY_MS after a reply, unless it may inherit one.
             unused = member.held_share <= 0.0 and member.predecessor_share <= 0.0
             self.set_held_share(member, share)
             if unused:
@@ -235,7 +233,7 @@
     # Time
 
     def take_expired(self, now: float) -> list[str]:
-        """Proxies whose credit is over because they were not answered for so long; each is named once."""
+        """Proxies whose credit has expired since their last reply; each is returned once."""
         expired = []
         for name, member in self.members.items():
             if not member.written_off and now > member.last_reply_at + spans.CREDIT_LIFETIME_MS * DRIFT:
@@ -244,7 +242,7 @@
         return expired
 
     def remove_expired(self, now: float) -> None:
-        """A base is void after its life; so is what is known of its holder."""
+        """Remove members whose shares have expired."""
         for name, member in list(self.members.items()):
             if member.predecessor_share and now >= member.predecessor_share_until:
                 self.expire_predecessor_share(now, name, member)
@@ -256,7 +254,7 @@
         self.update_unassigned(now)
 
     def expire_predecessor_share(self, now: float, name: str, member: Member) -> None:
-        """What earlier processes of this name held is void: the name lends only what is held now."""
+        """Drop the expired share of earlier incarnations: the name now lends only its current share."""
         before, member.predecessor_share = member.reserved_share, 0.0
         self.reserved_total += member.reserved_share - before
         loan = self.lent_share.loans.get(name)
@@ -266,7 +264,7 @@
     # Plans
 
     def plan(self, now: float) -> dict[str, float] | None:
-        """Even bases, as far as others have given up theirs; None where nothing is to change."""
+        """Even shares, as far as other proxies have given up theirs; None for no change."""
         if not self.is_complete(now) or not self.members:
             return None
         remaining = {name: member for name, member in self.members.items() if not member.has_left}
@@ -288,11 +286,11 @@
         if plan.keys() != self.planned_shares.keys():
             return True
         return any(
-            abs(base - self.planned_shares[name]) > MIN_SHARE_CHANGE * base for name, base in plan.items()
+            abs(share - self.planned_shares[name]) > MIN_SHARE_CHANGE * share for name, share in plan.items()
         )
 
     def roster(self, plan: dict[str, float]) -> list[RosterEntry]:
-        """The most that each may hold while this plan is carried out."""
+        """Upper bounds of all shares while this plan is carried out."""
         return [
             RosterEntry(name, member.incarnation, min(1.0, max(member.reserved_share, plan.get(name, 0.0))))
             for name, member in self.members.items()
--- a/barleybarrow/limits/messages.py
+++ b/barleybarrow/limits/messages.py
@@ -1,7 +1,7 @@
-"""What processes say to each other about limits: typed messages and their encoding (msgpack arrays).
+"""Typed messages of the shared limits and their encoding (msgpack arrays).
 
-Amounts are totals since an entry was opened, never differences: a message that is lost, late or doubled
-does no harm. Pure; a message that can't be read raises `MessageError`.
+Amounts are totals since an entry was opened, never differences, so lost, late or duplicated messages do no
+harm. Pure; a message that can't be decoded raises `MessageError`.
 """
 
 from typing import Annotated
@@ -12,11 +12,11 @@
 from barleybarrow.limits.spans import SHARE_LIFETIME_MS
 from barleybarrow.limits.warden_lease import Here, Promise, Seek, Token
 
-MAX_REPORT_ITEMS = 200  # entries in one report; the others go with the next
+MAX_REPORT_ITEMS = 200  # the rest follows in the next report
 MAX_MEMBERS = 4096
 MAX_ACCEPTORS = 64
-MAX_DRAINED_KEYS = 1000  # keys; where more are, all count
-MAX_SHARE_LIFETIME_MS = 600_000.0  # milliseconds
+MAX_DRAINED_KEYS = 1000  # with more, all keys count as drained
+MAX_SHARE_LIFETIME_MS = 600_000.0
 
 Key = Annotated[str, Meta(max_length=200)]
 Amount = Annotated[float, Meta(ge=0.0, le=1e15)]
@@ -24,54 +24,53 @@
 
 
 class EntryReport(Struct, array_like=True, frozen=True):
-    """What a proxy has done with one entry, and what it would have."""
+    """A proxy's use of one entry, and the credit that it asks for."""
 
     key: Key
-    entry_number: Token  # number of the entry; numbers of one process rise
+    entry_number: Token  # grows within an incarnation
     spent: Amount
     returned: Amount
-    needed: Amount  # credit that requests wait for, what is held included
-    first_cost: Amount  # the cost of the first of them; where none waits, of a usual request
-    prefetch_target: Amount  # credit that it would hold beside
+    needed: Amount  # cost of all pending requests, including credit already held
+    first_cost: Amount  # cost of the first pending request; of a mean request if none is pending
+    prefetch_target: Amount  # credit to hold in total, beyond pending requests
 
 
 class CreditReport(Struct, array_like=True, frozen=True, tag=6):
-    """A proxy's report to the warden; it also asks to stay in touch."""
+    """A proxy's report to the credit server; also its keep-alive."""
 
     incarnation: Token
     term: Token
-    number: Token  # rises by one with each report of a process
-    applied_sequence: Token  # number of the newest report whose answer has come in this term; 0: none
-    fallback_share: Fraction  # part of each limit that it uses when it is out of touch
+    number: Token  # grows by one with each report of an incarnation
+    applied_sequence: Token  # newest report that was replied to in this term; 0: none
+    fallback_share: Fraction  # share of each limit that it uses while disconnected
     items: Annotated[list[EntryReport], Meta(max_length=MAX_REPORT_ITEMS)]
-    leaving: bool = False  # its last report: it uses neither credit nor base any more
-    released: bool = False  # and no peer remembers its base for the next process of its name
+    leaving: bool = False  # final report: the proxy uses neither credit nor fallback share any more
+    released: bool = False  # and no peer remembers its share for the next incarnation of its name
 
 
 class Grant(Struct, array_like=True, frozen=True):
-    """The warden's word on one entry."""
+    """The credit server's reply on one entry."""
 
     entry_number: Token
     granted: Amount  # in total
-    wait_ms: Amount = 0.0  # above 0: what is needed was not granted; worth asking again after so long
-    awaiting_reports: bool = False  # it waits for reports of what others have spent, not for the rate
-    report_soon: bool = False  # much is outstanding: report soon what is spent
+    wait_ms: Amount = 0.0  # above 0: the need was not granted; ask again after this time
+    awaiting_reports: bool = False  # waits for reports of credit that others have spent, not for the rate
+    report_soon: bool = False  # much credit is outstanding: report spent credit early
 
 
 class CreditReply(Struct, array_like=True, frozen=True, tag=7):
-    """The warden's answer to the report of this number."""
+    """The credit server's reply to the report of this sequence number."""
 
     term: Token
     sequence: Token
     fallback_share: Fraction
     grants: Annotated[list[Grant], Meta(max_length=MAX_REPORT_ITEMS)]
-    share_lifetime_ms: Annotated[float, Meta(gt=0.0, le=MAX_SHARE_LIFETIME_MS)] = (
-        SHARE_LIFETIME_MS  # milliseconds from the question on
-    )
+    # Counts from the moment at which the report was sent.
+    share_lifetime_ms: Annotated[float, Meta(gt=0.0, le=MAX_SHARE_LIFETIME_MS)] = SHARE_LIFETIME_MS
 
 
 class RosterEntry(Struct, array_like=True, frozen=True):
-    """The most that one proxy may hold as its base."""
+    """The largest fallback share that one proxy may hold."""
 
     name: Key
     incarnation: Token
@@ -79,36 +78,40 @@
 
 
 class DrainedKeys(Struct, array_like=True, frozen=True):
-    """Keys whose bucket may be below its floor; those of all others are above it."""
+    """Keys whose bucket may be below its floor; all other buckets are at their floor or above."""
 
     all_keys: bool = True
     keys: Annotated[list[Key], Meta(max_length=MAX_DRAINED_KEYS)] = []
 
 
 class RosterUpdate(Struct, array_like=True, frozen=True, tag=8):
-    """The warden has keepers remember who may hold how much; the greater version holds."""
+    """Has an acceptor store the share that each proxy may hold; the highest version is valid."""
 
     version: Token
     entries: Annotated[list[RosterEntry], Meta(max_length=MAX_MEMBERS)]
     drained: DrainedKeys = DrainedKeys()
-    term: Token = 0  # of the warden
+    term: Token = 0  # of the credit server
 
 
 class RosterAck(Struct, array_like=True, frozen=True, tag=9):
-    """A keeper remembers this version. Two wardens of one name may give one number to different rosters."""
+    """An acceptor has stored this version.
+
+    The term is needed because two successive credit servers of one name may use one version for different
+    rosters.
+    """
 
     version: Token
-    term: Token = 0  # of the warden that told it
+    term: Token = 0  # of the credit server that sent the roster
 
 
 class RosterRequest(Struct, array_like=True, frozen=True, tag=10):
-    """A new warden asks a keeper for what it remembers."""
+    """A new credit server requests an acceptor's stored roster."""
 
     term: Token
 
 
 class RosterReply(Struct, array_like=True, frozen=True, tag=11):
-    """What a keeper remembers; `known` is False where it may have forgotten a version that it had taken."""
+    """An acceptor's stored roster; `known` is False if it may have lost a version that it had accepted."""
 
     term: Token
     known: bool
@@ -118,13 +121,13 @@
 
 
 class AcceptorState(Struct, array_like=True, frozen=True):
-    """What a keeper remembers. Not known: it may have forgotten what it had taken."""
+    """State that an acceptor stores; `known` is False if it may have lost a version that it had accepted."""
 
     known: bool
     version: Token
     entries: Annotated[list[RosterEntry], Meta(max_length=MAX_MEMBERS)]
-    promised_to: Key = ""  # the last seeker that this keeper promised itself to
-    acceptors: Annotated[list[Key], Meta(max_length=MAX_ACCEPTORS)] = []  # all keepers at that time
+    promised_to: Key = ""  # candidate of the newest promise
+    acceptors: Annotated[list[Key], Meta(max_length=MAX_ACCEPTORS)] = []  # at the time of that promise
     drained: DrainedKeys = DrainedKeys()
 
 
@@ -142,7 +145,7 @@
 
 
 class MessageError(ValueError):
-    """Bytes that are no message of this machine."""
+    """Bytes that are no valid message of the shared limits."""
 
 
 _encoder = msgspec.msgpack.Encoder()
@@ -151,12 +154,12 @@
 
 
 def encode(message: Message) -> bytes:
-    """The bytes of a message."""
+    """Encode a message."""
     return _encoder.encode(message)
 
 
 def decode(payload: bytes) -> Message:
-    """The message of some bytes. Raises MessageError."""
+    """Decode a message. Raises MessageError."""
     try:
         return _decoder.decode(payload)
     except msgspec.MsgspecError as error:
@@ -164,12 +167,12 @@
 
 
 def encode_acceptor_state(state: AcceptorState) -> bytes:
-    """The bytes of a roster that are stored."""
+    """Encode an acceptor's state for storage."""
     return _encoder.encode(state)
 
 
 def decode_acceptor_state(stored: bytes) -> AcceptorState:
-    """The roster of stored bytes. Raises MessageError."""
+    """Decode an acceptor's stored state. Raises MessageError."""
     try:
         return _acceptor_state_decoder.decode(stored)
     except msgspec.MsgspecError as error:
@@ -177,5 +180,5 @@
 
 
 def compact_number(amount: float) -> float:
-    """The same amount, as an integer where it is one: that takes fewer bytes."""
+    """The amount as an integer where it is one, which takes fewer bytes in msgpack."""
     return int(amount) if amount == int(amount) else amount
--- a/barleybarrow/limits/predecessors.py
+++ b/barleybarrow/limits/predecessors.py
@@ -1,10 +1,10 @@
-"""What a proxy's peers remember of its base, so that its next life can use it while no warden can be.
+"""Peers remember a proxy's fallback share, so that its next incarnation can use it without a credit server.
 
-A base belongs to a name (an address) until its time is over. The process that runs at the address next may
-use it for the rest of that time, as the one before has ended. Proxies ping each other: an answer tells what
-the answering one holds, and what it remembers of the asking one. Times count from the question, on the asking
-side's clock, so that a late answer only shortens them. The warden keeps what a name held reserved for it for
-as long (`members`). No I/O; told the time in milliseconds.
+A share belongs to a name (an address) until it expires. The next process at that address may use it for the
+rest of its lifetime, as the previous one has ended. Proxies ping each other: a ping's reply holds the share
+of the replying proxy, and the share that it remembers of the pinging one. Lifetimes count from the sending
+of the ping, on the sender's clock, so a late reply only shortens them. The credit server reserves the share
+for the name for as long (`members`). No I/O; times are milliseconds.
 """
 
 from dataclasses import dataclass
@@ -12,12 +12,12 @@
 from barleybarrow.limits.spans import STORED_SHARE_LIFETIME_MS
 from barleybarrow.limits.warden_lease import DRIFT
 
-MAX_REMEMBERED_PEERS = 512  # peers; each is pinged by a few
+MAX_REMEMBERED_PEERS = 512  # each peer is pinged by a few proxies only
 
 
 @dataclass(frozen=True, slots=True)
 class HeldBase:
-    """A part of each limit, and how long it may be used: milliseconds, or a moment on the own clock."""
+    """A share of each limit, with its lifetime in milliseconds or its expiry on the local clock."""
 
     part: float = 0.0
     time: float = 0.0
@@ -27,14 +27,14 @@
 
 
 class PredecessorBases:
-    """What one proxy remembers of its peers, and which peers remember something of it."""
+    """The shares that one proxy remembers of its peers, and the peers that may remember its own."""
 
     def __init__(self) -> None:
-        self._peer_shares: dict[str, HeldBase] = {}  # by peer, until a moment
-        self._remembered_until: dict[str, float] = {}  # peers that may remember this one's base: until when
+        self._peer_shares: dict[str, HeldBase] = {}  # by peer, with expiry
+        self._remembered_until: dict[str, float] = {}  # by peer: how long it may remember the own share
 
     def told(self, peer: str, sent_at: float, held: HeldBase, released: bool) -> None:
-        """A peer has answered a ping sent at `asked_at`: what it holds, or that it ends and gives it up."""
+        """Record a peer's reply to a ping: the share that it holds, or that it shuts down and releases it."""
         if released:
             self._peer_shares.pop(peer, None)
         elif held.part > 0.0:
@@ -44,14 +44,14 @@
                 del self._peer_shares[next(iter(self._peer_shares))]
 
     def remembered(self, now: float, peer: str) -> HeldBase:
-        """What a process at this address held, and for how many milliseconds more."""
+        """The share that a process at this address held, with its remaining lifetime."""
         peer_share = self._peer_shares.get(peer)
         if peer_share is None or now >= peer_share.time:
             return NO_BASE
         return HeldBase(peer_share.part, peer_share.time - now)
 
     def pinged(self, now: float, peer: str, remembers: bool, held: HeldBase) -> None:
-        """A peer pings this proxy, and is about to be told what it holds."""
+        """Record a ping of a peer, which will learn from the reply that this proxy holds this share."""
         if held.part > 0.0:
             self._remembered_until[peer] = now + held.time * DRIFT
         elif remembers:
@@ -60,5 +60,5 @@
             self._remembered_until.pop(peer, None)
 
     def is_released(self, now: float) -> bool:
-        """Whether no peer remembers this proxy's base any more."""
+        """Whether no peer remembers this proxy's share any more."""
         return all(until <= now for until in self._remembered_until.values())
--- a/barleybarrow/limits/retries.py
+++ b/barleybarrow/limits/retries.py
@@ -1,33 +1,33 @@
-"""The retry budget of each service at one proxy: what this proxy's own requests allow.
+"""Retry budget of each service at one proxy, as far as the proxy's own requests allow retries.
 
-The rule, over all proxies: in no window of RetryWindowS are there more arrivals beyond each request's first
-than RetryBudgetRatio times the requests of that window plus RetryBudgetMin. The ratio of its own requests
-is safe at each proxy, for the sum keeps to the sum. RetryBudgetMin is shared as credit (`credit_client`) by
-all proxies. The ratio is used only to RATIO_MARGIN: the requests that pay for a repeat may lie
-in part before the window that the rule looks at.
+The rule, over all proxies: no window of RetryWindowS has more retries (arrivals beyond each request's first)
+than RetryBudgetRatio times the requests of that window plus RetryBudgetMin. Each proxy may apply the ratio to
+its own requests, as the sums over all proxies then keep the ratio too. RetryBudgetMin is shared as credit by
+all proxies (`credit_client`). The ratio is reduced by RATIO_MARGIN, since some of the requests that pay for a
+retry may lie before the window that the rule considers.
 """
 
 from collections import deque
 
 from barleybarrow.limits.bounds import LimitBounds
 
-RATIO_MARGIN = 0.75  # of the ratio's part
-SLOT_MS = 100.0  # requests are counted in slots of this length
+RATIO_MARGIN = 0.75  # of RetryBudgetRatio
+SLOT_MS = 100.0  # granularity of the request counts
 
 
 class ServiceBudget:
-    """Requests of one service in the last window, and the repeats that they paid for."""
+    """Requests of one service in the last window, and the retries that they paid for."""
 
     __slots__ = ("retries", "requests", "total")
 
     def __init__(self) -> None:
-        self.requests: deque[tuple[float, int]] = deque()  # end of the slot, count
+        self.requests: deque[tuple[float, int]] = deque()  # start of the slot, count
         self.total = 0
         self.retries: deque[float] = deque()
 
 
 class RetryBudget:
-    """Allows repeats that the requests of a window pay for."""
+    """Allows retries in proportion to the requests of a window."""
 
     def __init__(self, bounds: LimitBounds) -> None:
         self.ratio = bounds.retry_budget_ratio * RATIO_MARGIN
@@ -35,7 +35,7 @@
         self.services: dict[str, ServiceBudget] = {}
 
     def retain(self, names: set[str]) -> None:
-        """Forget services that the configuration no longer has."""
+        """Remove services that the configuration no longer has."""
         for name in [name for name in self.services if name not in names]:
             del self.services[name]
 
@@ -64,7 +64,7 @@
             budget.retries.popleft()
 
     def try_take(self, now: float, service: str) -> bool:
-        """Take one repeat that own requests pay for; False where none is left."""
+        """Take one retry from the budget of this proxy's requests; False if it is used up."""
         budget = self.service_budget(service)
         self.expire(now, budget)
         if len(budget.retries) + 1 > self.ratio * budget.total:
--- a/barleybarrow/limits/tenants.py
+++ b/barleybarrow/limits/tenants.py
@@ -1,26 +1,26 @@
-"""Who holds which API key: the table of tenants of the configuration in force.
+"""Table of the tenants of the configuration in force, by name and by API key.
 
-Pure: no I/O and no time. It is replaced whole at each configuration that changes a tenant.
+Pure: no I/O and no time. It is replaced as a whole by each configuration that changes a tenant.
 """
 
 from collections.abc import Iterable
 
 from barleybarrow.documents import QuotaUnit, Tenant
 
-REQUEST_COST = 1.0  # requests, for tenants whose quota counts requests
+REQUEST_COST = 1.0  # for tenants whose quota counts requests
 
 
 class TenantTable:
-    """Finds the tenant of a key and of a name."""
+    """Looks up tenants by API key and by name."""
 
     def __init__(self) -> None:
         self.by_name: dict[str, Tenant] = {}
         self.by_key: dict[str, Tenant] = {}
 
     def replace(self, tenants: Iterable[Tenant]) -> set[str]:
-        """Take the tenants of a new configuration; the names of those whose quota differs from before.
+        """Replace all tenants; returns the names of those whose quota has changed.
 
-        Costs little where most tenants are the same objects as before.
+        Cheap where most tenants are the same objects as before.
         """
         previous, self.by_name = self.by_name, {tenant.name: tenant for tenant in tenants}
         changed = {name for name in previous if name not in self.by_name}
@@ -33,7 +33,7 @@
                 changed.add(name)
             updated.append((old, tenant))
         self._drop_keys(previous[name] for name in changed if name not in self.by_name)
-        self._drop_keys(before for before, _ in updated if before is not None)
+        self._drop_keys(old for old, _ in updated if old is not None)
         for _, tenant in updated:
             self.by_key.update(dict.fromkeys(tenant.api_keys, tenant))
         return changed
@@ -44,20 +44,20 @@
                 self.by_key.pop(key, None)
 
     def authenticate(self, key: str | None) -> Tenant | None:
-        """The tenant that holds the key; None where nobody does."""
+        """The tenant of an API key; None for an unknown key."""
         return self.by_key.get(key) if key is not None else None
 
 
 def quota_of(tenant: Tenant) -> tuple[str, float, float]:
-    """Unit, rate a second and burst of a tenant's quota; a rate of 0 means no limit."""
+    """Unit, rate per second and burst of a tenant's quota; a rate of 0 means no limit."""
     return tenant.unit, tenant.rate_per_s, tenant.burst
 
 
 def request_cost(tenant: Tenant, token_counts: str | None) -> float:
-    """What one request takes from its tenant's quota.
+    """Cost of one request in its tenant's quota.
 
-    `token_counts` is the value of X-Brackenusher-Token-Counts (two whole numbers with a comma), None where
-    the request has none. One that can't be read counts as absent.
+    `token_counts` is the value of X-Brackenusher-Token-Counts (two integers separated by a comma), or None
+    without that header. A malformed value counts as absent.
     """
     if tenant.unit != QuotaUnit.TOKENS:
         return REQUEST_COST
