--- a/tests/fleet/lease_world.py
+++ b/tests/fleet/lease_world.py
@@ -1,8 +1,8 @@
-"""A fleet in virtual time whose proxies hold leases on API keys: links and clocks in trouble, clients too.
+"""Simulation of proxies that hold leases on API keys, with faults of links, clocks and processes.
 
-Each version that is committed takes away the keys of the one before, so a request breaks `StrictRevocation`
-where it runs by a version though a newer one was acknowledged longer than `RevokeMs` before it was sent. The
-oracle reads the histories of commits and of requests that ran; it knows nothing of leases.
+Each committed version revokes the keys of the previous one. So a request violates `StrictRevocation` if it
+ran under a version although a newer one was acknowledged more than `RevokeMs` before the request was sent.
+The oracle reads the histories of commits and of forwarded requests; it knows nothing of leases.
 """
 
 import asyncio
@@ -22,21 +22,18 @@
 REVOKE_MS = 3000.0
 PING_INTERVAL_S = 1.0
 TICK_INTERVAL_S = 0.1
-REQUEST_INTERVAL_S = 0.02  # between two requests
+REQUEST_INTERVAL_S = 0.02
 WARM_UP_DURATION_S = 8.0
 FAULT_DURATION_S = 25.0
 QUIET_DURATION_S = 10.0
-MIN_CLOCK_RATE, MAX_CLOCK_RATE = (
-    1 / 1.02,
-    1.02,
-)  # rates of clocks: two of them differ by less than the drift allowed for
-MAX_PING_DELAY_S = 4.0  # of a ping's answer
-PING_LOSS_RATE = 0.2  # part of the pings
+MIN_CLOCK_RATE, MAX_CLOCK_RATE = 1 / 1.02, 1.02  # two clocks differ by less than the allowed drift
+MAX_PING_DELAY_S = 4.0  # of one datagram
+PING_LOSS_RATE = 0.2
 
 
 @dataclass
 class ForwardedRequest:
-    """A request that a proxy passed on to a server."""
+    """A request that a proxy forwarded to a server."""
 
     proxy: str
     sent_at: float
@@ -45,17 +42,17 @@
 
 @dataclass
 class LeaseWorld(World):
-    """See the module's docstring."""
+    """A simulated fleet whose proxies hold key leases."""
 
     strict: bool = True
     forwarded: list[ForwardedRequest] = field(default_factory=list)
     refused_in_touch: list[str] = field(default_factory=list)
-    ended: list[str] = field(default_factory=list)  # proxies without a lease at the end of the day
+    ended: list[str] = field(default_factory=list)  # proxies without a lease at the end
     leases: dict[str, KeyLease] = field(default_factory=dict)
     confirmations: dict[str, VersionConfirmations] = field(default_factory=dict)
 
     def clock(self) -> Callable[[], float]:
-        """The monotonic clock of one process: a rate and a beginning of its own."""
+        """A monotonic clock with a rate and an origin of its own."""
         rate, offset = self.rng.uniform(MIN_CLOCK_RATE, MAX_CLOCK_RATE), self.rng.uniform(0.0, 1e7)
         return lambda: offset + rate * self.now_ms()
 
@@ -81,7 +78,7 @@
         return proxy
 
     def frozen_for_s(self, address: str) -> float:
-        """For how much longer a process stands still."""
+        """Remaining time for which a process is paused."""
         return max(0.0, self.network.processes[address].frozen_until - self.now())
 
     async def _keep_lease(self, proxy: ProxyProcess, lease: KeyLease) -> None:
@@ -107,7 +104,7 @@
             lease.peer_answered(answer, sent_at)
 
     async def _deliver_datagram(self, sender: str, receiver: str) -> bool:
-        """A datagram's way; whether it arrives."""
+        """Delay a datagram; returns whether it arrives."""
         is_late = self.rng.random() < 0.2
         await asyncio.sleep(self.rng.uniform(0.001, MAX_PING_DELAY_S if is_late else 0.02))
         await asyncio.sleep(self.frozen_for_s(receiver))
@@ -115,7 +112,7 @@
         return not cut and self.network.processes[receiver].alive
 
     async def send_requests(self, ends_at: float) -> None:
-        """Clients send to all proxies in turn."""
+        """Send requests to proxies chosen at random."""
         while self.now() < ends_at:
             await asyncio.sleep(self.rng.expovariate(1.0 / REQUEST_INTERVAL_S))
             self.spawn(self._request(self.rng.choice(sorted(self.proxies))))
@@ -133,7 +130,7 @@
             self.refused_in_touch.append(f"REFUSED: at {address}, {self.now():.2f}")
 
     def revoked(self) -> list[str]:
-        """Requests that ran though their key had been taken away for longer than RevokeMs."""
+        """Requests that ran although their key had been revoked for longer than RevokeMs."""
         violations = []
         for request in self.forwarded:
             newer_commits = [at for at, version in self.commit_times if version > request.version]
@@ -144,7 +141,7 @@
 
 
 class LeaseFaultRun:
-    """A day of troubles drawn from a seed, ending in calm."""
+    """A run with faults drawn from a seed, and a quiet period at the end."""
 
     def __init__(self, seed: int, strict: bool = True) -> None:
         self.rng = random.Random(seed)
@@ -153,7 +150,7 @@
         self.stopped: list[str] = []
 
     async def run(self) -> LeaseWorld:
-        """The world after the day."""
+        """Run it; returns the simulation."""
         sim = self.sim
         sim.start()
         sim.commit(configuration(self.generation))
@@ -182,7 +179,7 @@
         self.sim.commit(configuration(self.generation))
 
     def _cut_links(self) -> None:
-        """One proxy loses all of control, or some; or two of all processes lose each other."""
+        """Cut a proxy from some or all control processes, or cut the link between any two processes."""
         processes = [*self.sim.controls, *self.sim.proxies]
         if self.rng.random() < 0.5:
             proxy = self.rng.choice(sorted(self.sim.proxies))
@@ -217,7 +214,7 @@
             asyncio.get_running_loop().call_later(seconds, self.sim.trouble, component)
 
     def _kill_or_restart(self) -> None:
-        """A control process ends; the one that ended before starts again."""
+        """Kill a control process, or restart the one that was killed before."""
         self.sim.trouble("core")
         if self.stopped:
             self.sim.start_control(self.stopped.pop())
@@ -236,5 +233,5 @@
 
 
 def play_lease_day(seed: int, strict: bool = True) -> LeaseWorld:
-    """The world after one day."""
+    """Run one schedule of faults; returns the simulation."""
     return play(LeaseFaultRun(seed, strict).run())
--- a/tests/fleet/limits_oracle.py
+++ b/tests/fleet/limits_oracle.py
@@ -1,4 +1,4 @@
-"""What may never happen to the limits: read from the machines of a world, and from what it admitted."""
+"""Invariants of the shared limits, checked on the state of a simulated fleet and on the admitted requests."""
 
 from bisect import bisect_right
 from dataclasses import dataclass, field
@@ -9,12 +9,12 @@
 from barleybarrow.limits.limits import Limits
 from barleybarrow.limits.predecessors import PredecessorBases
 
-Clients = dict[str, tuple[float, CreditClient]]  # proxies: the time on their clock, and what they hold
+Clients = dict[str, tuple[float, CreditClient]]  # by proxy: time on its clock, client
 
 
 @dataclass
 class TenantStats:
-    """What became of a tenant's requests."""
+    """Outcomes of a tenant's requests."""
 
     asked: int = 0
     refused: int = 0
@@ -28,14 +28,14 @@
 
 
 class Process:
-    """One process of the fleet, with a clock of its own."""
+    """A simulated process with its own clock."""
 
     def __init__(self, name: str, starts_at: float, clock_rate: float) -> None:
         self.name, self.offset, self.clock_rate = name, -starts_at + 1e6 * clock_rate, clock_rate
         self.limits: Limits | None = None
         self.predecessor_shares: PredecessorBases | None = None
         self.incarnation = 0
-        self.leaving = False  # it ends in order soon, and gives its base up
+        self.leaving = False  # shuts down as planned soon, and releases its fallback share
         self.wake_at = 0.0
 
     def clock_time(self, now: float) -> float:
@@ -46,7 +46,7 @@
 
 
 class LimitsOracle:
-    """The judging half of a world; the other half plays it."""
+    """The checks of a simulation; the subclass runs it."""
 
     now: float
     bounds: LimitBounds
@@ -58,7 +58,7 @@
     retry_times: list[float]
 
     def check_invariants(self) -> None:
-        """Invariants of the machines, beside the rule itself. Raises AssertionError."""
+        """Check the invariants of the state machines, apart from the quota itself. Raises AssertionError."""
         clients: Clients = {}
         for name in self.proxies:
             process = self.processes[name]
@@ -101,7 +101,7 @@
             assert spendable <= limit.capacity * (1 + 1e-6), f"{key}: spendable {spendable}"
 
     def fallback_level(self, key: str, limit: KeyLimit, clients: Clients) -> float:
-        """What proxies that are out of touch may spend at this moment."""
+        """Total that disconnected proxies may spend now from their fallback buckets."""
         total = 0.0
         for at, client in clients.values():
             entry = client.entries.get(key)
@@ -113,7 +113,7 @@
         return total
 
     def max_in_window(self, tenant: str, window_ms: float) -> float:
-        """The most that was admitted in any window of this length."""
+        """Maximum that was admitted in any window of this length."""
         admitted = self.tally[tenant].admitted
         max_total = total = 0.0
         first = 0
@@ -126,21 +126,21 @@
         return max_total
 
     def allowed_in_window(self, tenant: Tenant) -> float:
-        """What the rule allows in one window."""
+        """Amount that the quota allows in one window."""
         bounds = self.bounds
         steady = tenant.rate_per_s * bounds.quota_window_s + tenant.burst
         return steady * (1 + bounds.quota_overshoot) + bounds.quota_slack
 
     def excess_share(self, name: str) -> float:
-        """The share by which the worst window goes over the rule's bound; negative: it holds."""
+        """Relative excess of the worst window over the quota's bound; negative if the bound holds."""
         max_total = self.max_in_window(name, 1000.0 * self.bounds.quota_window_s)
         return max_total / self.allowed_in_window(self.tenants[name]) - 1.0
 
     def excess_retries(self) -> float:
-        """The most by which repeats in a window go over the retry budget, in arrivals; negative: it holds.
+        """Largest excess of the retries in a window over the budget, in arrivals; negative if it holds.
 
-        Requests count in the window alone: that is stricter than the rule, which also looks at those
-        before.
+        Only requests within the window count, which is stricter than the rule: that one also counts earlier
+        requests.
         """
         window, worst = 1000.0 * self.bounds.retry_window_s, -float("inf")
         for first, at in enumerate(self.retry_times):
@@ -151,18 +151,18 @@
         return worst
 
     def lent(self) -> float:
-        """The fraction of each limit that the warden may hand out."""
+        """The share of each limit that the credit server may grant."""
         for name in self.wardens():
-            machine = self.processes[name].limits
-            if machine is not None and machine.machine.books is not None:
-                return machine.machine.books.lent_share.value
+            limits = self.processes[name].limits
+            if limits is not None and limits.machine.books is not None:
+                return limits.machine.books.lent_share.value
         return 0.0
 
     def wardens(self) -> list[str]:
-        """Processes that hold the lease now by their own clocks; more than one would be a fault."""
-        found = []
+        """Processes that hold the lease by their own clocks; more than one is a fault."""
+        holders = []
         for name, process in self.processes.items():
             if process.limits is not None and process.limits.machine.books is not None:
                 if process.clock_time(self.now) < process.limits.machine.lease_end:
-                    found.append(name)
-        return found
+                    holders.append(name)
+        return holders
--- a/tests/fleet/limits_schedules.py
+++ b/tests/fleet/limits_schedules.py
@@ -1,15 +1,15 @@
-"""Random troubles for a sim of the limits, and what goes wrong in one."""
+"""Fault schedules for simulations of the shared limits, drawn from a seed, and the check of a run."""
 
 import random
 
 from barleybarrow.limits.bounds import LimitBounds
 from tests.fleet.limits_world import Demand, World, token_tenant
 
-SIMULATION_MS = 20_000.0  # milliseconds that a troubled sim is played
+SIMULATION_MS = 20_000.0
 
 
 def random_faults(seed: int, length_ms: float, mean_pause_ms: float = 1500.0, lossy: bool = True) -> World:
-    """One tenant far over its limit and one below it, and random troubles until shortly before the end."""
+    """A tenant far over its limit and one below it, with random faults until shortly before the end."""
     rng = random.Random(seed)
     proxies = rng.choice([3, 5, 8, 12])
     rate = rng.choice([18_000.0, 100_000.0, 400_000.0])
@@ -43,7 +43,7 @@
 
 
 def repeated_restarts(seed: int) -> World:
-    """A troubled sim whose keepers all end again and again, and then half of the proxies."""
+    """Random faults; all acceptors are also restarted repeatedly, and then half of the proxies."""
     sim = random_faults(seed, SIMULATION_MS, mean_pause_ms=1500.0, lossy=bool(seed % 2))
     sim.durable = True
     at = 4000.0
@@ -60,7 +60,7 @@
 
 
 def run_and_check(sim: World) -> str:
-    """What goes wrong in a troubled world; empty: nothing."""
+    """Run a simulation; returns its first violation, or an empty string."""
     try:
         sim.run(SIMULATION_MS)
     except AssertionError as error:
--- a/tests/fleet/limits_support.py
+++ b/tests/fleet/limits_support.py
@@ -1,4 +1,4 @@
-"""What the tests of the limits share: tenants, a process by itself, links without sockets."""
+"""Support for tests of the limits: tenants, a single-process system, links without sockets."""
 
 import asyncio
 import random
@@ -19,7 +19,7 @@
 
 
 def single_node(tenants: list[Tenant], bounds: LimitBounds = TOKEN_BOUNDS) -> tuple[Limits, float]:
-    """A process that is the only keeper and a proxy at once, after it has become the warden."""
+    """A process that is a proxy and the only acceptor, after its election as the credit server."""
     limits = Limits("a", ["a"], random.Random(1), 0.0, bounds, fresh=True)
     limits.configure(0.0, tenants, [Service("s")])
     now = 0.0
@@ -30,7 +30,7 @@
 
 
 class FakeLinks:
-    """One process's end of links that deliver on the same loop."""
+    """Links of one process that deliver messages on the same event loop."""
 
     def __init__(self, address: str, network: dict[str, "FakeLinks"]) -> None:
         self.address, self.network = address, network
--- a/tests/fleet/limits_world.py
+++ b/tests/fleet/limits_world.py
@@ -1,8 +1,8 @@
-"""A fleet of limits machines in virtual time. What may never happen there: `limits_oracle`.
+"""Simulation of a fleet with shared limits in virtual time; `limits_oracle` checks its invariants.
 
-Proxies and control processes, a network that loses, delays and doubles messages, processes that are killed,
-cut off and started again, clocks that differ. The machines are those that ship. Amounts are of the tenant's
-unit, times are milliseconds.
+Proxies and control processes run the production state machines on a network that loses, delays and
+duplicates messages. Processes are killed, disconnected and restarted, and their clocks differ. Amounts are
+in the tenant's unit, times in milliseconds.
 """
 
 import heapq
@@ -19,30 +19,30 @@
 from barleybarrow.replication.rendezvous import ranked
 from tests.fleet.limits_oracle import LimitsOracle, Process, TenantStats
 
-ONE_WAY_DELAY_MS = (0.3, 3.0)  # milliseconds, one way
+ONE_WAY_DELAY_MS = (0.3, 3.0)  # range
 LINK_LOSS_DETECTION_MS = 1600.0  # until a process knows that a link is cut
-MAX_ACCEPTORS_DELAY_MS = 300.0  # milliseconds, at most, until a process knows of other keepers
-SYNC_MS = 2.0  # milliseconds of a write to the disk
-PING_INTERVAL_MS, PINGED_PEERS = 1000.0, 3  # milliseconds; peers that each proxy pings
+MAX_ACCEPTORS_DELAY_MS = 300.0  # until a process learns of a new set of acceptors
+SYNC_MS = 2.0  # of a write to the disk
+PING_INTERVAL_MS, PINGED_PEERS = 1000.0, 3
 PING_LOSS_RATE, LATE_PING_RATE = 0.02, 0.02
 SERVICE = "engines"
 
 
 @dataclass
 class Demand:
-    """Requests of one tenant over all proxies: so many a second, with these weights of proxies."""
+    """Request load of one tenant over all proxies."""
 
     tenant: str
     requests_per_s: float
-    cost_range: tuple[float, float] = (1.0, 1.0)  # least and most
+    cost_range: tuple[float, float] = (1.0, 1.0)  # minimum and maximum
     weights: list[float] = field(default_factory=list)  # by proxy; empty: even
     start: float = 0.0
     ends_at: float = 1e12
-    retry_share: float = 0.0  # share of the requests that ask to be repeated
+    retry_share: float = 0.0  # of the requests that ask for a retry
 
 
 class World(LimitsOracle):
-    """Runs until a time; `calls` are what happens to the fleet, by time."""
+    """Discrete-event simulation of the fleet; a "call" event runs a method by name."""
 
     def __init__(
         self,
@@ -61,7 +61,7 @@
         self.bounds = bounds or LimitBounds()
         self.tenants = {tenant.name: tenant for tenant in tenants}
         self.loss, self.duplicated, self.delayed = loss, duplicated, late
-        self.durable = durable  # keepers have disks
+        self.durable = durable  # acceptors have disks
         self.disks: dict[str, bytes] = {}
         self.sync_ms = SYNC_MS
         self.ping_loss_rate, self.late_ping_rate = PING_LOSS_RATE, LATE_PING_RATE
@@ -71,13 +71,13 @@
         self.keepers = [f"c{i}" for i in range(keepers)]
         self.proxies = [f"p{i}" for i in range(proxy_count)]
         self.processes: dict[str, Process] = {}
-        self.cut_since: dict[str, float] = {}  # process, since
+        self.cut_since: dict[str, float] = {}  # by process
         self.tally = {name: TenantStats() for name in self.tenants}
         self.pending: dict[tuple[str, int], tuple[str, float, float]] = {}
         self.tickets = count(1)
         self.message_count = self.byte_count = 0
         self.services = [Service(SERVICE)]
-        self.unconfigured: set[str] = set()  # keepers that start without a configuration
+        self.unconfigured: set[str] = set()  # acceptors that start without a configuration
         self.request_times: list[float] = []
         self.retry_times: list[float] = []
         for name in [*self.keepers, *self.proxies]:
@@ -86,7 +86,7 @@
             )
             self.start(name, bootstrap=True)
 
-    # What is done to the fleet
+    # Faults and changes
 
     def start(self, name: str, bootstrap: bool = False) -> None:
         process = self.processes.get(name)
@@ -108,7 +108,7 @@
         self.wake(process)
 
     def leave(self, name: str) -> None:
-        """The planned end of a proxy, some seconds after it has begun to say that it leaves."""
+        """Shut down a proxy as planned, some seconds after it has begun to announce it in ping replies."""
         process = self.processes[name]
         assert process.limits is not None and process.predecessor_shares is not None
         clock = process.clock_time(self.now)
@@ -132,7 +132,7 @@
         self.update_links()
 
     def replace_acceptor(self, old: str) -> None:
-        """A keeper is lost for good; a new one, on an empty disk, takes its place. Others learn it later."""
+        """Replace an acceptor for good by a new one with an empty disk; others learn of it later."""
         if old not in self.keepers:
             return
         self.kill(old)
@@ -182,11 +182,11 @@
             self.flush(process)
 
     def is_link_up(self, a: str, b: str) -> bool:
-        """A link that was cut lately still seems to be there."""
+        """Whether a link seems to be up; the loss of a link is detected late."""
         cut_times = [self.cut_since[name] for name in (a, b) if name in self.cut_since]
         return not cut_times or self.now - min(cut_times) < LINK_LOSS_DETECTION_MS
 
-    # Pings between proxies, which carry what they remember of each other's bases
+    # Pings between proxies, which carry their own and each other's fallback shares
 
     def on_pings(self, process: Process, incarnation: int) -> None:
         if process.limits is None or process.incarnation != incarnation:
@@ -202,7 +202,7 @@
         self.send_datagram("ping", process.name, target, (process.incarnation, clock, remembers))
 
     def send_datagram(self, kind: str, sender: str, target: str, payload: tuple) -> None:
-        """A datagram: it may be lost, late or doubled."""
+        """Send a datagram, which may be lost, late or duplicated."""
         if not self.are_connected(sender, target) or self.rng.random() < max(self.loss, self.ping_loss_rate):
             return
         for _ in range(2 if self.rng.random() < self.duplicated else 1):
@@ -273,10 +273,10 @@
             process.limits.tick(process.clock_time(self.now))
             self.flush(process)
 
-    def on_stored(self, process: Process, machine: Limits, revision: int, state: bytes) -> None:
-        if process.limits is machine:
+    def on_stored(self, process: Process, limits: Limits, revision: int, state: bytes) -> None:
+        if process.limits is limits:
             self.disks[process.name] = state
-            machine.stored(process.clock_time(self.now), revision)
+            limits.stored(process.clock_time(self.now), revision)
             self.flush(process)
 
     def on_message(self, sender: str, name: str, payload: bytes) -> None:
@@ -287,9 +287,9 @@
         self.flush(process)
 
     def flush(self, process: Process) -> None:
-        machine = process.limits
-        assert machine is not None
-        for address, payload in machine.outbox():
+        limits = process.limits
+        assert limits is not None
+        for address, payload in limits.outbox():
             self.message_count += 1
             self.byte_count += len(payload) + 16
             if not self.are_connected(process.name, address) or self.rng.random() < self.loss:
@@ -299,13 +299,13 @@
                 if self.rng.random() < self.delayed:
                     delay += self.rng.expovariate(1 / 600.0)
                 self.at(self.now + delay, "message", process.name, address, payload)
-        for ticket, admitted in machine.verdicts():
+        for ticket, admitted in limits.verdicts():
             request = self.pending.pop((process.name, ticket), None)
             if request is not None:
                 self.record_decision(request[0], request[1], admitted, self.now - request[2])
-        write = machine.to_store()
+        write = limits.to_store()
         if write is not None:
-            self.at(self.now + self.sync_ms, "stored", process, machine, *write)
+            self.at(self.now + self.sync_ms, "stored", process, limits, *write)
         self.wake(process)
 
     # Requests
@@ -342,12 +342,12 @@
         self.flush(process)
 
     def maybe_retry(self, process: Process, share: float) -> None:
-        """A request for the service, which may have to be sent a second time."""
-        machine, clock = process.limits, process.clock_time(self.now)
-        assert machine is not None
-        machine.requested(clock, SERVICE)
+        """Count a request for the service, and retry this share of the requests if the budget allows it."""
+        limits, clock = process.limits, process.clock_time(self.now)
+        assert limits is not None
+        limits.requested(clock, SERVICE)
         self.request_times.append(self.now)
-        if share and self.rng.random() < share and machine.may_repeat(clock, SERVICE):
+        if share and self.rng.random() < share and limits.may_repeat(clock, SERVICE):
             self.retry_times.append(self.now)
 
     def record_decision(self, tenant: str, cost: float, admitted: bool, wait_ms: float) -> None:
@@ -358,7 +358,7 @@
         else:
             stats.refused += 1
 
-    # What may never happen
+    # Invariants
 
     def on_check(self, interval_ms: float) -> None:
         self.check_invariants()
--- a/tests/fleet/play_limits_worlds.py
+++ b/tests/fleet/play_limits_worlds.py
@@ -1,4 +1,4 @@
-"""Plays troubled worlds of the limits: `python -m tests.fleet.play_limits_worlds FIRST COUNT`."""
+"""Runs simulations of the limits with faults: `python -m tests.fleet.play_limits_worlds FIRST COUNT`."""
 
 import sys
 
@@ -6,7 +6,7 @@
 
 
 def main(first_seed: int, runs: int) -> int:
-    """Play them, every second one with keepers that end again and again: how many were broken."""
+    """Run them, every second one with repeated restarts; returns the number of violations."""
     failures = 0
     for seed in range(first_seed, first_seed + runs):
         problem = run_and_check(repeated_restarts(seed) if seed % 2 else random_faults(seed, SIMULATION_MS))
