--- a/tests/fleet/test_limits.py
+++ b/tests/fleet/test_limits.py
@@ -1,4 +1,4 @@
-"""Limits of one process: keys, costs, quotas, messages, the retry budget, and the driver on a loop."""
+"""Limits of one process: API keys, costs, quotas, messages, the retry budget, and the event-loop driver."""
 
 import asyncio
 import random
@@ -16,14 +16,14 @@
 
 
 class ApiKeyTests(unittest.TestCase):
-    def test_each_key_of_a_tenant_finds_it(self) -> None:
+    def test_each_key_of_a_tenant_authenticates(self) -> None:
         limits, _ = single_node([make_tenant("one"), make_tenant("two")])
         for key, name in (("one-1", "one"), ("one-2", "one"), ("two-2", "two")):
             found = limits.authenticate(key)
             assert found is not None
             self.assertEqual(found.name, name)
 
-    def test_unknown_and_missing_keys_find_nobody(self) -> None:
+    def test_unknown_and_missing_keys_are_rejected(self) -> None:
         limits, _ = single_node([make_tenant("one")])
         for key in (None, "", "one", "one-3"):
             self.assertIsNone(limits.authenticate(key))
@@ -35,7 +35,7 @@
         self.assertIsNone(limits.authenticate("two-1"))
         self.assertIsNotNone(limits.authenticate("fresh"))
 
-    def test_only_changed_quotas_are_named(self) -> None:
+    def test_only_changed_quotas_are_reported(self) -> None:
         table = TenantTable()
         table.replace([make_tenant("one", 5.0), make_tenant("two", 5.0), make_tenant("three", 5.0)])
         changed = table.replace(
@@ -49,27 +49,27 @@
         self.assertEqual(request_cost(make_tenant("one", 5.0), "100,20"), 1.0)
 
     def test_tokens_count_prompt_and_output(self) -> None:
-        paying = make_tenant("one", 5.0, unit=QuotaUnit.TOKENS, plain_tokens=200)
+        tenant = make_tenant("one", 5.0, unit=QuotaUnit.TOKENS, plain_tokens=200)
         for value, cost in (("1460,80", 1540.0), ("1460, 80", 1540.0), ("0,0", 0.0)):
-            self.assertEqual(request_cost(paying, value), cost)
-        unread: list[str | None] = [None, "", "12", "a,b", "1,2,3", "-5,1"]
-        for text in unread:
-            self.assertEqual(request_cost(paying, text), 200.0, text)
+            self.assertEqual(request_cost(tenant, value), cost)
+        malformed: list[str | None] = [None, "", "12", "a,b", "1,2,3", "-5,1"]
+        for text in malformed:
+            self.assertEqual(request_cost(tenant, text), 200.0, text)
 
 
 class QuotaTests(unittest.TestCase):
-    def test_no_limit(self) -> None:
+    def test_tenant_without_a_quota_is_unlimited(self) -> None:
         limits, now = single_node([make_tenant("one")])
         self.assertTrue(all(limits.admit(now, make_tenant("one"), 1e9) for _ in range(100)))
 
-    def test_tenant_that_the_configuration_does_not_name(self) -> None:
+    def test_tenant_missing_from_the_configuration_is_unlimited(self) -> None:
         limits, now = single_node([])
         self.assertTrue(limits.admit(now, make_tenant("one", 5.0), 1.0))
 
-    def test_waiting_request_is_decided_once(self) -> None:
-        paying = make_tenant("one", 10_000.0, unit=QuotaUnit.TOKENS)
-        limits, now = single_node([paying])
-        self.assertIs(limits.decide(now, paying, 9000.0, 7), Verdict.PENDING)
+    def test_pending_request_is_decided_once(self) -> None:
+        tenant = make_tenant("one", 10_000.0, unit=QuotaUnit.TOKENS)
+        limits, now = single_node([tenant])
+        self.assertIs(limits.decide(now, tenant, 9000.0, 7), Verdict.PENDING)
         for _ in range(5):
             now += 3.0
             limits.tick(now)
@@ -77,68 +77,68 @@
         self.assertEqual(limits.verdicts(), [])
 
     def test_cancelled_request_is_not_decided(self) -> None:
-        paying = make_tenant("one", 10_000.0, unit=QuotaUnit.TOKENS)
-        limits, now = single_node([paying])
-        limits.decide(now, paying, 9000.0, 7)
+        tenant = make_tenant("one", 10_000.0, unit=QuotaUnit.TOKENS)
+        limits, now = single_node([tenant])
+        limits.decide(now, tenant, 9000.0, 7)
         limits.cancel(7)
         limits.tick(now + 1000.0)
         self.assertEqual(limits.verdicts(), [])
 
     def test_credit_of_one_unit_is_not_spent_in_another(self) -> None:
-        paying = make_tenant("one", 1000.0, unit=QuotaUnit.TOKENS)
-        limits, now = single_node([paying])
+        tenant = make_tenant("one", 1000.0, unit=QuotaUnit.TOKENS)
+        limits, now = single_node([tenant])
         for _ in range(100):
             now += 3.0
             limits.tick(now)
-            limits.admit(now, paying, 10.0)
+            limits.admit(now, tenant, 10.0)
         assert limits.client is not None
         self.assertGreater(limits.client.entries["tokens:one"].credit, 1.0)
-        counting = make_tenant("one", 5.0)
-        limits.configure(now, [counting], [])
-        self.assertFalse(limits.admit(now, counting, 1.0))
+        request_tenant = make_tenant("one", 5.0)
+        limits.configure(now, [request_tenant], [])
+        self.assertFalse(limits.admit(now, request_tenant, 1.0))
 
-    def test_refusal_names_a_wait(self) -> None:
-        paying = make_tenant("one", 100.0)
-        limits, now = single_node([paying])
+    def test_retry_after_of_a_refusal_is_bounded(self) -> None:
+        tenant = make_tenant("one", 100.0)
+        limits, now = single_node([tenant])
         refused = 0
         for _ in range(2000):
             now += 1.0
             limits.tick(now)
-            refused += limits.decide(now, paying, 1.0, None) is Verdict.REFUSED
+            refused += limits.decide(now, tenant, 1.0, None) is Verdict.REFUSED
         self.assertGreater(refused, 1000)
-        self.assertGreaterEqual(limits.retry_after_ms(paying, 1.0), 300.0)
-        self.assertLessEqual(limits.retry_after_ms(paying, 1.0), 5000.0)
+        self.assertGreaterEqual(limits.retry_after_ms(tenant, 1.0), 300.0)
+        self.assertLessEqual(limits.retry_after_ms(tenant, 1.0), 5000.0)
 
-    def test_without_a_warden_requests_wait_a_bounded_time(self) -> None:
-        paying = make_tenant("one", 100.0)
+    def test_wait_without_a_credit_server_is_bounded(self) -> None:
+        tenant = make_tenant("one", 100.0)
         limits = Limits("p", ["a", "b", "c"], random.Random(1), 0.0, TOKEN_BOUNDS)
-        limits.configure(0.0, [paying], [])
-        self.assertIs(limits.decide(0.0, paying, 1.0, 1), Verdict.PENDING)
+        limits.configure(0.0, [tenant], [])
+        self.assertIs(limits.decide(0.0, tenant, 1.0, 1), Verdict.PENDING)
         self.assertLessEqual(limits.next_wakeup(), 150.0)
         limits.tick(150.0)
         self.assertEqual(limits.verdicts(), [(1, False)])
-        self.assertIs(limits.decide(2000.0, paying, 1.0, 2), Verdict.REFUSED)  # it was never given a base
+        self.assertIs(limits.decide(2000.0, tenant, 1.0, 2), Verdict.REFUSED)  # it never had a fallback share
 
 
 class BoundsTests(unittest.TestCase):
-    def test_parts_stay_below_the_rule(self) -> None:
+    def test_quota_shares_stay_within_the_bound(self) -> None:
         for unit in QuotaUnit:
             for rate in (0.5, 10.0, 18_000.0, 1e6):
                 for burst in (0.0, rate, 3.0 * rate):
                     for slack in (0.0, 20.0, 72_000.0):
-                        window = LimitBounds(quota_slack=slack)
-                        paying = Tenant("one", [], None, unit, 0, rate, burst)
-                        limit = bounds.quota_limit(paying, window)
+                        limit_bounds = LimitBounds(quota_slack=slack)
+                        tenant = Tenant("one", [], None, unit, 0, rate, burst)
+                        limit = bounds.quota_limit(tenant, limit_bounds)
                         assert limit is not None
-                        steady = rate * window.quota_window_s + burst
+                        steady = rate * limit_bounds.quota_window_s + burst
                         used = limit.capacity - burst + limit.debt
-                        self.assertLessEqual(used, 0.951 * (steady * window.quota_overshoot + slack))
+                        self.assertLessEqual(used, 0.951 * (steady * limit_bounds.quota_overshoot + slack))
 
-    def test_parts_of_the_retry_budget(self) -> None:
-        window = LimitBounds()
-        limit = bounds.retry_limit(window)
-        used = limit.rate * window.retry_window_s + limit.capacity + limit.debt
-        self.assertLessEqual(used, 0.951 * window.retry_budget_min)
+    def test_retry_budget_shares_stay_within_the_bound(self) -> None:
+        limit_bounds = LimitBounds()
+        limit = bounds.retry_limit(limit_bounds)
+        used = limit.rate * limit_bounds.retry_window_s + limit.capacity + limit.debt
+        self.assertLessEqual(used, 0.951 * limit_bounds.retry_budget_min)
 
 
 class CreditLedgerTests(unittest.TestCase):
@@ -156,7 +156,7 @@
     ) -> messages.Grant | None:
         return ledger.handle_entry_report(now, "p", messages.EntryReport("k", *item), 1e9)  # type: ignore[arg-type]
 
-    def test_the_same_need_is_granted_once(self) -> None:
+    def test_repeated_report_of_a_need_is_granted_once(self) -> None:
         ledger = self.make_ledger()
         for _ in range(3):
             grant = self.report_entry(ledger, 1, 0.0, 0.0, 30.0, 10.0, 0.0)
@@ -164,7 +164,7 @@
             self.assertEqual(grant.granted, 30.0)
         self.assertEqual(ledger.accounts["k"].level, 70.0)
 
-    def test_the_same_return_is_refunded_once(self) -> None:
+    def test_repeated_report_of_a_return_is_refunded_once(self) -> None:
         ledger = self.make_ledger()
         self.report_entry(ledger, 1, 0.0, 0.0, 30.0, 10.0, 0.0)
         for _ in range(3):
@@ -172,7 +172,7 @@
         self.assertEqual(ledger.accounts["k"].level, 90.0)
         self.assertEqual(ledger.accounts["k"].outstanding, 0.0)
 
-    def test_totals_that_come_late_change_nothing(self) -> None:
+    def test_late_reports_change_nothing(self) -> None:
         ledger = self.make_ledger()
         self.report_entry(ledger, 1, 0.0, 0.0, 30.0, 10.0, 0.0)
         self.report_entry(ledger, 1, 20.0, 0.0, 0.0, 0.0, 0.0)
@@ -181,7 +181,7 @@
         self.report_entry(ledger, 2, 0.0, 0.0, 0.0, 0.0, 0.0)
         self.assertIsNone(self.report_entry(ledger, 1, 30.0, 0.0, 0.0, 0.0, 0.0))
 
-    def test_credit_of_a_closed_entry_counts_until_its_time_is_over(self) -> None:
+    def test_credit_of_a_replaced_entry_counts_until_it_expires(self) -> None:
         ledger = self.make_ledger()
         ledger.handle_entry_report(0.0, "p", messages.EntryReport("k", 1, 0.0, 0.0, 30.0, 10.0, 0.0), 500.0)
         ledger.handle_entry_report(0.0, "p", messages.EntryReport("k", 2, 0.0, 0.0, 0.0, 0.0, 0.0), 500.0)
@@ -190,20 +190,20 @@
 
 
 class LentShareTests(unittest.TestCase):
-    def test_the_integral_follows_loans_to_their_ends(self) -> None:
-        part = lent.LentShare(0.0)
-        part.set_unassigned(0.0, 0.25)
-        part.lend(0.0, "p", 0.5, 100.0)
-        part.lend(50.0, "p", 0.5, 200.0)
-        part.advance(1000.0)
-        self.assertAlmostEqual(part.integral, 0.25 * 1000.0 + 0.5 * 200.0)
-        self.assertAlmostEqual(part.value, 0.25)
-
-    def test_it_is_never_above_one(self) -> None:
-        part = lent.LentShare(0.0)
-        part.set_unassigned(0.0, 0.8)
-        part.lend(0.0, "p", 0.5, 100.0)
-        self.assertEqual(part.value, 1.0)
+    def test_integral_counts_loans_until_their_end(self) -> None:
+        lent_share = lent.LentShare(0.0)
+        lent_share.set_unassigned(0.0, 0.25)
+        lent_share.lend(0.0, "p", 0.5, 100.0)
+        lent_share.lend(50.0, "p", 0.5, 200.0)
+        lent_share.advance(1000.0)
+        self.assertAlmostEqual(lent_share.integral, 0.25 * 1000.0 + 0.5 * 200.0)
+        self.assertAlmostEqual(lent_share.value, 0.25)
+
+    def test_lent_share_is_at_most_one(self) -> None:
+        lent_share = lent.LentShare(0.0)
+        lent_share.set_unassigned(0.0, 0.8)
+        lent_share.lend(0.0, "p", 0.5, 100.0)
+        self.assertEqual(lent_share.value, 1.0)
 
 
 class MessageTests(unittest.TestCase):
@@ -212,7 +212,7 @@
         report = messages.CreditReport(1, 2, 3, 4, 0.5, [item])
         self.assertEqual(messages.decode(messages.encode(report)), report)
 
-    def test_bytes_that_are_no_message(self) -> None:
+    def test_malformed_messages_are_dropped(self) -> None:
         limits, now = single_node([])
         for payload in (b"", b"\xff\xfe", b"\x93\x01\x02\x03", bytes(50), b"\x96\x06\xff\x00\x00\x00\x90"):
             limits.receive(now, "x", payload)
@@ -220,7 +220,7 @@
 
 
 class RetryBudgetTests(unittest.TestCase):
-    def test_own_requests_pay(self) -> None:
+    def test_retries_are_limited_by_own_requests(self) -> None:
         budget = RetryBudget(LimitBounds(retry_budget_ratio=0.2))
         for at in range(100):
             budget.record_request(float(at), "s")
@@ -229,7 +229,7 @@
         self.assertFalse(budget.try_take(5000.0, "s"))
         self.assertFalse(budget.try_take(20_000.0, "s"))
 
-    def test_the_least_budget_is_shared(self) -> None:
+    def test_minimum_retry_budget_is_granted_as_credit(self) -> None:
         limits, now = single_node([])
         taken = 0
         for _ in range(3000):
@@ -239,13 +239,13 @@
         self.assertGreater(taken, 25)
         self.assertLessEqual(taken, 60)
 
-    def test_a_service_that_is_gone(self) -> None:
+    def test_unknown_service_has_no_retry_budget(self) -> None:
         limits, now = single_node([])
         self.assertFalse(limits.may_repeat(now, "other"))
 
 
 class LimitsDriverTests(unittest.TestCase):
-    def test_requests_wait_for_the_warden(self) -> None:
+    def test_driver_waits_for_the_credit_server(self) -> None:
         loop = VirtualLoop()
         try:
             loop.run_until_complete(self.run_proxy_and_credit_server(loop))
@@ -253,12 +253,12 @@
             loop.close()
 
     async def run_proxy_and_credit_server(self, loop: VirtualLoop) -> None:
-        paying = make_tenant("one", 20_000.0, unit=QuotaUnit.TOKENS)
+        tenant = make_tenant("one", 20_000.0, unit=QuotaUnit.TOKENS)
         network: dict[str, FakeLinks] = {}
         drivers = {}
         for name in ("c", "p"):
             limits = Limits(name, ["c"], random.Random(1), 0.0, TOKEN_BOUNDS, asks=name == "p", fresh=True)
-            limits.configure(0.0, [paying], [Service("s")])
+            limits.configure(0.0, [tenant], [Service("s")])
             links = FakeLinks(name, network)
             drivers[name] = LimitsDriver(limits, links, lambda: loop.time() * 1000.0)  # type: ignore[arg-type]
         for driver in drivers.values():
@@ -266,17 +266,17 @@
         await asyncio.sleep(5.0)
         proxy = drivers["p"]
         self.assertTrue(proxy.limits.is_connected)
-        verdict = proxy.admit(paying, 9000.0)
+        verdict = proxy.admit(tenant, 9000.0)
         assert isinstance(verdict, asyncio.Future)
         self.assertTrue(await verdict)
-        requests = [proxy.admit(paying, 9000.0) for _ in range(20)]
+        requests = [proxy.admit(tenant, 9000.0) for _ in range(20)]
         results = []
         for request in requests:
             results.append(await request if isinstance(request, asyncio.Future) else request)
         self.assertIn(True, results)
         self.assertIn(False, results)
         await asyncio.sleep(3.0)
-        cancelled = proxy.admit(paying, 9000.0)
+        cancelled = proxy.admit(tenant, 9000.0)
         assert isinstance(cancelled, asyncio.Future)
         cancelled.cancel()
         await asyncio.sleep(1.0)
--- a/tests/fleet/test_limits_planted.py
+++ b/tests/fleet/test_limits_planted.py
@@ -1,4 +1,4 @@
-"""Bugs that are planted into the limits are found by the checks of their worlds in virtual time."""
+"""Bugs injected into the shared limits are detected by the checks of their simulations."""
 
 import unittest
 from collections.abc import Callable
@@ -22,7 +22,7 @@
 
 
 class InjectedBugTests(unittest.TestCase):
-    """Each bug is one that the design guards against; the checks of `WhateverFails` must find it."""
+    """Each bug is one that the design guards against; the checks of a simulation must detect it."""
 
     def assert_detected(self, patch: Callable[[], object], expected_text: str) -> None:
         for seed in MUTATION_SEEDS:
@@ -31,9 +31,9 @@
             if problem:
                 self.assertIn(expected_text, problem)
                 return
-        self.fail("the planted bug was not found")
+        self.fail("the injected bug was not detected")
 
-    def test_credit_that_never_ends(self) -> None:
+    def test_credit_that_never_expires(self) -> None:
         original = credit_client.CreditClient.handle_reply
 
         def handle_reply(self: credit_client.CreditClient, now: float, reply: messages.CreditReply) -> None:
@@ -44,13 +44,13 @@
             lambda: mock.patch.object(credit_client.CreditClient, "handle_reply", handle_reply), ""
         )
 
-    def test_warden_that_writes_credit_off_too_soon(self) -> None:
+    def test_credit_written_off_too_early(self) -> None:
         def take_expired(self: members.Members, now: float) -> list[str]:
             return [name for name, member in self.members.items() if now > member.last_reply_at + 100.0]
 
         self.assert_detected(lambda: mock.patch.object(members.Members, "take_expired", take_expired), "held")
 
-    def test_new_warden_that_begins_with_full_buckets(self) -> None:
+    def test_new_credit_server_starts_with_full_buckets(self) -> None:
         def initial_level(self: credit_ledger.CreditLedger, limit: bounds.KeyLimit) -> float:
             return limit.capacity
 
@@ -59,7 +59,7 @@
             self.assertGreater(self.excess_over_successive_servers(), 0.0)
 
     def excess_over_successive_servers(self) -> float:
-        """Each warden ends after a second, and much is asked of it; the excess over the bound."""
+        """Excess over the bound while each credit server resigns after a second under high load."""
         sim = World(5, [token_tenant("hot", 100_000.0, 200_000.0)])
         sim.run(6000.0)
         for _ in range(12):
@@ -73,7 +73,7 @@
                 sim.flush(process)
         return sim.excess_share("hot")
 
-    def test_new_warden_that_raises_buckets_beside_old_credit(self) -> None:
+    def test_buckets_refilled_without_room_for_prior_credit(self) -> None:
         original = credit_ledger.CreditLedger.refill
 
         def refill(self, account, limit, gained):  # type: ignore[no-untyped-def]
@@ -86,7 +86,7 @@
             self.assertRaisesRegex(AssertionError, "spendable", self.kill_servers_while_credit_is_held)
 
     def kill_servers_while_credit_is_held(self) -> None:
-        """Wardens are killed while proxies hold all credit that they may, and ask for little then."""
+        """Kill credit servers while proxies hold the maximum of credit and then ask for little."""
         slack = bounds.LimitBounds(quota_slack=72_000.0)
         for seed in range(8):
             sim = World(10, [token_tenant("one", 400_000.0)], seed=seed, bounds=slack, durable=True)
@@ -98,7 +98,7 @@
                 sim.run(10_000.0 + 20.0 * step)
                 sim.check_invariants()
 
-    def test_bucket_that_fills_whatever_is_outstanding(self) -> None:
+    def test_bucket_refilled_regardless_of_outstanding_credit(self) -> None:
         original = credit_ledger.CreditLedger.refreshed_account
 
         def refreshed_account(self, now, key, limit):  # type: ignore[no-untyped-def]
@@ -115,7 +115,7 @@
             "spendable",
         )
 
-    def test_proxy_that_falls_back_before_the_warden_leaves_its_base(self) -> None:
+    def test_fallback_while_the_credit_server_uses_the_share(self) -> None:
         original = credit_client.CreditClient.handle_reply
 
         def handle_reply(self: credit_client.CreditClient, now: float, reply: messages.CreditReply) -> None:
@@ -126,13 +126,13 @@
             lambda: mock.patch.object(credit_client.CreditClient, "handle_reply", handle_reply), "lent"
         )
 
-    def test_base_raised_before_others_gave_it_up(self) -> None:
+    def test_share_raised_before_others_released_it(self) -> None:
         def share_for(self: members.Members, member: members.Member, name: str) -> float:
             return 1.0 / len(self.members)
 
         self.assert_detected(lambda: mock.patch.object(members.Members, "share_for", share_for), "add up")
 
-    def test_base_raised_before_a_majority_remembers(self) -> None:
+    def test_share_raised_before_a_majority_stored_it(self) -> None:
         def propose_roster(
             self: credit_machine.CreditMachine,
             now: float,
@@ -149,7 +149,7 @@
             "add up",
         )
 
-    def test_credit_without_a_bound(self) -> None:
+    def test_outstanding_credit_without_a_bound(self) -> None:
         original = credit_ledger.CreditLedger.grant_needed
 
         def grant_needed(self, account, limit, *rest):  # type: ignore[no-untyped-def]
@@ -162,7 +162,7 @@
             lambda: mock.patch.object(credit_ledger.CreditLedger, "grant_needed", grant_needed), "outstanding"
         )
 
-    def test_base_that_outlives_its_time(self) -> None:
+    def test_fallback_share_that_never_expires(self) -> None:
         original = credit_client.CreditClient.handle_reply
 
         def handle_reply(self: credit_client.CreditClient, now: float, reply: messages.CreditReply) -> None:
@@ -179,9 +179,9 @@
             except AssertionError as error:
                 self.assertIn("add up", str(error))
                 return
-        self.fail("the planted bug was not found")
+        self.fail("the injected bug was not detected")
 
-    def test_fallback_bucket_that_is_full_from_the_start(self) -> None:
+    def test_fallback_bucket_that_starts_full(self) -> None:
         def spend_fallback(self, now, entry, limit, cost):  # type: ignore[no-untyped-def]
             if entry.fallback_level_at < self.fallback_at:
                 entry.fallback_level, entry.fallback_level_at = (
@@ -195,7 +195,7 @@
             lambda: mock.patch.object(credit_client.CreditClient, "spend_fallback", spend_fallback), ""
         )
 
-    def test_warden_that_goes_on_after_its_lease(self) -> None:
+    def test_credit_server_continues_after_its_lease(self) -> None:
         original = warden_lease.WardenLease.count_promises
 
         def count_promises(self: warden_lease.WardenLease, now: float) -> None:
@@ -207,7 +207,7 @@
             "credit servers",
         )
 
-    def test_keeper_that_forgets_its_promise_when_it_starts(self) -> None:
+    def test_restarted_acceptor_forgets_its_promise(self) -> None:
         original = warden_lease.WardenLease.__init__
 
         def init(self, *args, **kwargs):  # type: ignore[no-untyped-def]
@@ -218,7 +218,7 @@
         with mock.patch.object(warden_lease.WardenLease, "__init__", init):
             self.assertIn("credit servers", self.problem_after_acceptor_restart())
 
-    def test_promise_that_counts_before_it_is_stored(self) -> None:
+    def test_promise_confirmed_before_it_is_stored(self) -> None:
         original = credit_machine.CreditMachine.on_promise
 
         def on_promise(self: credit_machine.CreditMachine, now: float, name: str, ballot: int) -> None:
@@ -230,7 +230,7 @@
             self.assertIn("credit servers", self.problem_after_lost_promise())
 
     def problem_after_lost_promise(self) -> str:
-        """A second warden is elected with a witness that loses power while its disk is slow."""
+        """Elect a second credit server by an acceptor that loses power before its slow disk has synced."""
         for seed in range(8):
             sim = World(3, [token_tenant("under", 100_000.0)], seed=seed, durable=True)
             sim.at(0.0, "check", 10.0)
@@ -251,18 +251,18 @@
                 return str(error)
         return ""
 
-    def test_bucket_below_its_floor_before_keepers_know(self) -> None:
+    def test_bucket_drained_before_acceptors_stored_it(self) -> None:
         self.assertEqual(self.problem_after_repeated_kills(), "")
         with mock.patch.object(floors.BucketFloors, "may_drain", lambda self, key: True):
             with mock.patch.object(floors.BucketFloors, "mark_drained", lambda self, now, key: None):
                 self.assertIn("over the bound", self.problem_after_repeated_kills())
 
-    def test_buckets_that_count_as_full_whatever_the_keepers_remember(self) -> None:
+    def test_drained_buckets_refilled_to_their_floor(self) -> None:
         with mock.patch.object(floors.BucketFloors, "was_initially_drained", lambda self, key: False):
             self.assertIn("over the bound", self.problem_after_repeated_kills())
 
     def problem_after_repeated_kills(self) -> str:
-        """A tenant far over its limit, and all processes killed each 1.2 s, in several worlds."""
+        """Kill all processes every 1.2 s, with a tenant far over its limit, for several seeds."""
         for seed in range(4):
             sim = World(8, [token_tenant("hot", 100_000.0)], seed=seed, durable=True)
             sim.demand(Demand("hot", 150.0, (1000.0, 10_000.0), start=4000.0))
@@ -276,7 +276,7 @@
         return ""
 
     def problem_after_acceptor_restart(self) -> str:
-        """The warden is cut off; the one keeper that it had starts again and is asked by another."""
+        """Disconnect the credit server; its only other acceptor restarts and gets a request of another."""
         for seed in range(12):
             sim = World(3, [token_tenant("under", 100_000.0)], seed=seed)
             sim.at(0.0, "check", 10.0)
--- a/tests/fleet/test_limits_predecessors.py
+++ b/tests/fleet/test_limits_predecessors.py
@@ -1,4 +1,4 @@
-"""What peers remember of a proxy's base, and bugs planted there that the worlds of the limits find."""
+"""Fallback shares remembered by peers, and injected bugs that simulations of the limits detect."""
 
 import unittest
 from typing import Any
@@ -16,50 +16,50 @@
 
 
 class PeerShareTests(unittest.TestCase):
-    """Times count from the question, on the asking side's clock."""
-
-    def test_what_a_peer_held_is_told_for_the_rest_of_its_time(self) -> None:
-        bases = PredecessorBases()
-        bases.told("p", 1000.0, HeldBase(0.25, 10_500.0), released=False)
-        self.assertEqual(bases.remembered(4000.0, "p"), HeldBase(0.25, 7000.0))
-        self.assertEqual(bases.remembered(11_001.0, "p"), NO_BASE)
-        self.assertEqual(bases.remembered(4000.0, "other"), NO_BASE)
-
-    def test_a_next_life_that_holds_nothing_yet_leaves_it(self) -> None:
-        bases = PredecessorBases()
-        bases.told("p", 1000.0, HeldBase(0.25, 10_500.0), released=False)
-        bases.told("p", 2000.0, NO_BASE, released=False)
-        self.assertEqual(bases.remembered(4000.0, "p").part, 0.25)
-        bases.told("p", 3000.0, NO_BASE, released=True)
-        self.assertEqual(bases.remembered(4000.0, "p"), NO_BASE)
-
-    def test_released_once_no_peer_remembers(self) -> None:
-        bases = PredecessorBases()
-        bases.pinged(1000.0, "p", False, HeldBase(0.25, 10_000.0))
-        self.assertFalse(bases.is_released(2000.0))
-        bases.pinged(2000.0, "p", True, NO_BASE)  # the answer that gives it up may be lost
-        self.assertFalse(bases.is_released(2000.0))
-        bases.pinged(3000.0, "p", False, NO_BASE)
-        self.assertTrue(bases.is_released(3000.0))
-
-    def test_what_peers_remember_of_the_life_before_counts(self) -> None:
-        bases = PredecessorBases()
-        bases.pinged(1000.0, "p", True, NO_BASE)
-        self.assertFalse(bases.is_released(2000.0))
-
-    def test_memory_is_bounded(self) -> None:
-        bases = PredecessorBases()
+    """Lifetimes count from the sending of a ping, on the sender's clock."""
+
+    def test_share_of_a_peer_is_remembered_until_it_expires(self) -> None:
+        shares = PredecessorBases()
+        shares.told("p", 1000.0, HeldBase(0.25, 10_500.0), released=False)
+        self.assertEqual(shares.remembered(4000.0, "p"), HeldBase(0.25, 7000.0))
+        self.assertEqual(shares.remembered(11_001.0, "p"), NO_BASE)
+        self.assertEqual(shares.remembered(4000.0, "other"), NO_BASE)
+
+    def test_next_incarnation_without_a_share_keeps_it_remembered(self) -> None:
+        shares = PredecessorBases()
+        shares.told("p", 1000.0, HeldBase(0.25, 10_500.0), released=False)
+        shares.told("p", 2000.0, NO_BASE, released=False)
+        self.assertEqual(shares.remembered(4000.0, "p").part, 0.25)
+        shares.told("p", 3000.0, NO_BASE, released=True)
+        self.assertEqual(shares.remembered(4000.0, "p"), NO_BASE)
+
+    def test_share_is_released_once_no_peer_remembers_it(self) -> None:
+        shares = PredecessorBases()
+        shares.pinged(1000.0, "p", False, HeldBase(0.25, 10_000.0))
+        self.assertFalse(shares.is_released(2000.0))
+        shares.pinged(2000.0, "p", True, NO_BASE)  # the reply that releases it may be lost
+        self.assertFalse(shares.is_released(2000.0))
+        shares.pinged(3000.0, "p", False, NO_BASE)
+        self.assertTrue(shares.is_released(3000.0))
+
+    def test_share_of_the_previous_incarnation_counts(self) -> None:
+        shares = PredecessorBases()
+        shares.pinged(1000.0, "p", True, NO_BASE)
+        self.assertFalse(shares.is_released(2000.0))
+
+    def test_number_of_remembered_peers_is_bounded(self) -> None:
+        shares = PredecessorBases()
         for number in range(predecessors.MAX_REMEMBERED_PEERS + 10):
-            bases.told(f"p{number}", 0.0, HeldBase(0.1, 1000.0), released=False)
-        self.assertEqual(bases.remembered(1.0, "p0"), NO_BASE)
-        self.assertEqual(bases.remembered(1.0, "p20").part, 0.1)
+            shares.told(f"p{number}", 0.0, HeldBase(0.1, 1000.0), released=False)
+        self.assertEqual(shares.remembered(1.0, "p0"), NO_BASE)
+        self.assertEqual(shares.remembered(1.0, "p20").part, 0.1)
 
 
 class ReservedShareTests(unittest.TestCase):
-    """What a name held is given to nobody else for as long as its next process may take it up."""
+    """A share is reserved for its name for as long as the next incarnation may inherit it."""
 
     def planned_shares(self, now: float) -> dict[str, float]:
-        """The plan after the holder of all has started anew, and another proxy has come."""
+        """The plan after the proxy that held everything has restarted, and another proxy has joined."""
         members_state = members.Members(0.0, LentShare(0.0), STORED_SHARE_LIFETIME_MS)
         members_state.complete_at = 0.0
         members_state.handle_report(0.0, "one", CreditReport(1, 1, 1, 0, 0.0, []))
@@ -75,18 +75,18 @@
         assert plan is not None
         return plan
 
-    def test_while_it_may_be_taken_up(self) -> None:
+    def test_share_is_reserved_while_it_may_be_inherited(self) -> None:
         self.assertEqual(self.planned_shares(1000.0)["other"], 0.0)
 
-    def test_not_for_longer(self) -> None:
+    def test_reservation_ends_with_the_lifetime(self) -> None:
         self.assertEqual(self.planned_shares(1.1 * STORED_SHARE_LIFETIME_MS)["other"], 0.5)
 
-    def test_the_world_ends_it_in_time(self) -> None:
+    def test_inheritance_ends_with_the_lifetime(self) -> None:
         self.assertEqual(self.inherits_after(12_000.0), [True])
         self.assertEqual(self.inherits_after(1.1 * STORED_SHARE_LIFETIME_MS), [False])
 
     def inherits_after(self, pause: float) -> list[bool]:
-        """Whether a proxy that starts so long after the last warden takes up what it held."""
+        """Whether a proxy that starts this long after the loss of the credit server inherits its share."""
         sim = World(6, [token_tenant("t", 100_000.0)], seed=5, durable=True)
         sim.ping_loss_rate = sim.late_ping_rate = 0.0
         sim.run(8000.0)
@@ -103,40 +103,42 @@
 
 
 class InjectedBugTests(unittest.TestCase):
-    """Each is found within the histories of `BUG_SEEDS`."""
+    """Each bug is detected by a simulation with one of `MUTATION_SEEDS`, or by the named test."""
 
     def assert_detected(self, owner: type, name: str, bug: Any) -> None:
         for seed in MUTATION_SEEDS:
             with mock.patch.object(owner, name, bug):
                 if run_and_check(repeated_restarts(seed)):
                     return
-        self.fail("the planted bug was not found")
+        self.fail("the injected bug was not detected")
 
     def assert_test_fails(self, test: str, owner: type, name: str, bug: Any) -> None:
         with mock.patch.object(owner, name, bug):
             self.assertRaises(AssertionError, getattr(ReservedShareTests(test), test))
 
-    def test_a_warden_that_gives_the_part_of_a_restarted_proxy_away(self) -> None:
+    def test_share_of_a_restarted_proxy_given_to_another(self) -> None:
         def reserve_predecessor_share(
             self: members.Members, member: members.Member, share: float, until: float
         ) -> None:
             return
 
         self.assert_test_fails(
-            "test_while_it_may_be_taken_up",
+            "test_share_is_reserved_while_it_may_be_inherited",
             members.Members,
             "reserve_predecessor_share",
             reserve_predecessor_share,
         )
 
-    def test_memory_that_outlives_its_time(self) -> None:
+    def test_remembered_share_that_never_expires(self) -> None:
         def remembered(self: PredecessorBases, now: float, peer: str) -> HeldBase:
-            known = self._peer_shares.get(peer)
-            return HeldBase(known.part, 20_000.0) if known is not None else NO_BASE
+            peer_share = self._peer_shares.get(peer)
+            return HeldBase(peer_share.part, 20_000.0) if peer_share is not None else NO_BASE
 
-        self.assert_test_fails("test_the_world_ends_it_in_time", PredecessorBases, "remembered", remembered)
+        self.assert_test_fails(
+            "test_inheritance_ends_with_the_lifetime", PredecessorBases, "remembered", remembered
+        )
 
-    def test_taken_up_beside_what_a_warden_gave(self) -> None:
+    def test_share_inherited_in_addition_to_an_assigned_one(self) -> None:
         def inherit_fallback_share(
             self: credit_client.CreditClient, now: float, share: float, until: float
         ) -> None:
--- a/tests/fleet/test_limits_worlds.py
+++ b/tests/fleet/test_limits_worlds.py
@@ -1,7 +1,7 @@
-"""Limits over a whole fleet in virtual time: the bounds hold in every window, whatever fails.
+"""Shared limits of a whole fleet in virtual time: the bounds hold in every window, whatever fails.
 
-Who asks for less than the limit is hardly ever refused. Bugs that are planted into the machines are found
-by the same checks.
+A tenant below its limit is hardly ever refused. `test_limits_planted` shows that the same checks detect
+injected bugs.
 """
 
 import unittest
@@ -15,18 +15,18 @@
 from tests.fleet.limits_world import Demand, World, token_tenant
 
 FAULT_SEEDS = range(40)
-COST_RANGE_TOKENS = (2000.0, 25_000.0)  # tokens of a request, least and most
-SMALLER_COST_SHARE = 0.958  # of requests cost less than 0.9 of the most
-MEAN_COST_TOKENS = 9100.0  # of costs whose logarithms are even between these
+COST_RANGE_TOKENS = (2000.0, 25_000.0)  # of one request, minimum and maximum
+SMALLER_COST_SHARE = 0.958  # of the requests, which cost less than 0.9 of the maximum
+MEAN_COST_TOKENS = 9100.0  # of costs distributed log-uniformly over this range
 
 
 class BoundTests(unittest.TestCase):
-    def test_every_window_keeps_the_bounds(self) -> None:
+    def test_every_window_keeps_the_bounds_under_random_faults(self) -> None:
         for seed in FAULT_SEEDS:
             with self.subTest(seed=seed):
                 self.assertEqual(run_and_check(random_faults(seed, SIMULATION_MS)), "")
 
-    def test_keepers_with_disks_killed_again_and_again(self) -> None:
+    def test_acceptors_with_disks_killed_repeatedly(self) -> None:
         for seed in range(200, 212):
             with self.subTest(seed=seed):
                 sim = random_faults(seed, SIMULATION_MS, mean_pause_ms=3000.0, lossy=False)
@@ -37,7 +37,7 @@
                         sim.at(at + 300.0 + 150.0 * index, "call", "start", name)
                 self.assertEqual(run_and_check(sim), "")
 
-    def test_all_keepers_killed_at_once(self) -> None:
+    def test_all_acceptors_killed_at_once(self) -> None:
         for seed in range(100, 108):
             with self.subTest(seed=seed):
                 sim = random_faults(seed, SIMULATION_MS, mean_pause_ms=4000.0, lossy=False)
@@ -47,7 +47,7 @@
                     sim.at(9900.0, "call", "start", name)
                 self.assertEqual(run_and_check(sim), "")
 
-    def test_proxies_go_on_for_twenty_seconds_without_a_warden(self) -> None:
+    def test_proxies_serve_for_twenty_seconds_without_a_credit_server(self) -> None:
         for seed in range(300, 304):
             with self.subTest(seed=seed):
                 sim = World(11, [token_tenant("t", 400_000.0)], seed=seed, durable=True)
@@ -64,7 +64,7 @@
                 self.assertLess(refused, 0.2)
                 self.assertLessEqual(sim.excess_share("t"), 0.0)
 
-    def test_without_a_warden_for_long_while_proxies_come_and_go(self) -> None:
+    def test_proxies_restart_during_a_long_time_without_a_credit_server(self) -> None:
         for seed in range(320, 330):
             with self.subTest(seed=seed):
                 sim = random_faults(seed, SIMULATION_MS, mean_pause_ms=3000.0, lossy=False)
@@ -76,7 +76,7 @@
                     sim.at(17_000.0, "call", "start", name)
                 self.assertEqual(run_and_check(sim), "")
 
-    def test_proxies_that_start_without_a_warden_go_on_with_what_they_held(self) -> None:
+    def test_restarted_proxies_inherit_their_share_without_a_credit_server(self) -> None:
         for seed in range(340, 346):
             with self.subTest(seed=seed):
                 sim = World(11, [token_tenant("t", 400_000.0)], seed=seed, durable=True)
@@ -97,13 +97,13 @@
                 self.assertLessEqual(sim.excess_share("t"), 0.0)
                 self.assertGreater(sim.lent(), 0.99)
 
-    def test_warden_and_proxies_come_and_go(self) -> None:
-        """Takes up what was held again and again, in and out of touch."""
+    def test_credit_server_and_proxies_restart_repeatedly(self) -> None:
+        """Shares are inherited repeatedly, with and without a credit server."""
         for seed in range(360, 380):
             with self.subTest(seed=seed):
                 self.assertEqual(run_and_check(repeated_restarts(seed)), "")
 
-    def test_keepers_that_are_replaced(self) -> None:
+    def test_acceptors_are_replaced(self) -> None:
         for seed in range(200, 215):
             with self.subTest(seed=seed):
                 sim = random_faults(seed, SIMULATION_MS, mean_pause_ms=4000.0)
@@ -115,10 +115,13 @@
 
 
 class RosterRepairTests(unittest.TestCase):
-    """What keepers remember of the proxies' bases, after some of them have missed or forgotten it."""
+    """The stored roster of proxies' shares, after some acceptors have missed or lost it."""
 
-    def test_a_keeper_that_lost_its_disk_and_a_new_one_are_told_before_all_lose_power(self) -> None:
-        """As on a hunted day: else two of three have forgotten the roster, and nobody is granted anything."""
+    def test_roster_reaches_acceptors_with_lost_or_new_disks(self) -> None:
+        """An acceptor that lost its disk and a new one get the roster before all processes lose power.
+
+        Otherwise two of three acceptors would not know the roster, and nothing would be granted.
+        """
         for seed in range(8):
             with self.subTest(seed=seed):
                 sim = World(6, [token_tenant("under", 100_000.0)], seed=seed, durable=True)
@@ -135,7 +138,7 @@
                 sim.run(21_000.0)
                 self.assertGreater(sim.lent(), 0.99)
 
-    def test_a_keeper_that_was_cut_off_while_a_plan_was_taken_learns_it_later(self) -> None:
+    def test_roster_reaches_an_acceptor_that_was_disconnected(self) -> None:
         sim = World(3, [token_tenant("under", 100_000.0)], seed=3, durable=True)
         sim.run(3000.0)
         warden = sim.wardens()[0]
@@ -155,7 +158,7 @@
         self.assertEqual(set(versions.values()), {max(versions.values())}, versions)
         self.assertGreater(max(versions.values()), 1)
 
-    def test_all_that_forgot_everything_grant_whole_limits_well_within_twelve_seconds(self) -> None:
+    def test_limits_recover_within_twelve_seconds_without_any_stored_state(self) -> None:
         sim = World(3, [token_tenant("under", 100_000.0)], seed=4)
         sim.run(4000.0)
         for name in [*sim.keepers, *sim.proxies]:
@@ -168,7 +171,7 @@
 
 
 class RefusalTests(unittest.TestCase):
-    """A tenant below its limit is hardly ever refused, one above it gets its limit."""
+    """A tenant below its limit is hardly ever refused, and one above it gets its limit."""
 
     def overloaded_fleet(self, proxies: int, total_rate: float, even: bool = False) -> World:
         tenants = [token_tenant("hot", total_rate * 0.1), token_tenant("under", total_rate * 0.1)]
@@ -179,7 +182,7 @@
         sim.demand(Demand("under", mean_rate / 1.3, COST_RANGE_TOKENS, weights, start=4000.0))
         return sim
 
-    def test_calm_fleets(self) -> None:
+    def test_tenant_below_its_limit_without_faults(self) -> None:
         for proxies, total in ((10, 2e6), (83, 4.6e6)):
             with self.subTest(proxies=proxies):
                 sim = self.overloaded_fleet(proxies, total)
@@ -191,7 +194,7 @@
                 self.assertGreater(admitted, 0.98)
                 self.assertLessEqual(sim.excess_share("hot"), 0.0)
 
-    def test_large_requests_are_admitted_as_small_ones_are(self) -> None:
+    def test_large_requests_are_not_starved(self) -> None:
         for rate in (18_000.0, 200_000.0):
             with self.subTest(rate=rate):
                 sim = World(10, [token_tenant("hot", rate)], bounds=bounds.LimitBounds(quota_slack=72_000.0))
@@ -213,7 +216,7 @@
         sim.run(21_000.0)
         self.assertLess(sim.tally["under"].refused_share, 0.01)
 
-    def test_killed_warden(self) -> None:
+    def test_killed_credit_server(self) -> None:
         sim = self.overloaded_fleet(10, 2e6)
         sim.run(10_000.0)
         first = sim.wardens()[0]
@@ -226,15 +229,15 @@
         self.assertLess((after.refused - before[1]) / (after.asked - before[0]), 0.2)
         self.assertLessEqual(sim.excess_share("hot"), 0.0)
 
-    def test_a_keeper_without_a_configuration_leaves_the_lease_to_others(self) -> None:
-        """One lost its disk, one goes dark, and the third, which knows the limits, is cut off for a while."""
+    def test_acceptor_without_a_configuration_is_not_elected(self) -> None:
+        """One lost its disk, one is disconnected, and the third, with a configuration, reconnects later."""
         for seed in range(8):
             sim = World(10, [token_tenant("under", 2e5)], seed=seed, durable=True)
             sim.demand(Demand("under", 20.0, (500.0, 5000.0), start=4000.0))
             sim.run(10_000.0)
             first = sim.wardens()[0]
-            dark, other = (name for name in sim.keepers if name != first)
-            sim.cut_off(dark)
+            disconnected, other = (name for name in sim.keepers if name != first)
+            sim.cut_off(disconnected)
             sim.cut_off(other)
             sim.at(12_500.0, "call", "reconnect", other)
             sim.kill(first)
@@ -248,28 +251,28 @@
             after = sim.tally["under"]
             self.assertLess((after.refused - before[1]) / (after.asked - before[0]), 0.1, f"seed {seed}")
 
-    def test_one_that_leads_something_else_leaves_the_lease_to_others(self) -> None:
+    def test_deferring_candidate_leaves_the_lease_to_others(self) -> None:
         for seed in range(8):
             sim = World(5, [token_tenant("under", 2e5)], seed=seed, durable=True)
             leader, *others = sim.keepers
-            machine = sim.processes[leader].limits
-            assert machine is not None
-            machine.machine.gives_way = True
+            limits = sim.processes[leader].limits
+            assert limits is not None
+            limits.machine.gives_way = True
             sim.run(5_000.0)
             self.assertIn(sim.wardens()[0], others, f"seed {seed}, first start")
             sim.kill(sim.wardens()[0])
             sim.run(6_500.0)
             self.assertIn(sim.wardens()[0], others, f"seed {seed}, after a loss")
 
-    def test_one_that_leads_takes_the_lease_where_nobody_else_does(self) -> None:
+    def test_deferring_candidate_is_elected_if_it_is_the_only_one(self) -> None:
         sim = World(3, [token_tenant("under", 2e5)], keepers=1, durable=True)
-        machine = sim.processes[sim.keepers[0]].limits
-        assert machine is not None
-        machine.machine.gives_way = True
+        limits = sim.processes[sim.keepers[0]].limits
+        assert limits is not None
+        limits.machine.gives_way = True
         sim.run(5_000.0)
         self.assertEqual(sim.wardens(), sim.keepers)
 
-    def test_one_that_learns_the_limits_takes_the_lease_then(self) -> None:
+    def test_acceptor_is_elected_once_it_has_a_configuration(self) -> None:
         sim = World(3, [token_tenant("under", 2e5)], keepers=1, durable=True)
         sim.run(6_000.0)
         (only,) = sim.keepers
@@ -286,7 +289,7 @@
         sim.run(10_200.0)
         self.assertEqual(sim.wardens(), [only])
 
-    def test_proxies_that_are_cut_off_use_their_base(self) -> None:
+    def test_disconnected_proxies_use_their_fallback_share(self) -> None:
         sim = self.overloaded_fleet(10, 2e6, even=True)
         sim.run(10_000.0)
         before = sim.tally["under"].asked, sim.tally["under"].refused
@@ -298,21 +301,21 @@
         self.assertLess((after.refused - before[1]) / (after.asked - before[0]), 0.12)
         self.assertLessEqual(sim.excess_share("hot"), 0.0)
 
-    def test_stored_rosters_make_the_limits_whole_at_once(self) -> None:
+    def test_stored_rosters_restore_the_whole_limits_at_once(self) -> None:
         lent = {}
         for durable in (False, True):
             sim = World(10, [token_tenant("under", 100_000.0)], durable=durable)
-            sim.ping_loss_rate = 1.0  # nobody takes up what it held before
+            sim.ping_loss_rate = 1.0  # no proxy inherits its share
             sim.run(8000.0)
             for name in [*sim.keepers, *sim.proxies[:3]]:
                 sim.kill(name)
                 sim.at(8900.0, "call", "start", name)
             sim.run(13_000.0)
             lent[durable] = sim.lent()
-        self.assertLess(lent[False], 0.75)  # parts of the three may still be held by somebody
+        self.assertLess(lent[False], 0.75)  # shares of the three may still be held
         self.assertGreater(lent[True], 0.999)
 
-    def test_after_all_were_killed_the_same_warden_follows_at_once(self) -> None:
+    def test_same_credit_server_is_elected_after_all_were_killed(self) -> None:
         for seed in range(1, 6):
             with self.subTest(seed=seed):
                 sim = World(10, [token_tenant("under", 100_000.0)], seed=seed, durable=True)
@@ -324,7 +327,7 @@
                 sim.run(9200.0)
                 self.assertEqual(sim.wardens(), before)
 
-    def test_nobody_below_the_limit_is_refused_after_all_were_killed(self) -> None:
+    def test_tenant_below_its_limit_after_all_were_killed(self) -> None:
         for rate, per_s, cost in ((436_000.0, 36.0, COST_RANGE_TOKENS), (18_000.0, 5.0, (300.0, 5000.0))):
             with self.subTest(rate=rate):
                 sim = World(11, [token_tenant("under", rate)], durable=True)
@@ -338,7 +341,7 @@
                 sim.run(13_000.0)
                 self.assertEqual(sim.tally["under"].refused, before)
 
-    def test_lower_limit_binds_at_once(self) -> None:
+    def test_lowered_limit_applies_at_once(self) -> None:
         sim = self.overloaded_fleet(10, 2e6)
         sim.run(10_000.0)
         sim.set_tenant(token_tenant("hot", 50_000.0))
@@ -347,7 +350,7 @@
         sim.run(24_000.0)
         self.assertLessEqual(sim.excess_share("hot"), 0.0)
 
-    def test_planned_end_of_proxies_gives_their_parts_back(self) -> None:
+    def test_planned_shutdown_of_proxies_releases_their_shares(self) -> None:
         sim = self.overloaded_fleet(10, 2e6)
         sim.ping_loss_rate = sim.late_ping_rate = 0.0
         sim.run(10_000.0)
@@ -365,7 +368,7 @@
         sim.run(15_500.0)
         self.assertGreater(sim.lent(), 0.999)
 
-    def test_parts_that_peers_remember_are_given_back_later(self) -> None:
+    def test_shares_remembered_by_peers_are_released_later(self) -> None:
         sim = self.overloaded_fleet(10, 2e6)
         sim.run(10_000.0)
         for name in sim.proxies[:4]:
@@ -376,7 +379,7 @@
         sim.run(10_000.0 + 1.2 * spans.STORED_SHARE_LIFETIME_MS)
         self.assertGreater(sim.lent(), 0.999)
 
-    def test_planned_end_of_the_warden_leaves_no_gap(self) -> None:
+    def test_planned_shutdown_of_the_credit_server_leaves_no_gap(self) -> None:
         sim = self.overloaded_fleet(10, 2e6)
         sim.run(10_000.0)
         first = sim.processes[sim.wardens()[0]]
@@ -389,7 +392,7 @@
 
 
 class SpanTests(unittest.TestCase):
-    def test_they_fit_each_other(self) -> None:
+    def test_time_constants_are_consistent(self) -> None:
         heard_late = 2.0 * spans.MAX_REPORT_INTERVAL_MS + spans.EARLY_REPORT_DELAY_MS
         self.assertLess(heard_late * warden_lease.DRIFT, spans.FALLBACK_DELAY_MS / warden_lease.DRIFT)
         self.assertLess(spans.MAX_REPORT_INTERVAL_MS * 2.0, spans.CREDIT_LIFETIME_MS)
