--- a/barleybarrow/limits/bounds.py
+++ b/barleybarrow/limits/bounds.py
@@ -46,8 +46,8 @@
     rate: float  # per second
     capacity: float  # of the credit server's bucket, outstanding credit and all fallback buckets together
     debt: float  # how far below zero one grant may take the bucket
-    credit: float  # maximum of credit granted and not yet reported as spent, over all proxies
-    largest: float  # cost of a request that credit granted ahead of need must leave room for
+    max_credit: float  # maximum of credit granted and not yet reported as spent, over all proxies
+    max_request_cost: float  # cost of a request that credit granted ahead of need must leave room for
     reserve: float  # level of the credit server's bucket below which no credit is granted ahead of need
 
 
@@ -56,18 +56,18 @@
     if tenant.rate_per_s <= 0.0:
         return None
     steady = tenant.rate_per_s * bounds.quota_window_s + tenant.burst
-    slack, largest = bounds.quota_slack, MAX_REQUEST_TOKENS
+    slack, max_request_cost = bounds.quota_slack, MAX_REQUEST_TOKENS
     if tenant.unit != QuotaUnit.TOKENS:
-        slack, largest = min(slack, REQUEST_SLACK_SHARE * steady), 1.0
+        slack, max_request_cost = min(slack, REQUEST_SLACK_SHARE * steady), 1.0
     room = (bounds.quota_overshoot * steady + slack) * (1.0 - ROOM_MARGIN_SHARE)
-    debt = min(DEBT_SHARE * room, largest)
+    debt = min(DEBT_SHARE * room, max_request_cost)
     capacity = tenant.burst + room - debt
     return KeyLimit(
         tenant.rate_per_s,
         capacity,
         debt,
-        min(capacity, max(CREDIT_SHARE * capacity, 2.0 * largest)),
-        largest,
+        min(capacity, max(CREDIT_SHARE * capacity, 2.0 * max_request_cost)),
+        max_request_cost,
         RESERVE_SHARE * capacity,
     )
 
--- a/barleybarrow/limits/credit_client.py
+++ b/barleybarrow/limits/credit_client.py
@@ -157,8 +157,10 @@
         if now >= self.credit_valid_until or entry.credit < cost:
             return False
         entry.spent += cost
-        soon = entry.report_soon or (entry.has_prefetched and entry.credit < entry.mean_cost)
-        self.mark_dirty(now, entry, spans.EARLY_REPORT_DELAY_MS if soon else self.idle_report_interval)
+        report_early = entry.report_soon or (entry.has_prefetched and entry.credit < entry.mean_cost)
+        self.mark_dirty(
+            now, entry, spans.EARLY_REPORT_DELAY_MS if report_early else self.idle_report_interval
+        )
         return True
 
     def spend_fallback(self, now: float, entry: CreditEntry, limit: KeyLimit, cost: float) -> bool:
@@ -169,9 +171,9 @@
         share = self.fallback_share if now < self.fallback_share_until else 0.0
         if entry.fallback_level_at < self.fallback_at:
             entry.fallback_level, entry.fallback_level_at = 0.0, self.fallback_at
-        gained = share * limit.rate * (now - entry.fallback_level_at) / 1000.0
+        gain = share * limit.rate * (now - entry.fallback_level_at) / 1000.0
         entry.fallback_level, entry.fallback_level_at = (
-            min(entry.fallback_level + gained, share * limit.capacity),
+            min(entry.fallback_level + gain, share * limit.capacity),
             now,
         )
         if entry.fallback_level < cost:
@@ -234,21 +236,21 @@
     @property
     def next_report_at(self) -> float:
         """Time of the next report."""
-        due = self.last_report_at + (
+        regular_at = self.last_report_at + (
             spans.NEED_REPORT_INTERVAL_MS if self.pending_count else self.idle_report_interval
         )
-        return max(self.last_report_at + spans.MIN_REPORT_GAP_MS, min(self.early_report_at, due))
+        return max(self.last_report_at + spans.MIN_REPORT_GAP_MS, min(self.early_report_at, regular_at))
 
     def report(self, now: float) -> CreditReport:
         """Build a report of all changed entries, up to `MAX_REPORT_ITEMS`."""
         if now >= self.fallback_share_until:
             self.fallback_share = 0.0
-        span = min(RATE_SMOOTHING_MS, max(1.0, now - self.last_report_at))
+        span_ms = min(RATE_SMOOTHING_MS, max(1.0, now - self.last_report_at))
         self.sequence += 1
         items, sent = [], []
         for entry in list(self.dirty.values())[:MAX_REPORT_ITEMS]:
-            weight = span / RATE_SMOOTHING_MS
-            entry.rate_per_s += weight * (entry.unreported_demand * 1000.0 / span - entry.rate_per_s)
+            weight = span_ms / RATE_SMOOTHING_MS
+            entry.rate_per_s += weight * (entry.unreported_demand * 1000.0 / span_ms - entry.rate_per_s)
             entry.unreported_demand = 0.0
             items.append(self.build_entry_report(now, entry))
             sent.append((entry, entry.number, entry.spent, entry.returned))
@@ -316,12 +318,12 @@
 
     def handle_reply(self, now: float, reply: CreditReply) -> None:
         """Apply a reply of the credit server."""
-        report = self.sent_reports.pop(reply.sequence, None)
-        if report is None or reply.term != self.term:
+        sent = self.sent_reports.pop(reply.sequence, None)
+        if sent is None or reply.term != self.term:
             return
         if now >= self.credit_valid_until > -inf:
             self.expire_credit(now)
-        self.credit_valid_until = max(self.credit_valid_until, report.sent_at + spans.CREDIT_LIFETIME_MS)
+        self.credit_valid_until = max(self.credit_valid_until, sent.sent_at + spans.CREDIT_LIFETIME_MS)
         is_newest, self.was_answered = reply.sequence > self.applied_sequence, True
         if is_newest:
             if self.applied_sequence == 0:
@@ -329,9 +331,9 @@
             self.applied_sequence, self.fallback_at = reply.sequence, now + spans.FALLBACK_DELAY_MS
             self.fallback_share, self.fallback_share_until = (
                 reply.fallback_share,
-                report.sent_at + reply.share_lifetime_ms,
+                sent.sent_at + reply.share_lifetime_ms,
             )
-        for entry, number, spent, returned in report.items:
+        for entry, number, spent, returned in sent.items:
             if (entry.number, entry.spent, entry.returned) == (number, spent, returned) and not entry.pending:
                 self.dirty.pop(number, None)
         for grant in reply.grants:
--- a/barleybarrow/limits/credit_ledger.py
+++ b/barleybarrow/limits/credit_ledger.py
@@ -16,7 +16,7 @@
 A new credit server knows no bucket levels: each bucket starts at -debt. If the acceptors have not stored the
 key as drained (`floors`), the bucket was at its floor or above, and the difference to the floor is refilled;
 the previous credit server could have granted as much. Credit granted by that server may still be spent, in
-an unknown amount: until it has expired, the largest possible amount (`credit`) counts as outstanding
+an unknown amount: until it has expired, the largest possible amount (`max_credit`) counts as outstanding
 whenever a bucket is raised, by its rate or by that refill.
 
 No I/O; times are milliseconds.
@@ -99,16 +99,18 @@
             self.set_pending_refill(key, account, limit)
         if account.orphaned_credit:
             self.expire_orphaned(now, account)
-        gained = limit.rate * (self.lent_share.integral - account.lent_integral) / 1000.0
+        gain = limit.rate * (self.lent_share.integral - account.lent_integral) / 1000.0
         account.lent_integral = self.lent_share.integral
-        self.refill(account, limit, gained)
+        self.refill(account, limit, gain)
         return account
 
-    def refill(self, account: KeyAccount, limit: KeyLimit, gained: float) -> None:
+    def refill(self, account: KeyAccount, limit: KeyLimit, gain: float) -> None:
         """Add the gain and the pending refill, as far as outstanding credit leaves room."""
         max_level = limit.capacity * self.lent_share.value - account.outstanding
-        room = max_level if self.no_prior_grants or self.prior_credit_expired else max_level - limit.credit
-        raised = max(account.level, min(room, account.level + gained))
+        room = (
+            max_level if self.no_prior_grants or self.prior_credit_expired else max_level - limit.max_credit
+        )
+        raised = max(account.level, min(room, account.level + gain))
         refilled = max(0.0, min(account.pending_refill, room - raised))
         account.pending_refill -= refilled
         account.level = min(max_level, raised + refilled)
@@ -154,7 +156,7 @@
         wait_ms, awaiting_reports = self.grant_needed(account, limit, entry, report, min_level)
         if wait_ms <= 0.0:
             self.grant_prefetch(account, limit, entry, report, min_level)
-        report_soon = account.outstanding > REPORT_SOON_CREDIT_SHARE * limit.credit
+        report_soon = account.outstanding > REPORT_SOON_CREDIT_SHARE * limit.max_credit
         return Grant(
             entry.number, compact_number(entry.granted), round(wait_ms), awaiting_reports, report_soon
         )
@@ -210,21 +212,21 @@
 
         Returns the wait for the rest in milliseconds, and whether it awaits reports of other proxies.
         """
-        held = entry.outstanding
-        short = report.needed - held
-        if short <= 0.0:
+        held_credit = entry.outstanding
+        shortfall = report.needed - held_credit
+        if shortfall <= 0.0:
             return 0.0, False
-        min_grant = max(0.0, report.first_cost - held)
+        min_grant = max(0.0, report.first_cost - held_credit)
         start_level = max(
             0.0, min(account.largest_cost, MAX_LARGEST_COST_SHARE * limit.capacity) - limit.debt
         )
         available = account.level + limit.debt if account.level > start_level else 0.0
         above_floor = max(0.0, account.level - min_level)
-        room = limit.credit * self.lent_share.value - account.outstanding
-        amount = float(floor(min(short, available, room, above_floor)))
+        room = limit.max_credit * self.lent_share.value - account.outstanding
+        amount = float(floor(min(shortfall, available, room, above_floor)))
         if amount >= min_grant:
             self.add_grant(account, entry, amount)
-            if amount >= short:
+            if amount >= shortfall:
                 return 0.0, False
         if available >= min_grant and above_floor < min_grant:
             return DRAIN_ACK_WAIT_MS, True
@@ -243,15 +245,15 @@
         self, account: KeyAccount, limit: KeyLimit, entry: ProxyEntry, report: EntryReport, min_level: float
     ) -> None:
         """Grant credit ahead of need, while the bucket is above its reserve."""
-        held = entry.outstanding
-        short = report.prefetch_target - held
-        if short <= 0.0 or account.level < limit.reserve:
+        held_credit = entry.outstanding
+        shortfall = report.prefetch_target - held_credit
+        if shortfall <= 0.0 or account.level < limit.reserve:
             return
-        credit = limit.credit * self.lent_share.value
-        max_outstanding = min(PREFETCH_CREDIT_SHARE * credit, credit - limit.largest)
-        fair_share = max_outstanding / max(1, len(account.entries)) - held
+        max_credit = limit.max_credit * self.lent_share.value
+        max_outstanding = min(PREFETCH_CREDIT_SHARE * max_credit, max_credit - limit.max_request_cost)
+        fair_share = max_outstanding / max(1, len(account.entries)) - held_credit
         available = min(account.level, account.level - min_level)
-        amount = float(floor(min(short, fair_share, max_outstanding - account.outstanding, available)))
+        amount = float(floor(min(shortfall, fair_share, max_outstanding - account.outstanding, available)))
         if amount >= max(1.0, floor(report.first_cost)):
             self.add_grant(account, entry, amount)
 
@@ -289,8 +291,8 @@
                 account.outstanding -= entry.outstanding
                 del account.entries[name]
                 self.keys_by_proxy.get(name, set()).discard(key)
-        full = limit is None or account.level >= limit.capacity
-        if full and not account.entries and not account.orphaned_credit:
+        is_full = limit is None or account.level >= limit.capacity
+        if is_full and not account.entries and not account.orphaned_credit:
             del self.accounts[key]
             self.floors.forget([key])
 
--- a/barleybarrow/limits/credit_machine.py
+++ b/barleybarrow/limits/credit_machine.py
@@ -153,10 +153,10 @@
 
     def schedule_election(self, now: float) -> None:
         """Become a candidate when the promise to the lost credit server expires."""
-        own = self.promised_to == self.name or (
+        is_own_promise = self.promised_to == self.name or (
             not self.promised_to and self.matches_recovered_promise(self.name)
         )
-        released_at = now if own else max(now, self.promised_until)
+        released_at = now if is_own_promise else max(now, self.promised_until)
         self.election_timer_at = released_at + self.rng.uniform(0.0, spans.MAX_ELECTION_JITTER_MS)
 
     def warden_changed(self, now: float) -> None:
@@ -177,19 +177,19 @@
         A credit server sends a heartbeat to new peers; an acceptor that lost its credit server prepares to
         become a candidate.
         """
-        before, self.reach = set(self.reach), list(reachable)
-        new = set(reachable) - before
+        previous, self.reach = set(self.reach), list(reachable)
+        added = set(reachable) - previous
         if self.books is not None:
-            self.books.acked_by -= new  # a peer that reconnects may have lost its stored state
-        lost = self.warden in before and self.warden not in self.reach
-        if lost and self.role is Role.PROXY and self.name in self.acceptors:
+            self.books.acked_by -= added  # a peer that reconnects may have lost its stored state
+        lost_credit_server = self.warden in previous and self.warden not in self.reach
+        if lost_credit_server and self.role is Role.PROXY and self.name in self.acceptors:
             self.credit_server_heard_at = -inf
             self.schedule_election(now)
         if self.role is Role.WARDEN and now < self.lease_end:
-            self.out.extend((name, Here(self.term)) for name in sorted(new))
+            self.out.extend((name, Here(self.term)) for name in sorted(added))
         elif self.role is Role.SEEKING:
             self.out.extend(
-                (name, Seek(self.incarnation, self.token)) for name in sorted(new & set(self.acceptors))
+                (name, Seek(self.incarnation, self.token)) for name in sorted(added & set(self.acceptors))
             )
 
     def resign(self, now: float, released: bool = False) -> None:
@@ -278,8 +278,8 @@
         entries: dict[tuple[str, int], RosterEntry] = {}
         for reply in known:
             for entry in reply.entries if reply.version == version else []:
-                old = entries.get((entry.name, entry.incarnation))
-                if old is None or entry.fallback_share > old.fallback_share:
+                known_entry = entries.get((entry.name, entry.incarnation))
+                if known_entry is None or entry.fallback_share > known_entry.fallback_share:
                     entries[entry.name, entry.incarnation] = entry
         state.members.adopt_roster(now, list(entries.values()))
         drained = [reply.drained for reply in known if reply.version == version]
--- a/barleybarrow/limits/lent.py
+++ b/barleybarrow/limits/lent.py
@@ -43,12 +43,12 @@
     def lend(self, now: float, name: str, share: float, until: float) -> None:
         """Lend a proxy's share, which it does not use until then."""
         self.advance(now)
-        old = self.loans.get(name)
-        if until <= now or (old is not None and until <= old[1] and share == old[0]):
+        old_loan = self.loans.get(name)
+        if until <= now or (old_loan is not None and until <= old_loan[1] and share == old_loan[0]):
             return
-        until = max(until, old[1]) if old is not None else until
+        until = max(until, old_loan[1]) if old_loan is not None else until
         self.loans[name] = share, until
-        self.loan_sum += share - (old[0] if old is not None else 0.0)
+        self.loan_sum += share - (old_loan[0] if old_loan is not None else 0.0)
         heapq.heappush(self.loan_ends, (until, name))
 
     def end_loan(self, now: float, name: str) -> None:
--- a/barleybarrow/limits/members.py
+++ b/barleybarrow/limits/members.py
@@ -108,21 +108,21 @@
 
     def set_held_share(self, member: Member, share: float, now: float | None = None) -> None:
         """Set the bound of a member's share; with `now`, a higher earlier bound stays reserved for a time."""
-        before = member.reserved_share
+        old_reserved = member.reserved_share
         if now is not None and share < member.held_share:
-            member.predecessor_share = before
+            member.predecessor_share = old_reserved
             member.predecessor_share_until = now + self.share_lifetime * DRIFT
         member.held_share = share
-        self.reserved_total += member.reserved_share - before
+        self.reserved_total += member.reserved_share - old_reserved
 
     def reserve_predecessor_share(self, member: Member, share: float, until: float) -> None:
         """Reserve a share that earlier incarnations of this name may hold until this time."""
-        before = member.reserved_share
+        old_reserved = member.reserved_share
         member.predecessor_share, member.predecessor_share_until = (
             max(member.predecessor_share, share),
             max(member.predecessor_share_until, until),
         )
-        self.reserved_total += member.reserved_share - before
+        self.reserved_total += member.reserved_share - old_reserved
 
     def update_unassigned(self, now: float) -> None:
         unassigned = max(0.0, 1.0 - self.reserved_total) if self.is_complete(now) else 0.0
@@ -175,18 +175,18 @@
         self.update_unassigned(now)
         return True
 
-    def replace_incarnation(self, now: float, name: str, old: Member, incarnation: int) -> Member:
+    def replace_incarnation(self, now: float, name: str, previous: Member, incarnation: int) -> Member:
         """Replace a member by its new incarnation, which may have inherited the old one's share."""
         self.remove_prior_holder(name)
         self.lent_share.end_loan(now, name)
-        self.reserved_total -= old.reserved_share
+        self.reserved_total -= previous.reserved_share
         member = self.members[name] = Member(incarnation, now)
         self.reserve_predecessor_share(
             member,
-            old.reserved_share,
-            max(old.predecessor_share_until, old.last_reply_at + self.share_lifetime * DRIFT),
+            previous.reserved_share,
+            max(previous.predecessor_share_until, previous.last_reply_at + self.share_lifetime * DRIFT),
         )
-        member.retired_incarnations = {*old.retired_incarnations, old.incarnation}
+        member.retired_incarnations = {*previous.retired_incarnations, previous.incarnation}
         return member
 
     def handle_applied_reply(self, now: float, name: str, member: Member, report: CreditReport) -> None:
@@ -196,12 +196,12 @@
             member.applied_sequence = report.applied_sequence
             for number in [number for number in member.sent_replies if number < report.applied_sequence]:
                 del member.sent_replies[number]
-            later = [
+            later_shares = [
                 other.fallback_share
                 for number, other in member.sent_replies.items()
                 if number > report.applied_sequence
             ]
-            self.set_held_share(member, max([report.fallback_share, *later]), now)
+            self.set_held_share(member, max([report.fallback_share, *later_shares]), now)
             self.lent_share.lend(
                 now, name, member.reserved_share, reply.sent_at + spans.FALLBACK_DELAY_MS / DRIFT
             )
@@ -255,8 +255,8 @@
 
     def expire_predecessor_share(self, now: float, name: str, member: Member) -> None:
         """Drop the expired share of earlier incarnations: the name now lends only its current share."""
-        before, member.predecessor_share = member.reserved_share, 0.0
-        self.reserved_total += member.reserved_share - before
+        old_reserved, member.predecessor_share = member.reserved_share, 0.0
+        self.reserved_total += member.reserved_share - old_reserved
         loan = self.lent_share.loans.get(name)
         if loan is not None:
             self.lent_share.lend(now, name, member.reserved_share, loan[1])
--- a/tests/fleet/lease_world.py
+++ b/tests/fleet/lease_world.py
@@ -68,11 +68,11 @@
         lease = self.leases[address] = KeyLease(bounds, proxy.links, self.clock())
         configured = proxy.configured
 
-        def take(value: Any) -> None:
+        def apply_configuration(value: Any) -> None:
             configured(value)
             lease.took(value.generation)
 
-        proxy.client._on_configuration = take
+        proxy.client._on_configuration = apply_configuration
         self.spawn(self._keep_lease(proxy, lease))
         self.spawn(self._ping_peers(proxy, lease))
         return proxy
@@ -224,12 +224,12 @@
             self.stopped.append(address)
 
     def _repair_all(self) -> None:
-        for one, other in sorted(self.sim.network.cuts):
-            self._heal_pair(one, other)
+        for a, b in sorted(self.sim.network.cuts):
+            self._heal_pair(a, b)
         if self.stopped:
             self.sim.start_control(self.stopped.pop())
-        for whom in ("core", *self.sim.proxies):
-            self.sim.trouble(whom)
+        for component in ("core", *self.sim.proxies):
+            self.sim.trouble(component)
 
 
 def play_lease_day(seed: int, strict: bool = True) -> LeaseWorld:
--- a/tests/fleet/limits_oracle.py
+++ b/tests/fleet/limits_oracle.py
@@ -96,7 +96,7 @@
                     granted += entry.credit
             outstanding = account.outstanding
             assert granted <= outstanding + 1e-6, f"{key}: credit of {granted} held, {outstanding} known"
-            assert outstanding <= limit.credit + 1e-6, f"{key}: outstanding {outstanding}"
+            assert outstanding <= limit.max_credit + 1e-6, f"{key}: outstanding {outstanding}"
             spendable = level + granted + carried + self.fallback_level(key, limit, clients)
             assert spendable <= limit.capacity * (1 + 1e-6), f"{key}: spendable {spendable}"
 
--- a/tests/fleet/test_limits_keepers.py
+++ b/tests/fleet/test_limits_keepers.py
@@ -111,15 +111,15 @@
         ledger, limit = self.make_ledger(messages.DrainedKeys(False))
         floor = floors.FLOOR_SHARE * limit.capacity
         before = ledger.refreshed_account(0.0, "k", limit).level
-        self.assertAlmostEqual(before, min(floor, limit.capacity - limit.credit))
+        self.assertAlmostEqual(before, min(floor, limit.capacity - limit.max_credit))
         later = ledger.refreshed_account(1e9, "k", limit).level  # the rate adds no more than the room allows
-        self.assertAlmostEqual(later, limit.capacity - limit.credit)
+        self.assertAlmostEqual(later, limit.capacity - limit.max_credit)
         ledger.prior_credit_expired = True
         self.assertGreaterEqual(ledger.refreshed_account(1e9, "k", limit).level, floor)
 
     def test_refill_to_the_floor_completes_once_prior_credit_expired(self) -> None:
         ledger, limit = self.make_ledger(messages.DrainedKeys(False))
-        limit = replace(limit, credit=0.9 * limit.capacity)
+        limit = replace(limit, max_credit=0.9 * limit.capacity)
         before = ledger.refreshed_account(0.0, "k", limit).level
         self.assertAlmostEqual(before, 0.1 * limit.capacity)
         ledger.prior_credit_expired = True
@@ -137,7 +137,7 @@
     def test_need_waits_while_prior_credit_leaves_no_room(self) -> None:
         ledger, limit = self.make_ledger(messages.DrainedKeys(False))
         ledger.limit_of = lambda key: limit
-        limit = replace(limit, credit=limit.capacity)
+        limit = replace(limit, max_credit=limit.capacity)
         ledger.floors.drains_unchecked = True  # no confirmation of the acceptors is needed
         report = messages.EntryReport("k", 1, 0.0, 0.0, 0.2 * limit.capacity, 0.2 * limit.capacity, 0.0)
         first = ledger.handle_entry_report(0.0, "p", report, 1000.0)
--- a/tests/fleet/test_limits_worlds.py
+++ b/tests/fleet/test_limits_worlds.py
@@ -177,9 +177,9 @@
         tenants = [token_tenant("hot", total_rate * 0.1), token_tenant("under", total_rate * 0.1)]
         sim = World(proxies, tenants, bounds=bounds.LimitBounds(quota_slack=72_000.0))
         weights = [1.0 if even else sim.rng.paretovariate(1.5) for _ in range(proxies)]
-        mean_rate = total_rate * 0.1 / MEAN_COST_TOKENS
-        sim.demand(Demand("hot", 6.0 * mean_rate, COST_RANGE_TOKENS, weights, start=4000.0))
-        sim.demand(Demand("under", mean_rate / 1.3, COST_RANGE_TOKENS, weights, start=4000.0))
+        requests_per_s = total_rate * 0.1 / MEAN_COST_TOKENS
+        sim.demand(Demand("hot", 6.0 * requests_per_s, COST_RANGE_TOKENS, weights, start=4000.0))
+        sim.demand(Demand("under", requests_per_s / 1.3, COST_RANGE_TOKENS, weights, start=4000.0))
         return sim
 
     def test_tenant_below_its_limit_without_faults(self) -> None:
