--- a/barleybarrow/limits/limits.py
+++ b/barleybarrow/limits/limits.py
@@ -62,15 +62,15 @@
         self.machine.on_limits_known(now)
         for name in self.tenants.replace(tenants):
             self.update_quota(name)
-        names = {service.name for service in services}
-        self.retries.retain(names)
-        share = retry_limit(self.bounds)
+        service_names = {service.name for service in services}
+        self.retries.retain(service_names)
+        service_limit = retry_limit(self.bounds)
         stale = [key for key in self.limits if key.startswith(RETRY_PREFIX)]
         for key in stale:
-            if key.removeprefix(RETRY_PREFIX) not in names:
+            if key.removeprefix(RETRY_PREFIX) not in service_names:
                 del self.limits[key]
-        for service in names:
-            self.limits[RETRY_PREFIX + service] = share
+        for service in service_names:
+            self.limits[RETRY_PREFIX + service] = service_limit
 
     def update_quota(self, name: str) -> None:
         tenant = self.tenants.by_name.get(name)
@@ -90,8 +90,8 @@
     def decide(self, now: float, tenant: Tenant, cost: float, ticket: int | None) -> Verdict:
         """Take the cost of a request from its tenant's quota.
 
-        PENDING: `verdicts()` returns the decision under this ticket within `spans.CREDIT_WAIT_TIMEOUT_MS`
-        and one tick. A request without a ticket does not wait.
+        A pending request is decided under its ticket within `spans.CREDIT_WAIT_TIMEOUT_MS` and one tick. A
+        request without a ticket does not wait.
         """
         key = self.quota_keys.get(tenant.name)
         if key is None or self.client is None:
--- a/barleybarrow/limits/warden_lease.py
+++ b/barleybarrow/limits/warden_lease.py
@@ -23,7 +23,7 @@
 
 from msgspec import Meta, Struct
 
-DRIFT = 1.05  # largest ratio between the rates of two monotonic clocks
+DRIFT = 1.05  # largest ratio between two monotonic clocks over times of this kind
 
 Token = Annotated[int, Meta(ge=0, lt=2**62)]
 
--- a/tests/fleet/limits_oracle.py
+++ b/tests/fleet/limits_oracle.py
@@ -66,9 +66,9 @@
                 clients[name] = process.clock_time(self.now), process.limits.client
         assigned = sum(c.fallback_share for at, c in clients.values() if at < c.fallback_share_until)
         assert assigned <= 1.0 + 1e-6, f"fallback shares add up to {assigned}"
-        credit_servers = self.wardens()
-        assert len(credit_servers) <= 1, f"credit servers: {credit_servers}"
-        for name in credit_servers:
+        holders = self.wardens()
+        assert len(holders) <= 1, f"credit servers: {holders}"
+        for name in holders:
             self.check_credit_server(self.processes[name], clients)
 
     def check_credit_server(self, process: Process, clients: Clients) -> None:
--- a/tests/fleet/test_limits_keepers.py
+++ b/tests/fleet/test_limits_keepers.py
@@ -190,7 +190,7 @@
     def request_lease(self, limits: Limits, now: float, candidate: str) -> list[bool]:
         limits.receive(now, candidate, messages.encode(warden_lease.Seek(9, 1)))
         messages_sent = [messages.decode(payload) for _, payload in limits.outbox()]
-        return [word.granted for word in messages_sent if isinstance(word, warden_lease.Promise)]
+        return [message.granted for message in messages_sent if isinstance(message, warden_lease.Promise)]
 
     def test_holder_of_the_stored_promise_gets_it_at_once(self) -> None:
         limits = self.restart_acceptor(["a", "b", "c"])
--- a/tests/fleet/test_limits_planted.py
+++ b/tests/fleet/test_limits_planted.py
@@ -76,10 +76,10 @@
     def test_buckets_refilled_without_room_for_prior_credit(self) -> None:
         original = credit_ledger.CreditLedger.refill
 
-        def refill(self, account, limit, gained):  # type: ignore[no-untyped-def]
-            hidden, self.prior_credit_expired = self.prior_credit_expired, True
-            original(self, account, limit, gained)
-            self.prior_credit_expired = hidden
+        def refill(self, account, limit, gain):  # type: ignore[no-untyped-def]
+            saved, self.prior_credit_expired = self.prior_credit_expired, True
+            original(self, account, limit, gain)
+            self.prior_credit_expired = saved
 
         self.kill_servers_while_credit_is_held()
         with mock.patch.object(credit_ledger.CreditLedger, "refill", refill):
@@ -102,13 +102,13 @@
         original = credit_ledger.CreditLedger.refreshed_account
 
         def refreshed_account(self, now, key, limit):  # type: ignore[no-untyped-def]
-            found = self.accounts.get(key)
-            hidden = found.outstanding if found is not None else 0.0
-            if found is not None:
-                found.outstanding = 0.0
-            found = original(self, now, key, limit)
-            found.outstanding += hidden
-            return found
+            account = self.accounts.get(key)
+            saved = account.outstanding if account is not None else 0.0
+            if account is not None:
+                account.outstanding = 0.0
+            account = original(self, now, key, limit)
+            account.outstanding += saved
+            return account
 
         self.assert_detected(
             lambda: mock.patch.object(credit_ledger.CreditLedger, "refreshed_account", refreshed_account),
@@ -153,9 +153,9 @@
         original = credit_ledger.CreditLedger.grant_needed
 
         def grant_needed(self, account, limit, *rest):  # type: ignore[no-untyped-def]
-            hidden, account.outstanding = account.outstanding, 0.0
+            saved, account.outstanding = account.outstanding, 0.0
             result = original(self, account, limit, *rest)
-            account.outstanding += hidden
+            account.outstanding += saved
             return result
 
         self.assert_detected(
@@ -271,8 +271,8 @@
                 for name in [*sim.keepers, *sim.proxies]:
                     sim.at(9000.0 + 1200.0 * round_, "call", "kill", name)
                     sim.at(9100.0 + 1200.0 * round_, "call", "start", name)
-            if found := run_and_check(sim):
-                return found
+            if problem := run_and_check(sim):
+                return problem
         return ""
 
     def problem_after_acceptor_restart(self) -> str:
--- a/tests/fleet/test_limits_predecessors.py
+++ b/tests/fleet/test_limits_predecessors.py
@@ -85,16 +85,16 @@
         self.assertEqual(self.inherits_after(12_000.0), [True])
         self.assertEqual(self.inherits_after(1.1 * STORED_SHARE_LIFETIME_MS), [False])
 
-    def inherits_after(self, pause: float) -> list[bool]:
+    def inherits_after(self, pause_ms: float) -> list[bool]:
         """Whether a proxy that starts this long after the loss of the credit server inherits its share."""
         sim = World(6, [token_tenant("t", 100_000.0)], seed=5, durable=True)
         sim.ping_loss_rate = sim.late_ping_rate = 0.0
         sim.run(8000.0)
         for name in sim.keepers:
             sim.kill(name)
-        sim.run(8000.0 + pause - 1000.0)
+        sim.run(8000.0 + pause_ms - 1000.0)
         sim.kill("p0")
-        sim.run(8000.0 + pause)
+        sim.run(8000.0 + pause_ms)
         sim.start("p0")
         sim.run(sim.now + 2500.0)
         process = sim.processes["p0"]
