--- a/tests/fleet/limits_schedules.py
+++ b/tests/fleet/limits_schedules.py
@@ -20,10 +20,10 @@
         tenants,
         seed=seed,
         bounds=LimitBounds(quota_slack=rng.choice([0.0, 72_000.0])),
-        drift=0.02,
-        loss=rng.choice([0.0, 0.05, 0.3]) if lossy else 0.0,
-        duplicated=0.1 if lossy else 0.0,
-        late=rng.choice([0.0, 0.05]) if lossy else 0.0,
+        max_drift=0.02,
+        loss_rate=rng.choice([0.0, 0.05, 0.3]) if lossy else 0.0,
+        duplicate_rate=0.1 if lossy else 0.0,
+        delay_rate=rng.choice([0.0, 0.05]) if lossy else 0.0,
     )
     weights = [rng.paretovariate(1.1) for _ in range(proxies)]
     cost = (rate / 100, rate / 10)
--- a/tests/fleet/limits_support.py
+++ b/tests/fleet/limits_support.py
@@ -14,8 +14,8 @@
 TOKEN_BOUNDS = LimitBounds(quota_slack=72_000.0)
 
 
-def make_tenant(name: str, rate: float = 0.0, **more: Any) -> Tenant:
-    return Tenant(name, [f"{name}-1", f"{name}-2"], rate_per_s=rate, burst=rate, **more)
+def make_tenant(name: str, rate: float = 0.0, **fields: Any) -> Tenant:
+    return Tenant(name, [f"{name}-1", f"{name}-2"], rate_per_s=rate, burst=rate, **fields)
 
 
 def single_node(tenants: list[Tenant], bounds: LimitBounds = TOKEN_BOUNDS) -> tuple[Limits, float]:
--- a/tests/fleet/limits_world.py
+++ b/tests/fleet/limits_world.py
@@ -21,7 +21,7 @@
 
 ONE_WAY_DELAY_MS = (0.3, 3.0)  # range
 LINK_LOSS_DETECTION_MS = 1600.0  # until a process knows that a link is cut
-MAX_ACCEPTORS_DELAY_MS = 300.0  # until a process learns of a new set of acceptors
+MAX_ACCEPTORS_UPDATE_DELAY_MS = 300.0  # until a process learns of a new set of acceptors
 SYNC_MS = 2.0  # of a write to the disk
 PING_INTERVAL_MS, PINGED_PEERS = 1000.0, 3
 PING_LOSS_RATE, LATE_PING_RATE = 0.02, 0.02
@@ -51,16 +51,16 @@
         seed: int = 1,
         keepers: int = 3,
         bounds: LimitBounds | None = None,
-        drift: float = 0.0,
-        loss: float = 0.0,
-        duplicated: float = 0.0,
-        late: float = 0.0,
+        max_drift: float = 0.0,
+        loss_rate: float = 0.0,
+        duplicate_rate: float = 0.0,
+        delay_rate: float = 0.0,
         durable: bool = False,
     ) -> None:
         self.rng = random.Random(seed)
         self.bounds = bounds or LimitBounds()
         self.tenants = {tenant.name: tenant for tenant in tenants}
-        self.loss, self.duplicated, self.delayed = loss, duplicated, late
+        self.loss_rate, self.duplicate_rate, self.delay_rate = loss_rate, duplicate_rate, delay_rate
         self.durable = durable  # acceptors have disks
         self.disks: dict[str, bytes] = {}
         self.sync_ms = SYNC_MS
@@ -82,7 +82,7 @@
         self.retry_times: list[float] = []
         for name in [*self.keepers, *self.proxies]:
             self.processes[name] = Process(
-                name, self.rng.uniform(0, 1e6), 1 + self.rng.uniform(-drift, drift)
+                name, self.rng.uniform(0, 1e6), 1 + self.rng.uniform(-max_drift, max_drift)
             )
             self.start(name, bootstrap=True)
 
@@ -107,7 +107,7 @@
         self.update_links()
         self.wake(process)
 
-    def leave(self, name: str) -> None:
+    def shut_down(self, name: str) -> None:
         """Shut down a proxy as planned, some seconds after it has begun to announce it in ping replies."""
         process = self.processes[name]
         assert process.limits is not None and process.predecessor_shares is not None
@@ -143,7 +143,7 @@
         self.start(new)
         for name in self.processes:
             self.at(
-                self.now + self.rng.uniform(0.0, MAX_ACCEPTORS_DELAY_MS),
+                self.now + self.rng.uniform(0.0, MAX_ACCEPTORS_UPDATE_DELAY_MS),
                 "acceptors",
                 name,
                 list(self.keepers),
@@ -203,9 +203,11 @@
 
     def send_datagram(self, kind: str, sender: str, target: str, payload: tuple) -> None:
         """Send a datagram, which may be lost, late or duplicated."""
-        if not self.are_connected(sender, target) or self.rng.random() < max(self.loss, self.ping_loss_rate):
+        if not self.are_connected(sender, target) or self.rng.random() < max(
+            self.loss_rate, self.ping_loss_rate
+        ):
             return
-        for _ in range(2 if self.rng.random() < self.duplicated else 1):
+        for _ in range(2 if self.rng.random() < self.duplicate_rate else 1):
             delay = self.rng.expovariate(1 / 3000.0) if self.rng.random() < self.late_ping_rate else 0.0
             self.at(self.now + self.rng.uniform(*ONE_WAY_DELAY_MS) + delay, kind, sender, target, *payload)
 
@@ -292,11 +294,11 @@
         for address, payload in limits.outbox():
             self.message_count += 1
             self.byte_count += len(payload) + 16
-            if not self.are_connected(process.name, address) or self.rng.random() < self.loss:
+            if not self.are_connected(process.name, address) or self.rng.random() < self.loss_rate:
                 continue
-            for _ in range(2 if self.rng.random() < self.duplicated else 1):
+            for _ in range(2 if self.rng.random() < self.duplicate_rate else 1):
                 delay = self.rng.uniform(*ONE_WAY_DELAY_MS)
-                if self.rng.random() < self.delayed:
+                if self.rng.random() < self.delay_rate:
                     delay += self.rng.expovariate(1 / 600.0)
                 self.at(self.now + delay, "message", process.name, address, payload)
         for ticket, admitted in limits.verdicts():
--- a/tests/fleet/test_limits_planted.py
+++ b/tests/fleet/test_limits_planted.py
@@ -87,9 +87,9 @@
 
     def kill_servers_while_credit_is_held(self) -> None:
         """Kill credit servers while proxies hold the maximum of credit and then ask for little."""
-        slack = bounds.LimitBounds(quota_slack=72_000.0)
+        limit_bounds = bounds.LimitBounds(quota_slack=72_000.0)
         for seed in range(8):
-            sim = World(10, [token_tenant("one", 400_000.0)], seed=seed, bounds=slack, durable=True)
+            sim = World(10, [token_tenant("one", 400_000.0)], seed=seed, bounds=limit_bounds, durable=True)
             sim.demand(Demand("one", 60.0, (2_000.0, 9_000.0), start=4_000.0, ends_at=9_990.0))
             sim.demand(Demand("one", 20.0, (100.0, 101.0), start=9_990.0))
             sim.run(10_000.0)
--- a/tests/fleet/test_limits_worlds.py
+++ b/tests/fleet/test_limits_worlds.py
@@ -89,8 +89,8 @@
                     sim.at(9000.0, "call", "kill", name)
                     sim.at(10_000.0, "call", "start", name)
                 sim.run(13_000.0)
-                held = [sim.processes[name].limits.base(0.0)[0] for name in sim.proxies]  # type: ignore
-                self.assertGreater(sum(held), 0.8)
+                held_shares = [sim.processes[name].limits.base(0.0)[0] for name in sim.proxies]  # type: ignore
+                self.assertGreater(sum(held_shares), 0.8)
                 for name in sim.keepers:
                     sim.at(18_000.0, "call", "start", name)
                 sim.run(30_000.0)
@@ -360,7 +360,7 @@
         for name in sim.proxies[:4]:
             process = sim.processes[name]
             assert process.limits is not None
-            sim.leave(name)
+            sim.shut_down(name)
             self.assertFalse(process.limits.admit(process.clock_time(sim.now), sim.tenants["under"], 1.0))
         sim.run(12_600.0)
         for name in sim.proxies[:4]:
@@ -372,7 +372,7 @@
         sim = self.overloaded_fleet(10, 2e6)
         sim.run(10_000.0)
         for name in sim.proxies[:4]:
-            sim.leave(name)
+            sim.shut_down(name)
             sim.kill(name)
         sim.run(13_000.0)
         self.assertLess(sim.lent(), 0.7)
