--- a/barleybarrow/limits/predecessors.py
+++ b/barleybarrow/limits/predecessors.py
@@ -1,23 +1,23 @@
-"""What a proxy's peers remember of its base, so that its next life can use it while no warden can be.
+"""Peers remember a proxy's fallback share, so that its next incarnation can use it without a credit server.
 
-A base belongs to a name (an address) until its time is over. The process that runs at the address next may
-use it for the rest of that time, as the one before has ended. Proxies ping each other: an answer tells what
-the answering one holds, and what it remembers of the asking one. Times count from the question, on the asking
-side's clock, so that a late answer only shortens them. The warden keeps what a name held reserved for it for
-as long (`members`). No I/O; told the time in milliseconds.
+A share belongs to a name (an address) until it expires. The next process at that address may use it for the
+rest of its lifetime, as the previous one has ended. Proxies ping each other: a ping's reply holds the share
+of the replying proxy, and the share that it remembers of the pinging one. Lifetimes count from the sending
+of the ping, on the sender's clock, so a late reply only shortens them. The credit server reserves the share
+for the name for as long (`members`). No I/O; times are milliseconds.
 """
 
 from dataclasses import dataclass
 
-from barleybarrow.limits.spans import BASE_LIFE_STORED
+from barleybarrow.limits.spans import STORED_SHARE_LIFETIME_MS
 from barleybarrow.limits.warden_lease import DRIFT
 
-MOST_REMEMBERED = 512  # peers; each is pinged by a few
+MAX_REMEMBERED_PEERS = 512  # each peer is pinged by a few proxies only
 
 
 @dataclass(frozen=True, slots=True)
 class HeldBase:
-    """A part of each limit, and how long it may be used: milliseconds, or a moment on the own clock."""
+    """A share of each limit, with its lifetime in milliseconds or its expiry on the local clock."""
 
     part: float = 0.0
     time: float = 0.0
@@ -27,38 +27,38 @@
 
 
 class PredecessorBases:
-    """What one proxy remembers of its peers, and which peers remember something of it."""
+    """The shares that one proxy remembers of its peers, and the peers that may remember its own."""
 
     def __init__(self) -> None:
-        self._remembered: dict[str, HeldBase] = {}  # by peer, until a moment
-        self._rememberers: dict[str, float] = {}  # peers that may remember this one's base: until when
+        self._peer_shares: dict[str, HeldBase] = {}  # by peer, with expiry
+        self._remembered_until: dict[str, float] = {}  # by peer: how long it may remember the own share
 
-    def told(self, peer: str, asked_at: float, held: HeldBase, released: bool) -> None:
-        """A peer has answered a ping sent at `asked_at`: what it holds, or that it ends and gives it up."""
+    def told(self, peer: str, sent_at: float, held: HeldBase, released: bool) -> None:
+        """Record a peer's reply to a ping: the share that it holds, or that it shuts down and releases it."""
         if released:
-            self._remembered.pop(peer, None)
+            self._peer_shares.pop(peer, None)
         elif held.part > 0.0:
-            self._remembered.pop(peer, None)
-            self._remembered[peer] = HeldBase(held.part, asked_at + held.time / DRIFT)
-            while len(self._remembered) > MOST_REMEMBERED:
-                del self._remembered[next(iter(self._remembered))]
+            self._peer_shares.pop(peer, None)
+            self._peer_shares[peer] = HeldBase(held.part, sent_at + held.time / DRIFT)
+            while len(self._peer_shares) > MAX_REMEMBERED_PEERS:
+                del self._peer_shares[next(iter(self._peer_shares))]
 
     def remembered(self, now: float, peer: str) -> HeldBase:
-        """What a process at this address held, and for how many milliseconds more."""
-        known = self._remembered.get(peer)
-        if known is None or now >= known.time:
+        """The share that a process at this address held, with its remaining lifetime."""
+        peer_share = self._peer_shares.get(peer)
+        if peer_share is None or now >= peer_share.time:
             return NO_BASE
-        return HeldBase(known.part, known.time - now)
+        return HeldBase(peer_share.part, peer_share.time - now)
 
     def pinged(self, now: float, peer: str, remembers: bool, held: HeldBase) -> None:
-        """A peer pings this proxy, and is about to be told what it holds."""
+        """Record a ping of a peer, which will learn from the reply that this proxy holds this share."""
         if held.part > 0.0:
-            self._rememberers[peer] = now + held.time * DRIFT
+            self._remembered_until[peer] = now + held.time * DRIFT
         elif remembers:
-            self._rememberers.setdefault(peer, now + BASE_LIFE_STORED * DRIFT)
+            self._remembered_until.setdefault(peer, now + STORED_SHARE_LIFETIME_MS * DRIFT)
         else:
-            self._rememberers.pop(peer, None)
+            self._remembered_until.pop(peer, None)
 
     def is_released(self, now: float) -> bool:
-        """Whether no peer remembers this proxy's base any more."""
-        return all(until <= now for until in self._rememberers.values())
+        """Whether no peer remembers this proxy's share any more."""
+        return all(until <= now for until in self._remembered_until.values())
