--- a/barleybarrow/replication/__init__.py
+++ b/barleybarrow/replication/__init__.py
@@ -1,4 +1,4 @@
-"""Replicated state without agreement: registrations that merge, change feeds with offsets.
+"""State replicated without consensus: mergeable registrations and change feeds with offsets.
 
-No I/O; time is passed in. Nothing here may decide what needs a majority of voters.
+No I/O; time is passed in. Decisions that require a majority of voters must not be made here.
 """
--- a/barleybarrow/replication/feed_view.py
+++ b/barleybarrow/replication/feed_view.py
@@ -1,9 +1,9 @@
-"""What a proxy makes of the lists of servers that several control processes feed to it. No I/O; milliseconds.
+"""Merges the server lists that a proxy receives from several control processes. No I/O; milliseconds.
 
-Sources are merged so that no single one can bring back or take away a server on its own: a drain or an end
-holds whoever told it, for good; a server counts as silent only where every source in touch that knows it says
-so. With no settled source in touch the last word holds. Where all servers of a service are silent since about
-the same time, they stay offered: trouble of the control plane must not empty a service.
+No single source can bring back or remove a server on its own. A drain or deregistration is final, whichever
+source reports it. A server is silent only if every connected source that lists it reports it as silent.
+Without a connected, settled source the last known state holds. If all servers of a service fell silent at
+about the same time, they are still offered: a fault of the control plane must not empty a service.
 """
 
 from collections.abc import Iterable
@@ -12,14 +12,15 @@
 from barleybarrow.replication.records import FINALITY, InstanceRecord, InstanceState
 from barleybarrow.replication.rendezvous import SHARDS, shard_of
 
-FINAL_KEPT_MS = 900_000.0  # as long as the registry keeps them
-SILENT_KEPT_MS = 600_000.0
-COMMON_SILENCE_MS = 15_000.0  # servers that fall silent within it may do so for one cause that is not theirs
+FINAL_RETENTION_MS = 900_000.0  # same as in the registry
+SILENT_RETENTION_MS = 600_000.0
+# Servers that fall silent within this window may share a cause outside of them.
+CORRELATED_SILENCE_WINDOW_MS = 15_000.0
 
 
 @dataclass(slots=True)
 class ShardView:
-    """One shard as one source told it."""
+    """One shard as listed by one source."""
 
     epoch: int
     offset: int
@@ -28,21 +29,21 @@
 
 @dataclass(slots=True)
 class SourceView:
-    """The list as one source told it."""
+    """All shards as listed by one source."""
 
     connected: bool = False
     settled: bool = False
     shards: dict[int, ShardView] = field(default_factory=dict)
 
     @property
-    def counts(self) -> bool:
-        """Whether its silence about a server means something."""
+    def is_authoritative(self) -> bool:
+        """Whether it is connected and its list complete, so that a missing server means something."""
         return self.connected and self.settled and len(self.shards) == SHARDS
 
 
 @dataclass(slots=True)
-class Known:
-    """One server after merging."""
+class KnownInstance:
+    """Merged state of one server."""
 
     record: InstanceRecord
     finality: int
@@ -57,35 +58,35 @@
 
     def __init__(self) -> None:
         self.sources: dict[str, SourceView] = {}
-        self.known: dict[str, Known] = {}
+        self.instances: dict[str, KnownInstance] = {}
         self.changed_services: set[str] = set()  # since the owner last cleared it
         self._by_service: dict[str, set[str]] = {}
 
     @property
     def settled(self) -> bool:
-        """Whether some source in touch has told a whole list that it is sure of."""
-        return any(source.counts for source in self.sources.values())
+        """Whether some connected source has sent a complete, settled list."""
+        return any(source.is_authoritative for source in self.sources.values())
 
     def connected(self, name: str, now: float) -> None:
-        """A source is in touch; its list is as it was until it tells more."""
+        """Handle a new connection to a source; its old list stays until it sends an update."""
         source = self.sources.setdefault(name, SourceView())
         source.connected, source.settled = True, False
-        self._judge_all(now)
+        self._update_all_silence(now)
 
     def disconnected(self, name: str, now: float) -> None:
-        """A source is out of touch; its list stays for when it comes back."""
+        """Handle a lost connection to a source; its list is kept, to resume from after a reconnect."""
         source = self.sources.get(name)
         if source is not None:
             source.connected = False
-            self._judge_all(now)
+            self._update_all_silence(now)
 
     def drop(self, name: str, now: float) -> None:
-        """A source counts no more."""
+        """Remove a source and its list."""
         if self.sources.pop(name, None) is not None:
-            self._judge_all(now)
+            self._update_all_silence(now)
 
     def position(self, name: str, shard: int) -> tuple[int, int] | None:
-        """Epoch and offset at which a source's shard was left."""
+        """Epoch and offset from which to resume a shard of a source; None: a snapshot is needed."""
         source = self.sources.get(name)
         view = None if source is None else source.shards.get(shard)
         return None if view is None else (view.epoch, view.offset)
@@ -101,108 +102,112 @@
         settled: bool,
         now: float,
     ) -> bool:
-        """Take a shard's snapshot or changes from a source; False where the source has to be asked anew."""
+        """Apply a snapshot or changes of a shard; False if the feed has to be subscribed to anew."""
         source = self.sources.setdefault(name, SourceView(connected=True))
         view = source.shards.get(shard)
         if not snapshot and (view is None or view.epoch != position[0]):
             return False
-        counted = source.counts
+        was_authoritative = source.is_authoritative
         source.settled = source.settled or settled
-        touched: set[str] = set()
+        affected_ids: set[str] = set()
         if snapshot or view is None:
-            touched.update(view.records if view is not None else ())
+            affected_ids.update(view.records if view is not None else ())
             view = source.shards[shard] = ShardView(*position)
         view.offset = max(view.offset, position[1])
         for record in records:
-            touched.add(record.id)
+            affected_ids.add(record.id)
             self._merge(view, record, now)
-        for instance_id in touched & self.known.keys():
-            self._judge(instance_id, now)
-        if source.counts != counted:
-            self._judge_all(now)
+        for instance_id in affected_ids & self.instances.keys():
+            self._update_silence(instance_id, now)
+        if source.is_authoritative != was_authoritative:
+            self._update_all_silence(now)
         return True
 
     def offered(self, service: str, now: float) -> list[InstanceRecord]:
-        """The servers of a service that may be used or are draining, in the order of their ids."""
+        """Usable servers of a service, then draining ones, each sorted by id."""
         ids = sorted(self._by_service.get(service, ()))
-        live = [known for known in map(self.known.__getitem__, ids) if known.finality < 2]
-        ready = [known for known in live if known.finality == 0 and not known.silent]
+        not_gone = [instance for instance in map(self.instances.__getitem__, ids) if instance.finality < 2]
+        ready = [instance for instance in not_gone if instance.finality == 0 and not instance.silent]
         if not ready:
-            ready = self._fallen_silent_together(live)
-        draining = [known for known in live if known.finality == 1]
-        return [self._offer(known, InstanceState.READY, now) for known in ready] + [
-            self._offer(known, InstanceState.DRAINING, now) for known in draining
+            ready = self._most_recently_silent(not_gone)
+        draining = [instance for instance in not_gone if instance.finality == 1]
+        return [self._to_record(instance, InstanceState.READY, now) for instance in ready] + [
+            self._to_record(instance, InstanceState.DRAINING, now) for instance in draining
         ]
 
     def forget(self, now: float) -> None:
-        """Drop what has ended or been silent for very long."""
-        for instance_id, known in list(self.known.items()):
-            age = now - known.changed_at
-            listed = any(self._record_of(source, known) for source in self.sources.values())
-            ended = known.finality > 0 and age > FINAL_KEPT_MS
-            lost = known.finality == 0 and known.silent and age > SILENT_KEPT_MS
+        """Remove servers past their retention period that no source lists any more."""
+        for instance_id, instance in list(self.instances.items()):
+            age = now - instance.changed_at
+            listed = any(self._source_record(source, instance) for source in self.sources.values())
+            ended = instance.finality > 0 and age > FINAL_RETENTION_MS
+            lost = instance.finality == 0 and instance.silent and age > SILENT_RETENTION_MS
             if (ended or lost) and not listed:
-                del self.known[instance_id]
-                self._by_service.get(known.record.service, set()).discard(instance_id)
-                self.changed_services.add(known.record.service)
+                del self.instances[instance_id]
+                self._by_service.get(instance.record.service, set()).discard(instance_id)
+                self.changed_services.add(instance.record.service)
 
     def _merge(self, view: ShardView, record: InstanceRecord, now: float) -> None:
-        told = view.records.get(record.id)
-        if told is None or _order(record) >= _order(told):
+        previous = view.records.get(record.id)
+        if previous is None or _precedence(record) >= _precedence(previous):
             view.records[record.id] = record
         finality = FINALITY[record.state]
-        known = self.known.get(record.id)
-        if known is None:
+        instance = self.instances.get(record.id)
+        if instance is None:
             cold_until = now + record.cold_remaining_ms
-            self.known[record.id] = Known(record, finality, cold_until, changed_at=now)
+            self.instances[record.id] = KnownInstance(record, finality, cold_until, changed_at=now)
             self._index(record)
             return
-        if finality > known.finality:
-            known.finality, known.changed_at = finality, now
-            self.changed_services.add(known.record.service)
-        if record.sequence >= known.record.sequence and record.service:
-            self._take_details(known, record, now)
-
-    def _take_details(self, known: Known, record: InstanceRecord, now: float) -> None:
-        if not record.same_details(known.record):
+        if finality > instance.finality:
+            instance.finality, instance.changed_at = finality, now
+            self.changed_services.add(instance.record.service)
+        if record.sequence >= instance.record.sequence and record.service:
+            self._update_details(instance, record, now)
+
+    def _update_details(self, instance: KnownInstance, record: InstanceRecord, now: float) -> None:
+        if not record.same_details(instance.record):
             self._index(record)
-        known.record = record
-        known.cold_until = now + record.cold_remaining_ms
+        instance.record = record
+        instance.cold_until = now + record.cold_remaining_ms
 
     def _index(self, record: InstanceRecord) -> None:
         self._by_service.setdefault(record.service, set()).add(record.id)
         self.changed_services.add(record.service)
 
-    def _judge_all(self, now: float) -> None:
-        for instance_id in self.known:
-            self._judge(instance_id, now)
+    def _update_all_silence(self, now: float) -> None:
+        for instance_id in self.instances:
+            self._update_silence(instance_id, now)
 
-    def _judge(self, instance_id: str, now: float) -> None:
-        """Decide anew whether a server is silent."""
-        known = self.known[instance_id]
-        in_touch = [source for source in self.sources.values() if source.connected]
-        if not any(source.counts for source in in_touch):
+    def _update_silence(self, instance_id: str, now: float) -> None:
+        """Recompute whether a server is silent; one that no connected source lists is silent too."""
+        instance = self.instances[instance_id]
+        connected = [source for source in self.sources.values() if source.connected]
+        if not any(source.is_authoritative for source in connected):
             return
-        told = [self._record_of(source, known) for source in in_touch]
-        heard = [record for record in told if record is not None]
-        silent = all(record.state is InstanceState.SILENT for record in heard)
-        if silent != known.silent:
-            known.silent, known.silent_since, known.changed_at = silent, now, now
-            self.changed_services.add(known.record.service)
-
-    def _record_of(self, source: SourceView, known: Known) -> InstanceRecord | None:
-        view = source.shards.get(shard_of(known.record.service))
-        return None if view is None else view.records.get(known.record.id)
-
-    def _fallen_silent_together(self, live: list[Known]) -> list[Known]:
-        silent = [known for known in live if known.finality == 0]
-        newest = max((known.silent_since for known in silent), default=0.0)
-        return [known for known in silent if newest - known.silent_since <= COMMON_SILENCE_MS]
+        listed = [self._source_record(source, instance) for source in connected]
+        reported = [record for record in listed if record is not None]
+        silent = all(record.state is InstanceState.SILENT for record in reported)
+        if silent != instance.silent:
+            instance.silent, instance.silent_since, instance.changed_at = silent, now, now
+            self.changed_services.add(instance.record.service)
+
+    def _source_record(self, source: SourceView, instance: KnownInstance) -> InstanceRecord | None:
+        view = source.shards.get(shard_of(instance.record.service))
+        return None if view is None else view.records.get(instance.record.id)
+
+    def _most_recently_silent(self, not_gone: list[KnownInstance]) -> list[KnownInstance]:
+        silent = [instance for instance in not_gone if instance.finality == 0]
+        latest_silence = max((instance.silent_since for instance in silent), default=0.0)
+        return [
+            instance
+            for instance in silent
+            if latest_silence - instance.silent_since <= CORRELATED_SILENCE_WINDOW_MS
+        ]
 
-    def _offer(self, known: Known, state: InstanceState, now: float) -> InstanceRecord:
-        cold = max(0, int(known.cold_until - now))
-        return replace(known.record, state=state, cold_remaining_ms=cold)
+    def _to_record(self, instance: KnownInstance, state: InstanceState, now: float) -> InstanceRecord:
+        cold = max(0, int(instance.cold_until - now))
+        return replace(instance.record, state=state, cold_remaining_ms=cold)
 
 
-def _order(record: InstanceRecord) -> tuple[int, int, bool]:
+def _precedence(record: InstanceRecord) -> tuple[int, int, bool]:
     return FINALITY[record.state], record.sequence, record.state is InstanceState.SILENT
--- a/barleybarrow/replication/monitoring.py
+++ b/barleybarrow/replication/monitoring.py
@@ -1,8 +1,8 @@
-"""Who monitors whom, and what the reports of monitors say of a member. No I/O; times are milliseconds.
+"""Failure detection by peers: assignment of monitors and evaluation of their reports. No I/O; milliseconds.
 
-Each process pings a few peers, chosen by rendezvous hashing over the members that it was told of, and reports
-what it sees to the control plane. A member counts as suspected once a majority of its monitors say so;
-observers and decision are apart, as in Suresh and others, "Rapid" (USENIX ATC 2018).
+Each process pings a few peers, chosen by rendezvous hashing over the members known to it, and reports whether
+they are reachable to the control plane. A member is suspected once a majority of its monitors report it as
+unreachable; observing and deciding are separate, as in Suresh and others, "Rapid" (USENIX ATC 2018).
 """
 
 from collections.abc import Iterable
@@ -10,18 +10,18 @@
 
 from barleybarrow.replication.rendezvous import ranked
 
-TARGETS = 3  # peers that each process pings, and so on average the monitors of each
+TARGETS = 3  # peers that each process pings, and thus the average number of monitors of each
 PING_PERIOD_MS = 1000.0
-MISSES = 3  # pings in a row without an answer: datagrams get lost now and then
-FROZEN_MS = 3000.0  # between two looks: this process stood still, and the answers missed are its own fault
-REPORT_PERIOD_MS = 30_000.0  # each report is repeated, so that control knows who monitors whom
-REPORT_KEPT_MS = 75_000.0  # two repetitions missed: this monitor has other targets now
-UNLINKED_MS = 3000.0  # a member without a link to control for so long is suspected
-REMOVED_MS = 30_000.0  # and removed
+MISSES = 3  # consecutive unanswered pings; single datagrams may be lost
+FROZEN_MS = 3000.0  # a longer gap between two ticks: this process was stalled, and missed the answers itself
+REPORT_INTERVAL_MS = 30_000.0  # reports are repeated, so that the control plane knows who monitors whom
+REPORT_KEPT_MS = 75_000.0  # two repetitions missed: this monitor has changed its targets
+UNLINKED_MS = 3000.0  # a member is suspected after so long without a link to the control plane
+REMOVED_MS = 30_000.0  # and removed after so long
 
 
 @dataclass(slots=True, frozen=True)
-class PingOrder:
+class PingRequest:
     """A ping to send."""
 
     target: str
@@ -30,95 +30,95 @@
 
 @dataclass(slots=True, frozen=True)
 class Report:
-    """What a monitor sees of a peer."""
+    """Whether a monitor can reach a peer."""
 
     address: str
     reachable: bool
 
 
 @dataclass(slots=True)
-class Target:
+class MonitoredPeer:
     """A peer that this process monitors."""
 
-    number: int = 0  # of the ping that waits for its answer; 0: none
-    misses: int = 0
-    reachable: bool | None = None  # as last reported
+    pending_ping: int = 0  # number of the unanswered ping; 0: none
+    missed_pings: int = 0
+    last_reported: bool | None = None  # None: not reported yet
     reported_at: float = 0.0
 
 
 class PeerMonitor:
-    """Pings and reports of one process."""
+    """The monitor of one process: pings its targets and reports changes."""
 
     def __init__(self, own: str, first_number: int = 1) -> None:
-        self.own = own
-        self.targets: dict[str, Target] = {}
-        self.reports: list[Report] = []  # to be taken and sent
-        self._number = first_number - 1  # numbers of an earlier life at this address are never used again
+        self.own_address = own
+        self.targets: dict[str, MonitoredPeer] = {}
+        self.reports: list[Report] = []  # to be sent
+        self._last_number = first_number - 1  # never reuses numbers of an earlier incarnation at this address
         self._pinged_at = float("-inf")
-        self._looked_at = float("-inf")
+        self._ticked_at = float("-inf")
 
     def set_members(self, addresses: Iterable[str]) -> None:
-        """The members have changed: choose whom to monitor."""
-        others = [address for address in addresses if address != self.own]
-        chosen = ranked(self.own, others)[:TARGETS]
-        self.targets = {address: self.targets.get(address, Target()) for address in chosen}
-
-    def tick(self, now: float) -> list[PingOrder]:
-        """The pings that are due."""
-        if now - self._looked_at > FROZEN_MS:
+        """Choose the peers to monitor after a change of the members."""
+        others = [address for address in addresses if address != self.own_address]
+        chosen = ranked(self.own_address, others)[:TARGETS]
+        self.targets = {address: self.targets.get(address, MonitoredPeer()) for address in chosen}
+
+    def tick(self, now: float) -> list[PingRequest]:
+        """Return the pings that are due."""
+        if now - self._ticked_at > FROZEN_MS:
             for target in self.targets.values():
-                target.number = target.misses = 0
-        self._looked_at = now
+                target.pending_ping = target.missed_pings = 0
+        self._ticked_at = now
         if now - self._pinged_at < PING_PERIOD_MS:
             return []
         self._pinged_at = now
         return [self._ping(address, target, now) for address, target in self.targets.items()]
 
     def answered(self, sender: str, number: int, now: float) -> None:
-        """A peer has answered a ping."""
+        """Handle the answer of a peer to a ping."""
         target = self.targets.get(sender)
-        if target is None or number != target.number:
+        if target is None or number != target.pending_ping:
             return
-        target.number = target.misses = 0
+        target.pending_ping = target.missed_pings = 0
         self._report(sender, target, True, now)
 
     def take_reports(self) -> list[Report]:
-        """What has to be reported since the last call."""
+        """Return and clear the reports to send."""
         reports, self.reports = self.reports, []
         return reports
 
-    def _ping(self, address: str, target: Target, now: float) -> PingOrder:
-        if target.number:
-            target.misses += 1
-        if target.misses >= MISSES:
+    def _ping(self, address: str, target: MonitoredPeer, now: float) -> PingRequest:
+        if target.pending_ping:
+            target.missed_pings += 1
+        if target.missed_pings >= MISSES:
             self._report(address, target, False, now)
-        self._number += 1
-        target.number = self._number
-        return PingOrder(address, self._number)
+        self._last_number += 1
+        target.pending_ping = self._last_number
+        return PingRequest(address, self._last_number)
 
-    def _report(self, address: str, target: Target, reachable: bool, now: float) -> None:
-        if target.reachable is reachable and now - target.reported_at < REPORT_PERIOD_MS:
+    def _report(self, address: str, target: MonitoredPeer, reachable: bool, now: float) -> None:
+        if target.last_reported is reachable and now - target.reported_at < REPORT_INTERVAL_MS:
             return
-        target.reachable, target.reported_at = reachable, now
+        target.last_reported, target.reported_at = reachable, now
         self.reports.append(Report(address, reachable))
 
 
 @dataclass(slots=True)
 class Member:
-    """One process as the control plane sees it."""
+    """State of one process in the member table."""
 
     role: str
     node_name: str
     zone: str
     incarnation: int
-    linked: bool = True
-    unlinked_at: float = 0.0
-    reports: dict[str, tuple[bool, float]] = field(default_factory=dict)  # by monitor: reachable, when
+    connected: bool = True
+    disconnected_at: float = 0.0
+    reports: dict[str, tuple[bool, float]] = field(default_factory=dict)  # by monitor: (reachable, time)
 
 
 @dataclass(slots=True, frozen=True)
 class View:
-    """What members are told of one member; `removed` ones are gone."""
+    """State of one member as published to the others; `removed` marks a deletion."""
 
     address: str
     role: str
@@ -130,60 +130,62 @@
 
 
 class MemberTable:
-    """All members as one control process knows them."""
+    """All members known to one control process."""
 
     def __init__(self) -> None:
         self.members: dict[str, Member] = {}
-        self._told: dict[str, View] = {}
+        self._last_published: dict[str, View] = {}
 
     def linked(self, address: str, member: Member) -> None:
-        """A process has a link to this one."""
+        """Handle a new link from a process; reports on the same incarnation are kept."""
         known = self.members.get(address)
         if known is not None and known.incarnation == member.incarnation:
             member.reports = known.reports
         self.members[address] = member
 
     def unlinked(self, address: str, now: float) -> None:
-        """The link of a process is gone."""
+        """Handle the loss of a process's link."""
         member = self.members.get(address)
         if member is not None:
-            member.linked, member.unlinked_at = False, now
+            member.connected, member.disconnected_at = False, now
 
     def reported(self, monitor: str, report: Report, now: float) -> None:
-        """A monitor tells what it sees of a peer."""
+        """Store a report of a monitor."""
         member = self.members.get(report.address)
         if member is not None:
             member.reports[monitor] = (report.reachable, now)
 
-    def suspected(self, member: Member, now: float) -> bool:
-        """Whether a majority of its monitors can't reach a member, or it has long had no link."""
-        if not member.linked and now - member.unlinked_at >= UNLINKED_MS:
+    def is_suspected(self, member: Member, now: float) -> bool:
+        """Whether most monitors of a member can't reach it, or its link has been down for too long."""
+        if not member.connected and now - member.disconnected_at >= UNLINKED_MS:
             return True
-        words = [reachable for reachable, at in member.reports.values() if now - at < REPORT_KEPT_MS]
-        return bool(words) and words.count(False) * 2 > len(words)
+        recent_reports = [reachable for reachable, at in member.reports.values() if now - at < REPORT_KEPT_MS]
+        return bool(recent_reports) and recent_reports.count(False) * 2 > len(recent_reports)
 
     def views(self, now: float) -> list[View]:
-        """All members."""
-        return [self._view(address, member, now) for address, member in self.members.items()]
+        """Status of all members."""
+        return [self._status(address, member, now) for address, member in self.members.items()]
 
     def changes(self, now: float) -> list[View]:
-        """What changed since the last call."""
-        self._remove_lost(now)
-        current = {view.address: view for view in self.views(now)}
-        changed = [view for address, view in current.items() if self._told.get(address) != view]
-        for address, view in self._told.items():
+        """Return the statuses changed since the last call, including removals."""
+        self._remove_expired(now)
+        current = {status.address: status for status in self.views(now)}
+        changed = [
+            status for address, status in current.items() if self._last_published.get(address) != status
+        ]
+        for address, status in self._last_published.items():
             if address not in current:
-                changed.append(View(address, view.role, "", "", 0, suspected=True, removed=True))
-        self._told = current
+                changed.append(View(address, status.role, "", "", 0, suspected=True, removed=True))
+        self._last_published = current
         return changed
 
-    def _view(self, address: str, member: Member, now: float) -> View:
-        suspected = self.suspected(member, now)
+    def _status(self, address: str, member: Member, now: float) -> View:
+        suspected = self.is_suspected(member, now)
         return View(address, member.role, member.node_name, member.zone, member.incarnation, suspected)
 
-    def _remove_lost(self, now: float) -> None:
+    def _remove_expired(self, now: float) -> None:
         for address, member in list(self.members.items()):
-            if not member.linked and now - member.unlinked_at >= REMOVED_MS:
+            if not member.connected and now - member.disconnected_at >= REMOVED_MS:
                 del self.members[address]
             for monitor, (_, at) in list(member.reports.items()):
                 if now - at >= REPORT_KEPT_MS:
@@ -191,44 +193,44 @@
 
 
 class ToldMembers:
-    """The members as several control processes tell them to one: who any of them lists belongs.
+    """Union of the member lists that a process receives from several control processes.
 
-    The first message of a control process after its link came up is its whole list, the others are changes.
-    A control process that starts lists few at first, so none replaces what another tells.
+    The first message of a control process after its link came up is its full list, later ones are changes.
+    A newly started control process lists few members at first, so its list doesn't replace that of another.
     """
 
     def __init__(self) -> None:
         self._lists: dict[str, dict[str, View]] = {}
-        self._expects_all: set[str] = set()
-
-    def linked(self, teller: str) -> None:
-        """The link of a control process came up: its next message is its whole list."""
-        self._expects_all.add(teller)
-
-    def told(self, teller: str, views: Iterable[View]) -> None:
-        """A control process tells its whole list, or changes of it."""
-        known = self._lists.setdefault(teller, {})
-        if teller in self._expects_all:
-            self._expects_all.discard(teller)
-            known.clear()
-        for view in views:
-            if view.removed:
-                known.pop(view.address, None)
+        self._awaiting_full_list: set[str] = set()
+
+    def linked(self, source: str) -> None:
+        """Handle a new link to a control process: its next message is its full list."""
+        self._awaiting_full_list.add(source)
+
+    def told(self, source: str, statuses: Iterable[View]) -> None:
+        """Apply the full list of a control process, or changes to it."""
+        members = self._lists.setdefault(source, {})
+        if source in self._awaiting_full_list:
+            self._awaiting_full_list.discard(source)
+            members.clear()
+        for status in statuses:
+            if status.removed:
+                members.pop(status.address, None)
             else:
-                known[view.address] = view
+                members[status.address] = status
 
-    def keep_tellers(self, tellers: Iterable[str]) -> None:
-        """Drop the lists of others: they tell this process no more, and what they told grows old."""
-        kept = set(tellers)
-        if kept & self._lists.keys():
-            self._lists = {teller: known for teller, known in self._lists.items() if teller in kept}
+    def keep_tellers(self, sources: Iterable[str]) -> None:
+        """Drop the lists of all other sources, which are no longer updated."""
+        retained = set(sources)
+        if retained & self._lists.keys():
+            self._lists = {source: members for source, members in self._lists.items() if source in retained}
 
     def members(self) -> dict[str, View]:
-        """All members by address; suspected are those that nobody lists without suspicion."""
-        joined: dict[str, View] = {}
-        for known in self._lists.values():
-            for address, view in known.items():
-                other = joined.get(address)
+        """All members by address; one is suspected only if every source that lists it suspects it."""
+        merged: dict[str, View] = {}
+        for member_list in self._lists.values():
+            for address, status in member_list.items():
+                other = merged.get(address)
                 if other is None or other.suspected:
-                    joined[address] = view
-        return joined
+                    merged[address] = status
+        return merged
--- a/barleybarrow/replication/records.py
+++ b/barleybarrow/replication/records.py
@@ -1,6 +1,7 @@
-"""What is known of servers, as plain values: no I/O, no clock.
+"""Value types for the state of servers: no I/O, no clock.
 
-A server is known by the id of one incarnation (one start of it). Times are milliseconds.
+An instance id identifies one incarnation of a server, that is one start of its process. Times are
+in milliseconds.
 """
 
 from dataclasses import dataclass, field
@@ -8,13 +9,13 @@
 
 
 class InstanceState(IntEnum):
-    """State of one incarnation; the numbers are those of the internal protocol."""
+    """State of one incarnation; the values are those of the internal protocol."""
 
     UNKNOWN = 0
     READY = 1
-    DRAINING = 2  # final but for GONE
+    DRAINING = 2  # final, except that GONE may follow
     GONE = 3  # deregistered: final
-    SILENT = 4  # no heartbeat for long; a later heartbeat brings it back
+    SILENT = 4  # heartbeats are missing; a later heartbeat makes it ready again
 
 
 FINALITY = {
@@ -28,7 +29,7 @@
 
 @dataclass(slots=True)
 class InstanceModel:
-    """A model that a server holds."""
+    """A model that a server has loaded."""
 
     name: str
     generation: int = 0
@@ -37,7 +38,7 @@
 
 @dataclass(slots=True)
 class InstanceRecord:
-    """What one incarnation of a server told of itself, and the state that it is in."""
+    """The details that one incarnation of a server reported, and its state."""
 
     id: str
     service: str = ""
@@ -52,7 +53,7 @@
     models: list[InstanceModel] = field(default_factory=list)
 
     def same_details(self, other: "InstanceRecord") -> bool:
-        """Whether nothing but state, sequence and the time that it stays cold differs."""
+        """Whether the records differ at most in state, sequence and remaining cold-start time."""
         return (
             self.service == other.service
             and self.address == other.address
@@ -66,7 +67,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Renewal:
-    """A heartbeat that changed nothing but the sequence."""
+    """A heartbeat that changes only the sequence."""
 
     id: str
     sequence: int
--- a/barleybarrow/replication/registry.py
+++ b/barleybarrow/replication/registry.py
@@ -1,16 +1,16 @@
-"""The registry of servers: merges what heartbeats and peers tell of each incarnation.
+"""The registry of servers: merges heartbeats and records from peers into one entry per incarnation.
 
-No I/O; times are milliseconds of a monotonic clock. Each entry is a join of independent parts, so that
-records may come in any order, twice, or late:
+No I/O; times are milliseconds of a monotonic clock. Each entry is a join of independent components (a
+state-based CRDT), so records may arrive in any order, more than once, or late:
 
-| part | merged by |
+| component | merge rule |
 | --- | --- |
-| finality: READY or SILENT < DRAINING < GONE | the greatest |
-| heard: sequence of the newest heartbeat known of | the greatest |
-| silent_at: sequence after which heartbeats were missed | the greatest; holds while `silent_at >= heard` |
-| details: address, slots, models | the server's own words before those told with a silence, then the newest |
+| finality: READY or SILENT < DRAINING < GONE | maximum |
+| sequence of the newest known heartbeat | maximum |
+| sequence after which heartbeats were missed | maximum; silent while it is not below the newest heartbeat's |
+| details: address, slots, models | the server's own record before a silence record, then the newest |
 
-Nothing may bring a drained or deregistered incarnation back: such entries stay for `FINAL_KEPT_MS`.
+A drained or deregistered incarnation must never come back, so its entry is kept for `FINAL_RETENTION_MS`.
 """
 
 from collections.abc import Container
@@ -19,25 +19,25 @@
 from barleybarrow.replication.records import FINALITY, InstanceRecord, InstanceState, Renewal
 from barleybarrow.replication.rendezvous import SHARDS, shard_of
 
-FINAL_KEPT_MS = 900_000.0  # a quarter of an hour: no heartbeat stays under way for so long
-SILENT_KEPT_MS = 600_000.0  # a server that comes back later is simply new
-MAX_ENTRIES = 20_000  # about 20 MB; beyond it the oldest final or silent entries are forgotten
+FINAL_RETENTION_MS = 900_000.0  # no heartbeat is delayed in transit by 15 minutes
+SILENT_RETENTION_MS = 600_000.0  # a server that returns later is treated as new
+MAX_ENTRIES = 20_000  # about 20 MB; beyond it the oldest final or silent entries are evicted
 
 GONE = FINALITY[InstanceState.GONE]
 DRAINING = FINALITY[InstanceState.DRAINING]
-NEVER = -1
+NO_SEQUENCE = -1
 
 
 @dataclass(slots=True)
 class Entry:
-    """All that is known of one incarnation."""
+    """Merged state of one incarnation."""
 
     details: InstanceRecord
-    details_at: tuple[bool, int]  # told by the server itself, sequence
+    details_precedence: tuple[bool, int]  # (sent by the server itself, sequence)
     finality: int
     heard: int
-    silent_at: int
-    heard_at: float  # local time of the newest heartbeat known of
+    silent_sequence: int
+    last_heartbeat_at: float  # local time at which the newest heartbeat became known
     changed_at: float
     cold_until: float
 
@@ -47,99 +47,99 @@
             return InstanceState.GONE
         if self.finality == DRAINING:
             return InstanceState.DRAINING
-        return InstanceState.SILENT if self.silent_at >= self.heard else InstanceState.READY
+        return InstanceState.SILENT if self.silent_sequence >= self.heard else InstanceState.READY
 
     def record(self, now: float) -> InstanceRecord:
-        """The entry as one record. Its sequence is that of its details; of a silence, the last one heard."""
+        """The entry as one record, with the sequence of its details, or of the last heartbeat if silent."""
         state = self.state
-        sequence = self.heard if state is InstanceState.SILENT else self.details_at[1]
-        cold = max(0, int(self.cold_until - now))
-        return replace(self.details, state=state, sequence=sequence, cold_remaining_ms=cold)
+        sequence = self.heard if state is InstanceState.SILENT else self.details_precedence[1]
+        cold_remaining_ms = max(0, int(self.cold_until - now))
+        return replace(self.details, state=state, sequence=sequence, cold_remaining_ms=cold_remaining_ms)
 
-    def whole(self, now: float) -> list[InstanceRecord]:
-        """All that the entry holds: a silence after the server's own words, which it does not replace."""
+    def all_records(self, now: float) -> list[InstanceRecord]:
+        """Records that reproduce the entry: a silence record is added to the server's own record."""
         record = self.record(now)
-        if record.state is not InstanceState.SILENT or not self.details_at[0]:
+        if record.state is not InstanceState.SILENT or not self.details_precedence[0]:
             return [record]
-        return [replace(record, state=InstanceState.READY, sequence=self.details_at[1]), record]
+        return [replace(record, state=InstanceState.READY, sequence=self.details_precedence[1]), record]
 
 
-def _split(record: InstanceRecord, now: float) -> Entry:
-    """A record as an entry of its own."""
+def _entry_from(record: InstanceRecord, now: float) -> Entry:
+    """Convert a single record to an entry, to be merged."""
     silent = record.state is InstanceState.SILENT
     return Entry(
         details=record,
-        details_at=(not silent and bool(record.service), record.sequence),
+        details_precedence=(not silent and bool(record.service), record.sequence),
         finality=FINALITY[record.state],
         heard=record.sequence,
-        silent_at=record.sequence if silent else NEVER,
-        heard_at=now,
+        silent_sequence=record.sequence if silent else NO_SEQUENCE,
+        last_heartbeat_at=now,
         changed_at=now,
         cold_until=now + record.cold_remaining_ms,
     )
 
 
 class Registry:
-    """All entries of one process, by id."""
+    """All entries known to one process, by instance id."""
 
     def __init__(self) -> None:
         self.entries: dict[str, Entry] = {}
 
     def merge(self, record: InstanceRecord, now: float) -> bool:
-        """Take in a record; whether anything changed that others have to be told (beyond a renewal)."""
+        """Merge a record; whether anything beyond a renewal changed, which peers have to be sent."""
         entry = self.entries.get(record.id)
-        told = _split(record, now)
+        incoming = _entry_from(record, now)
         if entry is None:
-            self.entries[record.id] = told
+            self.entries[record.id] = incoming
             return True
         before = entry.state
-        changed = self._merge_details(entry, told)
-        entry.finality = max(entry.finality, told.finality)
-        entry.silent_at = max(entry.silent_at, told.silent_at)
-        self._heard(entry, told.heard, now)
+        changed = self._merge_details(entry, incoming)
+        entry.finality = max(entry.finality, incoming.finality)
+        entry.silent_sequence = max(entry.silent_sequence, incoming.silent_sequence)
+        self._record_heartbeat(entry, incoming.heard, now)
         changed = changed or entry.state is not before
         if changed:
             entry.changed_at = now
         return changed
 
     def renew(self, renewal: Renewal, now: float) -> bool | None:
-        """Take in a renewal; whether it brought a silent server back, None where the id is unknown."""
+        """Apply a renewal; whether it ended a silence, or None if the id is unknown."""
         entry = self.entries.get(renewal.id)
         if entry is None:
             return None
         before = entry.state
-        self._heard(entry, renewal.sequence, now)
+        self._record_heartbeat(entry, renewal.sequence, now)
         if entry.state is before:
             return False
         entry.changed_at = now
         return True
 
     def gone(self, instance_id: str) -> InstanceRecord:
-        """The record that says an incarnation has ended; merge it then."""
+        """Build the record that marks an incarnation as gone; the caller merges it."""
         entry = self.entries.get(instance_id)
         if entry is None:
             return InstanceRecord(instance_id, state=InstanceState.GONE)
         return replace(entry.details, state=InstanceState.GONE, sequence=entry.heard, cold_remaining_ms=0)
 
     def silence(self, instance_id: str, now: float) -> InstanceRecord:
-        """Mark a ready server as silent after the newest heartbeat known of; the record to tell others."""
+        """Mark a ready server as silent since its newest known heartbeat; return the record for peers."""
         entry = self.entries[instance_id]
-        entry.silent_at = entry.heard
+        entry.silent_sequence = entry.heard
         entry.changed_at = now
         return entry.record(now)
 
-    def overdue(self, shards: Container[int], heard_before: float) -> list[str]:
-        """Ids of ready servers of these shards without a heartbeat since then."""
+    def overdue(self, shards: Container[int], last_heartbeat_before: float) -> list[str]:
+        """Ids of ready servers of these shards without a heartbeat since that time."""
         return [
             instance_id
             for instance_id, entry in self.entries.items()
-            if entry.heard_at < heard_before
+            if entry.last_heartbeat_at < last_heartbeat_before
             and entry.state is InstanceState.READY
             and shard_of(entry.details.service) in shards
         ]
 
     def at_address(self, address: str) -> list[str]:
-        """Ids of ready servers at an address."""
+        """Ids of ready servers with this address."""
         return [
             instance_id
             for instance_id, entry in self.entries.items()
@@ -147,48 +147,48 @@
         ]
 
     def forget(self, now: float) -> set[int]:
-        """Drop what has been final or silent for very long; the shards that lost something."""
-        dropped = [i for i, entry in self.entries.items() if self._is_old(entry, now)]
-        excess = len(self.entries) - len(dropped) - MAX_ENTRIES
+        """Remove entries past their retention and any excess; return the shards that lost entries."""
+        expired = [i for i, entry in self.entries.items() if self._is_expired(entry, now)]
+        excess = len(self.entries) - len(expired) - MAX_ENTRIES
         if excess > 0:
-            dropped += self._oldest_ended(set(dropped), excess)
-        return {shard_of(self.entries.pop(i).details.service) for i in dropped}
+            expired += self._oldest_inactive(set(expired), excess)
+        return {shard_of(self.entries.pop(i).details.service) for i in expired}
 
     def ids(self, shard: int) -> list[str]:
-        """The ids of a shard."""
+        """Ids of the entries of a shard."""
         return [i for i, entry in self.entries.items() if shard_of(entry.details.service) == shard]
 
     def by_shard(self, now: float) -> list[list[InstanceRecord]]:
-        """All that is known, by shard."""
+        """Records of all entries, one list per shard."""
         shards: list[list[InstanceRecord]] = [[] for _ in range(SHARDS)]
         for entry in self.entries.values():
-            shards[shard_of(entry.details.service)] += entry.whole(now)
+            shards[shard_of(entry.details.service)] += entry.all_records(now)
         return shards
 
-    def _merge_details(self, entry: Entry, told: Entry) -> bool:
-        if told.details_at <= entry.details_at or not told.details.service:
+    def _merge_details(self, entry: Entry, incoming: Entry) -> bool:
+        if incoming.details_precedence <= entry.details_precedence or not incoming.details.service:
             return False
-        changed = not told.details.same_details(entry.details)
-        entry.details, entry.details_at = told.details, told.details_at
-        entry.cold_until = told.cold_until
+        changed = not incoming.details.same_details(entry.details)
+        entry.details, entry.details_precedence = incoming.details, incoming.details_precedence
+        entry.cold_until = incoming.cold_until
         return changed
 
-    def _heard(self, entry: Entry, sequence: int, now: float) -> None:
+    def _record_heartbeat(self, entry: Entry, sequence: int, now: float) -> None:
         if sequence > entry.heard:
-            entry.heard, entry.heard_at = sequence, now
+            entry.heard, entry.last_heartbeat_at = sequence, now
 
-    def _is_old(self, entry: Entry, now: float) -> bool:
+    def _is_expired(self, entry: Entry, now: float) -> bool:
         age = now - entry.changed_at
         if entry.finality == GONE:
-            return age > FINAL_KEPT_MS
+            return age > FINAL_RETENTION_MS
         if entry.finality == DRAINING:
-            return age > FINAL_KEPT_MS and now - entry.heard_at > FINAL_KEPT_MS
-        return entry.state is InstanceState.SILENT and age > SILENT_KEPT_MS
+            return age > FINAL_RETENTION_MS and now - entry.last_heartbeat_at > FINAL_RETENTION_MS
+        return entry.state is InstanceState.SILENT and age > SILENT_RETENTION_MS
 
-    def _oldest_ended(self, already: set[str], count: int) -> list[str]:
-        ended = [
+    def _oldest_inactive(self, excluded: set[str], count: int) -> list[str]:
+        inactive = [
             (entry.changed_at, i)
             for i, entry in self.entries.items()
-            if i not in already and entry.state is not InstanceState.READY
+            if i not in excluded and entry.state is not InstanceState.READY
         ]
-        return [i for _, i in sorted(ended)[:count]]
+        return [i for _, i in sorted(inactive)[:count]]
--- a/barleybarrow/replication/revocation_lease.py
+++ b/barleybarrow/replication/revocation_lease.py
@@ -1,32 +1,31 @@
-"""Until when a proxy may rely on the API keys of its configuration. No I/O; milliseconds.
+"""Lease on the API keys of a proxy's configuration. No I/O; times are in milliseconds.
 
-Only for deployments with `StrictRevocation`: there, no request that is sent later than `RevokeMs` after the
-acknowledgement of a version that removes its key may run anywhere, also at a proxy that control can't reach.
+Used only with `StrictRevocation`: no request that is sent later than `RevokeMs` after the acknowledgement of
+a version that removes its API key may run anywhere, even on a proxy that the control plane can't reach.
 
-A `Confirmation` says: each version that was acknowledged before a moment is at most this one. It begins with
-a majority's word (a read index of the configuration shard), and is passed on with its age. Whoever has that
-version in force can have missed only what was acknowledged later, so its keys hold for `RevokeMs` from that
-moment on. The moment counts on the receiver's own clock from before it asked: no two clocks are compared, and
-delays on the way only shorten the lease.
+A `Confirmation` states that every version acknowledged before a point in time is at most the given one. It
+originates from a majority (a read index of the configuration shard) and is passed on with its age. A process
+that has this version in force can have missed only later acknowledgements, so its keys are valid for
+`RevokeMs` from that point. The point is taken on the receiver's own clock from before it sent its request:
+clocks of two machines are never compared, and delays in transit only shorten the lease.
 """
 
 from dataclasses import dataclass
 from math import inf
 
-DRIFT = 1.05  # two monotonic clocks do not differ by more over a lease
-RENEWALS = 5  # in a lease: some may be lost without a request being refused
-LEAST_RENEWAL_MS, MOST_RENEWAL_MS = 50.0, 1000.0
+DRIFT = 1.05  # upper bound of the rate difference of two monotonic clocks
+RENEWALS_PER_LEASE = 5  # some may be lost without a request being rejected
+MIN_RENEWAL_INTERVAL_MS, MAX_RENEWAL_INTERVAL_MS = 50.0, 1000.0
 
 
 @dataclass(frozen=True, slots=True)
 class Confirmation:
-    """Each version that was acknowledged before `at` is at most `version`."""
+    """Every version acknowledged before a point in time is at most `version`."""
 
     version: int
-    at: float  # milliseconds of the holder's monotonic clock; -inf: nothing is known
+    at: float  # on the holder's monotonic clock; -inf: no confirmation yet
 
     def age(self, now: float) -> float:
-        """How old it is, in milliseconds."""
         return now - self.at
 
 
@@ -34,38 +33,40 @@
 
 
 class RevocationLease:
-    """The lease of one process. `revoke_ms` is `RevokeMs` of the settings."""
+    """The lease of one process; `revoke_ms` is the setting `RevokeMs`."""
 
     def __init__(self, revoke_ms: float) -> None:
         self.span_ms = revoke_ms / DRIFT
-        self.renewal_ms = min(MOST_RENEWAL_MS, max(LEAST_RENEWAL_MS, self.span_ms / RENEWALS))
-        self.held = UNKNOWN  # the newest whose version is in force here
-        self._version = 0
-        self._ahead = UNKNOWN  # the newest whose version is not in force here yet
+        self.renewal_ms = min(
+            MAX_RENEWAL_INTERVAL_MS, max(MIN_RENEWAL_INTERVAL_MS, self.span_ms / RENEWALS_PER_LEASE)
+        )
+        self.held = UNKNOWN  # newest one whose version is in force here
+        self._applied_version = 0
+        self._pending = UNKNOWN  # newest one whose version is not in force here yet
 
     def took(self, version: int) -> None:
-        """A version is in force here."""
-        self._version = max(self._version, version)
-        if self._ahead.version <= self._version:
-            self._hold(self._ahead)
-            self._ahead = UNKNOWN
+        """Handle that a version has come into force in this process."""
+        self._applied_version = max(self._applied_version, version)
+        if self._pending.version <= self._applied_version:
+            self._keep_newest(self._pending)
+            self._pending = UNKNOWN
 
     def confirmed(self, version: int, asked_at: float, age_ms: float) -> None:
-        """Somebody answered a question sent at `asked_at` with a confirmation that was so old then."""
+        """Handle the answer to a request sent at that local time: a confirmation and its age."""
         confirmation = Confirmation(version, asked_at - max(0.0, age_ms))
-        if version <= self._version:
-            self._hold(confirmation)
-        elif confirmation.at > self._ahead.at:
-            self._ahead = confirmation
+        if version <= self._applied_version:
+            self._keep_newest(confirmation)
+        elif confirmation.at > self._pending.at:
+            self._pending = confirmation
 
     def holds(self, now: float) -> bool:
-        """Whether a request that was received by now may use its key."""
+        """Whether a request received by now may use its API key."""
         return self.held.age(now) <= self.span_ms
 
     def to_tell(self, now: float) -> Confirmation | None:
-        """What others can use of what is held here; None where it is too old for anybody."""
+        """The confirmation to pass on to peers; None if it has expired."""
         return self.held if self.holds(now) else None
 
-    def _hold(self, confirmation: Confirmation) -> None:
+    def _keep_newest(self, confirmation: Confirmation) -> None:
         if confirmation.at > self.held.at:
             self.held = confirmation
--- a/barleybarrow/replication/silence.py
+++ b/barleybarrow/replication/silence.py
@@ -1,7 +1,7 @@
-"""When the owner of a shard may call a server silent. No I/O; times are milliseconds.
+"""Detection of silent servers by the owner of a shard. No I/O; times are in milliseconds.
 
-A server is silent after a few missed heartbeats. Those that this process could not have heard do not count:
-heartbeats from before it owned the shard, and from while it stood still.
+A server is silent after several missed heartbeats. Heartbeats that this process could not have received do
+not count as missed: those from before it owned the shard, and those from while the process was stalled.
 """
 
 from collections.abc import Container
@@ -10,37 +10,37 @@
 from barleybarrow.replication.rendezvous import SHARDS
 
 MISSED_HEARTBEATS = 3
-SLACK_MS = 700.0  # a heartbeat has a second to arrive, and its renewal waits for a batch
-FROZEN_MS = 1500.0  # between two ticks: this process stood still
+HEARTBEAT_SLACK_MS = 700.0  # a heartbeat may take a second to arrive, and its renewal is batched
+STALL_THRESHOLD_MS = 1500.0  # a longer gap between two ticks means that this process was stalled
 
 
 @dataclass(slots=True, frozen=True)
-class Overdue:
-    """Which servers are to be called silent: those of these shards that were not heard since a moment."""
+class OverdueCriteria:
+    """Selects the servers to mark as silent: those of these shards without a heartbeat since a time."""
 
     shards: Container[int]
     heard_before: float
 
 
 class SilenceWatch:
-    """The patience of one process with the servers of the shards that it owns."""
+    """Tracks since when one process could have received the heartbeats of the shards that it owns."""
 
     def __init__(self, heartbeat_ms: float, now: float) -> None:
         self.owned: set[int] = set()
-        self._patience = MISSED_HEARTBEATS * heartbeat_ms + SLACK_MS
+        self._timeout_ms = MISSED_HEARTBEATS * heartbeat_ms + HEARTBEAT_SLACK_MS
         self._owned_since = [now] * SHARDS
         self._ticked_at = now
 
     def ticked(self, now: float) -> None:
-        """Time passes; to be told several times a second."""
-        if now - self._ticked_at > FROZEN_MS:
+        """Detect stalls of this process; called several times a second."""
+        if now - self._ticked_at > STALL_THRESHOLD_MS:
             self._owned_since = [now] * SHARDS
         self._ticked_at = now
 
-    def overdue(self, owned: set[int], now: float) -> Overdue:
-        """What is overdue, given the shards that this process owns now."""
+    def overdue(self, owned: set[int], now: float) -> OverdueCriteria:
+        """Which servers are overdue, given the shards that this process owns now."""
         for shard in owned - self.owned:
             self._owned_since[shard] = now
         self.owned = owned
-        patient = {shard for shard in owned if now - self._owned_since[shard] >= self._patience}
-        return Overdue(patient, now - self._patience)
+        observed_shards = {shard for shard in owned if now - self._owned_since[shard] >= self._timeout_ms}
+        return OverdueCriteria(observed_shards, now - self._timeout_ms)
--- a/tests/fleet/test_feed_parts.py
+++ b/tests/fleet/test_feed_parts.py
@@ -6,8 +6,8 @@
 from barleybarrow.documents import ClientLimits, Configuration, ConfigurationDelta, Route, Service, Tenant
 from barleybarrow.replication import configuration_delta
 from barleybarrow.replication.change_log import ChangeLog
-from barleybarrow.replication.configuration_fetch import FIRST_PATIENCE_MS, ConfigurationFetch
-from barleybarrow.replication.feed_view import COMMON_SILENCE_MS, FeedView
+from barleybarrow.replication.configuration_fetch import INITIAL_TIMEOUT_MS, ConfigurationFetch
+from barleybarrow.replication.feed_view import CORRELATED_SILENCE_WINDOW_MS, FeedView
 from barleybarrow.replication.records import InstanceRecord, InstanceState
 from barleybarrow.replication.rendezvous import SHARDS, shard_of
 from brackenusher.cluster.config_pieces import KEPT_DELTAS, ConfigPieces
@@ -120,8 +120,8 @@
         fetch.offered("a", 5, confirmed=True)
         self.assertEqual(fetch.ask(0.0), "a")
         fetch.offered("b", 5, confirmed=False)
-        self.assertIsNone(fetch.ask(FIRST_PATIENCE_MS - 1.0))
-        self.assertEqual(fetch.ask(FIRST_PATIENCE_MS), "b")
+        self.assertIsNone(fetch.ask(INITIAL_TIMEOUT_MS - 1.0))
+        self.assertEqual(fetch.ask(INITIAL_TIMEOUT_MS), "b")
         self.assertFalse(fetch.confirmed)
         fetch.taken(5)
         self.assertTrue(fetch.confirmed)
@@ -220,7 +220,7 @@
         feeds = Feeds("a")
         feeds.push("a", 0.0, listed("i"), listed("j"), listed("k"))
         feeds.push("a", 0.0, listed("i", SILENT))
-        later = COMMON_SILENCE_MS + 1000.0
+        later = CORRELATED_SILENCE_WINDOW_MS + 1000.0
         feeds.push("a", later, listed("j", SILENT))
         feeds.push("a", later + 2000.0, listed("k", SILENT))
         self.assertEqual(feeds.ready(later + 2000.0), ["j", "k"])
@@ -237,7 +237,7 @@
         feeds.push("a", 0.0, listed("i", GONE), listed("j"))
         feeds.subscribe("a", 1.0, listed("j"))
         feeds.view.forget(1e6)
-        self.assertEqual(set(feeds.view.known), {"j"})
+        self.assertEqual(set(feeds.view.instances), {"j"})
 
 
 if __name__ == "__main__":
--- a/tests/fleet/test_feed_paths.py
+++ b/tests/fleet/test_feed_paths.py
@@ -145,11 +145,11 @@
 
     def test_silence_that_a_heartbeat_does_not_end_is_found(self) -> None:
         def heard(registry: Registry, entry: Entry, sequence: int, now: float) -> None:
-            if entry.silent_at < entry.heard:
+            if entry.silent_sequence < entry.heard:
                 plain(registry, entry, sequence, now)
 
-        plain = Registry._heard
-        with mock.patch.object(Registry, "_heard", heard), self.assertRaises(AssertionError):
+        plain = Registry._record_heartbeat
+        with mock.patch.object(Registry, "_record_heartbeat", heard), self.assertRaises(AssertionError):
             self.test_a_server_that_falls_silent_comes_back_with_its_next_heartbeat()
 
     @story
--- a/tests/fleet/test_feed_planted.py
+++ b/tests/fleet/test_feed_planted.py
@@ -29,8 +29,8 @@
 
 def any_silence(self: FeedView, instance_id: str, now: float) -> None:
     """A judgement that believes each source on its own."""
-    known = self.known[instance_id]
-    told = [self._record_of(source, known) for source in self.sources.values() if source.connected]
+    known = self.instances[instance_id]
+    told = [self._source_record(source, known) for source in self.sources.values() if source.connected]
     silent = any(record is not None and record.state is InstanceState.SILENT for record in told)
     if silent != known.silent:
         known.silent, known.silent_since, known.changed_at = silent, now, now
@@ -54,7 +54,7 @@
         self.assertTrue(shows(breach, mock.patch.object(owner, name, bug), first_day), "no day shows it")
 
     def test_believing_one_source_on_silence_is_found(self) -> None:
-        self.found("", FeedView, "_judge", any_silence, first_day=4)
+        self.found("", FeedView, "_update_silence", any_silence, first_day=4)
 
     def test_marking_servers_silent_too_soon_is_found(self) -> None:
         self.found("", RegistryService, "_mark_silent", patience_of_none)
--- a/tests/fleet/test_registry_merge.py
+++ b/tests/fleet/test_registry_merge.py
@@ -176,8 +176,8 @@
     def test_ends_are_remembered_for_long_and_not_for_ever(self) -> None:
         registry = Registry()
         registry.merge(record(1, GONE), 0.0)
-        self.assertEqual(registry.forget(registry_module.FINAL_KEPT_MS - 1.0), set())
-        self.assertEqual(registry.forget(registry_module.FINAL_KEPT_MS + 1.0), {shard_of("s")})
+        self.assertEqual(registry.forget(registry_module.FINAL_RETENTION_MS - 1.0), set())
+        self.assertEqual(registry.forget(registry_module.FINAL_RETENTION_MS + 1.0), {shard_of("s")})
 
     def test_the_number_of_ended_entries_is_bounded(self) -> None:
         registry = Registry()
--- a/tests/fleet/test_silence.py
+++ b/tests/fleet/test_silence.py
@@ -2,10 +2,15 @@
 
 import unittest
 
-from barleybarrow.replication.silence import FROZEN_MS, MISSED_HEARTBEATS, SLACK_MS, SilenceWatch
+from barleybarrow.replication.silence import (
+    HEARTBEAT_SLACK_MS,
+    MISSED_HEARTBEATS,
+    STALL_THRESHOLD_MS,
+    SilenceWatch,
+)
 
 HEARTBEAT_MS = 1000.0
-PATIENCE_MS = MISSED_HEARTBEATS * HEARTBEAT_MS + SLACK_MS
+PATIENCE_MS = MISSED_HEARTBEATS * HEARTBEAT_MS + HEARTBEAT_SLACK_MS
 
 
 class SilenceWatchTest(unittest.TestCase):
@@ -31,8 +36,8 @@
 
     def test_an_owner_that_stood_still_begins_anew(self) -> None:
         self.assertTrue(self.watched({3}, 0.0, 60_000.0))
-        self.watch.ticked(60_000.0 + FROZEN_MS + 1.0)
-        self.assertNotIn(3, self.watch.overdue({3}, 60_000.0 + FROZEN_MS + 1.0).shards)
+        self.watch.ticked(60_000.0 + STALL_THRESHOLD_MS + 1.0)
+        self.assertNotIn(3, self.watch.overdue({3}, 60_000.0 + STALL_THRESHOLD_MS + 1.0).shards)
 
     def test_servers_heard_within_the_patience_are_not_overdue(self) -> None:
         self.watched({3}, 0.0, 60_000.0)
