--- a/barleybarrow/view_links.py
+++ b/barleybarrow/view_links.py
@@ -1,4 +1,4 @@
-"""What pings have shown of the links to the other members of a view; nothing is decided here."""
+"""State of the links to the other members of a view, as observed by pings; no decisions on membership."""
 
 from collections import Counter
 from collections.abc import Collection, Mapping
@@ -7,57 +7,57 @@
 from random import Random
 
 from barleybarrow.view_messages import Body
-from barleybarrow.views import ALIVE, SUSPECT, Address, Known, Stamp, View, tries
-
-# All spans are parts of the period.
-STEP = 0.3  # between two looks while there is something to do
-FRESH = 1.6  # a report counts so long: five looks
-REST = 5.0  # between two pings on a link that is known to be down
-PROVING = 4.0  # one that was taken out has to answer so long
-LATELY = 3.0  # an answer tells of a newcomer so long
-SOUNDED = 3.0  # until a majority must have answered, and one more for each MANY members
-MANY = 50
-TOUCH = 5.0  # an answer shows that one is in touch so long, and one more for each MANY members
-SHAKY = 3  # pings in a row without an answer, and a newcomer has to begin its proof anew
-CUT_LONG = 10.0  # periods, after which one that is cut off asks less at once
-DOUBTS, LAST = 2, 4  # own probes without an answer, of the last so many
-PINGS = 16  # in one look, so that a pause ends without a burst
-NEAR = 2  # so many in the order of names get to know newcomers by pinging them
-MOST_OUT = 512  # messages waiting to be sent
+from barleybarrow.views import ALIVE, SUSPECT, Address, Peer, Stamp, View, missed_pings_limit
+
+# Times are in protocol periods.
+ACTIVE_INTERVAL_PERIODS = 0.3  # between two checks while there is something to do
+REPORT_VALIDITY_PERIODS = 1.6  # five checks
+DOWN_LINK_PING_INTERVAL_PERIODS = 5.0
+READMISSION_PROOF_PERIODS = 4.0  # how long a removed member has to answer before it is readmitted
+ANSWER_VALIDITY_PERIODS = 3.0  # how long an answer shows that a joiner is reachable
+SELF_CHECK_TIMEOUT_PERIODS = 3.0  # until a majority must have answered; plus one per MEMBERS_PER_EXTRA_PERIOD
+MEMBERS_PER_EXTRA_PERIOD = 50
+CONTACT_WINDOW_PERIODS = 5.0  # how long an answer counts as contact; plus one per MEMBERS_PER_EXTRA_PERIOD
+UNSTABLE_MISSED_PINGS = 3  # consecutive; a joiner then has to restart its proof
+LONG_DISCONNECT_PERIODS = 10.0  # after which a disconnected process sends fewer pings at a time
+SELF_CHECK_FAILURES, PROBE_HISTORY_LENGTH = 2, 4  # a self-check starts if so many of the last probes failed
+MAX_PINGS_PER_CHECK = 16  # so that the end of a pause causes no burst
+JOINER_PINGERS = 2  # the first so many reachable members by name ping unknown processes
+MAX_OUTBOX = 512  # messages
 
 
 @dataclass(slots=True)
 class Link:
-    """What pings between this process and another have shown. Times are on this one's clock."""
+    """State of the link to another process, as observed by pings. Times are on the local clock."""
 
-    missed: int = 0  # pings in a row without an answer
+    missed_pings: int = 0  # consecutive
     answered_at: float = -inf
-    up_since: float = inf  # first of the answers in a row
+    answering_since: float = inf  # first of the latest consecutive answers
     heard_at: float = -inf
     pinged_at: float = -inf
-    wanted_at: float = -inf
-    told_at: float = -inf
-    told_wait: float = 0.0
-    told_for: tuple[int, int] = (0, 0)  # which view it held then
+    view_requested_at: float = -inf
+    updates_sent_at: float = -inf
+    resend_interval: float = 0.0
+    updates_sent_for: tuple[int, int] = (0, 0)  # the peer's view (group, number) at the last send
 
 
 class ViewLinks:
-    """One process's part in its view: what it knows of the links to the others, and whether it is in touch.
+    """Link state of one process, and whether it is connected to a majority of its view.
 
-    `out` is to be sent, `pings` to be pinged.
+    The owner sends the messages of `out` and pings the members of `pings`.
     """
 
     def __init__(
         self,
         name: str,
-        life: int,
+        epoch: int,
         address: Address,
-        known: Mapping[str, Known],
+        peers: Mapping[str, Peer],
         period: float,
         rng: Random,
         now: float,
     ) -> None:
-        self.name, self.life, self.address, self.known = name, life, address, known
+        self.name, self.life, self.address, self.peers = name, epoch, address, peers
         self.period, self.rng = period, rng
         self.view: View | None = None
         self.cut_off = True
@@ -65,159 +65,184 @@
         self.out: list[tuple[Address, Body]] = []
         self.pings: list[str] = []
         self.counts: Counter[str] = Counter()
-        self.asked: dict[str, float] = {}  # newcomers whom others want tried, until when
+        self.requested_probes: dict[str, float] = {}  # joiners that others asked to probe, and until when
         self.next_look = now
-        self.polled_at = -inf
-        self.results, self.sounding = 0, now  # inf while there is no doubt of oneself
+        self.round_seen_at = -inf
+        self.probe_failures, self.self_check_since = 0, now  # bit mask; inf: no self-check in progress
 
     @property
     def number(self) -> int:
         return self.view.number if self.view is not None else 0
 
     def stamp(self) -> Stamp:
-        v = self.view
-        if v is None:
+        view = self.view
+        if view is None:
             return Stamp()
-        return Stamp(v.group, v.number, len(v.members), self.cut_off)
+        return Stamp(view.group, view.number, len(view.members), self.cut_off)
 
     def reaches(self, name: str) -> bool:
-        """Whether a member is in touch, as far as is known here: both ways, and not under suspicion."""
+        """Whether a member is reachable in both directions and not suspected, as far as known locally."""
         if name == self.name:
             return True
-        m = self.known.get(name)
-        belongs = self.view is not None and name in self.view.by_name
-        return belongs and m is not None and m.state == ALIVE and not self.down(name)
+        peer = self.peers.get(name)
+        is_member = self.view is not None and name in self.view.by_name
+        return is_member and peer is not None and peer.state == ALIVE and not self.down(name)
 
     def down(self, name: str) -> bool:
         link = self.links.get(name)
         size = len(self.view.members) if self.view is not None else 0
-        return link is not None and link.missed >= tries(size)
+        return link is not None and link.missed_pings >= missed_pings_limit(size)
 
     def one_way(self, now: float) -> list[str]:
-        """Members that are heard but do not answer."""
-        since = now - TOUCH * self.period
-        return sorted(n for n, link in self.links.items() if self.down(n) and link.heard_at > since)
+        """Members whose datagrams arrive but that do not answer pings."""
+        since = now - CONTACT_WINDOW_PERIODS * self.period
+        return sorted(name for name, link in self.links.items() if self.down(name) and link.heard_at > since)
 
     def link(self, name: str) -> Link:
-        found = self.links.get(name)
-        if found is None:
-            found = self.links[name] = Link()
-        return found
+        link = self.links.get(name)
+        if link is None:
+            link = self.links[name] = Link()
+        return link
 
     def heard(self, now: float, name: str) -> None:
         self.link(name).heard_at = now
 
     def answered(self, now: float, name: str) -> None:
-        """A ping of ours was answered by whom it was for, at its address."""
+        """Handle an answer to a ping, sent by its target from the target's address."""
         link = self.link(name)
-        link.up_since = min(link.up_since, now)
-        link.missed, link.answered_at, link.heard_at = 0, now, now
+        link.answering_since = min(link.answering_since, now)
+        link.missed_pings, link.answered_at, link.heard_at = 0, now, now
 
     def missed(self, now: float, name: str) -> None:
-        """A ping of ours was not."""
+        """Handle a ping that was not answered."""
         link = self.link(name)
-        link.missed += 1
-        if link.missed >= SHAKY:
-            link.up_since = inf
-        self.hasten(now)
+        link.missed_pings += 1
+        if link.missed_pings >= UNSTABLE_MISSED_PINGS:
+            link.answering_since = inf
+        self.check_soon(now)
 
     def probed(self, now: float, answered: bool) -> None:
-        """Whether one drawn by chance has answered, on any way."""
-        self.results = (self.results << 1 | (not answered)) & (1 << LAST) - 1
-        if self.results.bit_count() >= DOUBTS and self.sounding == inf:
-            self.sounding = now
-            self.hasten(now)
+        """Record whether a randomly chosen member has answered a probe, directly or indirectly."""
+        self.probe_failures = (self.probe_failures << 1 | (not answered)) & (1 << PROBE_HISTORY_LENGTH) - 1
+        if self.probe_failures.bit_count() >= SELF_CHECK_FAILURES and self.self_check_since == inf:
+            self.self_check_since = now
+            self.check_soon(now)
 
-    def hasten(self, now: float) -> None:
-        self.next_look = min(self.next_look, now + STEP * self.period)
+    def check_soon(self, now: float) -> None:
+        self.next_look = min(self.next_look, now + ACTIVE_INTERVAL_PERIODS * self.period)
 
-    def sound(self, now: float) -> bool:
-        """Where there is doubt of this process itself: ask the members until a majority has answered."""
+    def check_self(self, now: float) -> bool:
+        """While this process doubts its own links, ping members until a majority has answered."""
         view = self.view
-        if view is None or self.sounding == inf:
+        if view is None or self.self_check_since == inf:
             return False
-        more = len(view.members) / MANY
-        since = max(self.sounding, now - (TOUCH + more) * self.period)
+        extra_periods = len(view.members) / MEMBERS_PER_EXTRA_PERIOD
+        since = max(self.self_check_since, now - (CONTACT_WINDOW_PERIODS + extra_periods) * self.period)
         silent = [
-            m.name for m in view.members if m.name != self.name and self.link(m.name).answered_at < since
+            member.name
+            for member in view.members
+            if member.name != self.name and self.link(member.name).answered_at < since
         ]
         if len(view.members) - len(silent) >= view.majority:
-            self.sounding, self.cut_off, self.results = inf, False, 0
+            self.self_check_since, self.cut_off, self.probe_failures = inf, False, 0
             return False
-        if now - self.sounding >= (SOUNDED + more) * self.period:
+        if now - self.self_check_since >= (SELF_CHECK_TIMEOUT_PERIODS + extra_periods) * self.period:
             self.cut_off = True
-        most = PINGS
-        if now - self.sounding > CUT_LONG * self.period:  # no more than shows the end of it within the window
-            most = min(PINGS, 2 + ceil(view.majority * STEP / (TOUCH + more)))
+        max_pings = MAX_PINGS_PER_CHECK
+        # After a long disconnect, send just enough pings to detect its end within the contact window.
+        if now - self.self_check_since > LONG_DISCONNECT_PERIODS * self.period:
+            max_pings = min(
+                MAX_PINGS_PER_CHECK,
+                2 + ceil(view.majority * ACTIVE_INTERVAL_PERIODS / (CONTACT_WINDOW_PERIODS + extra_periods)),
+            )
         if len(view.members) > 1:
-            self.ping(now, self.rng.sample(silent, min(most, len(silent))))
+            self.queue_pings(now, self.rng.sample(silent, min(max_pings, len(silent))))
         return True
 
-    def ping(self, now: float, names: Collection[str]) -> None:
+    def queue_pings(self, now: float, names: Collection[str]) -> None:
         for name in names:
-            if len(self.pings) < PINGS and name not in self.pings:
+            if len(self.pings) < MAX_PINGS_PER_CHECK and name not in self.pings:
                 self.link(name).pinged_at = now
                 self.pings.append(name)
 
-    def audit(self, now: float) -> bool:
-        """Ping those of whom there is doubt and whom this process watches, or has had no answer from."""
+    def ping_due_links(self, now: float) -> bool:
+        """Ping suspected members that this process observes, members that missed pings, and joiners."""
         view, due = self.view, []
         assert view is not None
         watched = set(view.subjects(self.name))
-        polled = now - self.polled_at < FRESH * self.period
-        for m in view.members:
-            known, link = self.known.get(m.name), self.links.get(m.name)
+        round_in_progress = now - self.round_seen_at < REPORT_VALIDITY_PERIODS * self.period
+        for member in view.members:
+            known, link = self.peers.get(member.name), self.links.get(member.name)
             suspect = known is not None and known.state == SUSPECT
-            missed = link is not None and link.missed > 0
-            if m.name == self.name or not (missed or (m.name in watched and (suspect or polled))):
+            has_missed_pings = link is not None and link.missed_pings > 0
+            if member.name == self.name or not (
+                has_missed_pings or (member.name in watched and (suspect or round_in_progress))
+            ):
                 continue
-            link = self.link(m.name)
-            if not missed and now - link.answered_at < self.period:
+            link = self.link(member.name)
+            if not has_missed_pings and now - link.answered_at < self.period:
                 continue
-            told = link.missed >= (2 if suspect else 1) * tries(len(view.members))
-            rest = REST if told else STEP * 0.9
-            if now - link.pinged_at >= rest * self.period:
-                due.append(m.name)
-        if self.rank() < NEAR:  # one that may propose has to know who is new
-            for k in self.known.values():
-                strange = k.state == ALIVE and not k.proved and not view.has(k.name, k.epoch)
-                if strange and now - self.link(k.name).pinged_at >= self.period:
-                    due.append(k.name)
-        for name in [n for n, until in self.asked.items() if until < now]:
-            del self.asked[name]
-        due += [n for n in self.asked if now - self.link(n).answered_at > self.period]
-        self.ping(now, due if len(due) <= PINGS else self.rng.sample(due, PINGS))
+            reported_down = link.missed_pings >= (2 if suspect else 1) * missed_pings_limit(len(view.members))
+            ping_interval = (
+                DOWN_LINK_PING_INTERVAL_PERIODS if reported_down else ACTIVE_INTERVAL_PERIODS * 0.9
+            )
+            if now - link.pinged_at >= ping_interval * self.period:
+                due.append(member.name)
+        if self.rank() < JOINER_PINGERS:  # a likely proposer has to know about joiners
+            for peer in self.peers.values():
+                unknown_epoch = (
+                    peer.state == ALIVE and not peer.proved and not view.has(peer.name, peer.epoch)
+                )
+                if unknown_epoch and now - self.link(peer.name).pinged_at >= self.period:
+                    due.append(peer.name)
+        for name in [joiner for joiner, until in self.requested_probes.items() if until < now]:
+            del self.requested_probes[name]
+        due += [
+            joiner for joiner in self.requested_probes if now - self.link(joiner).answered_at > self.period
+        ]
+        self.queue_pings(
+            now, due if len(due) <= MAX_PINGS_PER_CHECK else self.rng.sample(due, MAX_PINGS_PER_CHECK)
+        )
         return bool(due)
 
-    def report(self, now: float) -> tuple[list[str], list[str], list[str]]:
-        """Members that do not answer, those of whom there is doubt, and newcomers that do."""
+    def link_report(self, now: float) -> tuple[list[str], list[str], list[str]]:
+        """Members that do not answer, doubtful members, and joiners that answer reliably."""
         view = self.view
         assert view is not None
-        down = [n for n in self.links if n in view.by_name and self.down(n)]
-        least = tries(len(view.members)) - 1  # under loss one miss or two say nothing
-        doubtful = [n for n, k in self.links.items() if k.missed == least and n in view.by_name]
-        reached = [n for n in self.asked if self.proves(now, n)]
+        down = [name for name in self.links if name in view.by_name and self.down(name)]
+        # With datagram loss, one or two missed pings mean nothing.
+        last_miss = missed_pings_limit(len(view.members)) - 1
+        doubtful = [
+            name
+            for name, link in self.links.items()
+            if link.missed_pings == last_miss and name in view.by_name
+        ]
+        reached = [name for name in self.requested_probes if self.has_proven_link(now, name)]
         return sorted(down), sorted(doubtful), reached
 
-    def proves(self, now: float, name: str) -> bool:
-        """Whether one that was taken out has answered for long enough by now."""
+    def has_proven_link(self, now: float, name: str) -> bool:
+        """Whether a removed member has been answering for long enough to be readmitted."""
         link = self.links.get(name)
-        if link is None or link.missed >= SHAKY or now - link.answered_at > LATELY * self.period:
+        if (
+            link is None
+            or link.missed_pings >= UNSTABLE_MISSED_PINGS
+            or now - link.answered_at > ANSWER_VALIDITY_PERIODS * self.period
+        ):
             return False
-        return now - link.up_since >= PROVING * self.period
+        return now - link.answering_since >= READMISSION_PROOF_PERIODS * self.period
 
     def rank(self) -> int:
-        """How many stand before this one who could do it as well."""
+        """Number of reachable members before this one by name; the lower, the sooner it proposes."""
         view, before = self.view, 0
         assert view is not None
-        for m in view.members:
-            if m.name == self.name:
+        for member in view.members:
+            if member.name == self.name:
                 break
-            before += self.reaches(m.name)
+            before += self.reaches(member.name)
         return before
 
-    def send(self, address: Address, body: Body) -> None:
-        if len(self.out) < MOST_OUT:
+    def enqueue(self, address: Address, body: Body) -> None:
+        if len(self.out) < MAX_OUTBOX:
             self.out.append((address, body))
         else:
             self.counts["out"] += 1
--- a/barleybarrow/view_messages.py
+++ b/barleybarrow/view_messages.py
@@ -1,73 +1,74 @@
-"""What the members of a view say to each other to agree on the next one; each is an array on the wire."""
+"""Messages by which members agree on the next view; each is encoded as an array."""
 
 from typing import Annotated
 
 from msgspec import Meta, Struct
 
-from barleybarrow.views import MOST_MEMBERS, Belongs, Change, Name, Number
+from barleybarrow.views import MOST_MEMBERS, GroupMember, Name, NonNegativeInt, ViewChange
 
-REPORTED = 64  # members named in one report: what fits a datagram
+MAX_REPORTED_MEMBERS = 64  # in one report; what fits into a datagram
 
-Index = Annotated[int, Meta(ge=0, lt=MOST_MEMBERS)]
+MemberIndex = Annotated[int, Meta(ge=0, lt=MOST_MEMBERS)]
 
 
-class Poll(Struct, array_like=True, frozen=True, tag=1):
-    """Promise to take part in nothing lower, and say what you see; with group 0, vote for who founds."""
+class Prepare(Struct, array_like=True, frozen=True, tag=1):
+    """Asks to reject lower rounds and to report on links; with group 0, asks for a vote to found a group."""
 
-    round: Number
-    ask: Annotated[list[Name], Meta(max_length=64)] = []  # newcomers that have to be tried
+    round: NonNegativeInt
+    joiners: Annotated[list[Name], Meta(max_length=64)] = []  # to be probed by the receiver
 
 
-class Say(Struct, array_like=True, frozen=True, tag=2):
-    round: Number
+class Promise(Struct, array_like=True, frozen=True, tag=2):
+    round: NonNegativeInt
     granted: bool
-    highest: Number  # round that was promised
-    accepted: tuple[Number, Name, Change] | None = None
-    down: Annotated[list[Index], Meta(max_length=REPORTED)] = []
-    doubtful: Annotated[list[Index], Meta(max_length=REPORTED)] = []
+    promised_round: NonNegativeInt  # highest round promised so far
+    accepted: tuple[NonNegativeInt, Name, ViewChange] | None = None
+    down: Annotated[list[MemberIndex], Meta(max_length=MAX_REPORTED_MEMBERS)] = []
+    doubtful: Annotated[list[MemberIndex], Meta(max_length=MAX_REPORTED_MEMBERS)] = []
     reached: Annotated[list[Name], Meta(max_length=64)] = []
 
 
 class Accept(Struct, array_like=True, frozen=True, tag=3):
-    round: Number
-    change: Change
+    round: NonNegativeInt
+    change: ViewChange
 
 
-class Took(Struct, array_like=True, frozen=True, tag=4):
-    round: Number
+class Accepted(Struct, array_like=True, frozen=True, tag=4):
+    round: NonNegativeInt
     granted: bool
-    highest: Number
+    promised_round: NonNegativeInt
 
 
-class Told(Struct, array_like=True, frozen=True, tag=5):
-    """A change that was decided: it makes this number of the sender's group."""
+class Decided(Struct, array_like=True, frozen=True, tag=5):
+    """A decided change, which leads to the view with this number."""
 
-    group: Number
-    number: Number
-    change: Change
+    group: NonNegativeInt
+    number: NonNegativeInt
+    change: ViewChange
 
 
-class Page(Struct, array_like=True, frozen=True, tag=6):
-    """Part of a whole view."""
+class ViewPage(Struct, array_like=True, frozen=True, tag=6):
+    """Part of a complete view."""
 
-    group: Number
-    number: Number
-    size: Number
-    members: Annotated[list[Belongs], Meta(max_length=MOST_MEMBERS)]
-    gone: Annotated[list[tuple[Name, Number]], Meta(max_length=64)] = []  # lives that were taken out lately
+    group: NonNegativeInt
+    number: NonNegativeInt
+    size: NonNegativeInt
+    members: Annotated[list[GroupMember], Meta(max_length=MOST_MEMBERS)]
+    removed: Annotated[list[tuple[Name, NonNegativeInt]], Meta(max_length=64)] = []  # recent: (name, epoch)
 
 
-class Want(Struct, array_like=True, frozen=True, tag=7):
-    """Tell me of your view."""
+class ViewRequest(Struct, array_like=True, frozen=True, tag=7):
+    """Asks the receiver for its view."""
 
 
-class Over(Struct, array_like=True, frozen=True, tag=8):
-    """This life of yours is over, or one that counts as later than yours: go on as a later one.
+class EpochEnded(Struct, array_like=True, frozen=True, tag=8):
+    """Tells the receiver that its epoch is no longer accepted, and that it has to continue with a later one.
 
-    It may never have heard that it belonged.
+    Its epoch was removed, or is lower than that of a member with its name because its clock went back. The
+    receiver may never have learned that it was a member.
     """
 
-    life: Number
+    epoch: NonNegativeInt
 
 
-Body = Poll | Say | Accept | Took | Told | Page | Want | Over
+Body = Prepare | Promise | Accept | Accepted | Decided | ViewPage | ViewRequest | EpochEnded
--- a/barleybarrow/view_rounds.py
+++ b/barleybarrow/view_rounds.py
@@ -1,6 +1,6 @@
-"""How a change of a view is proposed and accepted.
+"""Proposal and acceptance of view changes by Paxos.
 
-It must never let a view come about that a majority of the one before has not accepted.
+Safety: a view comes into being only if a majority of the members of the view before have accepted it.
 """
 
 from collections.abc import Collection, Mapping
@@ -9,33 +9,39 @@
 from math import inf
 from random import Random
 
-from barleybarrow.view_links import FRESH, LATELY, SHAKY, STEP, TOUCH
-from barleybarrow.view_messages import REPORTED, Accept, Body, Poll, Say, Told, Took
-from barleybarrow.view_updates import ROOM, ViewUpdates
+from barleybarrow.view_links import (
+    ACTIVE_INTERVAL_PERIODS,
+    ANSWER_VALIDITY_PERIODS,
+    CONTACT_WINDOW_PERIODS,
+    REPORT_VALIDITY_PERIODS,
+    UNSTABLE_MISSED_PINGS,
+)
+from barleybarrow.view_messages import MAX_REPORTED_MEMBERS, Accept, Accepted, Body, Decided, Prepare, Promise
+from barleybarrow.view_updates import MAX_PAYLOAD_BYTES, ViewUpdates
 from barleybarrow.views import (
     ALIVE,
-    HIGH,
+    HIGH_WATERMARK,
     LEFT,
     MOST_MEMBERS,
     SUSPECT,
     Address,
-    Belongs,
-    Change,
-    Known,
+    GroupMember,
+    Peer,
     Report,
-    settle,
+    ViewChange,
+    decide_removals,
 )
 
-# All spans are parts of the period.
-RANK = 1.5  # for each that stands before me in the order of names, I wait so long
-DOUBTED = 0.7  # a suspicion is waited on so long before members are asked: most are refuted
-PATIENCE = 8.0  # reports that stand between the thresholds are waited for so long
-POLLED = 1.5  # one that was asked by another leaves it to that one so long
-GIVEN_UP = 4.0  # an acceptance that finds no majority
-BACKED_OFF = 1.0, 3.0  # after a higher round was seen; drawn by chance between them
-ASKED = 12  # newcomers asked about at once
+# Times are in protocol periods.
+RANK_DELAY_PERIODS = 1.5  # per reachable member before this one by name
+SUSPICION_DELAY_PERIODS = 0.7  # before a round starts, since most suspicions are refuted
+UNSETTLED_TIMEOUT_PERIODS = 8.0  # how long reports between the thresholds are waited for
+ROUND_DEFERENCE_PERIODS = 1.5  # how long a process leaves the initiative to another proposer
+ROUND_TIMEOUT_PERIODS = 4.0  # without a majority
+BACKOFF_RANGE_PERIODS = 1.0, 3.0  # random, after a higher round was seen
+MAX_PROBED_JOINERS = 12  # in one message
 
-Ballot = tuple[int, str]  # the round, and the name of who began it
+Ballot = tuple[int, str]  # (round, name of the proposer)
 NO_BALLOT: Ballot = (0, "")
 
 
@@ -46,292 +52,332 @@
 
 
 @dataclass(slots=True)
-class Turn:
-    """What this process does as one that proposes."""
+class ProposerState:
+    """State of this process in its role as proposer."""
 
     stage: Stage = Stage.IDLE
     ballot: Ballot = NO_BALLOT
-    change: Change | None = None
-    began: float = -inf
-    rest_until: float = -inf
-    heard_at: float = -inf  # a majority, last
+    change: ViewChange | None = None
+    began_at: float = -inf
+    backoff_until: float = -inf
+    majority_heard_at: float = -inf  # last time that a majority had answered recently
 
 
 class ViewRounds(ViewUpdates):
-    """Proposes changes of the view and accepts them: Paxos, one instance for each number of the view."""
+    """Proposer and acceptor of view changes: one instance of Paxos for each view number."""
 
     def __init__(
         self,
         name: str,
-        life: int,
+        epoch: int,
         address: Address,
-        known: Mapping[str, Known],
+        peers: Mapping[str, Peer],
         period: float,
         rng: Random,
         now: float,
     ) -> None:
-        super().__init__(name, life, address, known, period, rng, now)
-        self.anew()
+        super().__init__(name, epoch, address, peers, period, rng, now)
+        self.reset_round()
 
-    def anew(self) -> None:
-        """Forget what belonged to one number."""
+    def reset_round(self) -> None:
+        """Reset the state that belongs to one view number."""
         self.promised: Ballot = NO_BALLOT
-        self.accepted: tuple[Ballot, Change] | None = None
-        self.says: dict[Address, tuple[float, str, Say]] = {}
-        self.took: set[str] = set()
-        self.turn = Turn()
-        self.need_since: float | None = None
-        self.unsettled: float | None = None  # since when reports stand between the thresholds
-        self.voted: tuple[str, float] = ("", -inf)
+        self.accepted: tuple[Ballot, ViewChange] | None = None
+        self.promises: dict[Address, tuple[float, str, Promise]] = {}
+        self.accepted_by: set[str] = set()
+        self.proposer = ProposerState()
+        self.change_needed_since: float | None = None
+        self.unsettled_since: float | None = None  # since when reports have been between the thresholds
+        self.vote: tuple[str, float] = ("", -inf)
 
-    def ended(self) -> list[str]:
-        """Members whose life is over, by their own word or that of a later life of theirs."""
-        view, found = self.view, []
+    def ended_members(self) -> list[str]:
+        """Members whose epoch has ended: they have left, or a later epoch of theirs is known."""
+        view, ended = self.view, []
         assert view is not None
-        for m in view.members:
-            k = self.known.get(m.name)
-            if k is not None and m.name != self.name:
-                if (k.epoch > m.life and k.proved) or (k.epoch == m.life and k.state == LEFT):
-                    found.append(m.name)
-        return found
+        for member in view.members:
+            peer = self.peers.get(member.name)
+            if peer is not None and member.name != self.name:
+                if (peer.epoch > member.life and peer.proved) or (
+                    peer.epoch == member.life and peer.state == LEFT
+                ):
+                    ended.append(member.name)
+        return ended
 
-    def lost(self, now: float) -> bool:
+    def is_unrecoverable(self, now: float) -> bool:
         """Whether the view can never change again, as far as this process can tell.
 
-        Either so many lives are over; or for long now too few are in touch, while with the later lives of
-        others they are a majority of its names: whoever is silent can do nothing without them either.
+        Either the epochs of too many members have ended. Or, for a long time, the reachable members have been
+        too few while together with restarted ones they are a majority of the names: then the silent members
+        can't form a majority without them either.
         """
-        view, ended = self.view, self.ended()
+        view, ended = self.view, self.ended_members()
         assert view is not None
         if len(view.members) - len(ended) < view.majority:
             return True
-        if not ended or self.need_since is None or now - self.need_since < 2 * PATIENCE * self.period:
+        if (
+            not ended
+            or self.change_needed_since is None
+            or now - self.change_needed_since < 2 * UNSETTLED_TIMEOUT_PERIODS * self.period
+        ):
             return False
-        lately = now - TOUCH * self.period
-        near = {m.name for m in view.members if self.link(m.name).answered_at >= lately}
-        return len(near - set(ended)) + 1 < view.majority <= len(near) + 1
+        contact_since = now - CONTACT_WINDOW_PERIODS * self.period
+        reachable = {
+            member.name for member in view.members if self.link(member.name).answered_at >= contact_since
+        }
+        return len(reachable - set(ended)) + 1 < view.majority <= len(reachable) + 1
 
-    def newcomers(self, now: float) -> list[Belongs]:
-        """Who has proved a life that does not belong yet."""
-        view, found = self.view, []
-        for k in self.known.values():
-            if k.state != ALIVE or not k.proved or (view is not None and view.has(k.name, k.epoch)):
+    def joiners(self, now: float) -> list[GroupMember]:
+        """Verified processes that can be added to the view."""
+        view, joiners = self.view, []
+        for peer in self.peers.values():
+            if (
+                peer.state != ALIVE
+                or not peer.proved
+                or (view is not None and view.has(peer.name, peer.epoch))
+            ):
                 continue
-            if self.outlived(k):
+            if self.is_superseded(peer):
                 continue
-            stamp = self.stamps.get(k.name)
-            if stamp is None or stamp[0].group or stamp[1] != k.epoch:
-                continue  # it has a group of its own, or has not learned yet that its life is over
-            if k.name in self.removed and k.epoch <= self.removed[k.name][1]:
+            stamp = self.peer_stamps.get(peer.name)
+            if stamp is None or stamp[0].group or stamp[1] != peer.epoch:
+                continue  # it has a group of its own, or has not learned yet that its epoch has ended
+            if peer.name in self.removed and peer.epoch <= self.removed[peer.name][1]:
                 continue
-            link = self.links.get(k.name)
-            if link is not None and link.missed < SHAKY:
-                found.append(Belongs(k.name, k.epoch, *k.address))
-        return found
+            link = self.links.get(peer.name)
+            if link is not None and link.missed_pings < UNSTABLE_MISSED_PINGS:
+                joiners.append(GroupMember(peer.name, peer.epoch, *peer.address))
+        return joiners
 
     def propose(self, now: float) -> bool:
-        view, turn = self.view, self.turn
+        """Drive the proposer; returns whether a change of the view is needed."""
+        view, proposer = self.view, self.proposer
         assert view is not None
-        late = now - DOUBTED * self.period
-        doubted = [
-            k.name
-            for k in self.known.values()
-            if k.state == SUSPECT and k.since <= late and view.has(k.name, k.epoch)
+        suspected_before = now - SUSPICION_DELAY_PERIODS * self.period
+        suspected = [
+            peer.name
+            for peer in self.peers.values()
+            if peer.state == SUSPECT and peer.since <= suspected_before and view.has(peer.name, peer.epoch)
         ]
-        newcomers = self.newcomers(now)
-        if not (doubted or newcomers or self.ended()):
-            self.need_since, self.turn.stage = None, Stage.IDLE
+        joiners = self.joiners(now)
+        if not (suspected or joiners or self.ended_members()):
+            self.change_needed_since, self.proposer.stage = None, Stage.IDLE
             return False
-        if self.need_since is None:
-            self.need_since = now
-        if turn.stage is Stage.IDLE:
-            waited = now - self.need_since >= min(self.rank(), 8) * RANK * self.period
-            led = now - self.polled_at < POLLED * self.period  # somebody else is at it
-            if waited and not led and now >= turn.rest_until and not self.cut_off:
-                self.stand(now)
+        if self.change_needed_since is None:
+            self.change_needed_since = now
+        if proposer.stage is Stage.IDLE:
+            waited = now - self.change_needed_since >= min(self.rank(), 8) * RANK_DELAY_PERIODS * self.period
+            round_in_progress = now - self.round_seen_at < ROUND_DEFERENCE_PERIODS * self.period
+            if waited and not round_in_progress and now >= proposer.backoff_until and not self.cut_off:
+                self.start_round(now)
             return True
-        if turn.stage is Stage.ACCEPTING:
-            if now - turn.began > GIVEN_UP * self.period:
-                self.rest(now)
+        if proposer.stage is Stage.ACCEPTING:
+            if now - proposer.began_at > ROUND_TIMEOUT_PERIODS * self.period:
+                self.back_off(now)
             else:
-                assert turn.change is not None
-                self.broadcast(Accept(turn.ballot[0], turn.change), self.took)
+                assert proposer.change is not None
+                self.broadcast(Accept(proposer.ballot[0], proposer.change), self.accepted_by)
             return True
-        if self.cut_off or now - max(turn.began, turn.heard_at) > GIVEN_UP * self.period:
-            self.rest(now)  # no majority answers
+        if (
+            self.cut_off
+            or now - max(proposer.began_at, proposer.majority_heard_at) > ROUND_TIMEOUT_PERIODS * self.period
+        ):
+            self.back_off(now)  # no majority has answered
             return True
-        long = now - turn.began > 2 * PATIENCE * self.period
-        if not long or self.rng.random() < STEP / 2:  # nothing comes of it for long: ask less often
-            self.poll(now, newcomers)
-        self.weigh(now, newcomers)
+        is_overdue = now - proposer.began_at > 2 * UNSETTLED_TIMEOUT_PERIODS * self.period
+        # A round that has made no progress for long sends its requests less often.
+        if not is_overdue or self.rng.random() < ACTIVE_INTERVAL_PERIODS / 2:
+            self.send_prepares(now, joiners)
+        self.evaluate_promises(now, joiners)
         return True
 
-    def stand(self, now: float) -> None:
-        """Begin a round of one's own."""
-        highest = max(self.promised[0], self.turn.ballot[0])
-        self.turn = Turn(Stage.POLLING, (highest + 1, self.name), None, now)
-        self.promised = self.turn.ballot
-        self.says.clear()
-        self.poll(now, self.newcomers(now))
+    def start_round(self, now: float) -> None:
+        """Start a round as proposer."""
+        highest = max(self.promised[0], self.proposer.ballot[0])
+        self.proposer = ProposerState(Stage.POLLING, (highest + 1, self.name), None, now)
+        self.promised = self.proposer.ballot
+        self.promises.clear()
+        self.send_prepares(now, self.joiners(now))
 
-    def poll(self, now: float, newcomers: list[Belongs]) -> None:
-        self.polled_at = now
-        ask = [b.name for b in newcomers if b.name in self.removed][:ASKED]
-        for name in ask:
-            self.asked[name] = now + LATELY * self.period
-        self.broadcast(Poll(self.turn.ballot[0], ask))
-        self.says[self.address] = (
+    def send_prepares(self, now: float, joiners: list[GroupMember]) -> None:
+        self.round_seen_at = now
+        to_probe = [joiner.name for joiner in joiners if joiner.name in self.removed][:MAX_PROBED_JOINERS]
+        for name in to_probe:
+            self.requested_probes[name] = now + ANSWER_VALIDITY_PERIODS * self.period
+        self.broadcast(Prepare(self.proposer.ballot[0], to_probe))
+        self.promises[self.address] = (
             now,
             self.name,
-            self.saying(now, self.turn.ballot, self.turn.ballot >= self.promised, self.promised[0]),
+            self.make_promise(
+                now, self.proposer.ballot, self.proposer.ballot >= self.promised, self.promised[0]
+            ),
         )
 
-    def broadcast(self, body: Body, but: Collection[str] = ()) -> None:
+    def broadcast(self, body: Body, exclude: Collection[str] = ()) -> None:
         assert self.view is not None
-        for m in self.view.members:
-            if m.name != self.name and m.name not in but:
-                self.send(m.address, body)
+        for member in self.view.members:
+            if member.name != self.name and member.name not in exclude:
+                self.enqueue(member.address, body)
 
-    def rest(self, now: float, highest: int = 0) -> None:
-        """Give the round up for a while."""
-        least, most = BACKED_OFF
-        until = now + self.rng.uniform(least, most) * self.period
-        ballot = max(self.turn.ballot, (highest, ""))
-        self.turn = Turn(Stage.IDLE, ballot, rest_until=until)
+    def back_off(self, now: float, highest: int = 0) -> None:
+        """Abandon the round and wait for a random time."""
+        shortest, longest = BACKOFF_RANGE_PERIODS
+        until = now + self.rng.uniform(shortest, longest) * self.period
+        ballot = max(self.proposer.ballot, (highest, ""))
+        self.proposer = ProposerState(Stage.IDLE, ballot, backoff_until=until)
 
-    def weigh(self, now: float, newcomers: list[Belongs]) -> None:
-        """Decide what to propose, where enough have said what they see."""
-        view, turn = self.view, self.turn
+    def evaluate_promises(self, now: float, joiners: list[GroupMember]) -> None:
+        """Choose a change and ask for its acceptance, once a majority has promised recently."""
+        view, proposer = self.view, self.proposer
         assert view is not None
         fresh = {
-            name: say
-            for at, name, say in self.says.values()
-            if say.granted and say.round == turn.ballot[0] and now - at <= FRESH * self.period
+            name: promise
+            for at, name, promise in self.promises.values()
+            if promise.granted
+            and promise.round == proposer.ballot[0]
+            and now - at <= REPORT_VALIDITY_PERIODS * self.period
         }
         if len(fresh) < view.majority:
             return
-        turn.heard_at = now
-        held = [say.accepted for say in fresh.values() if say.accepted is not None]
-        if held:
-            change: Change | None = max(held, key=lambda a: (a[0], a[1]))[2]
+        proposer.majority_heard_at = now
+        accepted = [promise.accepted for promise in fresh.values() if promise.accepted is not None]
+        if accepted:
+            change: ViewChange | None = max(accepted, key=lambda entry: (entry[0], entry[1]))[2]
         else:
-            change = self.choose(now, fresh, newcomers)
+            change = self.choose_change(now, fresh, joiners)
         if change is not None:
-            turn.stage, turn.change, turn.began = Stage.ACCEPTING, change, now
-            self.took = {self.name}
-            self.accepted = turn.ballot, change
-            self.broadcast(Accept(turn.ballot[0], change))
-            self.count(now)
+            proposer.stage, proposer.change, proposer.began_at = Stage.ACCEPTING, change, now
+            self.accepted_by = {self.name}
+            self.accepted = proposer.ballot, change
+            self.broadcast(Accept(proposer.ballot[0], change))
+            self.count_acceptances(now)
 
-    def choose(self, now: float, fresh: Mapping[str, Say], newcomers: list[Belongs]) -> Change | None:
+    def choose_change(
+        self, now: float, fresh: Mapping[str, Promise], joiners: list[GroupMember]
+    ) -> ViewChange | None:
+        """The change that reports and joiners ask for, if it keeps a majority of the view; else None."""
         view = self.view
         assert view is not None
-        names = [m.name for m in view.members]
+        names = [member.name for member in view.members]
         reports = {
-            by: Report(
-                frozenset(names[i] for i in say.down if i < len(names)),
-                frozenset(names[i] for i in say.doubtful if i < len(names)),
-                frozenset(say.reached),
+            reporter: Report(
+                frozenset(names[index] for index in promise.down if index < len(names)),
+                frozenset(names[index] for index in promise.doubtful if index < len(names)),
+                frozenset(promise.reached),
             )
-            for by, say in fresh.items()
+            for reporter, promise in fresh.items()
         }
-        ended = set(self.ended())
-        out, settled = settle(view, ended, reports)
+        ended = set(self.ended_members())
+        removed, settled = decide_removals(view, ended, reports)
         if settled:
-            self.unsettled = None
-        elif self.unsettled is None:
-            self.unsettled = now
-        waits = self.unsettled is not None and now - self.unsettled < PATIENCE * self.period
-        if waits or len([n for n in fresh if n not in out]) < view.majority:
-            out = ended  # what is sure of itself needs no reports
-        if self.name in out or len([n for n in fresh if n not in out]) < view.majority:
+            self.unsettled_since = None
+        elif self.unsettled_since is None:
+            self.unsettled_since = now
+        waiting = (
+            self.unsettled_since is not None
+            and now - self.unsettled_since < UNSETTLED_TIMEOUT_PERIODS * self.period
+        )
+        if waiting or len([name for name in fresh if name not in removed]) < view.majority:
+            removed = ended  # certain without any reports
+        if self.name in removed or len([name for name in fresh if name not in removed]) < view.majority:
             return None
-        came, room = list[Belongs](), ROOM - 3 * sum(len(n) for n in out)
-        for b in newcomers:
-            room -= len(b.name) + len(b.host) + 16
-            full = len(view.members) - len(out) + len(came) >= MOST_MEMBERS
-            if room < 0 or full or (b.name in view.by_name and b.name not in out):
+        added, room = list[GroupMember](), MAX_PAYLOAD_BYTES - 3 * sum(len(name) for name in removed)
+        for joiner in joiners:
+            room -= len(joiner.name) + len(joiner.host) + 16
+            full = len(view.members) - len(removed) + len(added) >= MOST_MEMBERS
+            if room < 0 or full or (joiner.name in view.by_name and joiner.name not in removed):
                 continue
-            if b.name not in self.removed or self.vouched(now, b.name, out, reports):
-                came.append(b)
-        came.sort(key=lambda b: b.name)
-        return Change(sorted(out), came) if out or came else None
+            if joiner.name not in self.removed or self.is_vouched_for(now, joiner.name, removed, reports):
+                added.append(joiner)
+        added.sort(key=lambda joiner: joiner.name)
+        return ViewChange(sorted(removed), added) if removed or added else None
 
-    def vouched(self, now: float, name: str, out: Collection[str], reports: Mapping[str, Report]) -> bool:
-        """Whether those who would watch one that was taken out have had its answers for long enough."""
+    def is_vouched_for(
+        self, now: float, name: str, removed: Collection[str], reports: Mapping[str, Report]
+    ) -> bool:
+        """Whether enough future observers of a removed member have had its answers for long enough."""
         assert self.view is not None
-        watching = [o for o in self.view.observers(name) if o not in out and o in reports]
-        sure = sum(name in reports[o].reached for o in watching)
-        return self.proves(now, name) and (not watching or sure / len(watching) > HIGH)
+        observers = [
+            observer
+            for observer in self.view.observers(name)
+            if observer not in removed and observer in reports
+        ]
+        vouching = sum(name in reports[observer].reached for observer in observers)
+        return self.has_proven_link(now, name) and (
+            not observers or vouching / len(observers) > HIGH_WATERMARK
+        )
 
-    def serve(self, now: float, source: Known, body: Poll | Accept) -> None:
-        """As one that accepts."""
+    def on_proposer_message(self, now: float, source: Peer, body: Prepare | Accept) -> None:
+        """Handle a request of a proposer, as acceptor."""
         ballot = body.round, source.name
-        granted, higher, highest = ballot >= self.promised, ballot > self.promised, None
-        if higher and self.link(source.name).missed >= SHAKY:
-            # one that is deaf must not keep those from their work that hear each other
-            granted, higher, highest = False, False, 0
-        if higher:  # one that asks again, as it hears no answer, holds nobody up
+        granted, higher, promised_round = ballot >= self.promised, ballot > self.promised, None
+        if higher and self.link(source.name).missed_pings >= UNSTABLE_MISSED_PINGS:
+            # A proposer that receives no answers must not obstruct members that reach each other.
+            granted, higher, promised_round = False, False, 0
+        if higher:  # a repeated request, for lack of answers, delays nobody
             self.promised = ballot
-            if self.turn.stage is not Stage.IDLE and ballot > self.turn.ballot:
-                self.rest(now, ballot[0])
+            if self.proposer.stage is not Stage.IDLE and ballot > self.proposer.ballot:
+                self.back_off(now, ballot[0])
             else:
-                self.turn.rest_until = max(self.turn.rest_until, now + BACKED_OFF[0] * self.period)
-        if highest is None:
-            highest = self.promised[0]
-        if isinstance(body, Poll):
+                self.proposer.backoff_until = max(
+                    self.proposer.backoff_until, now + BACKOFF_RANGE_PERIODS[0] * self.period
+                )
+        if promised_round is None:
+            promised_round = self.promised[0]
+        if isinstance(body, Prepare):
             if granted:
-                self.polled_at = now
-            for name in body.ask:
-                self.asked[name] = now + LATELY * self.period
-            self.send(source.address, self.saying(now, ballot, granted, highest))
+                self.round_seen_at = now
+            for name in body.joiners:
+                self.requested_probes[name] = now + ANSWER_VALIDITY_PERIODS * self.period
+            self.enqueue(source.address, self.make_promise(now, ballot, granted, promised_round))
             return
         if granted:
             self.accepted = ballot, body.change
-        self.send(source.address, Took(body.round, granted, highest))
+        self.enqueue(source.address, Accepted(body.round, granted, promised_round))
 
-    def saying(self, now: float, ballot: Ballot, granted: bool, highest: int) -> Say:
+    def make_promise(self, now: float, ballot: Ballot, granted: bool, promised_round: int) -> Promise:
         view = self.view
         assert view is not None
-        index = {m.name: i for i, m in enumerate(view.members)}
-        down, doubtful, reached = self.report(now)
+        index_by_name = {member.name: index for index, member in enumerate(view.members)}
+        down, doubtful, reached = self.link_report(now)
         if self.accepted is not None:
-            return Say(ballot[0], granted, highest, (*self.accepted[0], self.accepted[1]))
-        return Say(
+            return Promise(ballot[0], granted, promised_round, (*self.accepted[0], self.accepted[1]))
+        return Promise(
             ballot[0],
             granted,
-            highest,
+            promised_round,
             None,
-            [index[n] for n in down][:REPORTED],
-            [index[n] for n in doubtful][:REPORTED],
-            reached[:ASKED],
+            [index_by_name[name] for name in down][:MAX_REPORTED_MEMBERS],
+            [index_by_name[name] for name in doubtful][:MAX_REPORTED_MEMBERS],
+            reached[:MAX_PROBED_JOINERS],
         )
 
-    def answer(self, now: float, source: Known, body: Say | Took) -> None:
-        """As the one that proposes."""
-        turn = self.turn
-        if turn.stage is Stage.IDLE or body.round != turn.ballot[0]:
+    def on_acceptor_reply(self, now: float, source: Peer, body: Promise | Accepted) -> None:
+        """Handle the reply of an acceptor, as proposer."""
+        proposer = self.proposer
+        if proposer.stage is Stage.IDLE or body.round != proposer.ballot[0]:
             return
         if not body.granted:
-            if body.highest:  # else it takes this one for deaf, and says nothing of another's round
-                self.rest(now, body.highest)
-        elif isinstance(body, Say):
-            self.says[source.address] = now, source.name, body
-            if turn.stage is Stage.POLLING and self.view and len(self.says) >= self.view.majority:
-                self.weigh(now, self.newcomers(now))
-        elif turn.stage is Stage.ACCEPTING:
-            self.took.add(source.name)
-            self.count(now)
+            if (
+                body.promised_round
+            ):  # 0: the acceptor considers this process unreachable; no higher round is known
+                self.back_off(now, body.promised_round)
+        elif isinstance(body, Promise):
+            self.promises[source.address] = now, source.name, body
+            if proposer.stage is Stage.POLLING and self.view and len(self.promises) >= self.view.majority:
+                self.evaluate_promises(now, self.joiners(now))
+        elif proposer.stage is Stage.ACCEPTING:
+            self.accepted_by.add(source.name)
+            self.count_acceptances(now)
 
-    def count(self, now: float) -> None:
-        """Whether a majority has accepted; then the view is there."""
-        view, change = self.view, self.turn.change
+    def count_acceptances(self, now: float) -> None:
+        """Announce and install the change once a majority has accepted it."""
+        view, change = self.view, self.proposer.change
         assert view is not None and change is not None
-        if len(self.took) >= view.majority:
-            for m in view.members:
-                if m.name != self.name:
-                    self.send(m.address, Told(view.group, view.number + 1, change))
-            self.step(now, change)
+        if len(self.accepted_by) >= view.majority:
+            for member in view.members:
+                if member.name != self.name:
+                    self.enqueue(member.address, Decided(view.group, view.number + 1, change))
+            self.apply_change(now, change)
             if self.view is not None:
-                for b in change.came:
-                    self.pages_to(now, b.name, b.address)
+                for joiner in change.added:
+                    self.send_pages(now, joiner.name, joiner.address)
--- a/barleybarrow/view_updates.py
+++ b/barleybarrow/view_updates.py
@@ -1,75 +1,80 @@
-"""How views are taken up, and how whoever is behind is told of them."""
+"""Installation of views, and bringing lagging members up to date."""
 
 from collections.abc import Mapping
 from math import inf
 from random import Random
 
-from barleybarrow.view_links import LATELY, PINGS, ViewLinks
-from barleybarrow.view_messages import Over, Page, Told, Want
-from barleybarrow.views import ALIVE, Address, Belongs, Change, Known, Stamp, View
+from barleybarrow.view_links import ANSWER_VALIDITY_PERIODS, MAX_PINGS_PER_CHECK, ViewLinks
+from barleybarrow.view_messages import Decided, EpochEnded, ViewPage, ViewRequest
+from barleybarrow.views import ALIVE, Address, GroupMember, Peer, Stamp, View, ViewChange
 
-# All spans are parts of the period.
-YIELDING = 3.0  # in touch with a greater group until one yields
-RETOLD, RETOLD_MOST = 0.3, 2.4  # between two tellings of views to one that is behind; twice as long each time
-FLAP = 60.0  # one that is back sooner has flapped
-FORGOTTEN = 300.0  # who was taken out is remembered so long
-ROOM = 900  # bytes of a change or of a page
-MOST_LOG = 64  # changes kept for who is behind; who lacks more gets pages
-MOST_VIEWS = 8
-SAID = 8  # changes sent to one that is behind, at once
+# Times are in protocol periods.
+YIELD_DELAY_PERIODS = 3.0  # contact with a larger group before this process leaves its own for it
+# Between two updates for the same lagging peer; doubles each time.
+MIN_RESEND_INTERVAL_PERIODS, MAX_RESEND_INTERVAL_PERIODS = 0.3, 2.4
+FLAP_WINDOW_PERIODS = 60.0  # a removed member that returns sooner counts as a flap
+REMOVAL_RETENTION_PERIODS = 300.0  # how long removed members are remembered
+MAX_PAYLOAD_BYTES = 900  # of a change or a page
+MAX_LOG_CHANGES = 64  # a peer that lags further behind gets the whole view in pages
+MAX_HISTORY_VIEWS = 8
+MAX_CHANGES_PER_SEND = 8  # to one lagging peer
 
 
 class ViewUpdates(ViewLinks):
-    """Takes up views, and tells those who are behind; `turned` are changes of the view to be looked at."""
+    """Installs views and updates lagging peers; the owner takes view changes from `turned`."""
 
     def __init__(
         self,
         name: str,
-        life: int,
+        epoch: int,
         address: Address,
-        known: Mapping[str, Known],
+        peers: Mapping[str, Peer],
         period: float,
         rng: Random,
         now: float,
     ) -> None:
-        super().__init__(name, life, address, known, period, rng, now)
-        self.turned: list[tuple[int, View | None, View | None]] = []  # life, before, after
+        super().__init__(name, epoch, address, peers, period, rng, now)
+        self.turned: list[tuple[int, View | None, View | None]] = []  # epoch, before, after
         self.flaps = 0
-        self.removed: dict[str, tuple[float, int]] = {}  # who was taken out: when, and which life
+        self.removed: dict[str, tuple[float, int]] = {}  # (time of the removal, epoch)
         self.history: dict[int, View] = {}
-        self.log: dict[int, Change] = {}
-        self.stamps: dict[str, tuple[Stamp, int]] = {}  # what each said last, and in which life
-        self.pages: dict[str, Belongs] = {}
-        self.paged: tuple[int, int, int] = (0, 0, 0)
-        self.began = now
-        self.group_heard, self.barred = -inf, -inf
-
-    def anew(self) -> None:
-        """Forget what belonged to one number of the view; the layers above have more to forget."""
-
-    def step(self, now: float, change: Change) -> None:
-        """One view further."""
+        self.log: dict[int, ViewChange] = {}
+        self.peer_stamps: dict[str, tuple[Stamp, int]] = {}  # latest stamp, and epoch of its sender
+        self.received_members: dict[str, GroupMember] = {}
+        self.received_page_key: tuple[int, int, int] = (0, 0, 0)
+        self.epoch_began_at = now
+        self.group_heard_at, self.founding_barred_until = -inf, -inf
+
+    def reset_round(self) -> None:
+        """Reset the state that belongs to one view number; overridden by layers above."""
+
+    def apply_change(self, now: float, change: ViewChange) -> None:
+        """Install the next view, which a decided change leads to."""
         assert self.view is not None
         before = self.view
-        after = before.after(change)
+        after = before.apply(change)
         self.log[after.number] = change
-        if len(self.log) > MOST_LOG:
+        if len(self.log) > MAX_LOG_CHANGES:
             del self.log[min(self.log)]
-        self.take(now, before, after)
-
-    def take(self, now: float, before: View | None, after: View) -> None:
-        for b in after.members:
-            if b.name in self.removed and (before is None or b.name not in before.by_name):
-                self.flaps += now - self.removed[b.name][0] < FLAP * self.period
-        for b in before.members if before is not None else ():
-            if b.name not in after.by_name:
-                self.removed[b.name] = now, b.life
-        for name in [n for n, (at, _) in self.removed.items() if now - at > FORGOTTEN * self.period]:
+        self.install(now, before, after)
+
+    def install(self, now: float, before: View | None, after: View) -> None:
+        for member in after.members:
+            if member.name in self.removed and (before is None or member.name not in before.by_name):
+                self.flaps += now - self.removed[member.name][0] < FLAP_WINDOW_PERIODS * self.period
+        for member in before.members if before is not None else ():
+            if member.name not in after.by_name:
+                self.removed[member.name] = now, member.life
+        for name in [
+            removed_name
+            for removed_name, (removed_at, _) in self.removed.items()
+            if now - removed_at > REMOVAL_RETENTION_PERIODS * self.period
+        ]:
             del self.removed[name]
         self.history[after.number] = after
-        if len(self.history) > MOST_VIEWS:
+        if len(self.history) > MAX_HISTORY_VIEWS:
             del self.history[min(self.history)]
-        self.anew()
+        self.reset_round()
         if not after.has(self.name, self.life):
             self.counts["taken_out"] += 1
             self.reborn(now, before)
@@ -77,133 +82,149 @@
         first = self.view is None
         self.view = after
         self.turned.append((self.life, before, after))
-        for name in [n for n in self.links if n not in after.by_name and n not in self.known]:
+        for name in [peer for peer in self.links if peer not in after.by_name and peer not in self.peers]:
             del self.links[name]
         if first:
-            self.sounding = now if len(after.members) > 1 else inf
+            self.self_check_since = now if len(after.members) > 1 else inf
             self.cut_off = len(after.members) > 1
         self.next_look = now
 
-    def reborn(self, now: float, before: View | None = None, founds: bool = False) -> None:
-        """This life is over for the group: go on as another, which belongs to none yet.
+    def reborn(self, now: float, before: View | None = None, may_found: bool = False) -> None:
+        """Continue with a new epoch, without a group, since this one is no longer accepted by the group.
 
-        It founds none for a long while, unless the group is known to be no more: it was taken out, or has
-        left a smaller one, and the others are somewhere.
+        It may not found a group for a long time, unless the old group is known to have ended: after a removal
+        or after leaving a smaller group, the other members still exist.
         """
-        self.barred = now if founds else now + FORGOTTEN * self.period
+        self.founding_barred_until = now if may_found else now + REMOVAL_RETENTION_PERIODS * self.period
         self.turned.append((self.life, before or self.view, None))
-        self.view, self.cut_off, self.sounding = None, True, now
+        self.view, self.cut_off, self.self_check_since = None, True, now
         self.life += 1
         self.history.clear()
         self.log.clear()
         self.removed.clear()
-        self.pages.clear()
-        self.began, self.group_heard = now, -inf
-        self.anew()
+        self.received_members.clear()
+        self.epoch_began_at, self.group_heard_at = now, -inf
+        self.reset_round()
         self.next_look = now
-        near = [k.name for k in self.known.values() if k.state == ALIVE and k.proved]
-        self.ping(now, self.rng.sample(near, min(PINGS // 2, len(near))))
+        reachable = [peer.name for peer in self.peers.values() if peer.state == ALIVE and peer.proved]
+        self.queue_pings(now, self.rng.sample(reachable, min(MAX_PINGS_PER_CHECK // 2, len(reachable))))
 
-    def told(self, now: float, body: Told) -> None:
+    def on_decided(self, now: float, body: Decided) -> None:
         view = self.view
         if view is not None and (body.group, body.number) == (view.group, view.number + 1):
-            self.step(now, body.change)
+            self.apply_change(now, body.change)
 
-    def page(self, now: float, body: Page) -> None:
-        """Part of a whole view; taken up once it is whole, where it is later than what is held."""
+    def on_page(self, now: float, body: ViewPage) -> None:
+        """Collect pages of a view; install it once complete, if it is later than the current one."""
         view, key = self.view, (body.group, body.number, body.size)
         if view is None or view.group == body.group:
-            for name, life in body.gone:
-                if name != self.name and life > self.removed.get(name, (0.0, -1))[1]:
-                    self.removed[name] = now, life
+            for name, epoch in body.removed:
+                if name != self.name and epoch > self.removed.get(name, (0.0, -1))[1]:
+                    self.removed[name] = now, epoch
         if view is not None and (body.group != view.group or body.number <= view.number):
             return
-        if key != self.paged:
-            if body.group == self.paged[0] and body.number < self.paged[1]:
+        if key != self.received_page_key:
+            if body.group == self.received_page_key[0] and body.number < self.received_page_key[1]:
                 return
-            self.paged = key
-            self.pages.clear()
-        self.pages.update((b.name, b) for b in body.members)
-        if len(self.pages) != body.size:
+            self.received_page_key = key
+            self.received_members.clear()
+        self.received_members.update((member.name, member) for member in body.members)
+        if len(self.received_members) != body.size:
             return
-        found = View(body.group, body.number, tuple(self.pages[name] for name in sorted(self.pages)))
-        self.paged = (0, 0, 0)
-        self.pages.clear()
-        self.log.clear()  # it has no gaps: who needs what is missing gets pages
-        if view is None and not found.has(self.name, self.life):
+        received = View(
+            body.group,
+            body.number,
+            tuple(self.received_members[name] for name in sorted(self.received_members)),
+        )
+        self.received_page_key = (0, 0, 0)
+        self.received_members.clear()
+        self.log.clear()  # the log must have no gaps; peers that lack older changes get pages
+        if view is None and not received.has(self.name, self.life):
             return
-        self.take(now, view, found)
-
-    def compare(self, now: float, source: Known, stamp: Stamp) -> None:
-        """What a datagram of another says of its view: whoever is behind is told."""
-        self.stamps[source.name] = stamp, source.epoch
-        mine = self.view
-        if mine is None:
-            if stamp.group and not stamp.cut_off:
-                self.group_heard = now
-        elif stamp.group == mine.group and stamp.number > mine.number:
+        self.install(now, view, received)
+
+    def compare(self, now: float, source: Peer, stamp: Stamp) -> None:
+        """Compare views on a datagram from a peer, and update whichever side lags behind."""
+        self.peer_stamps[source.name] = stamp, source.epoch
+        view = self.view
+        if view is None:
+            if stamp.group and not stamp.disconnected:
+                self.group_heard_at = now
+        elif stamp.group == view.group and stamp.number > view.number:
             link = self.link(source.name)
-            if now - link.wanted_at >= RETOLD * self.period:
-                link.wanted_at = now
-                self.send(source.address, Want())
-        elif stamp.group == mine.group and stamp.number < mine.number:
-            self.tell(now, source, stamp)
-        elif stamp.group == 0 and mine.has(source.name, source.epoch):
-            self.tell(now, source, stamp)
+            if now - link.view_requested_at >= MIN_RESEND_INTERVAL_PERIODS * self.period:
+                link.view_requested_at = now
+                self.enqueue(source.address, ViewRequest())
+        elif stamp.group == view.group and stamp.number < view.number:
+            self.send_updates(now, source, stamp)
+        elif stamp.group == 0 and view.has(source.name, source.epoch):
+            self.send_updates(now, source, stamp)
         elif stamp.group == 0 and source.epoch <= self.removed.get(source.name, (0.0, -1))[1]:
-            self.send(source.address, Over(self.removed[source.name][1]))  # its clock may have gone back
-        elif stamp.group == 0 and self.outlived(source):
-            self.send(source.address, Over(mine.by_name[source.name].life))
-        elif stamp.group not in (0, mine.group):
-            self.foreign(now, source, stamp)
-
-    def outlived(self, source: Known) -> bool:
-        """Whether a life that counts as later than this one belongs, as its clock went back at a restart."""
+            # The peer's clock may have gone back.
+            self.enqueue(source.address, EpochEnded(self.removed[source.name][1]))
+        elif stamp.group == 0 and self.is_superseded(source):
+            self.enqueue(source.address, EpochEnded(view.by_name[source.name].life))
+        elif stamp.group not in (0, view.group):
+            self.on_foreign_group(now, source, stamp)
+
+    def is_superseded(self, source: Peer) -> bool:
+        """Whether a member has a higher epoch of this name, as the clock went back at a restart."""
         held = self.view.by_name.get(source.name) if self.view is not None else None
         return held is not None and held.life > source.epoch
 
-    def tell(self, now: float, source: Known, stamp: Stamp) -> None:
-        """Send one that is behind what it lacks."""
+    def send_updates(self, now: float, source: Peer, stamp: Stamp) -> None:
+        """Send a lagging peer the changes that it lacks, or the whole view."""
         view, link = self.view, self.link(source.name)
-        held = stamp.group, stamp.number
-        if view is None or now - link.told_at < link.told_wait * self.period:
+        held_view = stamp.group, stamp.number
+        if view is None or now - link.updates_sent_at < link.resend_interval * self.period:
             return
-        link.told_wait = min(2 * link.told_wait, RETOLD_MOST) if held == link.told_for else RETOLD
-        link.told_at, link.told_for = now, held
-        lacks = range(stamp.number + 1, view.number + 1)
-        if stamp.group == view.group and lacks and lacks[0] in self.log:
-            for number in lacks[:SAID]:
-                self.send(source.address, Told(view.group, number, self.log[number]))
-        elif stamp.group != view.group or lacks:
-            self.pages_to(now, source.name, source.address)
-
-    def pages_to(self, now: float, name: str, address: Address) -> None:
+        link.resend_interval = (
+            min(2 * link.resend_interval, MAX_RESEND_INTERVAL_PERIODS)
+            if held_view == link.updates_sent_for
+            else MIN_RESEND_INTERVAL_PERIODS
+        )
+        link.updates_sent_at, link.updates_sent_for = now, held_view
+        missing = range(stamp.number + 1, view.number + 1)
+        if stamp.group == view.group and missing and missing[0] in self.log:
+            for number in missing[:MAX_CHANGES_PER_SEND]:
+                self.enqueue(source.address, Decided(view.group, number, self.log[number]))
+        elif stamp.group != view.group or missing:
+            self.send_pages(now, source.name, source.address)
+
+    def send_pages(self, now: float, name: str, address: Address) -> None:
         view = self.view
         assert view is not None
-        part: list[Belongs] = []
-        room = ROOM
-        for b in view.members:
-            size = len(b.name) + len(b.host) + 16
+        members: list[GroupMember] = []
+        room = MAX_PAYLOAD_BYTES
+        for member in view.members:
+            size = len(member.name) + len(member.host) + 16
             if size > room:
-                self.send(address, Page(view.group, view.number, len(view.members), part))
-                part, room = [], ROOM
-            part.append(b)
+                self.enqueue(address, ViewPage(view.group, view.number, len(view.members), members))
+                members, room = [], MAX_PAYLOAD_BYTES
+            members.append(member)
             room -= size
-        gone = [(n, life) for n, (_, life) in sorted(self.removed.items(), key=lambda item: -item[1][0])]
-        while gone and sum(len(n) + 12 for n, _ in gone) > ROOM:
-            gone.pop()
-        self.send(address, Page(view.group, view.number, len(view.members), part))
-        if gone:
-            self.send(address, Page(view.group, view.number, len(view.members), [], gone[:64]))
-
-    def foreign(self, now: float, source: Known, stamp: Stamp) -> None:
-        """Another group under the same keys: the smaller yields, or the one that has lost its majority."""
+        removed = [
+            (member_name, epoch)
+            for member_name, (_, epoch) in sorted(self.removed.items(), key=lambda item: -item[1][0])
+        ]
+        while removed and sum(len(member_name) + 12 for member_name, _ in removed) > MAX_PAYLOAD_BYTES:
+            removed.pop()
+        self.enqueue(address, ViewPage(view.group, view.number, len(view.members), members))
+        if removed:
+            self.enqueue(address, ViewPage(view.group, view.number, len(view.members), [], removed[:64]))
+
+    def on_foreign_group(self, now: float, source: Peer, stamp: Stamp) -> None:
+        """Leave the own group for another one with the same keys, if smaller or without a majority."""
         view, link = self.view, self.link(source.name)
         assert view is not None
         self.counts["foreign"] += 1
-        if stamp.cut_off or link.missed or now - link.up_since < YIELDING * self.period:
+        if (
+            stamp.disconnected
+            or link.missed_pings
+            or now - link.answering_since < YIELD_DELAY_PERIODS * self.period
+        ):
             return
-        if now - link.answered_at > LATELY * self.period:
+        if now - link.answered_at > ANSWER_VALIDITY_PERIODS * self.period:
             return
         if self.cut_off or (stamp.size, stamp.group) > (len(view.members), view.group):
             self.counts["yielded"] += 1
--- a/barleybarrow/views.py
+++ b/barleybarrow/views.py
@@ -1,8 +1,8 @@
-"""Views of a group as values: who belongs, what a change makes of it, and whom reports speak against.
+"""Membership views as values: the members, changes to them, and evaluation of failure reports.
 
-Nothing here waits, sends or looks at a clock. What members say of each other goes in, a decision comes out;
-`view_agreement` brings the reports together and has a majority agree. Observers and two thresholds follow
-Suresh and others, "Stable and Consistent Membership at Scale with Rapid" (USENIX ATC 2018).
+No I/O, no timers, no clock: reports of members go in, a decision comes out. `view_agreement` collects the
+reports and has a majority agree on the outcome. Observers and the two thresholds follow Suresh and others,
+"Stable and Consistent Membership at Scale with Rapid" (USENIX ATC 2018).
 """
 
 from collections.abc import Collection, Iterable, Mapping
@@ -16,36 +16,44 @@
 Address = tuple[str, int]
 
 ALIVE, SUSPECT, DEAD, LEFT = range(4)
-RINGS, EACH = 3, 3  # orders of the members by hash, and how many followers in each watch a member
-OBSERVERS = RINGS * EACH  # with 30% of datagrams lost, seven of nine err together once in 10**8 checks
-HIGH = 2 / 3  # of those that stay and have reported: more than so many, and the member goes
-LOW = 1 / 3  # more than so many, and all wait for the rest of the reports
-TRIES, MORE_TRIES = 5, 8  # pings in a row without an answer; more where few observers can err together
-FEW = 5  # observers
+# Rings order the members by hash; in each, the next followers of a member are its observers.
+RING_COUNT, FOLLOWERS_PER_RING = 3, 3
+# With 30% of datagrams lost, seven of nine observers are wrong at the same time once in 10**8 checks.
+MAX_OBSERVERS = RING_COUNT * FOLLOWERS_PER_RING
+# Shares of the remaining observers that have reported: above the high watermark a member is removed, above
+# the low one the decision waits for further reports.
+HIGH_WATERMARK = 2 / 3
+LOW_WATERMARK = 1 / 3
+# Consecutive unanswered pings; more in small groups, where few observers can be wrong at the same time.
+MISSED_PINGS_LIMIT, SMALL_GROUP_MISSED_PINGS_LIMIT = 5, 8
+SMALL_GROUP_MEMBERS = 5
 MOST_MEMBERS = 1024
 
 Name = Annotated[str, Meta(min_length=1, max_length=64)]
 Host = Annotated[str, Meta(max_length=45)]
 Port = Annotated[int, Meta(ge=1, le=65_535)]
-Number = Annotated[int, Meta(ge=0, le=2**53)]
+NonNegativeInt = Annotated[int, Meta(ge=0, le=2**53)]
 
 
-class Known(Protocol):
-    """What is known of another process, whether it belongs or not."""
+class Peer(Protocol):
+    """State of another process as known locally, whether or not it is a member.
+
+    The epoch is a start time that tells the runs of a process apart; it may decrease if the clock went back.
+    """
 
     name: str
     address: Address
     epoch: int
     state: int
-    since: float  # when it came into that state
-    proved: bool  # this life has answered a nonce of ours
+    since: float  # time of the last change of `state`
+    proved: bool  # this epoch has answered a nonce sent by this process
 
 
-class Belongs(Struct, array_like=True, frozen=True):
-    """One member: a life of a name, at an address."""
+class GroupMember(Struct, array_like=True, frozen=True):
+    """One member: one epoch of a named process, and its address."""
 
     name: Name
-    life: Number
+    life: NonNegativeInt
     host: Host
     port: Port
 
@@ -54,121 +62,125 @@
         return self.host, self.port
 
 
-class Change(Struct, array_like=True, frozen=True):
-    """What makes one view of the one before."""
+class ViewChange(Struct, array_like=True, frozen=True):
+    """Difference between two consecutive views."""
 
-    left: Annotated[list[Name], Meta(max_length=MOST_MEMBERS)]
-    came: Annotated[list[Belongs], Meta(max_length=MOST_MEMBERS)]
+    removed: Annotated[list[Name], Meta(max_length=MOST_MEMBERS)]
+    added: Annotated[list[GroupMember], Meta(max_length=MOST_MEMBERS)]
 
 
 class Stamp(Struct, array_like=True, frozen=True):
-    """What every datagram says of its sender's view; `group` 0 where it has none."""
+    """Summary of the sender's view, carried in each datagram; `group` is 0 if the sender has no view."""
 
-    group: Number = 0
-    number: Number = 0
-    size: Number = 0
-    cut_off: bool = True
+    group: NonNegativeInt = 0
+    number: NonNegativeInt = 0
+    size: NonNegativeInt = 0
+    disconnected: bool = True
 
 
 @dataclass(frozen=True)
 class View:
-    """Who belongs, in order of names. `group` tells groups apart, `number` orders the views of one."""
+    """The members, sorted by name. `group` identifies the group, `number` orders its views."""
 
     group: int
     number: int
-    members: tuple[Belongs, ...]
-    by_name: Mapping[str, Belongs] = field(init=False, repr=False, compare=False)
+    members: tuple[GroupMember, ...]
+    by_name: Mapping[str, GroupMember] = field(init=False, repr=False, compare=False)
     rings: list[tuple[list[str], dict[str, int]]] = field(
         init=False, repr=False, compare=False, default_factory=list
     )
 
     def __post_init__(self) -> None:
-        object.__setattr__(self, "by_name", {m.name: m for m in self.members})
+        object.__setattr__(self, "by_name", {member.name: member for member in self.members})
 
     @property
     def majority(self) -> int:
         return len(self.members) // 2 + 1
 
-    def has(self, name: str, life: int) -> bool:
-        m = self.by_name.get(name)
-        return m is not None and m.life == life
+    def has(self, name: str, epoch: int) -> bool:
+        member = self.by_name.get(name)
+        return member is not None and member.life == epoch
 
-    def after(self, change: Change) -> "View":
-        gone = set(change.left)
-        kept = {m.name: m for m in self.members if m.name not in gone}
-        kept.update((m.name, m) for m in change.came)
-        return View(self.group, self.number + 1, tuple(kept[name] for name in sorted(kept)))
+    def apply(self, change: ViewChange) -> "View":
+        removed = set(change.removed)
+        members = {member.name: member for member in self.members if member.name not in removed}
+        members.update((member.name, member) for member in change.added)
+        return View(self.group, self.number + 1, tuple(members[name] for name in sorted(members)))
 
     def observers(self, subject: str) -> tuple[str, ...]:
-        """Who reports on a member, the same to all who hold this view: its followers in each ring."""
-        return self.around(subject, range(1, EACH + 1))
+        """Names of the members that report on a member: its followers in each ring."""
+        return self.neighbors(subject, range(1, FOLLOWERS_PER_RING + 1))
 
     def subjects(self, observer: str) -> tuple[str, ...]:
-        """Whom a member reports on."""
-        return self.around(observer, range(-EACH, 0))
+        """The members that a member reports on."""
+        return self.neighbors(observer, range(-FOLLOWERS_PER_RING, 0))
 
-    def around(self, name: str, steps: range) -> tuple[str, ...]:
+    def neighbors(self, name: str, offsets: range) -> tuple[str, ...]:
+        """Members at these offsets in any ring; in a small group, or for a non-member, the others by name."""
         size = len(self.members)
-        if size <= OBSERVERS + 1 or name not in self.by_name:
-            return tuple(m.name for m in self.members if m.name != name)[
-                : size if size <= OBSERVERS + 1 else OBSERVERS
+        if size <= MAX_OBSERVERS + 1 or name not in self.by_name:
+            return tuple(member.name for member in self.members if member.name != name)[
+                : size if size <= MAX_OBSERVERS + 1 else MAX_OBSERVERS
             ]
         if not self.rings:
-            for salt in range(RINGS):
-                ring = sorted(self.by_name, key=partial(place, salt=salt))
-                self.rings.append((ring, {n: i for i, n in enumerate(ring)}))
-        found: dict[str, None] = {}
-        for ring, places in self.rings:
-            at = places[name]
-            found.update((ring[(at + step) % size], None) for step in steps)
-        return tuple(found)
-
-
-def place(name: str, salt: int) -> bytes:
-    """Where a name stands in a ring. A linear check sum would order all rings alike."""
+            for salt in range(RING_COUNT):
+                ring = sorted(self.by_name, key=partial(ring_position, salt=salt))
+                self.rings.append((ring, {ring_name: index for index, ring_name in enumerate(ring)}))
+        names: dict[str, None] = {}
+        for ring, positions in self.rings:
+            position = positions[name]
+            names.update((ring[(position + offset) % size], None) for offset in offsets)
+        return tuple(names)
+
+
+def ring_position(name: str, salt: int) -> bytes:
+    """Sort key of a name in a ring; a hash, since a linear checksum would order all rings alike."""
     return blake2b(name.encode(), digest_size=8, salt=bytes((salt,))).digest()
 
 
-def tries(size: int) -> int:
-    """How many pings in a row have to stay unanswered until a link counts as down."""
-    return TRIES if size > FEW else MORE_TRIES
+def missed_pings_limit(size: int) -> int:
+    """Number of consecutive unanswered pings after which a link is down."""
+    return MISSED_PINGS_LIMIT if size > SMALL_GROUP_MEMBERS else SMALL_GROUP_MISSED_PINGS_LIMIT
 
 
 @dataclass(frozen=True)
 class Report:
-    """What one member says of those it watches."""
+    """Report of one member on the members that it observes."""
 
-    down: frozenset[str]  # no ping is answered
-    doubtful: frozenset[str] = frozenset()  # some were not, and it is being found out
-    reached: frozenset[str] = frozenset()  # of the newcomers asked about, those that answer
+    down: frozenset[str]  # the last pings were all unanswered
+    doubtful: frozenset[str] = frozenset()  # some pings were unanswered; being checked
+    reached: frozenset[str] = frozenset()  # those of the joiners in question that answer
 
 
-def share(
-    view: View, subject: str, staying: Collection[str], reports: Mapping[str, Report], sure: bool
+def accusing_share(
+    view: View, subject: str, remaining: Collection[str], reports: Mapping[str, Report], confirmed_only: bool
 ) -> float:
-    """Which part of a member's observers speaks against it; 0 where too few of them were heard."""
-    watching = [o for o in view.observers(subject) if o in staying]
-    heard = [reports[o] for o in watching if o in reports]
-    if not heard or 2 * len(heard) < len(watching):
+    """Share of a member's observers that report it down; 0 if less than half of them have reported."""
+    observers = [observer for observer in view.observers(subject) if observer in remaining]
+    received = [reports[observer] for observer in observers if observer in reports]
+    if not received or 2 * len(received) < len(observers):
         return 0.0
-    against = sum(subject in r.down or (not sure and subject in r.doubtful) for r in heard)
-    return against / len(heard)
+    accusers = sum(
+        subject in report.down or (not confirmed_only and subject in report.doubtful) for report in received
+    )
+    return accusers / len(received)
 
 
-def settle(view: View, gone: Iterable[str], reports: Mapping[str, Report]) -> tuple[set[str], bool]:
-    """Whom reports remove, and whether nothing is left in doubt.
+def decide_removals(view: View, ended: Iterable[str], reports: Mapping[str, Report]) -> tuple[set[str], bool]:
+    """Names to remove according to the reports, and whether no member is left between the thresholds.
 
-    The one most spoken against goes first and its own reports with it, so that one deaf member, which has a
-    word against everybody, and a whole zone, whose members vouch for each other, go each as one.
+    The most accused member is removed first, and its own reports are then ignored. So a member that receives
+    nothing, and therefore accuses everybody, is removed alone; and a zone that is cut off, whose members
+    report each other as up, is removed as a whole.
     """
-    staying = {m.name for m in view.members} - set(gone)
-    accused = {name for r in reports.values() for name in (*r.down, *r.doubtful)} & staying
+    remaining = {member.name for member in view.members} - set(ended)
+    accused = {name for report in reports.values() for name in (*report.down, *report.doubtful)} & remaining
     while accused:
-        shares = {name: share(view, name, staying, reports, True) for name in accused}
+        shares = {name: accusing_share(view, name, remaining, reports, True) for name in accused}
         worst = max(sorted(shares), key=shares.__getitem__)
-        if shares[worst] <= HIGH:
+        if shares[worst] <= HIGH_WATERMARK:
             break
-        staying.discard(worst)
+        remaining.discard(worst)
         accused.discard(worst)
-    settled = all(share(view, name, staying, reports, False) <= LOW for name in accused)
-    return set(view.by_name) - staying, settled
+    settled = all(accusing_share(view, name, remaining, reports, False) <= LOW_WATERMARK for name in accused)
+    return set(view.by_name) - remaining, settled
--- a/tests/test_views.py
+++ b/tests/test_views.py
@@ -14,7 +14,7 @@
 from barleybarrow.view_agreement import ViewAgreement
 from barleybarrow.view_links import Link
 from barleybarrow.view_rounds import Stage
-from barleybarrow.views import ALIVE, SUSPECT, Belongs, Change, Report, Stamp, View, settle
+from barleybarrow.views import ALIVE, SUSPECT, GroupMember, Report, Stamp, View, ViewChange, decide_removals
 from testbed import oracle_views as oracle
 from testbed.group import PERIOD, Group
 from testbed.schedule import Act, LinkFault, Schedule, ScheduleError, by_chance, halves, parse
@@ -23,7 +23,7 @@
 
 
 def view(size, number=1):
-    members = tuple(Belongs(f"p{i:03}", 1, f"10.0.0.{i}", 7000) for i in range(size))
+    members = tuple(GroupMember(f"p{i:03}", 1, f"10.0.0.{i}", 7000) for i in range(size))
     return View(7, number, members)
 
 
@@ -51,19 +51,19 @@
 def test_a_deaf_one_goes_alone_and_a_zone_goes_whole(size):
     v = view(size)
     names = [m.name for m in v.members]
-    out, settled = settle(v, (), cut_reports(v, lambda a, b: 0 in (a, b)))
+    out, settled = decide_removals(v, (), cut_reports(v, lambda a, b: 0 in (a, b)))
     assert (out, settled) == ({names[0]}, True)
     zone = set(range(size // 3))
     heard = cut_reports(v, lambda a, b: (a in zone) != (b in zone))
     reports = {name: r for name, r in heard.items() if names.index(name) not in zone}
-    out, settled = settle(v, (), reports)
+    out, settled = decide_removals(v, (), reports)
     assert (out, settled) == ({names[i] for i in zone}, True)
 
 
 @pytest.mark.parametrize("size", [3, 4, 5, 20])
 def test_two_that_are_cut_from_each_other_stay(size):
     v = view(size)
-    out, _ = settle(v, (), cut_reports(v, lambda a, b: {a, b} == {0, 1}))
+    out, _ = decide_removals(v, (), cut_reports(v, lambda a, b: {a, b} == {0, 1}))
     assert not out
 
 
@@ -71,9 +71,9 @@
     v = view(10)
     names = [m.name for m in v.members]
     reports = {n: Report(frozenset({"p000"} if i in (1, 2, 3, 4) else ())) for i, n in enumerate(names)}
-    assert settle(v, (), reports) == (set(), False)
+    assert decide_removals(v, (), reports) == (set(), False)
     doubted = {n: Report(frozenset(), frozenset({"p000"} if i else ())) for i, n in enumerate(names)}
-    assert settle(v, (), doubted) == (set(), False)
+    assert decide_removals(v, (), doubted) == (set(), False)
 
 
 @settings(derandomize=True, max_examples=60, deadline=None)
@@ -87,12 +87,12 @@
         n: Report(frozenset(data.draw(st.sets(st.sampled_from(names)))) if n in liars else frozenset())
         for n in names
     }
-    out, _ = settle(v, (), reports)
+    out, _ = decide_removals(v, (), reports)
     assert len(liars) > len(v.observers(names[0])) * 2 / 3 or out <= set(names) - set(names)
 
 
 def test_a_change_leaves_out_and_brings_in_and_keeps_order():
-    after = view(3).after(Change(["p001"], [Belongs("p001", 2, "h", 1), Belongs("a", 1, "h", 2)]))
+    after = view(3).apply(ViewChange(["p001"], [GroupMember("p001", 2, "h", 1), GroupMember("a", 1, "h", 2)]))
     assert [(m.name, m.life) for m in after.members] == [("a", 1), ("p000", 1), ("p001", 2), ("p002", 1)]
     assert after.number == 2
 
@@ -198,7 +198,7 @@
     out = swim.tick(later)
     assert swim.dazed and swim.agreement.cut_off and len(out) <= 20
     assert not swim.agreement.reaches("p9") and before == g.sent[0]
-    assert swim.agreement.turn.stage is Stage.IDLE
+    assert swim.agreement.proposer.stage is Stage.IDLE
 
 
 def test_all_restarted_at_once_found_the_group_anew_and_the_majority_is_not_needed():
@@ -228,7 +228,7 @@
     g.first = g.first[:1]
     for i, swim in enumerate(g.swims):
         seeds = {("10.0.0.0", 7000)} if i < 4 else {("10.0.0.4", 7000)}
-        swim.agreement.seats, swim.agreement.founder = seeds, swim.address in seeds
+        swim.agreement.founding_voters, swim.agreement.acts_as_seed = seeds, swim.address in seeds
         swim.seeds = [s for s in seeds if s != swim.address]
     g.faults = list(apart)
     g.run(20 * PERIOD)
@@ -286,23 +286,23 @@
         made = machines[m.address] = ViewAgreement(
             m.name, m.life, m.address, (), known, 1.0, random.Random(1), 0.0
         )
-        made.view, made.cut_off, made.sounding = v, False, inf
+        made.view, made.cut_off, made.self_check_since = v, False, inf
     first, second, *others = machines.values()
     for made in (first, second):
-        made.known["x"] = Other("x", ("10.9.0.1", 1), 1)
-        made.stamps["x"], made.links["x"] = (Stamp(), 1), Link(answered_at=0.0, up_since=0.0)
-    second.link(first.name).missed = 3
-    first.need_since = 0.0
-    first.stand(0.0)
+        made.peers["x"] = Other("x", ("10.9.0.1", 1), 1)
+        made.peer_stamps["x"], made.links["x"] = (Stamp(), 1), Link(answered_at=0.0, answering_since=0.0)
+    second.link(first.name).missed_pings = 3
+    first.change_needed_since = 0.0
+    first.start_round(0.0)
     sender = Other(first.name, first.address, first.life)
     for to, body in first.out:
         machines[to].receive(0.1, sender, first.stamp(), body)
     first.out.clear()
-    assert second.polled_at < 0.0  # and may stand itself, if the other is deaf indeed
+    assert second.round_seen_at < 0.0  # and may stand itself, if the other is deaf indeed
     for made in (second, *others):
         for to, body in made.out:
             machines[to].receive(0.2, Other(made.name, made.address, made.life), made.stamp(), body)
-    assert first.turn.stage is Stage.ACCEPTING
+    assert first.proposer.stage is Stage.ACCEPTING
 
 
 @pytest.mark.parametrize("seed", [1, 2])
@@ -351,12 +351,12 @@
 def forgets_promises(monkeypatch):
     """An acceptor that takes whatever comes."""
 
-    def serve(self, now, source, body):
+    def on_proposer_message(self, now, source, body):
         self.promised = (0, "")
         return right(self, now, source, body)
 
-    right = ViewAgreement.serve
-    monkeypatch.setattr(ViewAgreement, "serve", serve)
+    right = ViewAgreement.on_proposer_message
+    monkeypatch.setattr(ViewAgreement, "on_proposer_message", on_proposer_message)
 
 
 def takes_half_for_a_majority(monkeypatch):
@@ -365,15 +365,15 @@
 
 def ignores_what_was_accepted(monkeypatch):
     """One that proposes its own change, whatever others have accepted."""
-    right = ViewAgreement.saying
+    right = ViewAgreement.make_promise
 
-    def saying(self, now, ballot, granted, highest):
+    def make_promise(self, now, ballot, granted, highest):
         kept, self.accepted = self.accepted, None
         said = right(self, now, ballot, granted, highest)
         self.accepted = kept
         return said
 
-    monkeypatch.setattr(ViewAgreement, "saying", saying)
+    monkeypatch.setattr(ViewAgreement, "make_promise", make_promise)
 
 
 def comes_back_as_it_was(monkeypatch):
@@ -414,21 +414,21 @@
     for m in v.members:
         known = {o.name: Other(o.name, o.address, o.life) for o in v.members if o is not m}
         made = ViewAgreement(m.name, m.life, m.address, (), known, 1.0, random.Random(rng.random()), 0.0)
-        made.view, made.cut_off, made.sounding = v, False, inf
+        made.view, made.cut_off, made.self_check_since = v, False, inf
         machines[m.address] = made
     on_way, history, now = [], [], 0.0
     for step in range(1500):
         now += 0.01
         made = rng.choice(list(machines.values())[:3])
-        made.turn.rest_until = -inf
+        made.proposer.backoff_until = -inf
         draw = rng.random()
         if draw < 0.04 and made.view is not None:  # it wants somebody in of whom only it knows, and at once
             name = f"x{step}"
-            made.known[name] = Other(name, ("10.9.0.1", step + 1), 1)
-            made.stamps[name] = Stamp(), 1
-            made.links[name] = Link(answered_at=now, up_since=0.0)
-            made.need_since = now
-            made.stand(now)
+            made.peers[name] = Other(name, ("10.9.0.1", step + 1), 1)
+            made.peer_stamps[name] = Stamp(), 1
+            made.links[name] = Link(answered_at=now, answering_since=0.0)
+            made.change_needed_since = now
+            made.start_round(now)
         elif draw < 0.15:
             made.propose(now) if made.view is not None else None
         elif on_way:
