--- a/tests/fleet/feed_schedules.py
+++ b/tests/fleet/feed_schedules.py
@@ -1,210 +1,219 @@
-"""Random days of a small fleet: troubles of links, processes and disks, drawn from a seed, ending in calm."""
+"""Random schedules for a small fleet: faults of links, processes and disks from a seed, then repair."""
 
 import asyncio
 import random
 from collections.abc import Coroutine
 
-from tests.fleet.feed_oracle import breaches
+from tests.fleet.feed_oracle import all_breaches
 from tests.fleet.feed_world import World, configuration
 from tests.fleet.virtual_time import play
 
-DAY_S = 30.0
-FLEETS = ((3, 3), (5, 3), (5, 5))  # control processes, and how many of them vote
-CALM_S = 16.0  # more than ContactMs, the restart of a registry, and the patience with silent servers
+SCHEDULE_S = 30.0
+FLEETS = ((3, 3), (5, 3), (5, 5))  # (control processes, voters among them)
+SETTLE_S = 16.0  # more than ContactMs, the restart of a registry, and the timeout for silent servers
 
 
-class Day:
-    """One day: the world and what is done to it."""
+class RandomSchedule:
+    """One simulation, and the faults injected into it."""
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
         controls, voters = self.rng.choice(FLEETS)
-        self.world = World(self.rng, control_count=controls, voter_count=voters)
+        self.simulation = World(self.rng, control_count=controls, voter_count=voters)
         self.generation = 1
-        self.down: list[str] = []
+        self.stopped_controls: list[str] = []
 
-    async def play(self) -> list[str]:
-        """The breaches that the oracle finds."""
-        world = self.world
-        world.start()
+    async def run(self) -> list[str]:
+        """Run the schedule; returns the breaches that the oracle finds."""
+        simulation = self.simulation
+        simulation.start()
         for number in range(5):
-            world.start_server(f"s{number % 2}")
-        world.commit(configuration(self.generation))
+            simulation.start_server(f"s{number % 2}")
+        simulation.commit(configuration(self.generation))
         await asyncio.sleep(6.0)
-        ends = world.now() + DAY_S
-        while world.now() < ends:
+        end = simulation.now() + SCHEDULE_S
+        while simulation.now() < end:
             await asyncio.sleep(self.rng.expovariate(1 / 1.2))
-            self._something()
+            self._random_fault()
         self._repair()
-        await asyncio.sleep(CALM_S)
-        return breaches(world, world.now())
+        await asyncio.sleep(SETTLE_S)
+        return all_breaches(simulation, simulation.now())
 
-    def _something(self) -> None:
-        troubles = [
+    def _random_fault(self) -> None:
+        faults = [
             self._drain,
-            self._drain_silently,
+            self._drain_and_crash_server,
             self._drain_and_kill,
             self._drain_and_kill,
-            self._crash,
-            self._pause,
-            self._start,
+            self._crash_server,
+            self._pause_server,
+            self._start_server,
             self._commit,
             self._commit,
-            self._cut_core,
+            self._cut_controls,
             self._cut_proxy,
-            self._reset,
-            self._kill,
-            self._restart,
-            self._restart,
-            self._heal,
-            self._heal,
-            self._kill_all,
-            self._disk,
-            self._disk_slow,
-            self._freeze,
-            self._freeze,
+            self._reset_link,
+            self._kill_random_control,
+            self._restart_control,
+            self._restart_control,
+            self._heal_cut,
+            self._heal_cut,
+            self._kill_all_controls,
+            self._toggle_disk_refusal,
+            self._change_disk_delay,
+            self._freeze_control,
+            self._freeze_control,
             self._restart_proxy,
         ]
-        self.rng.choice(troubles)()
+        self.rng.choice(faults)()
 
-    def _running(self) -> list[str]:
-        return [i for i, server in self.world.servers.items() if server.running and server.ready_until > 1e9]
+    def _running_servers(self) -> list[str]:
+        return [
+            instance_id
+            for instance_id, server in self.simulation.servers.items()
+            if server.running and server.ready_until > 1e9
+        ]
 
     def _drain(self) -> None:
-        if len(self._running()) > 2:
-            self.world.spawn(self.world.servers[self.rng.choice(self._running())].leave())
+        if len(self._running_servers()) > 2:
+            self.simulation.spawn(
+                self.simulation.servers[self.rng.choice(self._running_servers())].drain_and_deregister()
+            )
 
-    def _drain_silently(self) -> None:
-        if len(self._running()) > 2:
-            server = self.world.servers[self.rng.choice(self._running())]
-            self.world.spawn(server.drain_and_fall_silent())
+    def _drain_and_crash_server(self) -> None:
+        if len(self._running_servers()) > 2:
+            server = self.simulation.servers[self.rng.choice(self._running_servers())]
+            self.simulation.spawn(server.drain_and_crash())
 
     def _drain_and_kill(self) -> None:
-        """The process that acknowledges a drain loses power right after."""
-        if len(self._running()) > 2 and not self.down:
-            server = self.world.servers[self.rng.choice(self._running())]
-            leave = server.leave if self.rng.random() < 0.5 else server.drain_and_fall_silent
-            self.world.spawn(self._kill_after_ack(leave()))
-
-    async def _kill_after_ack(self, leave: Coroutine[None, None, None]) -> None:
-        known = len(self.world.acks)
-        leaving = asyncio.create_task(leave)
+        """The control process that acknowledges a drain loses power right afterwards."""
+        if len(self._running_servers()) > 2 and not self.stopped_controls:
+            server = self.simulation.servers[self.rng.choice(self._running_servers())]
+            drain = server.drain_and_deregister if self.rng.random() < 0.5 else server.drain_and_crash
+            self.simulation.spawn(self._kill_after_ack(drain()))
+
+    async def _kill_after_ack(self, drain: Coroutine[None, None, None]) -> None:
+        acknowledged = len(self.simulation.acknowledgements)
+        drain_task = asyncio.create_task(drain)
         for _ in range(800):
             await asyncio.sleep(0.002)
-            if len(self.world.acks) > known:
+            if len(self.simulation.acknowledgements) > acknowledged:
                 break
         else:
             return
-        by = self.world.acks[-1].by
-        if self.world.controls[by].links.alive and not self.down:
-            self._end(by, silent=True)
-        await leaving
+        by = self.simulation.acknowledgements[-1].by
+        if self.simulation.controls[by].links.alive and not self.stopped_controls:
+            self._kill_control(by, silent=True)
+        await drain_task
 
-    def _crash(self) -> None:
-        if len(self._running()) > 2:
-            self.world.servers[self.rng.choice(self._running())].crash()
+    def _crash_server(self) -> None:
+        if len(self._running_servers()) > 2:
+            self.simulation.servers[self.rng.choice(self._running_servers())].crash()
 
-    def _pause(self) -> None:
-        """A server whose heartbeats do not arrive for a while."""
-        self.world.servers[self.rng.choice(self._running())].pause_s = self.rng.uniform(1.0, 9.0)
+    def _pause_server(self) -> None:
+        """A server sends no heartbeats for a while."""
+        self.simulation.servers[self.rng.choice(self._running_servers())].pause_s = self.rng.uniform(1.0, 9.0)
 
-    def _start(self) -> None:
-        if len(self._running()) < 8:
-            self.world.start_server(f"s{self.rng.randrange(2)}")
+    def _start_server(self) -> None:
+        if len(self._running_servers()) < 8:
+            self.simulation.start_server(f"s{self.rng.randrange(2)}")
 
     def _commit(self) -> None:
         self.generation += self.rng.randrange(1, 4)
-        self.world.commit(configuration(self.generation, self.rng.randrange(1, 7)))
+        self.simulation.commit(configuration(self.generation, self.rng.randrange(1, 7)))
 
-    def _cut_core(self) -> None:
-        one, other = self.rng.sample(sorted(self.world.controls), 2)
-        self.world.trouble("core")
-        self.world.network.cut(one, other)
-        self._note_cuts()
+    def _cut_controls(self) -> None:
+        one, other = self.rng.sample(sorted(self.simulation.controls), 2)
+        self.simulation.trouble("core")
+        self.simulation.network.cut(one, other)
+        self._record_cuts()
 
     def _cut_proxy(self) -> None:
-        proxy, control = self.rng.choice(list(self.world.proxies)), self.rng.choice(self.world.voters)
-        self.world.trouble(proxy)
-        self.world.network.cut(proxy, control)
-        self._note_cuts()
-
-    def _reset(self) -> None:
-        key = self.rng.choice(sorted(self.world.network.sessions) or [("", "")])
+        proxy, control = (
+            self.rng.choice(list(self.simulation.proxies)),
+            self.rng.choice(self.simulation.voters),
+        )
+        self.simulation.trouble(proxy)
+        self.simulation.network.cut(proxy, control)
+        self._record_cuts()
+
+    def _reset_link(self) -> None:
+        key = self.rng.choice(sorted(self.simulation.network.sessions) or [("", "")])
         for name in key:
-            self.world.trouble(name if name in self.world.proxies else "core")
-        self.world.network.reset(*key)
+            self.simulation.trouble(name if name in self.simulation.proxies else "core")
+        self.simulation.network.reset(*key)
 
-    def _kill(self) -> None:
-        self._end(self.rng.choice(sorted(self.world.controls)), silent=self.rng.random() < 0.5)
+    def _kill_random_control(self) -> None:
+        self._kill_control(self.rng.choice(sorted(self.simulation.controls)), silent=self.rng.random() < 0.5)
 
-    def _end(self, address: str, silent: bool) -> None:
-        if address not in self.down:
-            self.world.trouble("core")
-            self.world.kill_control(address, silent)
-            self.down.append(address)
+    def _kill_control(self, address: str, silent: bool) -> None:
+        if address not in self.stopped_controls:
+            self.simulation.trouble("core")
+            self.simulation.kill_control(address, silent)
+            self.stopped_controls.append(address)
 
-    def _restart(self) -> None:
-        if self.down:
-            self.world.trouble("core")
-            address = self.down.pop(0)
-            self.world.start_control(address)
+    def _restart_control(self) -> None:
+        if self.stopped_controls:
+            self.simulation.trouble("core")
+            address = self.stopped_controls.pop(0)
+            self.simulation.start_control(address)
 
-    def _kill_all(self) -> None:
+    def _kill_all_controls(self) -> None:
         if self.rng.random() < 0.4:
-            for address in sorted(self.world.controls):
-                self._end(address, silent=False)
+            for address in sorted(self.simulation.controls):
+                self._kill_control(address, silent=False)
             if self.rng.random() < 0.5:
                 self._restart_proxy()
 
-    def _heal(self) -> None:
-        network = self.world.network
+    def _heal_cut(self) -> None:
+        network = self.simulation.network
         if network.cuts:
             one, other = self.rng.choice(sorted(network.cuts))
             for name in (one, other):
-                self.world.trouble(name if name in self.world.proxies else "core")
+                self.simulation.trouble(name if name in self.simulation.proxies else "core")
             network.heal(one, other)
-            self._note_cuts()
+            self._record_cuts()
 
-    def _note_cuts(self) -> None:
-        self.world.cuts.append((self.world.now(), frozenset(self.world.network.cuts)))
+    def _record_cuts(self) -> None:
+        self.simulation.cuts.append((self.simulation.now(), frozenset(self.simulation.network.cuts)))
 
-    def _disk(self) -> None:
-        store = self.world.stores[self.rng.choice(self.world.voters)]
+    def _toggle_disk_refusal(self) -> None:
+        store = self.simulation.stores[self.rng.choice(self.simulation.voters)]
         store.refuses = not store.refuses
 
-    def _disk_slow(self) -> None:
-        control = self.world.controls[self.rng.choice(sorted(self.world.controls))]
+    def _change_disk_delay(self) -> None:
+        control = self.simulation.controls[self.rng.choice(sorted(self.simulation.controls))]
         control.writer.delay_s = self.rng.choice((0.002, 0.05, 0.4, 2.0))
 
-    def _freeze(self) -> None:
-        address = self.rng.choice(sorted(self.world.controls))
-        if self.world.controls[address].links.alive:
+    def _freeze_control(self) -> None:
+        address = self.rng.choice(sorted(self.simulation.controls))
+        if self.simulation.controls[address].links.alive:
             seconds = self.rng.uniform(0.3, 6.0)
-            self.world.trouble("core")
-            self.world.network.freeze(address, seconds)
-            asyncio.get_running_loop().call_later(seconds, self.world.trouble, "core")
+            self.simulation.trouble("core")
+            self.simulation.network.freeze(address, seconds)
+            asyncio.get_running_loop().call_later(seconds, self.simulation.trouble, "core")
 
     def _restart_proxy(self) -> None:
-        address = self.rng.choice(list(self.world.proxies))
-        self.world.network.kill(address, silent=False)
-        self.world.spawn(self.world.proxies[address].client.stop())
-        self.world.start_proxy(address)
-        self.world.trouble(address)
+        address = self.rng.choice(list(self.simulation.proxies))
+        self.simulation.network.kill(address, silent=False)
+        self.simulation.spawn(self.simulation.proxies[address].client.stop())
+        self.simulation.start_proxy(address)
+        self.simulation.trouble(address)
 
     def _repair(self) -> None:
-        for store in self.world.stores.values():
+        for store in self.simulation.stores.values():
             store.refuses = False
-        for control in self.world.controls.values():
+        for control in self.simulation.controls.values():
             control.writer.delay_s = 0.002
-        while self.down:
-            self._restart()
-        for one, other in sorted(self.world.network.cuts):
-            self.world.network.heal(one, other)
-        self._note_cuts()
-        for whom in ("core", *self.world.proxies):
-            self.world.trouble(whom)
-
-
-def play_day(seed: int) -> list[str]:
-    """The breaches of one day."""
-    return play(Day(seed).play())
+        while self.stopped_controls:
+            self._restart_control()
+        for one, other in sorted(self.simulation.network.cuts):
+            self.simulation.network.heal(one, other)
+        self._record_cuts()
+        for target in ("core", *self.simulation.proxies):
+            self.simulation.trouble(target)
+
+
+def run_schedule(seed: int) -> list[str]:
+    """Breaches of the schedule with this seed."""
+    return play(RandomSchedule(seed).run())
--- a/tests/fleet/feed_world.py
+++ b/tests/fleet/feed_world.py
@@ -1,8 +1,8 @@
-"""A small fleet in virtual time: control processes, proxies, servers; and an oracle that reads histories
-alone.
+"""Simulation of a small fleet in virtual time: control processes, proxies and servers.
 
-The control processes, their registries and feeds, and the clients of the proxies are the real ones; links,
-disks and the configuration shard are fakes that keep their promises and no more.
+The control processes with their registries and feeds, and the feed clients of the proxies, are the production
+code. Links, disks and the configuration shard are fakes that guarantee no more than the real ones. The oracle
+in `feed_oracle` reads only the recorded histories.
 """
 
 import asyncio
@@ -25,15 +25,15 @@
 from tests.fleet.virtual_time import play
 
 HEARTBEAT_MS = 1000.0
-DRAIN_S = 2.0  # DrainMs: after an acknowledged drain no proxy in touch may use the server
-CONTACT_S = 3.0  # ContactMs: without trouble for so long a process is in touch
+DRAIN_S = 2.0  # DrainMs: so long after an acknowledged drain, no connected proxy may use the server
+CONTACT_S = 3.0  # ContactMs: a process counts as connected after so long without disruptions
 ACK_TIMEOUT_S = 1.0
-LATE_COPIES = 0.2  # part of the heartbeats that arrive a second time, late
+LATE_DUPLICATE_RATIO = 0.2  # share of the heartbeats of which a late duplicate arrives
 CONTROL_PORT, PROXY_PORT = 7000, 7001
 
 
 def settings_of(ip: str, seeds: list[str], has_disk: bool = True) -> LocalSettings:
-    """The settings of a process on a machine."""
+    """Settings of a process on the machine with this address."""
     return LocalSettings(
         node_name=ip,
         role="any",
@@ -49,19 +49,20 @@
 
 
 def configuration(generation: int, routes: int = 3) -> Configuration:
-    """A version in which something differs from every other."""
-    names = [f"r{(generation + i) % 7}" for i in range(routes)]
+    """A configuration that differs from that of any other generation."""
+    route_names = [f"r{(generation + i) % 7}" for i in range(routes)]
     return Configuration(
         generation=generation,
         routes=[
-            Route(n, "h.example", f"/{n}/", "safe", 1000.0 + generation, 100.0, service="s0") for n in names
+            Route(name, "h.example", f"/{name}/", "safe", 1000.0 + generation, 100.0, service="s0")
+            for name in route_names
         ],
         services=[Service("s0"), Service("s1")],
     )
 
 
 class FakeStore:
-    """A slot store in memory that survives its process; it may refuse writes."""
+    """In-memory slot store that outlives its process and can refuse writes."""
 
     def __init__(self) -> None:
         self.snapshot: bytes | None = None
@@ -87,7 +88,7 @@
 
 
 class FakeWriter:
-    """Does the work after a while, as a disk does; nothing of a process that has ended."""
+    """Executes work after a delay, like a disk; discards the work of a process that has ended."""
 
     def __init__(self, rng: random.Random) -> None:
         self.rng, self.delay_s, self.alive = rng, 0.002, True
@@ -108,57 +109,59 @@
 
 
 class FakeShard:
-    """What a control process sees of the configuration shard: commits come late, a majority can confirm."""
+    """Fake of the configuration shard: commits arrive late, and reads need a connected majority."""
 
-    def __init__(self, world: "World", links: Any) -> None:
-        self.world, self.links = world, links
+    def __init__(self, simulation: "World", links: Any) -> None:
+        self.simulation, self.links = simulation, links
         self.on_committed: list[Callable[[Configuration], None]] = []
         self.on_voters: list[Callable[[list[str], int], None]] = []
-        self.here: Configuration | None = None
+        self.committed: Configuration | None = None
         self.lag_s = 0.0
-        links.on_change(self._greet)
+        links.on_change(self._on_link_change)
 
-    def _greet(self, address: str, hello: messages.Hello | None) -> None:
+    def _on_link_change(self, address: str, hello: messages.Hello | None) -> None:
         if hello is not None:
-            controls = [h for h in self.links.connected().values() if h.role == "control"]
+            controls = [peer for peer in self.links.connected().values() if peer.role == "control"]
             self.links.send(
                 address,
-                messages.Members([self.links.own, *controls], self.voters(), self.world.voters_index, ""),
+                messages.Members(
+                    [self.links.own, *controls], self.voters(), self.simulation.voters_index, ""
+                ),
             )
 
     def document(self) -> dict[str, Any] | None:
-        return None if self.here is None else {"Generation": self.here.generation}
+        return None if self.committed is None else {"Generation": self.committed.generation}
 
     def configuration(self) -> Configuration | None:
-        return self.here
+        return self.committed
 
     def voters(self) -> list[str]:
-        return list(self.world.voters)
+        return list(self.simulation.voters)
 
     def leader(self) -> str:
         return ""
 
     @property
     def is_leaderless(self) -> bool:
-        return self.here is not None and not self.majority()
+        return self.committed is not None and not self.majority()
 
     def majority(self) -> bool:
-        in_touch = {self.links.own.address, *self.links.connected()}
-        return len(in_touch & set(self.world.voters)) * 2 > len(self.world.voters)
+        connected = {self.links.own.address, *self.links.connected()}
+        return len(connected & set(self.simulation.voters)) * 2 > len(self.simulation.voters)
 
     async def confirm(self, timeout_s: float) -> bool:
-        newest = self.world.commits[-1] if self.world.commits else None
+        newest = self.simulation.commits[-1] if self.simulation.commits else None
         await asyncio.sleep(0.03 + self.lag_s)
         if not self.majority() or 0.03 + self.lag_s > timeout_s:
             await asyncio.sleep(max(0.0, timeout_s - 0.03 - self.lag_s))
             return False
-        self.take(newest)
+        self.commit(newest)
         return True
 
-    def take(self, newest: Configuration | None) -> None:
-        if newest is None or (self.here is not None and self.here.generation >= newest.generation):
+    def commit(self, newest: Configuration | None) -> None:
+        if newest is None or (self.committed is not None and self.committed.generation >= newest.generation):
             return
-        self.here = newest
+        self.committed = newest
         for handler in self.on_committed:
             handler(newest)
 
@@ -173,12 +176,12 @@
     shard: FakeShard
     registry: RegistryService
     feeds: FeedSource
-    ticker: asyncio.Task[None]
+    tick_task: asyncio.Task[None]
 
 
 @dataclass
-class Seen:
-    """What a proxy offered from a moment on."""
+class Observation:
+    """Servers of a service that a proxy offers from a point in time on."""
 
     at: float
     service: str
@@ -186,47 +189,47 @@
 
 
 class ProxyProcess:
-    """One proxy, with the history of what it was handed."""
+    """One proxy, with the history of its configurations and server lists."""
 
-    def __init__(self, world: "World", address: str, links: Any, seeds: list[str]) -> None:
-        self.world, self.address, self.links = world, address, links
-        self.lists: dict[str, list[InstanceRecord]] = {}
-        self.history: list[Seen] = []
+    def __init__(self, simulation: "World", address: str, links: Any, seeds: list[str]) -> None:
+        self.simulation, self.address, self.links = simulation, address, links
+        self.offered: dict[str, list[InstanceRecord]] = {}
+        self.history: list[Observation] = []
         self.versions: list[tuple[float, int]] = []
-        self.trouble_at = world.now()
+        self.disrupted_at = simulation.now()
         ip = address.partition(":")[0]
-        self.started_at = world.now()
-        self.first_ready: tuple[float, int] | None = None  # when, and with which version
+        self.started_at = simulation.now()
+        self.first_ready: tuple[float, int] | None = None  # (time, configuration version)
         self.client = FeedClient(
-            settings_of(ip, seeds), links, self.configured, self.listed, now=world.now_ms
+            settings_of(ip, seeds), links, self.configured, self.on_records, now=simulation.now_ms
         )
 
     async def run(self) -> None:
-        """Follow the control processes; note when it gets ready first."""
+        """Start the feed client and record when it first becomes ready."""
         await self.client.start()
         while not self.client.ready:
             await asyncio.sleep(0.02)
-        self.first_ready = (self.world.now(), self.client.version)
+        self.first_ready = (self.simulation.now(), self.client.version)
 
     def configured(self, value: Configuration) -> None:
-        self.versions.append((self.world.now(), value.generation))
+        self.versions.append((self.simulation.now(), value.generation))
 
-    def listed(self, service: str, records: list[InstanceRecord]) -> None:
-        self.lists[service] = records
+    def on_records(self, service: str, records: list[InstanceRecord]) -> None:
+        self.offered[service] = records
         states = {record.id: record.state for record in records}
-        self.history.append(Seen(self.world.now(), service, states))
+        self.history.append(Observation(self.simulation.now(), service, states))
 
-    def uses(self, instance_id: str) -> bool:
+    def offers(self, instance_id: str) -> bool:
         return any(
             record.id == instance_id and record.state is InstanceState.READY
-            for records in self.lists.values()
+            for records in self.offered.values()
             for record in records
         )
 
 
 @dataclass
-class Acknowledged:
-    """A drain or an end that was acknowledged."""
+class Acknowledgement:
+    """An acknowledged drain or deregistration."""
 
     at: float
     instance_id: str
@@ -234,10 +237,10 @@
 
 
 class Server:
-    """One incarnation of a server; calls control processes as servers do."""
+    """One incarnation of a server, which sends heartbeats to control processes."""
 
-    def __init__(self, world: "World", number: int, service: str) -> None:
-        self.world, self.service = world, service
+    def __init__(self, simulation: "World", number: int, service: str) -> None:
+        self.simulation, self.service = simulation, service
         self.id = f"i{number}"
         self.address = f"10.9.0.{number % 250}:80"
         self.sequence = 0
@@ -248,7 +251,7 @@
         self.ready_until = float("inf")
         self.drain_acknowledged = False
         self.pause_s = 0.0  # before the next heartbeat
-        self.task = asyncio.create_task(self._live())
+        self.task = asyncio.create_task(self._send_heartbeats())
 
     def record(self) -> InstanceRecord:
         self.sequence += 1
@@ -256,29 +259,29 @@
             self.id, self.service, self.address, "z", "v1", self.slots, self.state, self.sequence
         )
 
-    async def _live(self) -> None:
+    async def _send_heartbeats(self) -> None:
         preferred = ""
         while self.running:
             await asyncio.sleep(self.pause_s)
             self.pause_s = 0.0
-            preferred = await self._beat(preferred)
-            await asyncio.sleep(HEARTBEAT_MS / 1000.0 * self.world.rng.uniform(0.9, 1.1))
+            preferred = await self._send_heartbeat(preferred)
+            await asyncio.sleep(HEARTBEAT_MS / 1000.0 * self.simulation.rng.uniform(0.9, 1.1))
 
-    async def _beat(self, preferred: str) -> str:
-        """One heartbeat, tried at several control processes."""
+    async def _send_heartbeat(self, preferred: str) -> str:
+        """Send one heartbeat, with retries elsewhere; returns the control process that acknowledged it."""
         for _ in range(3):
-            live = self.world.reachable_controls()
-            if not live:
+            reachable = self.simulation.reachable_controls()
+            if not reachable:
                 return ""
-            target = preferred if preferred in live else self.world.rng.choice(live)
+            target = preferred if preferred in reachable else self.simulation.rng.choice(reachable)
             record = self.record()
-            if self.world.rng.random() < LATE_COPIES:
-                self.world.spawn(self.world.call_late(record))
-            if await self.world.call(target, "heartbeat", record):
-                self.acknowledged_times.append(self.world.now())
+            if self.simulation.rng.random() < LATE_DUPLICATE_RATIO:
+                self.simulation.spawn(self.simulation.deliver_late(record))
+            if await self.simulation.call(target, "heartbeat", record):
+                self.acknowledged_times.append(self.simulation.now())
                 if record.state is InstanceState.DRAINING:
                     self.drain_acknowledged = True
-                    self.world.acknowledged(self.id, target)
+                    self.simulation.note_acknowledgement(self.id, target)
                 return target
             preferred = ""
             await asyncio.sleep(0.1)
@@ -286,28 +289,28 @@
 
     def crash(self) -> None:
         self.running = False
-        self.ready_until = min(self.ready_until, self.world.now())
+        self.ready_until = min(self.ready_until, self.simulation.now())
         self.task.cancel()
 
-    async def drain_and_fall_silent(self) -> None:
-        """Drain, and after the acknowledgement say nothing more."""
-        self.ready_until = self.world.now()
+    async def drain_and_crash(self) -> None:
+        """Drain, and send nothing more after the acknowledgement."""
+        self.ready_until = self.simulation.now()
         self.state = InstanceState.DRAINING
         while not self.drain_acknowledged:
             await asyncio.sleep(0.01)
         self.crash()
 
-    async def leave(self) -> None:
-        """Drain, stay a while, deregister, end."""
+    async def drain_and_deregister(self) -> None:
+        """Drain, wait, deregister, and end."""
         self.state = InstanceState.DRAINING
-        self.ready_until = self.world.now()
+        self.ready_until = self.simulation.now()
         await asyncio.sleep(3.0)
         for _ in range(4):
-            live = self.world.reachable_controls()
-            if live:
-                target = self.world.rng.choice(live)
-                if await self.world.call(target, "deregister", self.id):
-                    self.world.acknowledged(self.id, target)
+            reachable = self.simulation.reachable_controls()
+            if reachable:
+                target = self.simulation.rng.choice(reachable)
+                if await self.simulation.call(target, "deregister", self.id):
+                    self.simulation.note_acknowledgement(self.id, target)
                     break
             await asyncio.sleep(0.2)
         self.crash()
@@ -315,7 +318,7 @@
 
 @dataclass
 class World:
-    """All of it."""
+    """The simulated fleet and its recorded histories."""
 
     rng: random.Random
     control_count: int = 3
@@ -328,13 +331,14 @@
     voters: list[str] = field(default_factory=list)
     voters_index: int = 1
     commits: list[Configuration] = field(default_factory=list)
-    acks: list[Acknowledged] = field(default_factory=list)
-    cuts: list[tuple[float, frozenset[tuple[str, str]]]] = field(
+    acknowledgements: list[Acknowledgement] = field(default_factory=list)
+    # (time, cut links from then on)
+    cuts: list[tuple[float, frozenset[tuple[str, str]]]] = field(default_factory=list)
+    running_voter_history: list[tuple[float, int]] = field(
         default_factory=list
-    )  # those in force from then
-    running_voters: list[tuple[float, int]] = field(default_factory=list)  # how many from then on
+    )  # (time, number from then on)
     commit_times: list[tuple[float, int]] = field(default_factory=list)
-    troubles: list[tuple[float, str]] = field(default_factory=list)  # when, and whom: "core" or a proxy
+    disruptions: list[tuple[float, str]] = field(default_factory=list)  # (time, "core" or a proxy)
     tasks: set[asyncio.Task[Any]] = field(default_factory=set)
     incarnations: int = 0
 
@@ -369,10 +373,10 @@
         settings = settings_of(address.partition(":")[0], [])
         registry = RegistryService(settings, links, store, writer, shard.voters, self.now_ms)
         feeds = FeedSource(links, shard, registry)
-        ticker = asyncio.create_task(self._tick(registry, shard, links))
+        tick_task = asyncio.create_task(self._run_ticks(registry, shard, links))
         self.spawn(registry.start())
-        control = self.controls[address] = Control(address, links, writer, shard, registry, feeds, ticker)
-        self._note_voters()
+        control = self.controls[address] = Control(address, links, writer, shard, registry, feeds, tick_task)
+        self._record_running_voters()
         return control
 
     def start_proxy(self, address: str) -> ProxyProcess:
@@ -396,77 +400,77 @@
         return [address for address, control in self.controls.items() if control.links.alive]
 
     async def call(self, address: str, method: str, argument: Any) -> bool:
-        """A call from outside, with its delay, its time-out, and loss with the process."""
+        """Call a control process from outside: with delay and timeout, and without an answer if it dies."""
         control = self.controls[address]
         called_at = self.now()
         await asyncio.sleep(self.rng.uniform(0.001, 0.01) + max(0.0, control.links.frozen_until - called_at))
         if not control.links.alive:
             return False
         try:
-            done = await asyncio.wait_for(
+            acknowledged = await asyncio.wait_for(
                 getattr(control.registry, method)(copy.deepcopy(argument)), ACK_TIMEOUT_S
             )
         except TimeoutError:
             return False
         in_time = self.now() - called_at < ACK_TIMEOUT_S
-        return bool(done) and in_time and control.links.alive
+        return bool(acknowledged) and in_time and control.links.alive
 
-    async def call_late(self, record: InstanceRecord) -> None:
-        """A copy of a heartbeat that arrives late, anywhere."""
+    async def deliver_late(self, record: InstanceRecord) -> None:
+        """Deliver a duplicate of a heartbeat late, to any control process."""
         await asyncio.sleep(self.rng.uniform(0.2, 12.0))
-        live = self.reachable_controls()
-        if live:
-            await self.call(self.rng.choice(live), "heartbeat", record)
+        reachable = self.reachable_controls()
+        if reachable:
+            await self.call(self.rng.choice(reachable), "heartbeat", record)
 
-    def acknowledged(self, instance_id: str, by: str) -> None:
-        self.acks.append(Acknowledged(self.now(), instance_id, by))
+    def note_acknowledgement(self, instance_id: str, by: str) -> None:
+        self.acknowledgements.append(Acknowledgement(self.now(), instance_id, by))
 
     def commit(self, value: Configuration) -> None:
-        """A majority has it at once, each process some time later."""
+        """Commit a configuration: a majority has it at once, each process after a delay."""
         self.commits.append(value)
         self.commit_times.append((self.now(), value.generation))
         for control in self.controls.values():
             if control.links.alive and control.shard.majority():
                 delay = self.rng.uniform(0.001, 0.05)
-                asyncio.get_running_loop().call_later(delay, self._committed, control, value)
+                asyncio.get_running_loop().call_later(delay, self._deliver_commit, control, value)
 
-    def _committed(self, control: Control, value: Configuration) -> None:
+    def _deliver_commit(self, control: Control, value: Configuration) -> None:
         if control.links.alive:
-            control.shard.take(value)
+            control.shard.commit(value)
 
     def kill_control(self, address: str, silent: bool = False) -> None:
         control = self.controls[address]
         self.network.kill(address, silent)
         control.writer.alive = False
-        control.ticker.cancel()
-        self._note_voters()
+        control.tick_task.cancel()
+        self._record_running_voters()
 
-    def _note_voters(self) -> None:
+    def _record_running_voters(self) -> None:
         running = [v for v in self.voters if v in self.controls and self.controls[v].links.alive]
-        self.running_voters.append((self.now(), len(running)))
+        self.running_voter_history.append((self.now(), len(running)))
 
-    def trouble(self, whom: str) -> None:
-        """Note that something was done to the core or to a proxy's links."""
-        self.troubles.append((self.now(), whom))
+    def trouble(self, target: str) -> None:
+        """Record a disruption of the control plane ("core") or of a proxy's links."""
+        self.disruptions.append((self.now(), target))
 
-    async def _tick(self, registry: RegistryService, shard: FakeShard, links: Any) -> None:
+    async def _run_ticks(self, registry: RegistryService, shard: FakeShard, links: Any) -> None:
         while True:
             await asyncio.sleep(max(0.05, links.frozen_until - self.now()))
             registry.tick()
             if self.commits and shard.majority():
-                shard.take(self.commits[-1])  # as agreement brings up who was cut off
+                shard.commit(self.commits[-1])  # consensus brings a reconnected process up to date
 
 
 def story(test: Callable[[Any, World], Awaitable[None]]) -> Callable[[Any], None]:
-    """A test that is played in a world of its own, in which no handler may fail."""
+    """Decorator: run a test in a simulation of its own, in which no handler may fail."""
 
     def run(self: Any) -> None:
-        async def whole() -> None:
-            world = World(random.Random(1))
-            world.start()
-            await test(self, world)
-            self.assertEqual(world.network.errors, [])
+        async def run_test() -> None:
+            simulation = World(random.Random(1))
+            simulation.start()
+            await test(self, simulation)
+            self.assertEqual(simulation.network.errors, [])
 
-        play(whole())
+        play(run_test())
 
     return run
--- a/tests/fleet/play_feed_days.py
+++ b/tests/fleet/play_feed_days.py
@@ -1,22 +1,22 @@
-"""Plays random days of registration and feeds: `python -m tests.fleet.play_feed_days FIRST COUNT`."""
+"""Runs random schedules of registration and feeds: `python -m tests.fleet.play_feed_days FIRST COUNT`."""
 
 import logging
 import sys
 
-from tests.fleet.feed_schedules import play_day
+from tests.fleet.feed_schedules import run_schedule
 
 
-def main(first: int, days: int) -> int:
-    """Play them and print the seeds with breaches: how many there were."""
+def main(first: int, count: int) -> int:
+    """Print the seeds with breaches; returns their number."""
     logging.disable(logging.ERROR)
-    found = 0
-    for seed in range(first, first + days):
-        breaches = play_day(seed)
+    failed = 0
+    for seed in range(first, first + count):
+        breaches = run_schedule(seed)
         if breaches:
-            found += 1
+            failed += 1
             print(seed, *breaches[:5], sep="\n  ", flush=True)
-    print(f"{days} days from seed {first}: {found} with breaches")
-    return found
+    print(f"{count} days from seed {first}: {failed} with breaches")
+    return failed
 
 
 if __name__ == "__main__":
--- a/tests/fleet/test_feed_parts.py
+++ b/tests/fleet/test_feed_parts.py
@@ -1,4 +1,4 @@
-"""The parts of feeds alone: change logs, deltas of configurations, fetches, the merged view of a proxy."""
+"""Components of feeds in isolation: change logs, configuration deltas and fetches, merging of feeds."""
 
 import random
 import unittest
@@ -21,31 +21,31 @@
 
 
 class ChangeLogTest(unittest.TestCase):
-    """A reader that tails from anywhere ends up with the truth."""
+    """Readers that resume at any offset converge to the current state."""
 
-    def test_readers_that_resume_anywhere_miss_nothing(self) -> None:
+    def test_readers_that_resume_at_any_offset_miss_no_change(self) -> None:
         for seed in range(200):
             rng = random.Random(seed)
-            log, truth, copy = ChangeLog(7), dict[str, int](), dict[str, int]()
+            log, expected, copy = ChangeLog(7), dict[str, int](), dict[str, int]()
             position = (0, 0)
             for step in range(60):
-                if rng.random() < 0.05 and truth:
-                    del truth[rng.choice(sorted(truth))]
-                    log.restart(truth)
+                if rng.random() < 0.05 and expected:
+                    del expected[rng.choice(sorted(expected))]
+                    log.restart(expected)
                 else:
                     changed = f"i{rng.randrange(12)}"
-                    truth[changed] = step
+                    expected[changed] = step
                     log.record([changed])
                 if rng.random() < 0.3:
                     ids = log.since(*position)
                     if ids is None:
-                        copy = dict(truth)
+                        copy = dict(expected)
                     else:
-                        copy.update({i: truth[i] for i in ids})
+                        copy.update({changed_id: expected[changed_id] for changed_id in ids})
                     position = (log.epoch, log.offset)
-                    self.assertEqual(copy, truth, f"seed {seed}, step {step}")
+                    self.assertEqual(copy, expected, f"seed {seed}, step {step}")
 
-    def test_a_reader_of_another_life_of_the_source_needs_a_snapshot(self) -> None:
+    def test_a_reader_of_another_epoch_needs_a_snapshot(self) -> None:
         log = ChangeLog(7)
         log.record(["a"])
         self.assertIsNone(log.since(8, 0))
@@ -65,7 +65,7 @@
 
 
 def canonical(value: Configuration) -> Configuration:
-    """The order of items means nothing."""
+    """The configuration with sorted items, since their order has no meaning."""
     return Configuration(
         value.generation,
         sorted(value.routes, key=lambda item: item.name),
@@ -76,27 +76,27 @@
 
 
 class ConfigurationDeltaTest(unittest.TestCase):
-    """What is carried makes the same configuration."""
+    """Deltas reproduce the newer configuration."""
 
-    def test_deltas_and_joined_deltas_make_the_newer_version(self) -> None:
+    def test_applied_and_composed_deltas_lead_to_the_newer_version(self) -> None:
         for seed in range(300):
             rng = random.Random(seed)
             versions = [random_configuration(rng, generation) for generation in (1, 4, 9)]
             first = configuration_delta.diff(versions[0], versions[1])
             second = configuration_delta.diff(versions[1], versions[2])
             self.assertEqual(canonical(configuration_delta.apply(versions[0], first)), canonical(versions[1]))
-            joined = configuration_delta.compose(first, second)
+            composed = configuration_delta.compose(first, second)
             self.assertEqual(
-                canonical(configuration_delta.apply(versions[0], joined)), canonical(versions[2])
+                canonical(configuration_delta.apply(versions[0], composed)), canonical(versions[2])
             )
 
-    def test_a_delta_from_another_version_is_refused(self) -> None:
+    def test_a_delta_from_another_version_is_rejected(self) -> None:
         with self.assertRaises(configuration_delta.DeltaMismatchError):
             configuration_delta.apply(Configuration(3), ConfigurationDelta(4, 5))
         with self.assertRaises(configuration_delta.DeltaMismatchError):
             configuration_delta.compose(ConfigurationDelta(1, 2), ConfigurationDelta(3, 4))
 
-    def test_pieces_are_deltas_for_the_recent_and_snapshots_for_others(self) -> None:
+    def test_recent_versions_get_a_delta_and_older_ones_a_snapshot(self) -> None:
         pieces = ConfigPieces()
         routes = [Route(f"r{i}", "h", f"/{i}/", "safe", 1.0, 1.0) for i in range(50)]
         for generation in range(1, KEPT_DELTAS + 5):
@@ -111,10 +111,10 @@
         self.assertIsNone(pieces.piece(newest))
 
 
-class ConfigurationFetchTest(unittest.TestCase):
-    """Whom a proxy asks."""
+class ConfigurationFetcherTest(unittest.TestCase):
+    """Choice of the source to fetch a configuration from."""
 
-    def test_the_next_source_is_asked_where_nothing_comes(self) -> None:
+    def test_the_next_source_is_asked_after_a_timeout(self) -> None:
         fetch = ConfigurationFetch()
         self.assertIsNone(fetch.ask(0.0))
         fetch.offered("a", 5, confirmed=True)
@@ -127,16 +127,16 @@
         self.assertTrue(fetch.confirmed)
         self.assertIsNone(fetch.ask(10_000.0))
 
-    def test_a_source_that_is_lost_is_not_waited_for(self) -> None:
+    def test_a_disconnected_source_is_not_waited_for(self) -> None:
         fetch = ConfigurationFetch()
         fetch.offered("a", 5, confirmed=True)
         fetch.offered("b", 5, confirmed=True)
-        asked = fetch.ask(0.0)
-        assert asked is not None
-        fetch.lost(asked)
-        self.assertEqual({asked, fetch.ask(1.0)}, {"a", "b"})
+        first_source = fetch.ask(0.0)
+        assert first_source is not None
+        fetch.lost(first_source)
+        self.assertEqual({first_source, fetch.ask(1.0)}, {"a", "b"})
 
-    def test_a_version_older_than_a_confirmed_one_is_not_confirmed(self) -> None:
+    def test_a_version_older_than_a_confirmed_one_does_not_count_as_confirmed(self) -> None:
         fetch = ConfigurationFetch()
         fetch.offered("a", 7, confirmed=True)
         fetch.taken(5)
@@ -144,7 +144,7 @@
         fetch.taken(9)
         self.assertTrue(fetch.confirmed)
 
-    def test_that_nothing_is_committed_yet_confirms_whatever_comes(self) -> None:
+    def test_any_version_counts_as_confirmed_if_none_was_committed(self) -> None:
         fetch = ConfigurationFetch()
         fetch.offered("a", 0, confirmed=True)
         fetch.offered("a", 3, confirmed=False)
@@ -152,12 +152,12 @@
         self.assertTrue(fetch.confirmed)
 
 
-def listed(instance_id: str, state: InstanceState = READY, sequence: int = 1) -> InstanceRecord:
+def make_record(instance_id: str, state: InstanceState = READY, sequence: int = 1) -> InstanceRecord:
     return InstanceRecord(instance_id, "s", "a:1", "z", "v", 4, state, sequence)
 
 
-class Feeds:
-    """A view, and sources that tell it whole lists or changes."""
+class FeedHarness:
+    """A feed view, and sources that send it full lists or changes."""
 
     def __init__(self, *sources: str) -> None:
         self.view = FeedView()
@@ -167,8 +167,8 @@
     def subscribe(self, source: str, now: float, *records: InstanceRecord, settled: bool = True) -> None:
         self.view.connected(source, now)
         for shard in range(SHARDS):
-            here = records if shard == shard_of("s") else ()
-            self.view.take(source, shard, (1, 0), here, snapshot=True, settled=settled, now=now)
+            shard_records = records if shard == shard_of("s") else ()
+            self.view.take(source, shard, (1, 0), shard_records, snapshot=True, settled=settled, now=now)
 
     def push(self, source: str, now: float, *records: InstanceRecord) -> bool:
         return self.view.take(source, shard_of("s"), (1, 1), records, snapshot=False, settled=True, now=now)
@@ -178,64 +178,64 @@
 
 
 class FeedViewTest(unittest.TestCase):
-    """What a proxy offers to its data plane."""
+    """Servers that a proxy offers to its data plane."""
 
-    def test_one_source_that_says_silent_is_not_believed(self) -> None:
-        feeds = Feeds("a", "b")
+    def test_a_single_source_cannot_mark_a_server_silent(self) -> None:
+        feeds = FeedHarness("a", "b")
         for source in "ab":
-            feeds.push(source, 0.0, listed("i"), listed("j"))
-        feeds.push("a", 1.0, listed("i", SILENT, 2))
+            feeds.push(source, 0.0, make_record("i"), make_record("j"))
+        feeds.push("a", 1.0, make_record("i", SILENT, 2))
         self.assertEqual(feeds.ready(), ["i", "j"])
-        feeds.push("b", 2.0, listed("i", SILENT, 2))
+        feeds.push("b", 2.0, make_record("i", SILENT, 2))
         self.assertEqual(feeds.ready(), ["j"])
-        feeds.push("b", 3.0, listed("i", READY, 3))
+        feeds.push("b", 3.0, make_record("i", READY, 3))
         self.assertEqual(feeds.ready(), ["i", "j"])
 
-    def test_a_drain_that_one_source_tells_holds(self) -> None:
-        feeds = Feeds("a", "b")
+    def test_a_drain_reported_by_one_source_is_final(self) -> None:
+        feeds = FeedHarness("a", "b")
         for source in "ab":
-            feeds.push(source, 0.0, listed("i"), listed("j"))
-        feeds.push("a", 1.0, listed("i", DRAINING, 2))
-        feeds.push("b", 1.0, listed("i", READY, 9))
+            feeds.push(source, 0.0, make_record("i"), make_record("j"))
+        feeds.push("a", 1.0, make_record("i", DRAINING, 2))
+        feeds.push("b", 1.0, make_record("i", READY, 9))
         self.assertEqual(feeds.ready(), ["j"])
         self.assertEqual([r.state for r in feeds.view.offered("s", 1.0)], [READY, DRAINING])
-        feeds.push("b", 1.0, listed("i", GONE, 9))
+        feeds.push("b", 1.0, make_record("i", GONE, 9))
         self.assertEqual(len(feeds.view.offered("s", 1.0)), 1)
 
-    def test_with_no_source_in_touch_the_last_word_holds(self) -> None:
-        feeds = Feeds("a")
-        feeds.push("a", 0.0, listed("i"), listed("j", SILENT))
+    def test_the_last_known_state_holds_without_a_connected_source(self) -> None:
+        feeds = FeedHarness("a")
+        feeds.push("a", 0.0, make_record("i"), make_record("j", SILENT))
         feeds.view.disconnected("a", 1.0)
         self.assertEqual(feeds.ready(), ["i"])
         feeds.subscribe("a", 2.0, settled=False)
         self.assertEqual(feeds.ready(), ["i"])
 
-    def test_what_no_settled_source_knows_is_not_offered(self) -> None:
-        feeds = Feeds("a")
-        feeds.push("a", 0.0, listed("i"), listed("j"))
-        feeds.subscribe("a", 60_000.0, listed("j"))
+    def test_servers_unknown_to_all_settled_sources_are_not_offered(self) -> None:
+        feeds = FeedHarness("a")
+        feeds.push("a", 0.0, make_record("i"), make_record("j"))
+        feeds.subscribe("a", 60_000.0, make_record("j"))
         self.assertEqual(feeds.ready(60_000.0), ["j"])
 
-    def test_servers_that_fall_silent_together_stay_and_older_silences_do_not(self) -> None:
-        feeds = Feeds("a")
-        feeds.push("a", 0.0, listed("i"), listed("j"), listed("k"))
-        feeds.push("a", 0.0, listed("i", SILENT))
+    def test_only_the_servers_that_fell_silent_last_stay_offered(self) -> None:
+        feeds = FeedHarness("a")
+        feeds.push("a", 0.0, make_record("i"), make_record("j"), make_record("k"))
+        feeds.push("a", 0.0, make_record("i", SILENT))
         later = CORRELATED_SILENCE_WINDOW_MS + 1000.0
-        feeds.push("a", later, listed("j", SILENT))
-        feeds.push("a", later + 2000.0, listed("k", SILENT))
+        feeds.push("a", later, make_record("j", SILENT))
+        feeds.push("a", later + 2000.0, make_record("k", SILENT))
         self.assertEqual(feeds.ready(later + 2000.0), ["j", "k"])
 
-    def test_changes_of_another_life_of_the_source_are_not_taken(self) -> None:
-        feeds = Feeds("a")
+    def test_changes_from_another_epoch_are_rejected(self) -> None:
+        feeds = FeedHarness("a")
         shard = shard_of("s")
         self.assertFalse(
-            feeds.view.take("a", shard, (2, 4), [listed("i")], snapshot=False, settled=True, now=0.0)
+            feeds.view.take("a", shard, (2, 4), [make_record("i")], snapshot=False, settled=True, now=0.0)
         )
 
-    def test_what_ended_long_ago_is_forgotten(self) -> None:
-        feeds = Feeds("a")
-        feeds.push("a", 0.0, listed("i", GONE), listed("j"))
-        feeds.subscribe("a", 1.0, listed("j"))
+    def test_gone_servers_expire(self) -> None:
+        feeds = FeedHarness("a")
+        feeds.push("a", 0.0, make_record("i", GONE), make_record("j"))
+        feeds.subscribe("a", 1.0, make_record("j"))
         feeds.view.forget(1e6)
         self.assertEqual(set(feeds.view.instances), {"j"})
 
--- a/tests/fleet/test_feed_schedules.py
+++ b/tests/fleet/test_feed_schedules.py
@@ -1,22 +1,22 @@
-"""Random days find no breach; with a planted bug they do."""
+"""Random schedules cause no breach of the invariants; `test_feed_planted` shows that they find bugs."""
 
 import logging
 import unittest
 
-from tests.fleet.feed_schedules import play_day
+from tests.fleet.feed_schedules import run_schedule
 
-DAYS = 12
+SCHEDULES = 12
 
 
 class FeedSchedulesTest(unittest.TestCase):
-    """Registration and feeds under arbitrary schedules."""
+    """Registration and feeds under random schedules."""
 
     def setUp(self) -> None:
         logging.disable(logging.WARNING)
         self.addCleanup(logging.disable, logging.NOTSET)
 
-    def test_no_day_shows_a_breach(self) -> None:
-        found = {seed: play_day(seed) for seed in range(DAYS)}
+    def test_random_schedules_cause_no_breach(self) -> None:
+        found = {seed: run_schedule(seed) for seed in range(SCHEDULES)}
         self.assertEqual({seed: breaches for seed, breaches in found.items() if breaches}, {})
 
 
--- a/tests/fleet/test_registry_views.py
+++ b/tests/fleet/test_registry_views.py
@@ -1,8 +1,8 @@
-"""Control processes that see other voters than their peers do: what was acknowledged outlives losses.
+"""Control processes with different sets of voters: acknowledged drains survive losses.
 
-A drain that two processes confirm by different voters needs no common member of both majorities: records
-merge, every control process in touch gets each change, and all of them when a link comes up. What has to hold
-is that F+1 disks of machines that stay have it by the time that a further one may be lost.
+Majorities of different sets of voters need not overlap for a drain to hold: records merge, each change is
+sent to every connected control process, and all records are exchanged when a link comes up. The guarantee is
+that F+1 disks of remaining machines hold the drain by the time that a further disk may be lost.
 """
 
 import asyncio
@@ -18,62 +18,62 @@
 CATCH_UP_S = 4.0  # CatchUpS: after it, a further disk may be lost
 
 
-async def acknowledged_by_an_old_view(world: World) -> bool:
-    """Whether a new proxy still uses a server whose drain was acknowledged by voters of before.
+async def drained_server_returns(simulation: World) -> bool:
+    """Whether a new proxy still uses a server whose drain was acknowledged by former voters.
 
-    A drain is confirmed by the first two of the old voters; the first is then gone for good, and once the new
-    voter has had its time the second loses its disk, while the third's power goes.
+    A drain is confirmed by the first two of the old voters. Then the first is lost for good, and after the
+    catch-up time of the new voter the second loses its disk and the third its power.
     """
     await asyncio.sleep(3.0)
-    first, second, third, fourth = world.controls
-    server = world.start_server("s0")
+    first, second, third, fourth = simulation.controls
+    server = simulation.start_server("s0")
     await asyncio.sleep(3.0)
     server.crash()
     server.state = InstanceState.DRAINING
-    world.controls[first].shard.voters = lambda: [first, second, third]  # type: ignore[method-assign]
-    world.voters, world.voters_index = [second, third, fourth], 2
-    world.network.cut(first, third)
-    world.network.cut(second, third)
-    assert await world.call(first, "heartbeat", server.record())
-    world.kill_control(first, silent=True)
-    world.network.heal(second, third)
+    simulation.controls[first].shard.voters = lambda: [first, second, third]  # type: ignore[method-assign]
+    simulation.voters, simulation.voters_index = [second, third, fourth], 2
+    simulation.network.cut(first, third)
+    simulation.network.cut(second, third)
+    assert await simulation.call(first, "heartbeat", server.record())
+    simulation.kill_control(first, silent=True)
+    simulation.network.heal(second, third)
     await asyncio.sleep(CATCH_UP_S)
-    world.kill_control(second)
-    world.kill_control(third, silent=True)
-    world.kill_control(fourth, silent=True)
-    del world.stores[second]
+    simulation.kill_control(second)
+    simulation.kill_control(third, silent=True)
+    simulation.kill_control(fourth, silent=True)
+    del simulation.stores[second]
     for name in (second, third, fourth):
-        world.start_control(name)
-    proxy = world.start_proxy("10.1.0.9:7001")
+        simulation.start_control(name)
+    proxy = simulation.start_proxy("10.1.0.9:7001")
     late = server.record()
     late.state = InstanceState.READY
     await asyncio.sleep(1.0)
-    await world.call(third, "heartbeat", late)
+    await simulation.call(third, "heartbeat", late)
     await asyncio.sleep(4.0)
-    return proxy.uses(server.id)
+    return proxy.offers(server.id)
 
 
-def play_day(seed: int) -> bool:
-    """One day of the above."""
+def run_case(seed: int) -> bool:
+    """Run the case with this seed."""
 
-    async def whole() -> bool:
-        world = World(random.Random(seed), control_count=4, voter_count=3)
-        world.start()
-        return await acknowledged_by_an_old_view(world)
+    async def play_case() -> bool:
+        simulation = World(random.Random(seed), control_count=4, voter_count=3)
+        simulation.start()
+        return await drained_server_returns(simulation)
 
-    return play(whole())
+    return play(play_case())
 
 
-class ViewsTest(unittest.TestCase):
-    def test_a_drain_outlives_the_voters_that_confirmed_it(self) -> None:
-        self.assertEqual([play_day(seed) for seed in range(6)], [False] * 6)
+class DivergingVotersTest(unittest.TestCase):
+    def test_a_drain_survives_the_loss_of_the_voters_that_confirmed_it(self) -> None:
+        self.assertEqual([run_case(seed) for seed in range(6)], [False] * 6)
 
-    def test_drains_that_are_confirmed_and_not_kept_are_found(self) -> None:
+    def test_drains_that_are_confirmed_but_not_stored_are_found(self) -> None:
         async def keep(self: FinalRecords, record: object) -> bool:
             return True
 
         with mock.patch.object(FinalRecords, "keep", keep):
-            self.assertIn(True, [play_day(seed) for seed in range(6)])
+            self.assertIn(True, [run_case(seed) for seed in range(6)])
 
 
 if __name__ == "__main__":
