--- a/barleybarrow/replication/registry.py
+++ b/barleybarrow/replication/registry.py
@@ -23,8 +23,8 @@
 SILENT_RETENTION_MS = 600_000.0  # a server that returns later is treated as new
 MAX_ENTRIES = 20_000  # about 20 MB; beyond it the oldest final or silent entries are evicted
 
-GONE = FINALITY[InstanceState.GONE]
-DRAINING = FINALITY[InstanceState.DRAINING]
+GONE_FINALITY = FINALITY[InstanceState.GONE]
+DRAINING_FINALITY = FINALITY[InstanceState.DRAINING]
 NO_SEQUENCE = -1
 
 
@@ -43,9 +43,9 @@
 
     @property
     def state(self) -> InstanceState:
-        if self.finality == GONE:
+        if self.finality == GONE_FINALITY:
             return InstanceState.GONE
-        if self.finality == DRAINING:
+        if self.finality == DRAINING_FINALITY:
             return InstanceState.DRAINING
         return InstanceState.SILENT if self.silent_sequence >= self.heard else InstanceState.READY
 
@@ -179,9 +179,9 @@
 
     def _is_expired(self, entry: Entry, now: float) -> bool:
         age = now - entry.changed_at
-        if entry.finality == GONE:
+        if entry.finality == GONE_FINALITY:
             return age > FINAL_RETENTION_MS
-        if entry.finality == DRAINING:
+        if entry.finality == DRAINING_FINALITY:
             return age > FINAL_RETENTION_MS and now - entry.last_heartbeat_at > FINAL_RETENTION_MS
         return entry.state is InstanceState.SILENT and age > SILENT_RETENTION_MS
 
--- a/barleybarrow/view_agreement.py
+++ b/barleybarrow/view_agreement.py
@@ -30,7 +30,7 @@
 
 # Times are in protocol periods.
 IDLE_INTERVAL_PERIODS = 1.0  # between two checks while there is nothing to do
-# How long no group must have been heard of before one is founded; longer for processes that are not seeds.
+# Minimum time without contact to any group before founding one; longer for processes that are not seeds.
 FOUNDING_DELAY_PERIODS, NON_SEED_FOUNDING_DELAY_PERIODS = 2.0, 8.0
 REMOVED_VOTE_BAN_PERIODS = 30.0  # how long a removed member votes for no founder
 VOTE_VALIDITY_PERIODS = 10.0
--- a/barleybarrow/view_rounds.py
+++ b/barleybarrow/view_rounds.py
@@ -231,10 +231,10 @@
         assert view is not None
         fresh = {
             name: promise
-            for at, name, promise in self.promises.values()
+            for received_at, name, promise in self.promises.values()
             if promise.granted
             and promise.round == proposer.ballot[0]
-            and now - at <= REPORT_VALIDITY_PERIODS * self.period
+            and now - received_at <= REPORT_VALIDITY_PERIODS * self.period
         }
         if len(fresh) < view.majority:
             return
--- a/tests/test_views.py
+++ b/tests/test_views.py
@@ -55,8 +55,8 @@
     removed, settled = decide_removals(view, (), reports_under_cut(view, lambda a, b: 0 in (a, b)))
     assert (removed, settled) == ({names[0]}, True)
     zone = set(range(size // 3))
-    heard = reports_under_cut(view, lambda a, b: (a in zone) != (b in zone))
-    reports = {name: r for name, r in heard.items() if names.index(name) not in zone}
+    all_reports = reports_under_cut(view, lambda a, b: (a in zone) != (b in zone))
+    reports = {name: r for name, r in all_reports.items() if names.index(name) not in zone}
     removed, settled = decide_removals(view, (), reports)
     assert (removed, settled) == ({names[i] for i in zone}, True)
 
@@ -113,7 +113,7 @@
 
 
 def converge_within(group, periods):
-    """Run until all live processes hold one view; returns the periods that took, fails beyond the limit."""
+    """Run until all live processes hold one view; returns the number of periods; fails beyond the limit."""
     started_at = group.now
     while not group.agreed():
         assert group.now < started_at + periods * PERIOD, group.unsettled()
@@ -361,9 +361,9 @@
 
     def on_proposer_message(self, now, source, body):
         self.promised = (0, "")
-        return right(self, now, source, body)
+        return original(self, now, source, body)
 
-    right = ViewAgreement.on_proposer_message
+    original = ViewAgreement.on_proposer_message
     monkeypatch.setattr(ViewAgreement, "on_proposer_message", on_proposer_message)
 
 
@@ -374,23 +374,23 @@
 
 def ignores_accepted_changes(monkeypatch):
     """Injected bug: a proposer that ignores what other members have accepted."""
-    right = ViewAgreement.make_promise
+    original = ViewAgreement.make_promise
 
-    def make_promise(self, now, ballot, granted, highest):
-        kept, self.accepted = self.accepted, None
-        said = right(self, now, ballot, granted, highest)
-        self.accepted = kept
-        return said
+    def make_promise(self, now, ballot, granted, promised_round):
+        saved, self.accepted = self.accepted, None
+        promise = original(self, now, ballot, granted, promised_round)
+        self.accepted = saved
+        return promise
 
     monkeypatch.setattr(ViewAgreement, "make_promise", make_promise)
 
 
 def keeps_its_epoch_after_removal(monkeypatch):
     """Injected bug: a removed member that keeps its epoch."""
-    right = ViewAgreement.reborn
+    original = ViewAgreement.reborn
 
     def reborn(self, *args, **more):
-        right(self, *args, **more)
+        original(self, *args, **more)
         self.life -= 1
 
     monkeypatch.setattr(ViewAgreement, "reborn", reborn)
