--- a/barleybarrow/brain.py
+++ b/barleybarrow/brain.py
@@ -18,7 +18,7 @@
 
 from barleybarrow import interface as face
 from barleybarrow.interface import Action, Effect, Group, ListScope, Outcome, State
-from barleybarrow.state import Backend, BackendPool, ClassState, DueQueue, Gauge, Ranking, Request
+from barleybarrow.state import Backend, BackendPool, ClassState, DueQueue, Estimate, Ranking, Request
 
 BACKEND_WEIGHT = 1 / 16  # EWMA weight of a latency: some 16 answers tell a change from the spread of work
 FLEET_WEIGHT = 1 / 32  # the same for the fleet: backends differ, and a single answer must not move it
@@ -31,7 +31,7 @@
 LIMIT_DECREASE = 0.75  # factor of a cut, down to one request of all proxies together
 BEST_DRIFT_PER_S = 0.02  # of the best latency toward the mean; a quarter for the fleet: no overload is normal
 MAX_DIVISOR = 4  # growth is divided by the number of proxies up to this: beyond, each serves too little
-FORGET = 0.02  # per second, of a backend's latency toward its kind's: trials may be rare
+MEAN_DECAY_PER_S = 0.02  # of a backend's latency toward its kind's: trials may be rare
 INITIAL_LIMIT = 2.0  # per backend, of all proxies together: one request in service and one on its way
 MIN_BACKEND_LIMIT = 0.5  # a proxy's share under this can't be learned per backend: one limit for the fleet
 MIN_LATENCIES_LEFT = 3.0  # usual latencies a held request must have left to its target, half of that at most
@@ -71,25 +71,25 @@
         self.margin = 2 * max(SWEEP_TICKS * settings.tick, self.target / 50)  # so that a batch comes in time
         self.pool, self.idle = BackendPool(), Ranking(len(self.classes))
         self.backends, self.live = self.pool.by_name, self.pool.live
-        self.requests, self.kinds, self.sent_to = dict[int, Request](), dict[int, Gauge](), set[str]()
+        self.requests, self.kinds, self.sent_to = dict[int, Request](), dict[int, Estimate](), set[str]()
         self.retries, self.expiries, self.reranks = deque[Request](), DueQueue[Request](), DueQueue[Backend]()
         self.last_serial, self.wake_at, self.sweep_index, self.answers = 0, inf, 0, 0
         self.retry_budget, self.watch_at, self.watch_backoff, self.breaking = RETRY_BURST, inf, 0.0, 0.0
-        self.fleet, self.cap, self.room, self.max_congestion = (
-            Gauge(self.level), 0.0, 1.0, MAX_CONGESTION)
+        self.fleet, self.cap, self.capacity, self.max_congestion = (
+            Estimate(self.level), 0.0, 1.0, MAX_CONGESTION)
         self.min_cost = self.max_cost = self.target / 4
         self.crossed_zone_at, self.probe_at, self.probe_backoff, self.rate, self.size = (
             -inf, now, REPORT_TTL * self.min_cost, 0.0, 0)
         self.queues, self.actions = list[tuple[ClassState, deque[Request]]](), list[Action]()
-        self.held, self.now, self.swept_at, self.unswept_events = False, now, now, 0
+        self.any_held, self.now, self.swept_at, self.unswept_events = False, now, now, 0
         self.handlers: dict[type, Callable[[Any], None]] = {
             face.Arrived: self.on_arrived, face.Finished: self.on_finished,
             face.Left: self.on_client_gone, face.TimerDue: self.on_timer_due,
-            face.ListChanged: self.listed, face.Began: self.on_response_started,
+            face.ListChanged: self.on_list_changed, face.Began: self.on_response_started,
             face.Probed: self.on_probed, face.Told: self.on_estimates}
         self.probing = settings.probing and "inflight" in settings.probe_reports
         self.limit_scale = 1 / self.per_proxy / INITIAL_LIMIT if self.probing else 1.0  # others' load counts
-        self.price()
+        self.update_costs()
         self.rank_queues()
 
     def begin(self) -> list[Action]:  # subscribe to the backend list where it is not pushed
@@ -107,20 +107,20 @@
         for b in self.reranks.pop_due(now) if self.reranks.heap else ():
             b.rank_due_at = inf
             if b.position >= 0:
-                self.place(b)
+                self.update_rank(b)
         handler(event)
         self.schedule_wakeup()
         return self.actions
 
     def schedule_wakeup(self) -> None:  # set a timer for the next deadline that no other event covers
         at = min(self.watch_at, self.expiries.next_due())
-        if self.held or self.retries:
+        if self.any_held or self.retries:
             at = min(at, self.now + self.sweep_interval)
         if at < self.wake_at:
             self.wake_at = at
             self.actions.append(face.SetTimer(max(at, self.now), 0))
 
-    def listed(self, event: face.ListChanged) -> None:
+    def on_list_changed(self, event: face.ListChanged) -> None:
         if event.scope is ListScope.LOST:
             self.watch_backoff = min(max(2 * self.watch_backoff, self.target), self.conf.ask_within / 4)
             self.watch_at = self.now + self.watch_backoff * (0.5 + self.rng.random())
@@ -142,20 +142,20 @@
         mean = INITIAL_LIMIT * self.per_proxy * self.size  # its share of all, and room for random bursts
         limit = self.fleet.limit * self.size / old_size if old_size else max(mean + sqrt(mean), 1.0)
         self.fleet.limit = max(limit, self.per_proxy)
-        self.add_up()
+        self.update_capacity()
         self.dispatch()
 
     def add_backend(self, entry: face.Entry) -> None:  # it starts with what is known of its kind
         zone_price = self.conf.cross_zone_price if entry.zone != self.conf.zone else 0.0
-        kind = self.kinds.setdefault(entry.kind, Gauge(self.level))
+        kind = self.kinds.setdefault(entry.kind, Estimate(self.level))
         self.last_serial += 1
         b = Backend(self.last_serial, entry, kind, zone_price, INITIAL_LIMIT * self.per_proxy,
                     len(self.classes), self.now)
         self.pool.add(b, int(self.rng.random() * (len(self.live) + 1)))  # proxies must not sweep in step
-        self.warm(b)
+        self.update_warmth(b)
         if self.shared:  # here a request may cost minutes of cold budget
-            b.pace = self.rng.random() * self.min_cost  # so that proxies do not spend it in step
-        self.place(b)
+            b.budget = self.rng.random() * self.min_cost  # so that proxies do not spend it in step
+        self.update_rank(b)
 
     def remove_backend(self, b: Backend) -> Backend:
         self.idle.remove(b)
@@ -168,15 +168,15 @@
             if not b.inflight + b.stuck:  # else names would pile up
                 self.sent_to.discard(b.name)
 
-    def add_up(self) -> None:  # the sum of all limits; where probing, load reports tell more
-        limit, old_limit = self.fleet.limit if self.shared else self.pool.limits, int(self.cap)
-        self.room = inf if self.probing else limit
+    def update_capacity(self) -> None:  # the sum of all limits; where probing, load reports tell more
+        limit, old_limit = self.fleet.limit if self.shared else self.pool.limit_sum, int(self.cap)
+        self.capacity = inf if self.probing else limit
         self.cap = max(1.0, limit if self.probing else limit / max(self.size, 1)) if self.shared else 0.0
         if int(self.cap) != old_limit:
             for b in self.live:
-                self.place(b)
+                self.update_rank(b)
 
-    def place(self, b: Backend) -> None:
+    def update_rank(self, b: Backend) -> None:
         """Update a backend's rank among the idle ones, and schedule the next update where time changes it."""
         if self.probing:
             return  # load of other proxies changes with each report: pick_by_reports scans all
@@ -185,22 +185,22 @@
         if full or self.now < b.busy_until:
             self.idle.remove(b)
             return None if full else self.schedule_rank(b, b.busy_until)
-        latency = (b.latency if b.seen else b.kind.latency) * b.hint
+        latency = (b.latency if b.seen else b.kind.latency) * b.peer_factor
         if self.shared:  # a cold backend is not congested yet, but slow for another reason
-            latency *= (exp((self.fleet.best - self.fleet.mean) / 2) if b.cold < 1
-                        else CONNECT_COST_FACTOR ** (not b.open))
+            latency *= (exp((self.fleet.best - self.fleet.mean) / 2) if b.warmth < 1
+                        else CONNECT_COST_FACTOR ** (not b.opened))
         by_class = zip(b.lost, self.classes, strict=True)
         costs: list[float | None] = [latency + (b.zone_price + lost) * c.penalty for lost, c in by_class]
-        if b.resting:
+        if b.class_backoff:
             costs = [None if at > self.now else v for at, v in zip(b.rests, costs, strict=True)]
-            b.resting = None in costs
+            b.class_backoff = None in costs
             self.schedule_rank(b, min((at for at in b.rests if at > self.now), default=inf))
-        if b.cold < 1 and (rate := self.warm(b)):
+        if b.warmth < 1 and (rate := self.update_warmth(b)):
             self.schedule_rank(b, b.warm_from + self.conf.cold)
-            if b.inflight + 1 > max(1.0, limit * b.cold):
+            if b.inflight + 1 > max(1.0, limit * b.warmth):
                 costs = []
-            elif missing := [c.cost - b.pace for c in self.classes if c.cost > b.pace]:
-                costs = [v if b.pace >= c.cost else None for v, c in zip(costs, self.classes, strict=True)]
+            elif missing := [c.cost - b.budget for c in self.classes if c.cost > b.budget]:
+                costs = [v if b.budget >= c.cost else None for v, c in zip(costs, self.classes, strict=True)]
                 self.schedule_rank(b, self.now + max(min(missing) / rate, self.conf.tick))
         self.idle.update(b, costs)
 
@@ -215,28 +215,28 @@
             b.others = max(0.0, (event.report or {}).get("inflight", 0.0) - b.inflight)
             if event.outcome is not Outcome.SERVED:
                 b.busy_until = self.now + self.target / 4
-                self.place(b)
+                self.update_rank(b)
             self.dispatch()
 
     def on_estimates(self, event: face.Told) -> None:  # these only lower a listed backend's rank
         for estimate in event.hearsay:
             if (b := self.backends.get(estimate.backend)) and b.started == estimate.started:
                 b.apply_estimate(estimate, self.fleet.mean)
-                self.place(b)
+                self.update_rank(b)
 
-    def warm(self, b: Backend) -> float:
+    def update_warmth(self, b: Backend) -> float:
         """Estimate its warmth low and pace it by that share of a warm one's rate: overload may stop it.
 
         Proxies' rates add up to the fleet's: none needs the others. Returns the budget rate, ms per ms."""
-        conf, age, elapsed = self.conf, self.now - b.warm_from, self.now - b.paced_at
-        b.paced_at = self.now
+        conf, age, elapsed = self.conf, self.now - b.warm_from, self.now - b.budget_at
+        b.budget_at = self.now
         if b.warm_from <= 0 or age >= conf.cold:
             self.pool.set_warmth(b, 1.0)
             return 0.0
         self.pool.set_warmth(b, conf.cold_from + (1 - conf.cold_from) * max(age, 0.0) / conf.cold)
-        rate = self.rate * b.cold * conf.tip_multiple * COLD_START_SHARE
+        rate = self.rate * b.warmth * conf.tip_multiple * COLD_START_SHARE
         rate = max(rate, self.min_cost / (max(conf.tip_after, 1.0) * conf.proxies))  # one per window
-        b.pace = min(b.pace + rate * elapsed, max(rate * conf.tip_after / 4, self.max_cost))
+        b.budget = min(b.budget + rate * elapsed, max(rate * conf.tip_after / 4, self.max_cost))
         return rate
 
     def on_arrived(self, event: face.Arrived) -> None:
@@ -268,7 +268,7 @@
         for klass, queue in self.queues:
             while queue and self.try_dequeue(queue[0], klass, queue is klass.fresh):
                 queue.popleft()
-        self.held = any([c.fresh or c.late for c in self.classes])
+        self.any_held = any([c.fresh or c.late for c in self.classes])
 
     def lapsed(self, r: Request) -> bool:
         conf = self.classes[r.klass].conf  # whether an answer has no value any more
@@ -286,7 +286,7 @@
         r.held = b is None
         if b is None:
             return False
-        connecting, b.open = self.shared and not b.open, True
+        connecting, b.opened = self.shared and not b.opened, True
         if self.conf.hang_up_within > 0:
             self.sent_to.add(b.name)
         if b.zone_price * klass.conf.aim > TIE_TOLERANCE * klass.cost:
@@ -294,10 +294,10 @@
         b.add_attempt(r.id, len(r.attempts), self.now)
         r.attempts.append((b, self.now))
         r.inflight, klass.inflight, self.pool.total = r.inflight + 1, klass.inflight + 1, self.pool.total + 1
-        if b.cold < 1:
-            b.pace -= klass.cost
-        if connecting or b.cold < 1 or b.inflight + 1 > (self.cap or b.limit):  # else: same rank
-            self.place(b)
+        if b.warmth < 1:
+            b.budget -= klass.cost
+        if connecting or b.warmth < 1 or b.inflight + 1 > (self.cap or b.limit):  # else: same rank
+            self.update_rank(b)
         self.probe_backoff = REPORT_TTL * self.target / 4
         timeout = max(r.arrived_at + klass.conf.aim - self.now, self.margin)  # an answer loses value after
         self.actions.append(face.Send(r.id, b.name, 0.0 if klass.conf.late_worth > 0 else timeout))
@@ -305,7 +305,7 @@
 
     def pick(self, r: Request) -> Backend | None:  # the fastest idle one, near-ties at random
         klass, inflight = self.classes[r.klass], self.pool.total
-        order, capacity = self.idle.orders[r.klass], self.room
+        order, capacity = self.idle.orders[r.klass], self.capacity
         if self.shared:  # a capacity of one or two must not be taken up by lower-ranked classes
             inflight = sum(c.inflight for c in klass.at_or_above)
             usable = (len(order) + self.pool.total) / max(self.size, 1)  # not the backed-off
@@ -334,14 +334,14 @@
                            b.inflight + b.others * (b.reported_at > since))
             if load and load + 1 > limit or now < b.busy_until or now < b.rests[r.klass]:
                 continue
-            if b.cold < 1 and self.warm(b) and (
-                    b.pace < klass.cost or load + 1 > max(1.0, limit * b.cold)):
+            if b.warmth < 1 and self.update_warmth(b) and (
+                    b.budget < klass.cost or load + 1 > max(1.0, limit * b.warmth)):
                 continue
             if b in tried or r.bound is not None and not self.same_group(b, r.bound, klass):
                 continue
-            value = ((b.latency if b.seen else b.kind.latency) * b.hint
+            value = ((b.latency if b.seen else b.kind.latency) * b.peer_factor
                      + (b.zone_price + b.lost[r.klass]) * klass.penalty)
-            found.append((value * (CONNECT_COST_FACTOR if self.shared > b.open else 1.0), b))
+            found.append((value * (CONNECT_COST_FACTOR if self.shared > b.opened else 1.0), b))
         best = min((value for value, _ in found), default=inf)
         tied = [b for value, b in found if value <= best * (1 + TIE_TOLERANCE)]
         tied = self.known_idle(tied, since) if self.probing and tied else tied
@@ -415,14 +415,14 @@
         counted = b.remove_attempt(r.id, event.attempt)
         self.pool.total -= counted and b.position >= 0
         klass.inflight -= 1
-        if self.shared and self.room < 1 and len(klass.at_or_above) == len(self.classes):  # lowest
-            klass.ready_at = self.now + min(event.elapsed, klass.conf.aim) * (1 / self.room - 1)
+        if self.shared and self.capacity < 1 and len(klass.at_or_above) == len(self.classes):  # lowest
+            klass.ready_at = self.now + min(event.elapsed, klass.conf.aim) * (1 / self.capacity - 1)
         if outcome is Outcome.SERVED or counted and outcome not in (Outcome.NOT_SENT, Outcome.CANCELLED):
             self.record_outcome(b, klass, r.klass, outcome, event.elapsed)  # stuck: counted before
         if outcome is Outcome.SERVED and b.pending:
             self.drop_stuck(b, sent_at)
         if b.position >= 0:
-            self.place(b)
+            self.update_rank(b)
         elif not b.inflight + b.stuck:
             self.close_idle(b)
         if event.complete:
@@ -436,7 +436,7 @@
                 self.hold(r)
             else:
                 self.give_up(r)
-        if self.held or self.retries:
+        if self.any_held or self.retries:
             self.dispatch()
 
     def drop_stuck(self, b: Backend, sent_at: float) -> None:  # no answer comes to what was long overtaken
@@ -451,7 +451,7 @@
             b.failing[k], b.failing[-1] = (
                 b.failing[k] * (1 - SUCCESS_WEIGHT), b.failing[-1] * (1 - SUCCESS_WEIGHT))
             b.answered_at[k], b.breaks, self.breaking = self.now, 0, self.breaking * (1 - BREAKING_WEIGHT)
-            self.pool.serve(b, klass.cost)
+            self.pool.add_served(b, klass.cost)
             b.lost[k] -= LOSS_WEIGHT * b.lost[k]
             sample = log(max(elapsed, self.conf.tick / 4)) - klass.log
             self.answers += 1
@@ -497,15 +497,15 @@
             c.log -= correction
         klass.cost = exp(klass.log + self.level)
 
-    def update_limit(self, est: Gauge, b: Backend, klass: ClassState, outcome: Outcome) -> None:  # AIMD
+    def update_limit(self, est: Estimate, b: Backend, klass: ClassState, outcome: Outcome) -> None:  # AIMD
         est.best = min(est.best, est.mean) if est.seen > 1 / BACKEND_WEIGHT else est.mean
         congestion, min_limit = est.mean - est.best, self.per_proxy * (self.size if self.shared else 1)
         bound = self.max_congestion / (1 + b.zone_price * klass.conf.aim / klass.cost)  # less across zones
-        saturated = (self.probing or self.pool.total + 2 > self.room if self.shared
+        saturated = (self.probing or self.pool.total + 2 > self.capacity if self.shared
                      else b.inflight + 2 > b.limit)
         if (congestion < bound * (FLEET_LOW_CONGESTION if self.shared else LOW_CONGESTION)
                 and outcome is Outcome.SERVED):
-            if saturated and (self.held or self.now - self.crossed_zone_at <= self.sweep_interval):
+            if saturated and (self.any_held or self.now - self.crossed_zone_at <= self.sweep_interval):
                 increase = (LIMIT_INCREASE * max(self.per_proxy, 1 / MAX_DIVISOR)
                             / (1.0 if self.shared else max(est.limit, 1.0)))
                 self.pool.set_limit(est, est.limit + increase)
@@ -514,13 +514,13 @@
             est.cut_at = (est.seen + 1 / FLEET_WEIGHT if self.shared
                           else self.now + est.limit * self.target / 4)
         if self.shared:
-            self.add_up()
+            self.update_capacity()
 
     def back_off(self, b: Backend, klass: ClassState, k: int, outcome: Outcome) -> bool:
         """Back off from a failed backend, by its failures per answer; return whether the connection broke.
 
         It errs, is full, hangs or died; while it answers other classes well, this class alone backs off."""
-        broke = outcome is Outcome.RESET or outcome is Outcome.CONNECT_FAILED and (b.open or b.breaks > 0)
+        broke = outcome is Outcome.RESET or outcome is Outcome.CONNECT_FAILED and (b.opened or b.breaks > 0)
         self.breaking += BREAKING_WEIGHT * (broke - self.breaking)
         if broke:
             b.breaks, b.broke_at = b.breaks + 1 if self.now < b.broke_at + self.target else 1, self.now
@@ -529,8 +529,8 @@
         dead = broke and b.breaks >= max(DEAD_AFTER_BREAKS, log(BREAK_P_VALUE) / log(min(self.breaking, 0.3)))
         if dead and b.position >= 0:
             b.warm_from = self.now  # the process died: it may be back, and cold, before the list says so
-            self.warm(b)
-        b.open = b.open and outcome is not Outcome.CONNECT_FAILED
+            self.update_warmth(b)
+        b.opened = b.opened and outcome is not Outcome.CONNECT_FAILED
         if self.now >= max(b.busy_until, b.rests[k]):
             share = b.failing[-1 if broke else k] = (
                 FAILURE_WEIGHT + (1 - FAILURE_WEIGHT) * b.failing[-1 if broke else k])
@@ -541,7 +541,7 @@
             if broke or not self.serves_other_classes(b, k):
                 b.busy_until = until
             else:
-                b.rests[k], b.resting = until, True
+                b.rests[k], b.class_backoff = until, True
         if outcome in PROVEN and not broke and not self.serves_other_classes(b, k):
             self.pool.set_limit(b, max(self.per_proxy, b.limit * LIMIT_DECREASE))
         return broke
@@ -563,26 +563,26 @@
 
     def sweep(self, elapsed: float) -> None:  # decay what was learned and rank again, after enough events
         self.swept_at, self.unswept_events = self.now, 0
-        self.price()
+        self.update_costs()
         self.fleet.best += (self.fleet.mean - self.fleet.best) * BEST_DRIFT_PER_S * elapsed / 4000
         self.pool.served *= 0.5 ** (elapsed / self.half_life)
-        rate = self.pool.served * log(2) / self.half_life / max(self.pool.warm, 1)
+        rate = self.pool.served * log(2) / self.half_life / max(self.pool.warm_count, 1)
         self.rate = max(rate, self.rate * (1 - min(1.0, RATE_DECAY_PER_S * elapsed / 1000)))
         for _ in range(min(len(self.live) // 8 + 1, MAX_SWEPT_BACKENDS) if self.live else 0):
             self.sweep_index = self.sweep_index + 1 if self.sweep_index + 1 < len(self.live) else 0
             b = self.live[self.sweep_index]
             elapsed, b.aged_at = self.now - b.aged_at, self.now
-            b.decay(min(1.0, BEST_DRIFT_PER_S * elapsed / 1000), min(1.0, FORGET * elapsed / 1000),
+            b.decay(min(1.0, BEST_DRIFT_PER_S * elapsed / 1000), min(1.0, MEAN_DECAY_PER_S * elapsed / 1000),
                     0.5 ** (elapsed / self.half_life))
-            if b.cold < 1:
-                self.warm(b)
-            self.place(b)
-        self.add_up()
+            if b.warmth < 1:
+                self.update_warmth(b)
+            self.update_rank(b)
+        self.update_capacity()
         room = log(min(c.conf.aim / c.cost for c in self.classes))
         self.max_congestion = max(LOW_CONGESTION, min(MAX_CONGESTION, room - log(4 if self.shared else 2)))
         self.rank_queues()
 
-    def price(self) -> None:  # cost of an answer and of a lost one, by class
+    def update_costs(self) -> None:  # cost of an answer and of a lost one, by class
         for c in self.classes:
             c.cost, c.penalty = exp(c.log + self.level), c.conf.aim / exp(c.log)
         self.min_cost, self.max_cost = min(c.cost for c in self.classes), max(c.cost for c in self.classes)
--- a/barleybarrow/knowledge.py
+++ b/barleybarrow/knowledge.py
@@ -24,7 +24,7 @@
 
 from barleybarrow.interface import Outcome
 
-FADE = 0.08  # a second takes this share off: four times FORGET of the module, a half-life of 9 s
+FADE = 0.08  # a second takes this share off: four times MEAN_DECAY_PER_S of the module, a half-life of 9 s
 OWN = 2.0  # answers of its own after which a proxy halves what it hears
 MOST_SLOWER = log(8.0)  # more is not believed: ranked behind all others a backend is already
 SOME = 256  # backends looked at in one go: some 3 ms
@@ -217,7 +217,7 @@
     mean: float
     seen: int
     limit: float
-    cold: float
+    warmth: float
     failing: list[float]
     lost: list[float]
 
@@ -295,7 +295,7 @@
                 weight=min(1.0, b.seen / FULL_WEIGHT) if middle is not None else 0.0,
                 failing=failing,
                 limit=b.limit,
-                warm=b.cold,
+                warm=b.warmth,
                 answered=lags[0],
                 failed=lags[1],
                 silent=lags[2],
--- a/barleybarrow/policy.py
+++ b/barleybarrow/policy.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from barleybarrow.budget import Repeats
+from barleybarrow.budget import ClientRetryLimit
 from barleybarrow.rate_limiter import LONGEST_KEY, Limit
 
 LONGEST = 64 * 1024  # bytes of a document
@@ -35,7 +35,7 @@
     # [shares] requests of a tenant that one proxy has in hand at most
     shares: Mapping[str, int] = field(default_factory=dict)
     # [repeats] what clients may ask again
-    repeats: Repeats | None = None
+    repeats: ClientRetryLimit | None = None
     # [connections] to a server: milliseconds and requests that one may last, 0 for no end
     age: float = 0.0
     requests: int = 0
@@ -128,7 +128,7 @@
         raise PolicyError("repeats.part: is missing")
     part = number(section["part"], "repeats.part", 0.0, 10.0)
     burst = number(section.get("burst", 10), "repeats.burst", 1, 1e6, whole=True)
-    return {"repeats": Repeats(part, int(burst))}
+    return {"repeats": ClientRetryLimit(part, int(burst))}
 
 
 def check_connections(value: Any) -> dict[str, Any]:
@@ -156,10 +156,10 @@
     return Limit(min(one.rate, other.rate), min(one.burst, other.burst))
 
 
-def least_repeats(one: Repeats | None, other: Repeats | None) -> Repeats | None:
+def least_repeats(one: ClientRetryLimit | None, other: ClientRetryLimit | None) -> ClientRetryLimit | None:
     if one is None or other is None:
         return one or other
-    return Repeats(min(one.part, other.part), min(one.burst, other.burst))
+    return ClientRetryLimit(min(one.ratio, other.ratio), min(one.burst, other.burst))
 
 
 @dataclass(frozen=True)
--- a/barleybarrow/settings.py
+++ b/barleybarrow/settings.py
@@ -5,7 +5,7 @@
 from barleybarrow import interface as face
 
 EFFECTS = {"free": face.Effect.SAFE, "guarded": face.Effect.KEYED, "single_shot": face.Effect.UNSAFE}
-REPORTS = {
+REPORT_FIELDS = {
     "busy_reqs": "inflight",
     "pending": "queue",
     "cpu_share": "util",
@@ -44,7 +44,7 @@
         parallel=limits.get("parallelTries", False),
         cancelling=limits.get("cancelling", False),
         probing=limits.get("probes", False),
-        probe_reports=[REPORTS[name] for name in probe_fields if name in REPORTS],
+        probe_reports=[REPORT_FIELDS[name] for name in probe_fields if name in REPORT_FIELDS],
         max_retry_after=limits.get("maxRetryAfter", 0.0) if limits.get("retryAfter") else 0.0,
         conn_idle=limits.get("connIdle", 0.0),
         connect_timeout=limits.get("connectTimeout", 0.0),
--- a/barleybarrow/simulator_adapter.py
+++ b/barleybarrow/simulator_adapter.py
@@ -10,7 +10,7 @@
 
 from barleybarrow import interface as face
 from barleybarrow.brain import Balancer
-from barleybarrow.settings import REPORTS, read_settings
+from barleybarrow.settings import REPORT_FIELDS, read_settings
 
 OUTCOMES = {
     "S": face.Outcome.SERVED,
@@ -41,7 +41,7 @@
     if text == "-":
         return None
     pairs = (pair.partition(":") for pair in text.split(","))
-    return {REPORTS[name]: float(value) for name, _, value in pairs if name in REPORTS}
+    return {REPORT_FIELDS[name]: float(value) for name, _, value in pairs if name in REPORT_FIELDS}
 
 
 def read_arrived(fields: list[str]) -> face.Arrived:
--- a/barleybarrow/state.py
+++ b/barleybarrow/state.py
@@ -11,11 +11,11 @@
 
 QueueItem = TypeVar("QueueItem", bound="Backend | Request")
 
-HASTE = 4.0  # other proxies' estimates decay this many times as fast as own measurements
+PEER_DECAY_FACTOR = 4.0  # other proxies' estimates decay this many times as fast as own measurements
 PEER_DECAY_PER_ANSWER = 0.7  # share of its log that an own answer leaves: two halve it
 
 
-class Gauge:
+class Estimate:
     """Moving average of the log latency (ms) of a request of mean work, and a concurrency limit."""
 
     __slots__ = (
@@ -44,7 +44,7 @@
         self.mean, self.best = self.mean + delta, self.best + delta
 
 
-class Backend(Gauge):
+class Backend(Estimate):
     """What this proxy knows of one incarnation of a backend; times and durations are in milliseconds."""
 
     __slots__ = (
@@ -57,7 +57,7 @@
         "zone_price",
         "others",
         "inflight",
-        "open",
+        "opened",
         "sent_alone",
         "pending",
         "held",
@@ -68,27 +68,27 @@
         "probe_pending",
         "busy_until",
         "rests",
-        "resting",
+        "class_backoff",
         "failing",
         "answered_at",
         "breaks",
         "broke_at",
-        "pace",
-        "paced_at",
+        "budget",
+        "budget_at",
         "served",
-        "cold",
+        "warmth",
         "aged_at",
         "position",
         "rank_due_at",
         "rank_values",
-        "hint",
+        "peer_factor",
     )
 
     def __init__(
         self,
         serial: int,
         entry: Entry,
-        kind: Gauge,
+        kind: Estimate,
         zone_price: float,
         limit: float,
         classes: int,
@@ -98,27 +98,27 @@
         self.serial = serial  # distinguishes incarnations, and orders backends of equal value
         self.name, self.started, self.cell, self.zone = entry.backend, entry.started, entry.cell, entry.zone
         self.kind, self.zone_price, self.others = kind, zone_price, 0.0
-        self.inflight, self.open, self.sent_alone = 0, False, False  # open: likely connected
+        self.inflight, self.opened, self.sent_alone = 0, False, False  # opened: likely connected
         self.pending: dict[tuple[int, int], float] = {}  # attempts in flight, oldest first: when sent
         self.held = True  # stays in a queue of due items
         self.stuck = 0  # attempts that later ones overtook by far: not counted in flight
         self.warm_from, self.lost = entry.started, [0.0] * classes  # lost: share unanswered, by class
         self.reported_at, self.probe_pending = -inf, False  # of the last load report
         self.busy_until, self.rests = 0.0, [0.0] * classes  # ends of the back-off: of all classes, of each
-        self.resting = False  # some class may be backed off
+        self.class_backoff = False  # some class may be backed off
         self.failing = [0.0] * (classes + 1)  # recent share of failures by class; last, of broken connections
         self.answered_at = [-inf] * classes
         self.breaks, self.broke_at = 0, -inf  # connections broken in a row; when the last broke
-        self.pace, self.paced_at = 0.0, now  # work that a cold backend may be sent, in milliseconds
-        self.served, self.cold, self.aged_at = 0.0, 1.0, now  # recent work served; share warm, 1 if fully
+        self.budget, self.budget_at = 0.0, now  # work that a cold backend may be sent, in milliseconds
+        self.served, self.warmth, self.aged_at = 0.0, 1.0, now  # recent work served; share warm, 1 if fully
         self.position, self.rank_due_at = -1, inf  # in the live list, -1 once removed
         self.rank_values: Sequence[float | None] = ()  # values in the ranking, by class
-        self.hint = 1.0  # factor on its expected latency, from other proxies' estimates
+        self.peer_factor = 1.0  # factor on its expected latency, from other proxies' estimates
 
     def decay(self, best_share: float, mean_share: float, served_share: float) -> None:
         """Move what was learned by these shares toward the usual values; keep a share of the served work."""
-        if self.hint > 1.0:
-            self.hint **= max(0.0, 1.0 - HASTE * mean_share)
+        if self.peer_factor > 1.0:
+            self.peer_factor **= max(0.0, 1.0 - PEER_DECAY_FACTOR * mean_share)
         if self.seen:
             self.best += (self.mean - self.best) * best_share
             self.mean += (self.kind.mean - self.mean) * mean_share
@@ -129,15 +129,15 @@
     def add_sample(self, sample: float, weight: float) -> None:
         """Learn from an own answer; it displaces other proxies' estimates, which never enter the mean."""
         super().add_sample(sample, weight)
-        if self.hint > 1.0:
-            self.hint **= PEER_DECAY_PER_ANSWER
+        if self.peer_factor > 1.0:
+            self.peer_factor **= PEER_DECAY_PER_ANSWER
 
     def apply_estimate(self, estimate: Hearsay, fleet_mean: float) -> None:
         """Let other proxies' estimate lower its rank; `fleet_mean`: log of the fleet's usual latency."""
         from barleybarrow.knowledge import lowering  # an optional feature
 
         own = self.mean if self.seen else self.kind.mean
-        self.hint = lowering(estimate.slower, estimate.weight, own - fleet_mean, self.seen)
+        self.peer_factor = lowering(estimate.slower, estimate.weight, own - fleet_mean, self.seen)
 
     def add_attempt(self, request: int, attempt: int, sent_at: float) -> None:
         self.sent_alone = not self.inflight
@@ -171,7 +171,7 @@
     def __init__(self) -> None:
         self.by_name: dict[str, Backend] = {}
         self.live: list[Backend] = []  # unordered: the last one replaces a removed one
-        self.total, self.limits, self.served, self.warm = 0, 0.0, 0.0, 0
+        self.total, self.limit_sum, self.served, self.warm_count = 0, 0.0, 0.0, 0
 
     def add(self, b: Backend, position: int) -> None:
         """Insert at a position up to their number; the backend there moves to the end."""
@@ -180,8 +180,8 @@
         self.live[-1], moved.position = moved, len(self.live) - 1
         self.live[position], b.position = b, position
         self.by_name[b.name] = b
-        self.limits += b.limit
-        self.warm += 1
+        self.limit_sum += b.limit
+        self.warm_count += 1
 
     def remove(self, b: Backend, served: float) -> None:
         """Remove a backend; `served` is its remaining part of the sum."""
@@ -191,26 +191,26 @@
         b.position = -1
         del self.by_name[b.name]
         self.total -= b.inflight
-        self.limits -= b.limit
-        self.warm -= b.cold == 1
+        self.limit_sum -= b.limit
+        self.warm_count -= b.warmth == 1
         self.served -= served
 
-    def set_limit(self, estimate: Gauge, limit: float) -> None:
+    def set_limit(self, estimate: Estimate, limit: float) -> None:
         """Set a concurrency limit; only those of listed backends count in the sum."""
         if isinstance(estimate, Backend) and estimate.position >= 0:
-            self.limits += limit - estimate.limit
+            self.limit_sum += limit - estimate.limit
         estimate.limit = limit
 
     def set_warmth(self, b: Backend, warmth: float) -> None:
         """Set the share that is warm; the work of a cold backend does not count in the sum."""
-        self.warm += (warmth == 1) - (b.cold == 1)
-        b.cold = warmth
+        self.warm_count += (warmth == 1) - (b.warmth == 1)
+        b.warmth = warmth
         if warmth < 1:
             self.served, b.served = self.served - b.served, 0.0
 
-    def serve(self, b: Backend, work: float) -> None:
+    def add_served(self, b: Backend, work: float) -> None:
         """Count served work, unless the backend is cold or removed."""
-        if b.position >= 0 and b.cold == 1:
+        if b.position >= 0 and b.warmth == 1:
             b.served += work
             self.served += work
 
--- a/barleybarrow/warm_state.py
+++ b/barleybarrow/warm_state.py
@@ -9,11 +9,11 @@
 from typing import Any
 
 from barleybarrow.brain import Balancer
-from barleybarrow.state import Gauge
+from barleybarrow.state import Estimate
 
 FAR = 1e15  # ms: stands for a time without end, before or after
-GAUGE = ("mean", "best", "limit", "cut_at", "seen")
-BACKEND = (*GAUGE, "warm_from", "busy_until", "breaks", "broke_at", "served", "aged_at")
+ESTIMATE = ("mean", "best", "limit", "cut_at", "seen")
+BACKEND = (*ESTIMATE, "warm_from", "busy_until", "breaks", "broke_at", "served", "aged_at")
 BY_CLASS = {"lost": 0, "failing": 1, "rests": 0, "answered_at": 0}  # with so many beside those of the classes
 CLASS = ("log", "count", "asked", "won")
 WHOLE = ("level", "answers", "rate", "breaking")
@@ -32,10 +32,10 @@
 def write(balancer: Balancer) -> list[Entry]:
     """All that is worth passing on."""
     entries: list[Entry] = [
-        {"of": "all", **noted(balancer, WHOLE), "fleet": noted(balancer.fleet, GAUGE)},
+        {"of": "all", **noted(balancer, WHOLE), "fleet": noted(balancer.fleet, ESTIMATE)},
         {"of": "classes", "classes": [noted(c, CLASS) for c in balancer.classes]},
     ]
-    entries += [{"of": "kind", "kind": k, **noted(g, GAUGE)} for k, g in balancer.kinds.items()]
+    entries += [{"of": "kind", "kind": k, **noted(e, ESTIMATE)} for k, e in balancer.kinds.items()]
     for b in balancer.live:
         lists = {name: [plain(x) for x in getattr(b, name)] for name in BY_CLASS}
         entries.append({"of": "backend", "backend": b.name, **noted(b, BACKEND), **lists})
@@ -65,19 +65,19 @@
         except (KeyError, ValueError, TypeError, AttributeError):
             continue
     balancer.now = now
-    balancer.price()
+    balancer.update_costs()
     balancer.rank_queues()
-    balancer.add_up()
+    balancer.update_capacity()
     for b in balancer.live:
-        balancer.place(b)
+        balancer.update_rank(b)
     return taken
 
 
 def take_one(balancer: Balancer, entry: Entry, now: float) -> bool:
     of = entry["of"]
     if of == "all":
-        fleet = Gauge(0.0)
-        put(fleet, entry["fleet"], GAUGE)
+        fleet = Estimate(0.0)
+        put(fleet, entry["fleet"], ESTIMATE)
         put(balancer, entry, WHOLE)
         balancer.fleet = fleet
         return True
@@ -90,7 +90,7 @@
     if of == "kind":
         if entry["kind"] >= len(balancer.conf.kinds):
             return False  # a kind that the settings do not name has another number here
-        put(balancer.kinds.setdefault(entry["kind"], Gauge(balancer.level)), entry, GAUGE)
+        put(balancer.kinds.setdefault(entry["kind"], Estimate(balancer.level)), entry, ESTIMATE)
         return True
     b = balancer.backends.get(entry["backend"]) if of == "backend" else None
     if b is None:
@@ -106,8 +106,8 @@
     for name, values in lists.items():
         setattr(b, name, values)
     balancer.pool.set_limit(b, limit)
-    b.resting, b.open, b.pace, b.paced_at = max(b.rests) > now, False, 0.0, now
-    balancer.warm(b)
-    if b.cold == 1:
-        balancer.pool.serve(b, served)
+    b.class_backoff, b.opened, b.budget, b.budget_at = max(b.rests) > now, False, 0.0, now
+    balancer.update_warmth(b)
+    if b.warmth == 1:
+        balancer.pool.add_served(b, served)
     return True
--- a/benchmarks/warm_start.py
+++ b/benchmarks/warm_start.py
@@ -35,8 +35,8 @@
 LOAD = 0.4  # of capacity, in bursts: the slow ones are not needed
 START, DOWN = 12_000.0, 1_000.0  # milliseconds: when the proxy is back, after so long
 FIRST = 300  # requests that are looked at
-TIE = 1.2  # a hint within the module's tie lowers nobody any more
-STEP = 250.0  # milliseconds between two looks at the hint
+TIE = 1.2  # a peer factor within the module's tie lowers nobody any more
+STEP = 250.0  # milliseconds between two looks at the peer factors
 OLD = 120_000.0  # milliseconds of age of what is old and wrong
 CASES = ("nowhere", "peer", "snapshot", "wrong", "old and wrong", "liar alone", "liar among five")
 WRONG = CASES[3:]
@@ -51,7 +51,7 @@
     slow: float  # share of the first attempts that went to slow servers
     goodput: float  # share of the first second's requests answered within their aim
     later: float  # the same of seconds two to five
-    overruled: int | None  # requests until the hints against all accused are within a tie; None: never
+    overruled: int | None  # requests until the peer factors of all accused are within a tie; None: never
     breaches: int
 
 
@@ -179,7 +179,7 @@
     accused = [backends[name(i)] for i in ACCUSED]
     overruled, until = None, START
     while until < START + 18_000.0 and not (overruled is not None and watch.arrived > 2 * FIRST):
-        if overruled is None and max(b.hint for b in accused) <= TIE:
+        if overruled is None and max(b.peer_factor for b in accused) <= TIE:
             overruled = watch.arrived
         until += STEP
         world.run(until)
--- a/brackenusher/group/acting.py
+++ b/brackenusher/group/acting.py
@@ -6,7 +6,7 @@
 
 from dataclasses import replace
 
-from barleybarrow.budget import Budget
+from barleybarrow.budget import ClientRetryBudget
 from barleybarrow.policy import Rules, sooner
 from barleybarrow.rate_limiter import CLOSED_WAIT, RateLimiter, RateLimiterSettings
 from brackenusher.core.admission import Request, name_of
@@ -24,7 +24,7 @@
     def __init__(self, transactions: Transactions, pool: Pool) -> None:
         self.transactions, self.pool = transactions, pool
         self.rules, self.door = Rules(), RateLimiter(RateLimiterSettings())
-        self.budget: Budget | None = None
+        self.budget: ClientRetryBudget | None = None
         self.connections = pool.planner.settings  # what the operators' file says, be it stricter
         self.counts = {"door": 0, "shares": 0, "repeats": 0}  # turned away
         pool.bars.append(self.bars)
@@ -40,12 +40,12 @@
         rules = self.rules
         if key in rules.shares and self.in_hand(key) >= rules.shares[key]:
             return self.turned_away("shares", FULL_WAIT if rules.shares[key] else CLOSED_WAIT)
-        if self.budget is not None and request.repeated and self.budget.empty:
-            return self.turned_away("repeats", REPEAT_WAIT if self.budget.limit.part else CLOSED_WAIT)
+        if self.budget is not None and request.repeated and self.budget.exhausted:
+            return self.turned_away("repeats", REPEAT_WAIT if self.budget.limit.ratio else CLOSED_WAIT)
         if key in rules.tenants and (wait := self.door.ask(key, now)):
             return self.turned_away("door", wait)
         if self.budget is not None:
-            self.budget.charge(request.repeated)
+            self.budget.record(request.repeated)
         return 0.0
 
     def in_hand(self, key: str) -> int:
@@ -70,9 +70,9 @@
         if rules.repeats is None:
             self.budget = None
         elif self.budget is None:
-            self.budget = Budget(rules.repeats)
+            self.budget = ClientRetryBudget(rules.repeats)
         else:
-            self.budget.change(rules.repeats)
+            self.budget.set_limit(rules.repeats)
         base = self.connections
         self.pool.planner.settings = replace(
             base, age=sooner(base.age, rules.age), requests=int(sooner(base.requests, rules.requests))
--- a/brackenusher/group/policies.py
+++ b/brackenusher/group/policies.py
@@ -113,7 +113,7 @@
         f"{len(rules.servers)} servers and {len(rules.blocks)} blocks out of use",
     ]
     if rules.repeats is not None:
-        found.append(f"{rules.repeats.part:g} repeats a first try")
+        found.append(f"{rules.repeats.ratio:g} repeats a first try")
     if rules.age or rules.requests:
         found.append(f"connections for {rules.age / 1000.0:g} s and {rules.requests} requests (0: no end)")
     print(", ".join(found), file=out)
--- a/brackenusher/records/insight.py
+++ b/brackenusher/records/insight.py
@@ -31,8 +31,8 @@
             "requests_held": sum(r.held for r in balancer.requests.values()),
             "servers_listed": len(balancer.live),
             "servers_left_alone": alone,
-            "servers_cold": len(balancer.live) - balancer.pool.warm,
+            "servers_cold": len(balancer.live) - balancer.pool.warm_count,
         }
-        if balancer.room < inf:
-            found["attempts_room"] = max(1, int(balancer.room))
+        if balancer.capacity < inf:
+            found["attempts_room"] = max(1, int(balancer.capacity))
         return [(name, value, "g", []) for name, value in found.items()]
--- a/brackenusher/upstream/connections.py
+++ b/brackenusher/upstream/connections.py
@@ -11,7 +11,7 @@
 from barleybarrow import interface as face
 from barleybarrow.connections import Cause, Held
 from barleybarrow.interface import Outcome
-from barleybarrow.settings import REPORTS
+from barleybarrow.settings import REPORT_FIELDS
 from brackenusher.core.message import Message
 from brackenusher.core.pipe import Budget, End, nothing
 from brackenusher.core.transaction import Attempt, Served, Transactions
@@ -157,9 +157,9 @@
     report = {}
     for pair in body.decode("utf-8", "replace").strip().split(","):
         name, _, value = pair.partition("=")
-        if name in REPORTS:
+        if name in REPORT_FIELDS:
             try:
-                report[REPORTS[name]] = float(value)
+                report[REPORT_FIELDS[name]] = float(value)
             except ValueError:
                 say(
                     log,
--- a/tests/test_brain.py
+++ b/tests/test_brain.py
@@ -84,7 +84,7 @@
     for _ in range(4):
         proxy.finish(proxy.arrive(UNSAFE), Outcome.RESET, elapsed=1.0)
         proxy.sweep(1500)
-    assert proxy.brain.backends["a"].cold == 1
+    assert proxy.brain.backends["a"].warmth == 1
 
 
 def test_request_at_its_deadline_is_answered_at_once():
@@ -250,13 +250,13 @@
     proxy = Proxy(("a",), proxies=1)
     proxy.warm_up(40)
     proxy.brain.pool.set_limit(proxy.brain.backends["a"], 3.0)
-    proxy.brain.add_up()
+    proxy.brain.update_capacity()
     attempts = [proxy.arrive(UNSAFE) for _ in range(3)]
     for r, outcome in zip(attempts, (Outcome.RESET, later, later), strict=True):
-        assert proxy.brain.backends["a"].cold == 1
+        assert proxy.brain.backends["a"].warmth == 1
         proxy.finish(r, outcome, elapsed=1.0)
     proxy.sweep(400)
-    assert proxy.brain.backends["a"].cold < 1
+    assert proxy.brain.backends["a"].warmth < 1
 
 
 def test_known_service_rate_survives_an_idle_period():
@@ -280,7 +280,7 @@
         proxy.sweep(400)
         proxy.warm_up(10)
     a = proxy.brain.backends["a"]
-    assert a.cold == 1 and a.busy_until <= proxy.now and proxy.backend(proxy.arrive(UNSAFE))
+    assert a.warmth == 1 and a.busy_until <= proxy.now and proxy.backend(proxy.arrive(UNSAFE))
 
 
 def test_failing_backends_are_each_probed_again_in_time():
@@ -442,10 +442,10 @@
 def test_capacity_follows_the_size_of_the_list():
     proxy = one_of_forty(60)
     names = [f"b{n}" for n in range(60)]
-    before = proxy.brain.room
+    before = proxy.brain.capacity
     for size, share in ((20, 1 / 3), (60, 1.0), (0, 0.0), (60, 1.0)):
         proxy.list(*(face.Entry(b, State.LIVE) for b in names[:size]), scope=ListScope.COMPLETE)
-        assert proxy.brain.room == pytest.approx(max(before * share, 1 / 40))
+        assert proxy.brain.capacity == pytest.approx(max(before * share, 1 / 40))
     asked = [proxy.arrive() for _ in range(8)]  # also with requests held
     held = [r for r in asked if proxy.backend(r) is None]
     for size in (20, 60):
@@ -461,8 +461,8 @@
     # else a fast failure attracts the traffic of forty proxies, as each of them meets it rarely
     proxy = one_of_forty(60)
     for n in range(60):
-        proxy.brain.backends[f"b{n}"].open = True  # all are connected
-        proxy.brain.place(proxy.brain.backends[f"b{n}"])
+        proxy.brain.backends[f"b{n}"].opened = True  # all are connected
+        proxy.brain.update_rank(proxy.brain.backends[f"b{n}"])
     for n in range(1200):
         r = proxy.arrive(UNSAFE)
         bad = proxy.backend(r) == "b0"
@@ -478,7 +478,7 @@
         if n % 3:
             b = proxy.brain.backends[f"b{n}"]
             b.busy_until = proxy.now + 10_000
-            proxy.brain.place(b)
+            proxy.brain.update_rank(b)
     assert sent_at_once(proxy, 20) <= 2
 
 
@@ -488,11 +488,11 @@
     for _ in range(200):
         proxy.finish(proxy.arrive(UNSAFE), elapsed=10.0)
         proxy.now += 20
-    room = proxy.brain.room
+    capacity = proxy.brain.capacity
     for _ in range(24):
         proxy.finish(proxy.arrive(UNSAFE), elapsed=150.0)
         proxy.now += 60
-    assert 0.5 * room < proxy.brain.room < 0.9 * room
+    assert 0.5 * capacity < proxy.brain.capacity < 0.9 * capacity
 
 
 def test_fleet_capacity_keeps_one_request_per_backend_for_all_proxies_together():
@@ -503,7 +503,7 @@
         took = 10.0 if served else 200.0
         proxy.finish(proxy.arrive(UNSAFE), Outcome.SERVED if served else Outcome.TIMEOUT, elapsed=took)
         proxy.now += 300
-    assert proxy.brain.room == pytest.approx(60 / 40)
+    assert proxy.brain.capacity == pytest.approx(60 / 40)
 
 
 def test_request_that_never_ran_is_retried_without_retry_budget():
@@ -524,8 +524,8 @@
         proxy.now += 20
     proxy.list(face.Entry("new", State.LIVE, started=proxy.now), scope=ListScope.CHANGES)
     new = proxy.brain.backends["new"]
-    new.pace = proxy.brain.max_cost  # the budget it has by now
-    proxy.brain.place(new)
+    new.budget = proxy.brain.max_cost  # the budget it has by now
+    proxy.brain.update_rank(new)
     assert proxy.backend(proxy.arrive(UNSAFE)) == "new"
 
 
@@ -534,7 +534,7 @@
     for seed in range(20):
         proxy = Proxy([f"b{n}" for n in range(8)], proxies=400, seed=seed)
         proxy.list(face.Entry("b0", State.LIVE, started=proxy.now), scope=ListScope.CHANGES)
-        budgets.append(proxy.brain.backends["b0"].pace)
+        budgets.append(proxy.brain.backends["b0"].budget)
     assert len(set(budgets)) == 20
     assert max(budgets) < 50.0
 
@@ -579,7 +579,7 @@
     proxy.warm_up(40)
     while proxy.brain.fleet.limit >= 1 and len(proxy.sent) < 100:
         proxy.warm_up(1, latency={"a": 400.0, "b": 400.0})
-    assert proxy.brain.room < 1
+    assert proxy.brain.capacity < 1
     proxy.sweep(8)
     first, second = proxy.arrive(), proxy.arrive()
     assert proxy.backend(first) and proxy.backend(second) is None
@@ -588,7 +588,7 @@
 def test_lowest_class_uses_a_capacity_below_one_part_of_the_time():
     proxy = Proxy([f"b{n}" for n in range(4)], proxies=40)
     proxy.brain.fleet.limit = 0.5
-    proxy.brain.add_up()
+    proxy.brain.update_capacity()
     proxy.finish(proxy.arrive(SAFE), elapsed=40.0)
     costly = proxy.arrive(UNSAFE)
     assert proxy.backend(costly) is not None
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -195,7 +195,7 @@
     server = TurnServer(slow)
     with Stepped(tmp_path, server) as stepped, contextlib.ExitStack() as stack:
         daemon, socks = stepped.daemon, []
-        while not (daemon.transactions.balancer.held or len(socks) > 10):  # until one has to wait
+        while not (daemon.transactions.balancer.any_held or len(socks) > 10):  # until one has to wait
             socks.append(stack.enter_context(stepped.connect()))
             socks[-1].sendall(read_request(len(socks)))
             stepped.turn_until(lambda: daemon.transactions.taken == len(socks))
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -75,7 +75,7 @@
         b.name for _, _, b in old.brain.idle.orders[0]
     ]
     assert new.backend(new.arrive()) == "c"
-    assert new.brain.pool.limits == pytest.approx(sum(b.limit for b in new.brain.live))
+    assert new.brain.pool.limit_sum == pytest.approx(sum(b.limit for b in new.brain.live))
 
 
 def test_what_cannot_be_taken_over_is_left_aside():
--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -148,7 +148,7 @@
 
 def test_the_two_laws_of_decay_are_one():
     # guards against evidence that fades otherwise on its way than in the module
-    assert pytest.approx(known.FADE) == state.HASTE * brain.FORGET
+    assert pytest.approx(known.FADE) == state.PEER_DECAY_FACTOR * brain.MEAN_DECAY_PER_S
 
 
 # first hand
@@ -208,7 +208,7 @@
     proxy = Proxy(("s0", "s1", "s2"))
     told(proxy, "s0", started=7.0)
     told(proxy, "nobody")
-    assert proxy.brain.backends["s0"].hint == 1.0
+    assert proxy.brain.backends["s0"].peer_factor == 1.0
     told(proxy, "s0", "s1", "s2")
     assert {first_backend(proxy) for _ in range(3)} == {"s0", "s1", "s2"}
     assert not proxy.answers
@@ -219,12 +219,12 @@
     proxy = Proxy(("s0", "s1"))
     told(proxy, "s0")
     assert first_backend(proxy) == "s1" and first_backend(proxy) == "s0"
-    before = proxy.brain.backends["s0"].hint
+    before = proxy.brain.backends["s0"].peer_factor
     proxy.finish(2, elapsed=20.0)
-    assert 1.0 < proxy.brain.backends["s0"].hint < before**0.71
+    assert 1.0 < proxy.brain.backends["s0"].peer_factor < before**0.71
     proxy.finish(1, elapsed=20.0)
     proxy.sweep(40_000, step=200)
-    assert proxy.brain.backends["s0"].hint < 1.1
+    assert proxy.brain.backends["s0"].peer_factor < 1.1
 
 
 def test_word_that_a_cold_server_is_fast_does_not_warm_it():
--- a/tests/test_oracle.py
+++ b/tests/test_oracle.py
@@ -92,14 +92,14 @@
 
 
 def forget_drains(patch):
-    real = Balancer.listed
+    real = Balancer.on_list_changed
 
-    def listed(self, event):
+    def on_list_changed(self, event):
         for entry in event.entries:
             entry.state = State.LIVE if entry.state is State.DRAINING else entry.state
         real(self, event)
 
-    patch.setattr(Balancer, "listed", listed)
+    patch.setattr(Balancer, "on_list_changed", on_list_changed)
     patch.setattr(Pool, "part", lambda self, member: None)
 
 
@@ -130,13 +130,13 @@
 
 
 def burst_on_cold(patch):
-    def warm(self, b):
-        b.cold = 1.0
+    def update_warmth(self, b):
+        b.warmth = 1.0
 
     def pick(self, r):  # an idle server is a fast one: all that comes goes to who has least
         return min(self.live, key=lambda b: b.inflight, default=None)
 
-    patch.setattr(Balancer, "warm", warm)
+    patch.setattr(Balancer, "update_warmth", update_warmth)
     patch.setattr(Balancer, "pick", pick)
 
 
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -16,7 +16,7 @@
 from barleybarrow import policy_gate
 from barleybarrow.agreement import Agreement, Progress, Role
 from barleybarrow.agreement_messages import Append, AskVote, Entry, Kind, ReadUpTo, Ready, Snapshot
-from barleybarrow.budget import Budget, Repeats
+from barleybarrow.budget import ClientRetryBudget, ClientRetryLimit
 from barleybarrow.connections import ConnectionSettings
 from barleybarrow.incarnations import Incarnations, Life
 from barleybarrow.policy import PolicyError, Rules, read, stricter
@@ -44,7 +44,15 @@
         '[door.tenants.a]\nrate = 2.5\n[servers]\nout = ["s1"]\nout_blocks = [3]\n'
         "[shares.tenants.b]\nopen = 4\n[repeats]\npart = 0.1\n[connections]\nage_s = 2\nrequests = 9\n"
     )
-    whole = {"a": Limit(2.5, 2)}, frozenset({"s1"}), frozenset({3}), {"b": 4}, Repeats(0.1, 10), 2000.0, 9
+    whole = (
+        {"a": Limit(2.5, 2)},
+        frozenset({"s1"}),
+        frozenset({3}),
+        {"b": 4},
+        ClientRetryLimit(0.1, 10),
+        2000.0,
+        9,
+    )
     assert rules == Rules(*whole)
     assert read("") == Rules()
 
@@ -84,7 +92,7 @@
     st.frozensets(st.sampled_from(["s1", "s2"])),
     st.frozensets(st.integers(0, 2)),
     st.dictionaries(st.sampled_from("abc"), st.integers(0, 5), max_size=3),
-    st.none() | st.builds(Repeats, st.sampled_from([0.0, 0.5, 1.0]), st.integers(1, 5)),
+    st.none() | st.builds(ClientRetryLimit, st.sampled_from([0.0, 0.5, 1.0]), st.integers(1, 5)),
     st.integers(0, 3).map(float),
     st.integers(0, 3),
 )
@@ -102,7 +110,7 @@
             assert both.tenants[name].rate <= limit.rate and both.tenants[name].burst <= limit.burst
         assert all(both.shares[name] <= share for name, share in rules.shares.items())
         if rules.repeats is not None:
-            assert both.repeats.part <= rules.repeats.part and both.repeats.burst <= rules.repeats.burst
+            assert both.repeats.ratio <= rules.repeats.ratio and both.repeats.burst <= rules.repeats.burst
         assert not rules.age or 0 < both.age <= rules.age
         assert not rules.requests or 0 < both.requests <= rules.requests
 
@@ -111,13 +119,13 @@
 @given(st.lists(st.booleans(), max_size=200), st.sampled_from([0.0, 0.1, 0.5]), st.integers(1, 9))
 def test_repeats_are_paid_by_first_tries(asked, part, burst):
     # the invariant: no more repeats were let in than the burst and what first tries have earned
-    budget, first, repeats = Budget(Repeats(part, burst)), 0, 0
+    budget, first, repeats = ClientRetryBudget(ClientRetryLimit(part, burst)), 0, 0
     for repeated in asked:
-        if not repeated or not budget.empty:
-            budget.charge(repeated)
+        if not repeated or not budget.exhausted:
+            budget.record(repeated)
             first, repeats = first + (not repeated), repeats + repeated
         assert repeats <= burst + part * first + 1e-6
-    budget.change(Repeats(part, 1))
+    budget.set_limit(ClientRetryLimit(part, 1))
     assert budget.level <= 1.0
 
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -122,8 +122,8 @@
     assert "u1" not in brain.backends and len(brain.live) == len(brain.backends) == 539
     assert [b.position for b in brain.live] == list(range(539))
     assert brain.pool.total == sum(b.inflight for b in brain.live) == 0
-    assert brain.pool.limits == pytest.approx(sum(b.limit for b in brain.live))
-    assert brain.pool.warm == sum(b.cold == 1 for b in brain.live) == 539
+    assert brain.pool.limit_sum == pytest.approx(sum(b.limit for b in brain.live))
+    assert brain.pool.warm_count == sum(b.warmth == 1 for b in brain.live) == 539
     assert all(
         len(order) == 539 and order == sorted(order, key=lambda e: e[:2]) for order in brain.idle.orders
     )
@@ -147,7 +147,7 @@
     brain = proxy.brain
     for b in brain.live[10:]:
         b.busy_until = proxy.now + 5_000
-        brain.place(b)
+        brain.update_rank(b)
     idle = {b.name for b in brain.live[:10]}
     assert {proxy.backend(proxy.arrive()) for _ in range(20)} <= idle
     proxy.sweep(6_000, step=100)
