--- a/barleybarrow/limits/credit_client.py
+++ b/barleybarrow/limits/credit_client.py
@@ -241,7 +241,7 @@
         )
         return max(self.last_report_at + spans.MIN_REPORT_GAP_MS, min(self.early_report_at, regular_at))
 
-    def report(self, now: float) -> CreditReport:
+    def build_report(self, now: float) -> CreditReport:
         """Build a report of all changed entries, up to `MAX_REPORT_ITEMS`."""
         if now >= self.fallback_share_until:
             self.fallback_share = 0.0
--- a/barleybarrow/limits/credit_machine.py
+++ b/barleybarrow/limits/credit_machine.py
@@ -30,7 +30,14 @@
     RosterRequest,
     RosterUpdate,
 )
-from barleybarrow.limits.warden_lease import DRIFT, Here, Promise, Role, Seek, WardenLease
+from barleybarrow.limits.warden_lease import (
+    MAX_CLOCK_RATE_RATIO,
+    CreditServerHeartbeat,
+    CreditServerLease,
+    LeaseRequest,
+    Promise,
+    Role,
+)
 
 CLEANUP_INTERVAL_MS = 2000.0  # between two searches for unused entries
 
@@ -75,7 +82,7 @@
     revision: int
 
 
-class CreditMachine(WardenLease):
+class CreditMachine(CreditServerLease):
     """All roles of one process.
 
     `is_proxy`: requests are admitted here. `bootstrap`: this is the first start of the whole system.
@@ -102,7 +109,7 @@
         self.last_roster_reply = LastRosterReply()
         self.deferred_sends: list[DeferredSend] = []  # to be sent once their revision is stored
         self.client = CreditClient(self.incarnation, now, limit_of) if is_proxy else None
-        self.books: TermState | None = None
+        self.term_state: TermState | None = None
         self.last_report_at: dict[str, float] = {}  # by proxy
         self.next_cleanup_at = now + CLEANUP_INTERVAL_MS
 
@@ -111,9 +118,9 @@
         joining = self.name in acceptors and self.name not in self.acceptors
         self.acceptors = list(acceptors)
         if joining:
-            self.promised_until = max(self.promised_until, now + self.times.lease * DRIFT)
+            self.promised_until = max(self.promised_until, now + self.times.lease_ms * MAX_CLOCK_RATE_RATIO)
             self.resume_lease(now)
-        elif self.name not in acceptors and self.role is not Role.PROXY:
+        elif self.name not in acceptors and self.role is not Role.FOLLOWER:
             self.release_promises()
             self.step_down(now)
 
@@ -127,27 +134,31 @@
 
     # The lease
 
-    def elected(self, now: float) -> None:
+    def on_elected(self, now: float) -> None:
         share_lifetime = spans.STORED_SHARE_LIFETIME_MS if self.durable else spans.SHARE_LIFETIME_MS
-        self.books = TermState(now, self.limit_of, share_lifetime)
-        self.books.version = self.acceptor_state.version
+        self.term_state = TermState(now, self.limit_of, share_lifetime)
+        self.term_state.version = self.acceptor_state.version
         self.last_report_at.clear()
-        self.request_rosters(now, self.books)
+        self.request_rosters(now, self.term_state)
         if self.client is not None:
             self.client.on_credit_server_changed(now, self.term)
 
-    def stepped_down(self, now: float) -> None:
-        self.books = None
+    def on_stepped_down(self, now: float) -> None:
+        self.term_state = None
         self.schedule_election(now)
 
     def on_promise_released(self, now: float) -> None:
-        if self.role is Role.PROXY:
+        if self.role is Role.FOLLOWER:
             self.credit_server_heard_at = -inf
             self.schedule_election(now)
 
     def resume_lease(self, now: float) -> None:
         """Request the lease at once if the previous incarnation held it, as nobody else can hold it."""
-        if self.role is Role.PROXY and not self.warden and self.matches_recovered_promise(self.name):
+        if (
+            self.role is Role.FOLLOWER
+            and not self.credit_server
+            and self.matches_recovered_promise(self.name)
+        ):
             self.credit_server_heard_at = -inf
             self.election_timer_at = now
 
@@ -159,7 +170,7 @@
         released_at = now if is_own_promise else max(now, self.promised_until)
         self.election_timer_at = released_at + self.rng.uniform(0.0, spans.MAX_ELECTION_JITTER_MS)
 
-    def warden_changed(self, now: float) -> None:
+    def on_credit_server_changed(self, now: float) -> None:
         if self.client is not None:
             self.client.on_credit_server_changed(now, self.term)
 
@@ -167,7 +178,7 @@
         acceptors = set(self.acceptors)
         return [
             name
-            for name in self.reach
+            for name in self.reachable
             if name in acceptors or now - self.last_report_at.get(name, -inf) > spans.HEARTBEAT_SILENCE_MS
         ]
 
@@ -177,19 +188,20 @@
         A credit server sends a heartbeat to new peers; an acceptor that lost its credit server prepares to
         become a candidate.
         """
-        previous, self.reach = set(self.reach), list(reachable)
+        previous, self.reachable = set(self.reachable), list(reachable)
         added = set(reachable) - previous
-        if self.books is not None:
-            self.books.acked_by -= added  # a peer that reconnects may have lost its stored state
-        lost_credit_server = self.warden in previous and self.warden not in self.reach
-        if lost_credit_server and self.role is Role.PROXY and self.name in self.acceptors:
+        if self.term_state is not None:
+            self.term_state.acked_by -= added  # a peer that reconnects may have lost its stored state
+        lost_credit_server = self.credit_server in previous and self.credit_server not in self.reachable
+        if lost_credit_server and self.role is Role.FOLLOWER and self.name in self.acceptors:
             self.credit_server_heard_at = -inf
             self.schedule_election(now)
-        if self.role is Role.WARDEN and now < self.lease_end:
-            self.out.extend((name, Here(self.term)) for name in sorted(added))
-        elif self.role is Role.SEEKING:
-            self.out.extend(
-                (name, Seek(self.incarnation, self.token)) for name in sorted(added & set(self.acceptors))
+        if self.role is Role.CREDIT_SERVER and now < self.lease_expires_at:
+            self.outgoing.extend((name, CreditServerHeartbeat(self.term)) for name in sorted(added))
+        elif self.role is Role.CANDIDATE:
+            self.outgoing.extend(
+                (name, LeaseRequest(self.incarnation, self.ballot))
+                for name in sorted(added & set(self.acceptors))
             )
 
     def resign(self, now: float, released: bool = False) -> None:
@@ -197,9 +209,9 @@
 
         With `released` its share is free at once, else once no new incarnation can inherit it any more.
         """
-        if self.client is not None and self.warden and self.warden != self.name:
-            self.out.append((self.warden, self.client.build_final_report(now, released)))
-        if self.role is Role.WARDEN:
+        if self.client is not None and self.credit_server and self.credit_server != self.name:
+            self.outgoing.append((self.credit_server, self.client.build_final_report(now, released)))
+        if self.role is Role.CREDIT_SERVER:
             self.release_promises()
             self.step_down(now)
 
@@ -207,21 +219,21 @@
 
     def next_wakeup(self) -> float:
         """Time at which `tick` is to be called."""
-        wakeup = min(self.next_of_lease(), self.next_cleanup_at)
+        wakeup = min(self.next_lease_wakeup(), self.next_cleanup_at)
         if self.client is not None:
-            wakeup = min(wakeup, self.client.next_wakeup(bool(self.warden)))
-        if self.books is not None:
-            wakeup = min(wakeup, self.books.next_plan_at)
+            wakeup = min(wakeup, self.client.next_wakeup(bool(self.credit_server)))
+        if self.term_state is not None:
+            wakeup = min(wakeup, self.term_state.next_plan_at)
         return wakeup
 
     def tick(self, now: float) -> None:
         """Run the actions that are due."""
         self.tick_lease(now)
-        if self.books is not None and now >= self.books.next_plan_at:
-            self.tick_term(now, self.books)
+        if self.term_state is not None and now >= self.term_state.next_plan_at:
+            self.tick_term(now, self.term_state)
         if self.client is not None:
             self.client.tick(now)
-            if self.warden and now >= self.client.next_report_at:
+            if self.credit_server and now >= self.client.next_report_at:
                 self.send_report(now, self.client)
             if now >= self.next_cleanup_at:
                 self.client.cleanup(now)
@@ -229,9 +241,9 @@
             self.next_cleanup_at = now + CLEANUP_INTERVAL_MS
 
     def send_report(self, now: float, client: CreditClient) -> None:
-        report = client.report(now)
-        if self.warden != self.name:
-            self.out.append((self.warden, report))
+        report = client.build_report(now)
+        if self.credit_server != self.name:
+            self.outgoing.append((self.credit_server, report))
             return
         reply = self.handle_report(now, self.name, report)
         if reply is not None:
@@ -265,7 +277,7 @@
             self.send_roster_reply(now, self.name, self.term)
         for name in self.acceptors:
             if name != self.name and name not in state.replies:
-                self.out.append((name, RosterRequest(self.term)))
+                self.outgoing.append((name, RosterRequest(self.term)))
 
     def recover_roster(self, now: float, state: TermState) -> None:
         """Adopt the newest roster of a majority that has lost no state: it bounds every proxy's share."""
@@ -319,7 +331,9 @@
         )
         for name in self.acceptors:
             if name != self.name and name not in state.acked_by:
-                self.out.append((name, RosterUpdate(state.version, state.entries, state.drained, self.term)))
+                self.outgoing.append(
+                    (name, RosterUpdate(state.version, state.entries, state.drained, self.term))
+                )
 
     def resend_roster(self, now: float, state: TermState) -> None:
         """Send the roster to acceptors that have not acknowledged it, including those that joined later."""
@@ -328,7 +342,9 @@
         state.next_roster_send_at = now + spans.ROSTER_RESEND_INTERVAL_MS
         for name in self.acceptors:
             if name != self.name and name not in state.acked_by:
-                self.out.append((name, RosterUpdate(state.version, state.entries, state.drained, self.term)))
+                self.outgoing.append(
+                    (name, RosterUpdate(state.version, state.entries, state.drained, self.term))
+                )
 
     def on_roster_ack(self, now: float, state: TermState, name: str, ack: RosterAck) -> None:
         if (ack.term, ack.version) != (self.term, state.version) or name not in self.acceptors:
@@ -433,7 +449,7 @@
         if isinstance(message, Promise):
             self.confirm_promise(now, name, message.ballot)
         elif name != self.name:
-            self.out.append((name, message))
+            self.outgoing.append((name, message))
         else:
             self.receive_roster_message(now, name, message)
 
@@ -444,9 +460,9 @@
         if isinstance(message, CreditReport):
             reply = self.handle_report(now, sender, message)
             if reply is not None:
-                self.out.append((sender, reply))
+                self.outgoing.append((sender, reply))
         elif isinstance(message, CreditReply):
-            if sender == self.warden and self.client is not None:
+            if sender == self.credit_server and self.client is not None:
                 self.client.handle_reply(now, message)
         elif isinstance(message, RosterUpdate):
             if sender == self.promised_to and message.version >= self.acceptor_state.version:
@@ -456,11 +472,11 @@
         elif isinstance(message, RosterAck | RosterReply):
             self.receive_roster_message(now, sender, message)
         else:
-            self.receive_lease(now, sender, message)
+            self.receive_lease_message(now, sender, message)
 
     def receive_roster_message(self, now: float, sender: str, message: RosterAck | RosterReply) -> None:
-        state = self.books
-        if state is None or now >= self.lease_end:
+        state = self.term_state
+        if state is None or now >= self.lease_expires_at:
             return
         if isinstance(message, RosterAck):
             self.on_roster_ack(now, state, sender, message)
@@ -470,8 +486,8 @@
 
     def handle_report(self, now: float, sender: str, report: CreditReport) -> CreditReply | None:
         """Record a proxy's report as the credit server; None for another term or an outdated report."""
-        state = self.books
-        if state is None or now >= self.lease_end or report.term != self.term:
+        state = self.term_state
+        if state is None or now >= self.lease_expires_at or report.term != self.term:
             return None
         if report.leaving:
             if state.members.handle_departure(now, sender, report.incarnation, report.released):
@@ -484,16 +500,16 @@
         member, restarted = recorded
         if restarted:
             state.ledger.write_off(sender)
-        credit_expires_at = member.last_reply_at + spans.CREDIT_LIFETIME_MS * DRIFT
+        credit_expires_at = member.last_reply_at + spans.CREDIT_LIFETIME_MS * MAX_CLOCK_RATE_RATIO
         state.ledger.prior_credit_expired = state.members.prior_credit_expired(now)
         grants = [
             state.ledger.handle_entry_report(now, sender, item, credit_expires_at) for item in report.items
         ]
         self.replicate_drained_keys(now, state)
-        fallback_share = state.members.assign_share(now, sender, member, report.number)
+        fallback_share = state.members.assign_share(now, sender, member, report.sequence)
         sent_grants = [grant for grant in grants if grant is not None]
         return CreditReply(
-            report.term, report.number, fallback_share, sent_grants, self.share_lifetime(state)
+            report.term, report.sequence, fallback_share, sent_grants, self.share_lifetime(state)
         )
 
     def share_lifetime(self, state: TermState) -> float:
--- a/barleybarrow/limits/members.py
+++ b/barleybarrow/limits/members.py
@@ -13,7 +13,7 @@
 from barleybarrow.limits import spans
 from barleybarrow.limits.lent import LentShare
 from barleybarrow.limits.messages import CreditReport, RosterEntry
-from barleybarrow.limits.warden_lease import DRIFT
+from barleybarrow.limits.warden_lease import MAX_CLOCK_RATE_RATIO
 
 MAX_UNAPPLIED_REPLIES = 64  # a proxy keeps as many unanswered reports
 MIN_SHARE_CHANGE = 0.02  # of a share: a smaller change is not worth a new roster
@@ -58,14 +58,14 @@
     def __init__(self, now: float, lent_share: LentShare, share_lifetime: float) -> None:
         self.lent_share, self.share_lifetime = lent_share, share_lifetime
         # By then unknown proxies hold no share; it lives longer only if all acceptors have stored the roster.
-        self.complete_at = now + spans.SHARE_LIFETIME_MS * DRIFT
+        self.complete_at = now + spans.SHARE_LIFETIME_MS * MAX_CLOCK_RATE_RATIO
         self.members: dict[str, Member] = {}
         self.reserved_total = 0.0
         self.departed: dict[str, int] = {}  # incarnations that have sent a final report, by name
         self.planned_shares: dict[str, float] = {}
         self.may_raise = False  # whether a share may be raised to its planned value
         # Expiry of the credit of the previous term, and proxies that may hold such credit (None: not known).
-        self.prior_credit_expires_at = now + spans.CREDIT_LIFETIME_MS * DRIFT
+        self.prior_credit_expires_at = now + spans.CREDIT_LIFETIME_MS * MAX_CLOCK_RATE_RATIO
         self.prior_credit_holders: set[str] | None = None
 
     def is_complete(self, now: float) -> bool:
@@ -92,7 +92,7 @@
                 self.set_held_share(member, max(member.held_share, entry.fallback_share))
             else:
                 self.reserve_predecessor_share(
-                    member, entry.fallback_share, now + self.share_lifetime * DRIFT
+                    member, entry.fallback_share, now + self.share_lifetime * MAX_CLOCK_RATE_RATIO
                 )
         self.complete_at = now
         self.update_unassigned(now)
@@ -111,7 +111,7 @@
         old_reserved = member.reserved_share
         if now is not None and share < member.held_share:
             member.predecessor_share = old_reserved
-            member.predecessor_share_until = now + self.share_lifetime * DRIFT
+            member.predecessor_share_until = now + self.share_lifetime * MAX_CLOCK_RATE_RATIO
         member.held_share = share
         self.reserved_total += member.reserved_share - old_reserved
 
@@ -143,10 +143,10 @@
             if report.incarnation in member.retired_incarnations:
                 return None
             member = self.replace_incarnation(now, name, member, report.incarnation)
-        if report.number <= member.sequence:
+        if report.sequence <= member.sequence:
             return None
         member.sequence, member.last_report_at, member.reported_share = (
-            report.number,
+            report.sequence,
             now,
             report.fallback_share,
         )
@@ -184,7 +184,10 @@
         self.reserve_predecessor_share(
             member,
             previous.reserved_share,
-            max(previous.predecessor_share_until, previous.last_reply_at + self.share_lifetime * DRIFT),
+            max(
+                previous.predecessor_share_until,
+                previous.last_reply_at + self.share_lifetime * MAX_CLOCK_RATE_RATIO,
+            ),
         )
         member.retired_incarnations = {*previous.retired_incarnations, previous.incarnation}
         return member
@@ -203,7 +206,10 @@
             ]
             self.set_held_share(member, max([report.fallback_share, *later_shares]), now)
             self.lent_share.lend(
-                now, name, member.reserved_share, reply.sent_at + spans.FALLBACK_DELAY_MS / DRIFT
+                now,
+                name,
+                member.reserved_share,
+                reply.sent_at + spans.FALLBACK_DELAY_MS / MAX_CLOCK_RATE_RATIO,
             )
         else:
             self.set_held_share(member, max(member.held_share, report.fallback_share))
@@ -226,7 +232,9 @@
             unused = member.held_share <= 0.0 and member.predecessor_share <= 0.0
             self.set_held_share(member, share)
             if unused:
-                self.lent_share.lend(now, name, member.reserved_share, now + spans.FALLBACK_DELAY_MS / DRIFT)
+                self.lent_share.lend(
+                    now, name, member.reserved_share, now + spans.FALLBACK_DELAY_MS / MAX_CLOCK_RATE_RATIO
+                )
             self.update_unassigned(now)
         return share
 
@@ -236,7 +244,10 @@
         """Proxies whose credit has expired since their last reply; each is returned once."""
         expired = []
         for name, member in self.members.items():
-            if not member.written_off and now > member.last_reply_at + spans.CREDIT_LIFETIME_MS * DRIFT:
+            if (
+                not member.written_off
+                and now > member.last_reply_at + spans.CREDIT_LIFETIME_MS * MAX_CLOCK_RATE_RATIO
+            ):
                 member.written_off = True
                 expired.append(name)
         return expired
@@ -246,7 +257,10 @@
         for name, member in list(self.members.items()):
             if member.predecessor_share and now >= member.predecessor_share_until:
                 self.expire_predecessor_share(now, name, member)
-            if now > member.last_reply_at + self.share_lifetime * DRIFT and not member.predecessor_share:
+            if (
+                now > member.last_reply_at + self.share_lifetime * MAX_CLOCK_RATE_RATIO
+                and not member.predecessor_share
+            ):
                 self.reserved_total -= member.reserved_share
                 self.lent_share.end_loan(now, name)
                 del self.members[name]
--- a/barleybarrow/limits/messages.py
+++ b/barleybarrow/limits/messages.py
@@ -10,7 +10,7 @@
 from msgspec import Meta, Struct
 
 from barleybarrow.limits.spans import SHARE_LIFETIME_MS
-from barleybarrow.limits.warden_lease import Here, Promise, Seek, Token
+from barleybarrow.limits.warden_lease import CreditServerHeartbeat, LeaseRequest, Promise, UInt62
 
 MAX_REPORT_ITEMS = 200  # the rest follows in the next report
 MAX_MEMBERS = 4096
@@ -27,7 +27,7 @@
     """A proxy's use of one entry, and the credit that it asks for."""
 
     key: Key
-    entry_number: Token  # grows within an incarnation
+    entry_number: UInt62  # grows within an incarnation
     spent: Amount
     returned: Amount
     needed: Amount  # cost of all pending requests, including credit already held
@@ -38,10 +38,10 @@
 class CreditReport(Struct, array_like=True, frozen=True, tag=6):
     """A proxy's report to the credit server; also its keep-alive."""
 
-    incarnation: Token
-    term: Token
-    number: Token  # grows by one with each report of an incarnation
-    applied_sequence: Token  # newest report that was replied to in this term; 0: none
+    incarnation: UInt62
+    term: UInt62
+    sequence: UInt62  # grows by one with each report of an incarnation
+    applied_sequence: UInt62  # newest report that was replied to in this term; 0: none
     fallback_share: Fraction  # share of each limit that it uses while disconnected
     items: Annotated[list[EntryReport], Meta(max_length=MAX_REPORT_ITEMS)]
     leaving: bool = False  # final report: the proxy uses neither credit nor fallback share any more
@@ -51,7 +51,7 @@
 class Grant(Struct, array_like=True, frozen=True):
     """The credit server's reply on one entry."""
 
-    entry_number: Token
+    entry_number: UInt62
     granted: Amount  # in total
     wait_ms: Amount = 0.0  # above 0: the need was not granted; ask again after this time
     awaiting_reports: bool = False  # waits for reports of credit that others have spent, not for the rate
@@ -61,8 +61,8 @@
 class CreditReply(Struct, array_like=True, frozen=True, tag=7):
     """The credit server's reply to the report of this sequence number."""
 
-    term: Token
-    sequence: Token
+    term: UInt62
+    sequence: UInt62
     fallback_share: Fraction
     grants: Annotated[list[Grant], Meta(max_length=MAX_REPORT_ITEMS)]
     # Counts from the moment at which the report was sent.
@@ -73,7 +73,7 @@
     """The largest fallback share that one proxy may hold."""
 
     name: Key
-    incarnation: Token
+    incarnation: UInt62
     fallback_share: Fraction
 
 
@@ -87,10 +87,10 @@
 class RosterUpdate(Struct, array_like=True, frozen=True, tag=8):
     """Has an acceptor store the share that each proxy may hold; the highest version is valid."""
 
-    version: Token
+    version: UInt62
     entries: Annotated[list[RosterEntry], Meta(max_length=MAX_MEMBERS)]
     drained: DrainedKeys = DrainedKeys()
-    term: Token = 0  # of the credit server
+    term: UInt62 = 0  # of the credit server
 
 
 class RosterAck(Struct, array_like=True, frozen=True, tag=9):
@@ -100,22 +100,22 @@
     rosters.
     """
 
-    version: Token
-    term: Token = 0  # of the credit server that sent the roster
+    version: UInt62
+    term: UInt62 = 0  # of the credit server that sent the roster
 
 
 class RosterRequest(Struct, array_like=True, frozen=True, tag=10):
     """A new credit server requests an acceptor's stored roster."""
 
-    term: Token
+    term: UInt62
 
 
 class RosterReply(Struct, array_like=True, frozen=True, tag=11):
     """An acceptor's stored roster; `known` is False if it may have lost a version that it had accepted."""
 
-    term: Token
+    term: UInt62
     known: bool
-    version: Token
+    version: UInt62
     entries: Annotated[list[RosterEntry], Meta(max_length=MAX_MEMBERS)]
     drained: DrainedKeys = DrainedKeys()
 
@@ -124,7 +124,7 @@
     """State that an acceptor stores; `known` is False if it may have lost a version that it had accepted."""
 
     known: bool
-    version: Token
+    version: UInt62
     entries: Annotated[list[RosterEntry], Meta(max_length=MAX_MEMBERS)]
     promised_to: Key = ""  # candidate of the newest promise
     acceptors: Annotated[list[Key], Meta(max_length=MAX_ACCEPTORS)] = []  # at the time of that promise
@@ -132,9 +132,9 @@
 
 
 Message = (
-    Seek
+    LeaseRequest
     | Promise
-    | Here
+    | CreditServerHeartbeat
     | CreditReport
     | CreditReply
     | RosterUpdate
--- a/barleybarrow/limits/spans.py
+++ b/barleybarrow/limits/spans.py
@@ -3,7 +3,7 @@
 from barleybarrow.limits.warden_lease import LeaseTimes
 
 LEASE_TIMES = LeaseTimes(
-    lease=500.0,  # a killed credit server is replaced soon; one that stalls for 0.4 s still renews in time
+    lease_ms=500.0,  # a killed credit server is replaced soon; one that stalls for 0.4 s still renews in time
     renewal_interval_ms=130.0,
     candidacy_timeout_ms=200.0,
     heartbeat_interval_ms=200.0,
--- a/barleybarrow/shares.py
+++ b/barleybarrow/shares.py
@@ -5,7 +5,8 @@
 is for a span that each proxy counts from its own question; who gets nothing new falls back to its own part,
 one of as many as there are proxies. No request waits for any of this.
 
-A process is one that asks (PROXY); a keeper that seeks the lease or holds it is the warden: `WardenLease`.
+A process is one that asks (FOLLOWER); a keeper that seeks the lease or holds it is the warden:
+`CreditServerLease`.
 """
 
 from collections import Counter
@@ -18,18 +19,27 @@
 from msgspec import Meta, Struct
 
 from barleybarrow.limits.warden_lease import (
-    DRIFT,
-    Here,
+    MAX_CLOCK_RATE_RATIO,
+    CreditServerHeartbeat,
+    CreditServerLease,
+    LeaseRequest,
     LeaseTimes,
     Promise,
     Role,
-    Seek,
-    Token,
-    WardenLease,
+    UInt62,
 )
 from barleybarrow.rate_limiter import LONGEST_KEY, Bucket, Limit, RateLimiter, RateLimiterSettings
 
-__all__ = ["Here", "Parts", "Promise", "Report", "Role", "Seek", "SharedRateLimiter", "Shares"]
+__all__ = [
+    "CreditServerHeartbeat",
+    "Parts",
+    "Promise",
+    "Report",
+    "Role",
+    "LeaseRequest",
+    "SharedRateLimiter",
+    "Shares",
+]
 
 LEASE = 3000.0  # milliseconds that a keeper promises itself to one warden
 GRANT = 2000.0  # a part counts so long, from the question
@@ -54,9 +64,9 @@
 class Report(Struct, array_like=True, frozen=True, tag=4):
     """What is asked for here, in requests a second."""
 
-    term: Token
-    number: Token
-    applied: Token  # the last serial that came in this term
+    term: UInt62
+    number: UInt62
+    applied: UInt62  # the last serial that came in this term
     base: Part  # what it takes for its own part
     asks: Annotated[list[tuple[Key, float]], Meta(max_length=MOST_KEYS)]
 
@@ -64,14 +74,14 @@
 class Parts(Struct, array_like=True, frozen=True, tag=5):
     """Its answer. Keys that are not named keep what they have, until it runs out."""
 
-    term: Token
-    number: Token
-    serial: Token
+    term: UInt62
+    number: UInt62
+    serial: UInt62
     base: Part
     parts: Annotated[list[tuple[Key, Part]], Meta(max_length=20 * MOST_KEYS)]
 
 
-Message = Seek | Promise | Here | Report | Parts
+Message = LeaseRequest | Promise | CreditServerHeartbeat | Report | Parts
 
 
 @dataclass(slots=True)
@@ -103,7 +113,7 @@
     issued: dict[str, list["Issued"]] = field(default_factory=dict)  # by key, from the last it has applied
 
 
-class Shares(WardenLease):
+class Shares(CreditServerLease):
     """One proxy's part. Times are milliseconds on its own monotonic clock."""
 
     def __init__(
@@ -115,7 +125,7 @@
         proxies: int,
         rate_of: Callable[[str], float],
     ) -> None:
-        super().__init__(name, keepers, rng, now, LeaseTimes(lease=LEASE))
+        super().__init__(name, keepers, rng, now, LeaseTimes(lease_ms=LEASE))
         self.rate_of = rate_of
         self.base = self.first_base = 1.0 / max(1, proxies)
         # as one that asks
@@ -153,39 +163,40 @@
     # Time
 
     def next(self) -> float:
-        return min(self.report_at, self.next_of_lease())
+        return min(self.report_at, self.next_lease_wakeup())
 
     def tick(self, now: float) -> None:
         self.tick_lease(now)
         if now >= self.report_at:
             self.report(now)
 
-    def stepped_down(self, now: float) -> None:
+    def on_stepped_down(self, now: float) -> None:
         self.members.clear()
         self.targets.clear()
         self.totals.clear()
 
-    def elected(self, now: float) -> None:
+    def on_elected(self, now: float) -> None:
         self.applied, self.serial = 0, 0
-        self.grants_from = now + GRANT * DRIFT  # by then nothing counts that another has handed out
+        # by then nothing counts that another has handed out
+        self.grants_from = now + GRANT * MAX_CLOCK_RATE_RATIO
         self.members.clear()
         self.targets.clear()
         self.totals.clear()
 
-    def warden_changed(self, now: float) -> None:
+    def on_credit_server_changed(self, now: float) -> None:
         self.applied = 0
         self.sent.clear()
         self.report_at = now
 
     def receive(self, now: float, sender: str, m: Message) -> None:
         if isinstance(m, Report):
-            if self.role is Role.WARDEN and now < self.lease_end and m.term == self.term:
-                self.out.append((sender, self.answer(now, sender, m)))
+            if self.role is Role.CREDIT_SERVER and now < self.lease_expires_at and m.term == self.term:
+                self.outgoing.append((sender, self.answer(now, sender, m)))
         elif isinstance(m, Parts):
-            if sender == self.warden:
+            if sender == self.credit_server:
                 self.parts(now, m)
         else:
-            self.receive_lease(now, sender, m)
+            self.receive_lease_message(now, sender, m)
 
     # As one that asks
 
@@ -193,7 +204,7 @@
         """Tell the warden what is asked for here."""
         span = max(1.0, now - self.reported_at) / 1000.0
         self.reported_at = now
-        self.report_at = now + REPORT + REPORT_EACH * (len(self.reach) + 1)
+        self.report_at = now + REPORT + REPORT_EACH * (len(self.reachable) + 1)
         for key in {*self.rates, *(key for key, _ in self.asked.most_common(MOST_RATES))}:
             rate = SMOOTH * self.asked[key] / span + (1 - SMOOTH) * self.rates.get(key, 0.0)
             self.rates[key] = rate
@@ -202,7 +213,7 @@
         self.asked.clear()
         for key in [k for k, (_, until) in self.grants.items() if now >= until + FALL * GRANT]:
             del self.grants[key]
-        if not self.warden:
+        if not self.credit_server:
             return
         self.number += 1
         self.sent[self.number] = now
@@ -210,10 +221,10 @@
             del self.sent[next(iter(self.sent))]
         top = sorted(self.rates.items(), key=lambda item: -item[1])[:MOST_KEYS]
         asked = Report(self.term, self.number, self.applied, self.base, [(k, round(r, 2)) for k, r in top])
-        if self.warden == self.name:
+        if self.credit_server == self.name:
             self.parts(now, self.answer(now, self.name, asked))
         else:
-            self.out.append((self.warden, asked))
+            self.outgoing.append((self.credit_server, asked))
 
     def parts(self, now: float, m: Parts) -> None:
         at = self.sent.pop(m.number, None)
@@ -242,8 +253,9 @@
             member.issued.pop(key, None)
             return base
         most = max(i.part if i.end > now else min(i.part, base) for i in held)
-        falls = held[0].asked + (1.0 + FALL) * GRANT / DRIFT  # back to its own part, if it hears no more
-        return max(most, base) if now >= falls - GRANT * DRIFT else most
+        # back to its own part, if it hears no more
+        falls = held[0].asked + (1.0 + FALL) * GRANT / MAX_CLOCK_RATE_RATIO
+        return max(most, base) if now >= falls - GRANT * MAX_CLOCK_RATE_RATIO else most
 
     def heard(self, member: Member, m: Report) -> float:
         """It has applied a word: what it was told before counts no longer. When that word was said."""
@@ -260,11 +272,11 @@
     def reckon(self, now: float) -> None:
         """Who should have how much of each limit."""
         self.table_at = now + TABLE
-        every = REPORT + REPORT_EACH * (len(self.reach) + 1)
-        for name in {*self.reach, self.name}:
+        every = REPORT + REPORT_EACH * (len(self.reachable) + 1)
+        for name in {*self.reachable, self.name}:
             self.member(name)
         for name, m in list(self.members.items()):
-            if name not in self.reach and name != self.name and now - m.heard_at > FORGET:
+            if name not in self.reachable and name != self.name and now - m.heard_at > FORGET:
                 del self.members[name]
         asked = {key for m in self.members.values() for key in m.asks}
         for m in self.members.values():  # of keys that nobody asks for any more, nothing is kept
@@ -323,7 +335,7 @@
                 found.append((key, part))
                 unheard = Issued(0, before, inf, -inf)  # what it has until it applies another
                 issued = member.issued.setdefault(key, [unheard])
-                issued.append(Issued(self.serial, part, now + GRANT * DRIFT, asked))
+                issued.append(Issued(self.serial, part, now + GRANT * MAX_CLOCK_RATE_RATIO, asked))
                 if len(issued) > MOST_SAID:  # it hears nothing
                     one, other = issued[:2]
                     one.part, one.end = max(one.part, other.part), max(one.end, other.end)
--- a/benchmarks/limits_restart.py
+++ b/benchmarks/limits_restart.py
@@ -1,13 +1,13 @@
 """How soon quotas are whole again after all processes were killed, in virtual time.
 
 For tenants of three sizes below their limit: requests asked and refused in each span after the start, and
-the part of each limit that the warden may hand out. Run: python -m benchmarks.limits_restart
+the part of each limit that the credit server may grant. Run: python -m benchmarks.limits_restart
 """
 
 from dataclasses import dataclass
 
 from barleybarrow.limits.bounds import LimitBounds
-from tests.fleet.limits_world import Demand, World, token_tenant
+from tests.fleet.limits_world import Demand, LimitsSimulation, token_tenant
 
 PROXIES = 11
 SLACK_TOKENS = 72_000.0
@@ -36,18 +36,20 @@
 def restarted(case: Case, seed: int) -> list[tuple[int, int, float]]:
     """Asked, refused and the lent fraction for each span after the start."""
     bounds = LimitBounds(quota_slack=SLACK_TOKENS)
-    world = World(PROXIES, [token_tenant("under", case.rate)], seed=seed, bounds=bounds, durable=True)
-    world.demand(Demand("under", case.per_s, case.cost, start=4_000.0))
-    world.run(KILLED_AT_MS)
-    for name in [*world.keepers, *world.proxies]:
-        world.kill(name)
-        world.at(STARTED_AT_MS, "call", "start", name)
-    world.run(STARTED_AT_MS)
-    tally, rows = world.tally["under"], []
+    sim = LimitsSimulation(
+        PROXIES, [token_tenant("under", case.rate)], seed=seed, bounds=bounds, durable=True
+    )
+    sim.add_demand(Demand("under", case.per_s, case.cost, starts_at=4_000.0))
+    sim.run(KILLED_AT_MS)
+    for name in [*sim.acceptors, *sim.proxies]:
+        sim.kill(name)
+        sim.schedule(STARTED_AT_MS, "call", "start", name)
+    sim.run(STARTED_AT_MS)
+    stats, rows = sim.stats["under"], []
     for span in range(1, SPANS + 1):
-        asked, refused = tally.asked, tally.refused
-        world.run(STARTED_AT_MS + span * SPAN_MS)
-        rows.append((tally.asked - asked, tally.refused - refused, world.lent()))
+        requested, refused = stats.requested, stats.refused
+        sim.run(STARTED_AT_MS + span * SPAN_MS)
+        rows.append((stats.requested - requested, stats.refused - refused, sim.lent_share()))
     return rows
 
 
--- a/benchmarks/limits_scale.py
+++ b/benchmarks/limits_scale.py
@@ -1,11 +1,11 @@
-"""What shared limits cost by the size of the fleet: bytes on links and processor time of the warden.
+"""What shared limits cost by the size of the fleet: bytes on links and processor time of the credit server.
 
     python benchmarks/limits_scale.py [--seconds 8] [--per-proxy 6]
 
-Plays proxies and one warden in virtual time, with the machines and messages that ship; requests of
+Plays proxies and one credit server in virtual time, with the machines and messages that ship; requests of
 tenants by a Zipf law of exponent 1, limits of 1.3 times the usual. Prints a line for each size and
-slopes by least squares. The processor time is this machine's, of the warden's machine with decoding and
-encoding; frames and sockets come on top (the last line gives the cost of wrapping one message).
+slopes by least squares. The processor time is this machine's, of the credit server's machine with decoding
+and encoding; frames and sockets come on top (the last line gives the cost of wrapping one message).
 """
 
 import argparse
@@ -29,7 +29,7 @@
 MEAN_COST = 9100.0
 LIMIT_OF_USUAL = 1.3
 FLEETS = ((50, 15_000), (100, 15_000), (200, 15_000), (400, 15_000), (400, 1000), (400, 5000))
-WARDEN = "warden"
+CREDIT_SERVER = "warden"
 
 
 @dataclass
@@ -67,7 +67,7 @@
 
 
 class Fleet:
-    """Proxies and a warden in virtual time."""
+    """Proxies and a credit server in virtual time."""
 
     def __init__(self, proxies: int, tenants: int, per_proxy: float) -> None:
         self.rng = random.Random(1)
@@ -85,28 +85,30 @@
             self.tenants.append(Tenant(f"t{index}", [], None, QuotaUnit.TOKENS, 200, rate, rate))
         self.measured = Measured(proxies, tenants)
         self.names = [f"10.0.{index // 250}.{index % 250}:7681" for index in range(proxies)]
-        self.machines = {WARDEN: self.machine(WARDEN, asks=False)}
-        self.machines[WARDEN].configure(0.0, self.tenants, [])
+        self.machines = {CREDIT_SERVER: self.machine(CREDIT_SERVER, is_proxy=False)}
+        self.machines[CREDIT_SERVER].configure(0.0, self.tenants, [])
         for name in self.names:
-            self.machines[name] = self.sharing(self.machine(name, asks=True))
-        self.machines[WARDEN].links_changed(0.0, self.names)
+            self.machines[name] = self.sharing(self.machine(name, is_proxy=True))
+        self.machines[CREDIT_SERVER].set_reachable(0.0, self.names)
         for name in self.names:
-            self.machines[name].links_changed(0.0, [WARDEN])
+            self.machines[name].set_reachable(0.0, [CREDIT_SERVER])
         self.awake = dict.fromkeys(self.machines, -1.0)
         for name in self.machines:
             self.wake(name)
 
-    def machine(self, name: str, asks: bool) -> Limits:
+    def machine(self, name: str, is_proxy: bool) -> Limits:
         rng = random.Random(self.rng.getrandbits(40))
-        return Limits(name, [WARDEN], rng, 0.0, LimitBounds(quota_slack=72_000.0), asks, fresh=True)
+        return Limits(
+            name, [CREDIT_SERVER], rng, 0.0, LimitBounds(quota_slack=72_000.0), is_proxy, bootstrap=True
+        )
 
     def sharing(self, machine: Limits) -> Limits:
         """All proxies of this process share one table of tenants."""
-        first = self.machines[WARDEN]
-        machine.limits, machine.quota_keys = first.limits, first.quota_keys
-        machine.machine.limit_of = first.limits.get
+        first = self.machines[CREDIT_SERVER]
+        machine.key_limits, machine.quota_keys = first.key_limits, first.quota_keys
+        machine.credit_machine.limit_of = first.key_limits.get
         if machine.client is not None:
-            machine.client.limit_of = first.limits.get
+            machine.client.limit_of = first.key_limits.get
         return machine
 
     def at(self, when: float, kind: str, what: object) -> None:
@@ -133,7 +135,7 @@
 
     def on_message(self, what: tuple[str, str, bytes]) -> None:
         sender, name, payload = what
-        if name == WARDEN:
+        if name == CREDIT_SERVER:
             self.measured.reports += 1
             self.measured.bytes_up += len(payload) + FRAME_BYTES
         else:
@@ -144,11 +146,11 @@
 
     def after(self, name: str, began: float) -> None:
         out = self.machines[name].outbox()
-        if name == WARDEN:
+        if name == CREDIT_SERVER:
             self.measured.cpu_ms += 1000.0 * (time.thread_time() - began)
         for address, payload in out:
             self.at(self.now + TRIP_MS, "message", (name, address, payload))
-        for _, admitted in self.machines[name].verdicts():
+        for _, admitted in self.machines[name].take_decisions():
             self.measured.refused += not admitted
         self.wake(name)
 
@@ -176,8 +178,8 @@
     found = fleet.measured
     for name in ("reports", "bytes_up", "bytes_down", "cpu_ms"):
         setattr(found, name, getattr(found, name) / seconds)
-    books = fleet.machines[WARDEN].machine.books
-    found.accounts = len(books.ledger.accounts) if books is not None else 0
+    term_state = fleet.machines[CREDIT_SERVER].credit_machine.term_state
+    found.accounts = len(term_state.ledger.accounts) if term_state is not None else 0
     return found
 
 
--- a/brackenusher/assembly/control.py
+++ b/brackenusher/assembly/control.py
@@ -62,8 +62,8 @@
             rng,
             loop.time() * 1000.0,
             limit_bounds(settings),
-            asks=False,
-            fresh=settings.bootstrap,
+            is_proxy=False,
+            bootstrap=settings.bootstrap,
         )
         roster = SlotStore(settings.data_dir, LIMITS_STORE) if settings.data_dir else None
         self.shares = SharesDriver(self.limits, self.links, lambda: loop.time() * 1000.0, roster, self.writer)
@@ -96,7 +96,7 @@
 
     async def _keep_ticking(self) -> None:
         while True:
-            self.limits.machine.gives_way = self.shard.is_leader
+            self.limits.credit_machine.defers_candidacy = self.shard.is_leader
             self.registry.tick()
             self.monitor.tick()
             await asyncio.sleep(TICK_S)
--- a/brackenusher/assembly/proxy.py
+++ b/brackenusher/assembly/proxy.py
@@ -59,14 +59,14 @@
         self.links = Links(greeting(settings, "proxy", settings.proxy_internal_port, rng), rng)
         now = loop.time() * 1000.0
         self.limits = Limits(
-            self.links.own.address, [], rng, now, limit_bounds(settings), fresh=settings.bootstrap
+            self.links.own.address, [], rng, now, limit_bounds(settings), bootstrap=settings.bootstrap
         )
         self.limits_driver = LimitsDriver(self.limits, self.links, lambda: loop.time() * 1000.0)
         self.dispatcher = Dispatcher(
             DispatchSettings(zone=settings.zone, recompute_window_ms=settings.bounds.again_s * 1000.0),
             rng,
             now,
-            lambda service: self.limits.may_repeat(loop.time() * 1000.0, service),
+            lambda service: self.limits.may_retry(loop.time() * 1000.0, service),
         )
         self.key_lease = KeyLease(settings.bounds, self.links, lambda: loop.time() * 1000.0)
         self.journal = RequestJournal(loop.time)
--- a/brackenusher/cluster/limits_driver.py
+++ b/brackenusher/cluster/limits_driver.py
@@ -1,6 +1,7 @@
 """Connects a process's limits to its links: carries the messages of the machine and wakes it when it is due.
 
-Requests ask `LimitsDriver.admit`; where this proxy has no credit at hand they wait for the warden's word.
+Requests ask `LimitsDriver.admit`; where this proxy has no credit at hand they wait for the credit
+server's reply.
 """
 
 import asyncio
@@ -29,7 +30,7 @@
         self._running = False
         self._tickets = 0
         self._waiting: dict[int, asyncio.Future[bool]] = {}
-        self._warden = ""
+        self._credit_server = ""
 
     def start(self) -> None:
         """Begin to take messages and to wake the machine. Needs a running event loop."""
@@ -39,7 +40,7 @@
         self._links_changed()
 
     def stop(self, released: bool = False) -> None:
-        """Planned end: a warden lets another follow; the machine is woken no more.
+        """Planned end: a credit server lets another follow; the machine is woken no more.
 
         `released`: see `Limits.resign`.
         """
@@ -55,8 +56,8 @@
                 future.set_result(False)
 
     def voters_changed(self, voters: list[str], index: int = 0) -> None:
-        """The voters of the configuration shard keep the limits."""
-        self.limits.keepers_changed(self.now(), voters)
+        """The voters of the configuration shard are the acceptors of the limits."""
+        self.limits.set_acceptors(self.now(), voters)
         self._links_changed()
 
     # Requests
@@ -64,8 +65,8 @@
     def admit(self, tenant: Tenant, cost: float) -> bool | asyncio.Future[bool]:
         """Take the cost of a request from its tenant's quota.
 
-        A future where the warden is asked: it is done after some milliseconds, at most `spans.PATIENCE`. A
-        future that is cancelled asks no more.
+        A future where the credit server is asked: it is done after some milliseconds, at most
+        `spans.CREDIT_WAIT_TIMEOUT_MS`. A future that is cancelled asks no more.
         """
         self._tickets += 1
         ticket = self._tickets
@@ -86,7 +87,7 @@
     # The machine
 
     def _links_changed(self) -> None:
-        self.limits.links_changed(self.now(), list(self.links.connected()))
+        self.limits.set_reachable(self.now(), list(self.links.connected()))
         self._run()
 
     def _received(self, sender: str, message: betterproto.Message) -> None:
@@ -99,13 +100,13 @@
         self._run()
 
     def _run(self) -> None:
-        """Send what the machine wants sent, tell requests their verdicts, and set the timer anew."""
-        if self.limits.machine.warden != self._warden:
-            self._warden = self.limits.machine.warden
-            log.info("limits: warden=%s term=%d", self._warden, self.limits.machine.term)
+        """Send what the machine wants sent, tell requests their decisions, and set the timer anew."""
+        if self.limits.credit_machine.credit_server != self._credit_server:
+            self._credit_server = self.limits.credit_machine.credit_server
+            log.info("limits: warden=%s term=%d", self._credit_server, self.limits.credit_machine.term)
         for address, payload in self.limits.outbox():
             self.links.send(address, messages.MachineMessage(machine=MACHINE, payload=payload))
-        for ticket, admitted in self.limits.verdicts():
+        for ticket, admitted in self.limits.take_decisions():
             future = self._waiting.get(ticket)
             if future is not None and not future.done():
                 future.set_result(admitted)
--- a/brackenusher/control_plane/shares_driver.py
+++ b/brackenusher/control_plane/shares_driver.py
@@ -1,7 +1,7 @@
-"""Connects a control process's part in the limits (a keeper of the lease, or the warden) to links and disk.
+"""Connects a control process's part in the limits (acceptor or credit server) to links and disk.
 
-A keeper with a disk stores the roster of proxies, and whom it has promised itself to, before it says so: then
-the limits are whole again at once after all keepers were killed, with the same warden.
+An acceptor with a disk stores the roster of proxies, and whom it has promised the lease to, before it says
+so: then the limits are whole again at once after all acceptors were killed, with the same credit server.
 """
 
 import asyncio
@@ -22,7 +22,7 @@
 
 
 class SharesDriver(LimitsDriver):
-    """Runs a `Limits` machine with `asks=False`; configurations come by `Limits.configure`."""
+    """Runs a `Limits` machine with `is_proxy=False`; configurations come by `Limits.configure`."""
 
     def __init__(
         self,
@@ -38,7 +38,7 @@
         self._loading: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """As `LimitsDriver.start`, once what was stored is loaded; a keeper that can't read what it has
+        """As `LimitsDriver.start`, once what was stored is loaded; an acceptor that can't read what it has
         promised takes no part.
         """
         if self.store is None or self.writer is None:
@@ -84,7 +84,7 @@
             return
         error = done.exception()
         if error is None:
-            self.limits.stored(self.now(), revision)
+            self.limits.on_stored(self.now(), revision)
             self._run()
         else:
             log.warning("roster of the limits not stored: error=%s", error)
--- a/brackenusher/data_plane/ports.py
+++ b/brackenusher/data_plane/ports.py
@@ -63,5 +63,5 @@
     def retry_after_ms(self, tenant: Tenant, cost: float) -> float:
         """How long a request beyond the quota had best wait."""
 
-    def requested(self, now: float, service: str) -> None:
+    def record_request(self, now: float, service: str) -> None:
         """Counts a client's request."""
--- a/brackenusher/data_plane/proxy.py
+++ b/brackenusher/data_plane/proxy.py
@@ -315,7 +315,7 @@
         now = self._now_ms()
         version = self.configuration.generation if self.configuration is not None else 0
         self._note(exchange, "dispatched", exchange.route.name, exchange.service, "version", version)
-        self._limits.requested(now, exchange.service)
+        self._limits.record_request(now, exchange.service)
         self._perform(self._dispatcher.request_arrived(now, dispatch_request(exchange, tenant)))
 
     def _deadline_reached(self, exchange: Exchange) -> None:
--- a/brackenusher/group/replicator.py
+++ b/brackenusher/group/replicator.py
@@ -139,7 +139,7 @@
             self.machine.reach = [m.name for m in swim.alive() if m.name != self.name]
             self.machine.tick(now)
             if self.shares is not None:
-                self.shares.reach = self.machine.reach
+                self.shares.reachable = self.machine.reach
                 self.shares.tick(now)
             if self.fates is not None:
                 self.fates.reach = self.machine.reach
@@ -190,7 +190,7 @@
                 self.act(ready.changed)
             self.inorder.put(ready)
         if self.shares is not None:
-            out, self.shares.out = self.shares.out, []
+            out, self.shares.outgoing = self.shares.outgoing, []
             for to, message in out:
                 self.streams.send(to, msgpack.encode(message), SHARES)
         if self.fates is not None:
@@ -312,7 +312,7 @@
                 "replica_repeats_bound": self.past.bound,
             }
         if self.shares is not None:
-            found = {**found, "replica_warden": int(self.shares.warden == self.name)}
+            found = {**found, "replica_warden": int(self.shares.credit_server == self.name)}
         return [(name, value, "g", []) for name, value in found.items()]
 
     # What staff want
@@ -402,7 +402,7 @@
             "differs": m.differs,
             "conflicts": sorted(self.effect.conflicts)[:100],
             "others": others,
-            "warden": self.shares.warden if self.shares is not None else "",
+            "warden": self.shares.credit_server if self.shares is not None else "",
             "parts": parts,
             "base": round(self.shares.base, 4) if self.shares is not None else None,
             "counts": dict(m.counts + m.state.counts),
--- a/testbed/portions.py
+++ b/testbed/portions.py
@@ -47,12 +47,12 @@
         self.shares[i].receive(self.clock(i), sender, message)
 
     def act(self, i: int) -> None:
-        self.shares[i].reach = [f"n{j}" for j in range(self.size) if j != i and self.up[j]]
+        self.shares[i].reachable = [f"n{j}" for j in range(self.size) if j != i and self.up[j]]
         self.shares[i].tick(self.clock(i))
         self.carry(i)
 
     def carry(self, i: int) -> None:
-        out, self.shares[i].out = self.shares[i].out, []
+        out, self.shares[i].outgoing = self.shares[i].outgoing, []
         for to, message in out:
             self.send(i, int(to[1:]), message)
 
--- a/tests/fleet/data_plane_support.py
+++ b/tests/fleet/data_plane_support.py
@@ -306,7 +306,7 @@
         """Fixed."""
         return 750.0
 
-    def requested(self, now: float, service: str) -> None:
+    def record_request(self, now: float, service: str) -> None:
         """Note it."""
         self.requests.append(service)
 
--- a/tests/fleet/lease_world.py
+++ b/tests/fleet/lease_world.py
@@ -41,13 +41,13 @@
 
 
 @dataclass
-class LeaseWorld(World):
+class LeaseSimulation(World):
     """A simulated fleet whose proxies hold key leases."""
 
     strict: bool = True
     forwarded: list[ForwardedRequest] = field(default_factory=list)
-    refused_in_touch: list[str] = field(default_factory=list)
-    ended: list[str] = field(default_factory=list)  # proxies without a lease at the end
+    refused_while_connected: list[str] = field(default_factory=list)
+    left_without_lease: list[str] = field(default_factory=list)  # proxies without a lease at the end
     leases: dict[str, KeyLease] = field(default_factory=dict)
     confirmations: dict[str, VersionConfirmations] = field(default_factory=dict)
 
@@ -127,9 +127,9 @@
         if lease.holds:
             self.forwarded.append(ForwardedRequest(address, sent_at, proxy.client.version))
         elif proxy.client.ready and in_touch(self, proxy, self.now()):
-            self.refused_in_touch.append(f"REFUSED: at {address}, {self.now():.2f}")
+            self.refused_while_connected.append(f"REFUSED: at {address}, {self.now():.2f}")
 
-    def revoked(self) -> list[str]:
+    def find_revoked(self) -> list[str]:
         """Requests that ran although their key had been revoked for longer than RevokeMs."""
         violations = []
         for request in self.forwarded:
@@ -145,11 +145,11 @@
 
     def __init__(self, seed: int, strict: bool = True) -> None:
         self.rng = random.Random(seed)
-        self.sim = LeaseWorld(self.rng, proxy_count=3, strict=strict)
+        self.sim = LeaseSimulation(self.rng, proxy_count=3, strict=strict)
         self.generation = 1
         self.stopped: list[str] = []
 
-    async def run(self) -> LeaseWorld:
+    async def run(self) -> LeaseSimulation:
         """Run it; returns the simulation."""
         sim = self.sim
         sim.start()
@@ -171,7 +171,9 @@
             )()
         self._repair_all()
         await asyncio.sleep(QUIET_DURATION_S)
-        sim.ended = [f"ENDED: {address}" for address, lease in sim.leases.items() if not lease.holds]
+        sim.left_without_lease = [
+            f"ENDED: {address}" for address, lease in sim.leases.items() if not lease.holds
+        ]
         return sim
 
     def _commit(self) -> None:
@@ -232,6 +234,6 @@
             self.sim.trouble(component)
 
 
-def play_lease_day(seed: int, strict: bool = True) -> LeaseWorld:
+def run_lease_faults(seed: int, strict: bool = True) -> LeaseSimulation:
     """Run one schedule of faults; returns the simulation."""
     return play(LeaseFaultRun(seed, strict).run())
--- a/tests/fleet/limits_oracle.py
+++ b/tests/fleet/limits_oracle.py
@@ -7,7 +7,7 @@
 from barleybarrow.limits.bounds import KeyLimit, LimitBounds
 from barleybarrow.limits.credit_client import CreditClient
 from barleybarrow.limits.limits import Limits
-from barleybarrow.limits.predecessors import PredecessorBases
+from barleybarrow.limits.predecessors import PredecessorShares
 
 Clients = dict[str, tuple[float, CreditClient]]  # by proxy: time on its clock, client
 
@@ -16,7 +16,7 @@
 class TenantStats:
     """Outcomes of a tenant's requests."""
 
-    asked: int = 0
+    requested: int = 0
     refused: int = 0
     requested_cost: float = 0.0
     admitted: list[tuple[float, float]] = field(default_factory=list)  # time, cost
@@ -24,7 +24,7 @@
 
     @property
     def refused_share(self) -> float:
-        return self.refused / max(1, self.asked)
+        return self.refused / max(1, self.requested)
 
 
 class Process:
@@ -33,7 +33,7 @@
     def __init__(self, name: str, starts_at: float, clock_rate: float) -> None:
         self.name, self.offset, self.clock_rate = name, -starts_at + 1e6 * clock_rate, clock_rate
         self.limits: Limits | None = None
-        self.predecessor_shares: PredecessorBases | None = None
+        self.predecessor_shares: PredecessorShares | None = None
         self.incarnation = 0
         self.leaving = False  # shuts down as planned soon, and releases its fallback share
         self.wake_at = 0.0
@@ -53,7 +53,7 @@
     proxies: list[str]
     processes: dict[str, Process]
     tenants: dict[str, Tenant]
-    tally: dict[str, TenantStats]
+    stats: dict[str, TenantStats]
     request_times: list[float]
     retry_times: list[float]
 
@@ -66,15 +66,15 @@
                 clients[name] = process.clock_time(self.now), process.limits.client
         assigned = sum(c.fallback_share for at, c in clients.values() if at < c.fallback_share_until)
         assert assigned <= 1.0 + 1e-6, f"fallback shares add up to {assigned}"
-        holders = self.wardens()
+        holders = self.credit_servers()
         assert len(holders) <= 1, f"credit servers: {holders}"
         for name in holders:
             self.check_credit_server(self.processes[name], clients)
 
     def check_credit_server(self, process: Process, clients: Clients) -> None:
-        assert process.limits is not None and process.limits.machine.books is not None
-        machine, clock = process.limits.machine, process.clock_time(self.now)
-        state = process.limits.machine.books
+        assert process.limits is not None and process.limits.credit_machine.term_state is not None
+        machine, clock = process.limits.credit_machine, process.clock_time(self.now)
+        state = process.limits.credit_machine.term_state
         state.lent_share.advance(clock)
         fallback = sum(
             c.fallback_share for at, c in clients.values() if c.fallback_at <= at < c.fallback_share_until
@@ -114,7 +114,7 @@
 
     def max_in_window(self, tenant: str, window_ms: float) -> float:
         """Maximum that was admitted in any window of this length."""
-        admitted = self.tally[tenant].admitted
+        admitted = self.stats[tenant].admitted
         max_total = total = 0.0
         first = 0
         for at, cost in admitted:
@@ -150,19 +150,19 @@
             worst = max(worst, retries - allowed)
         return worst
 
-    def lent(self) -> float:
+    def lent_share(self) -> float:
         """The share of each limit that the credit server may grant."""
-        for name in self.wardens():
+        for name in self.credit_servers():
             limits = self.processes[name].limits
-            if limits is not None and limits.machine.books is not None:
-                return limits.machine.books.lent_share.value
+            if limits is not None and limits.credit_machine.term_state is not None:
+                return limits.credit_machine.term_state.lent_share.value
         return 0.0
 
-    def wardens(self) -> list[str]:
+    def credit_servers(self) -> list[str]:
         """Processes that hold the lease by their own clocks; more than one is a fault."""
         holders = []
         for name, process in self.processes.items():
-            if process.limits is not None and process.limits.machine.books is not None:
-                if process.clock_time(self.now) < process.limits.machine.lease_end:
+            if process.limits is not None and process.limits.credit_machine.term_state is not None:
+                if process.clock_time(self.now) < process.limits.credit_machine.lease_expires_at:
                     holders.append(name)
         return holders
--- a/tests/fleet/limits_support.py
+++ b/tests/fleet/limits_support.py
@@ -20,7 +20,7 @@
 
 def single_node(tenants: list[Tenant], bounds: LimitBounds = TOKEN_BOUNDS) -> tuple[Limits, float]:
     """A process that is a proxy and the only acceptor, after its election as the credit server."""
-    limits = Limits("a", ["a"], random.Random(1), 0.0, bounds, fresh=True)
+    limits = Limits("a", ["a"], random.Random(1), 0.0, bounds, bootstrap=True)
     limits.configure(0.0, tenants, [Service("s")])
     now = 0.0
     while now < 4000.0:
--- a/tests/fleet/limits_world.py
+++ b/tests/fleet/limits_world.py
@@ -14,8 +14,8 @@
 from barleybarrow.documents import QuotaUnit, Service, Tenant
 from barleybarrow.limits.bounds import LimitBounds
 from barleybarrow.limits.limits import Limits, Verdict
-from barleybarrow.limits.predecessors import NO_BASE, HeldBase, PredecessorBases
-from barleybarrow.limits.warden_lease import DRIFT
+from barleybarrow.limits.predecessors import NO_SHARE, HeldShare, PredecessorShares
+from barleybarrow.limits.warden_lease import MAX_CLOCK_RATE_RATIO
 from barleybarrow.replication.rendezvous import ranked
 from tests.fleet.limits_oracle import LimitsOracle, Process, TenantStats
 
@@ -36,12 +36,12 @@
     requests_per_s: float
     cost_range: tuple[float, float] = (1.0, 1.0)  # minimum and maximum
     weights: list[float] = field(default_factory=list)  # by proxy; empty: even
-    start: float = 0.0
+    starts_at: float = 0.0
     ends_at: float = 1e12
     retry_share: float = 0.0  # of the requests that ask for a retry
 
 
-class World(LimitsOracle):
+class LimitsSimulation(LimitsOracle):
     """Discrete-event simulation of the fleet; a "call" event runs a method by name."""
 
     def __init__(
@@ -49,7 +49,7 @@
         proxy_count: int,
         tenants: list[Tenant],
         seed: int = 1,
-        keepers: int = 3,
+        acceptor_count: int = 3,
         bounds: LimitBounds | None = None,
         max_drift: float = 0.0,
         loss_rate: float = 0.0,
@@ -68,11 +68,11 @@
         self.now = 0.0
         self.event_numbers = count()
         self.events: list[tuple[float, int, str, tuple]] = []
-        self.keepers = [f"c{i}" for i in range(keepers)]
+        self.acceptors = [f"c{i}" for i in range(acceptor_count)]
         self.proxies = [f"p{i}" for i in range(proxy_count)]
         self.processes: dict[str, Process] = {}
         self.cut_since: dict[str, float] = {}  # by process
-        self.tally = {name: TenantStats() for name in self.tenants}
+        self.stats = {name: TenantStats() for name in self.tenants}
         self.pending: dict[tuple[str, int], tuple[str, float, float]] = {}
         self.tickets = count(1)
         self.message_count = self.byte_count = 0
@@ -80,7 +80,7 @@
         self.unconfigured: set[str] = set()  # acceptors that start without a configuration
         self.request_times: list[float] = []
         self.retry_times: list[float] = []
-        for name in [*self.keepers, *self.proxies]:
+        for name in [*self.acceptors, *self.proxies]:
             self.processes[name] = Process(
                 name, self.rng.uniform(0, 1e6), 1 + self.rng.uniform(-max_drift, max_drift)
             )
@@ -95,11 +95,13 @@
         clock = process.clock_time(self.now)
         rng = random.Random(self.rng.getrandbits(40))
         is_proxy = name in self.proxies
-        process.limits = Limits(name, list(self.keepers), rng, clock, self.bounds, is_proxy, bootstrap)
+        process.limits = Limits(name, list(self.acceptors), rng, clock, self.bounds, is_proxy, bootstrap)
         process.incarnation, process.leaving = process.incarnation + 1, False
         if is_proxy:
-            process.predecessor_shares = PredecessorBases()
-            self.at(self.now + self.rng.uniform(0.0, PING_INTERVAL_MS), "pings", process, process.incarnation)
+            process.predecessor_shares = PredecessorShares()
+            self.schedule(
+                self.now + self.rng.uniform(0.0, PING_INTERVAL_MS), "pings", process, process.incarnation
+            )
         if self.durable and not is_proxy:
             process.limits.restore(clock, self.disks.get(name))
         if name not in self.unconfigured:
@@ -125,7 +127,7 @@
 
     def cut_off(self, name: str) -> None:
         self.cut_since[name] = self.now
-        self.at(self.now + LINK_LOSS_DETECTION_MS, "links")
+        self.schedule(self.now + LINK_LOSS_DETECTION_MS, "links")
 
     def reconnect(self, name: str) -> None:
         self.cut_since.pop(name, None)
@@ -133,26 +135,26 @@
 
     def replace_acceptor(self, old: str) -> None:
         """Replace an acceptor for good by a new one with an empty disk; others learn of it later."""
-        if old not in self.keepers:
+        if old not in self.acceptors:
             return
         self.kill(old)
         del self.processes[old]
-        new = f"c{len(self.keepers) + next(self.event_numbers)}"
+        new = f"c{len(self.acceptors) + next(self.event_numbers)}"
         self.processes[new] = Process(new, self.rng.uniform(0, 1e6), 1.0)
-        self.keepers = [*(name for name in self.keepers if name != old), new]
+        self.acceptors = [*(name for name in self.acceptors if name != old), new]
         self.start(new)
         for name in self.processes:
-            self.at(
+            self.schedule(
                 self.now + self.rng.uniform(0.0, MAX_ACCEPTORS_UPDATE_DELAY_MS),
                 "acceptors",
                 name,
-                list(self.keepers),
+                list(self.acceptors),
             )
 
     def on_acceptors(self, name: str, acceptors: list[str]) -> None:
         process = self.processes.get(name)
         if process is not None and process.limits is not None:
-            process.limits.keepers_changed(process.clock_time(self.now), acceptors)
+            process.limits.set_acceptors(process.clock_time(self.now), acceptors)
             self.flush(process)
 
     def set_tenant(self, tenant: Tenant) -> None:
@@ -169,7 +171,7 @@
         for name, process in self.processes.items():
             if process.limits is None:
                 continue
-            peers = [*self.keepers, *self.proxies] if name in self.keepers else self.keepers
+            peers = [*self.acceptors, *self.proxies] if name in self.acceptors else self.acceptors
             reachable = [
                 peer
                 for peer in peers
@@ -178,7 +180,7 @@
                 and self.processes[peer].limits is not None
                 and self.is_link_up(name, peer)
             ]
-            process.limits.links_changed(process.clock_time(self.now), reachable)
+            process.limits.set_reachable(process.clock_time(self.now), reachable)
             self.flush(process)
 
     def is_link_up(self, a: str, b: str) -> bool:
@@ -191,14 +193,14 @@
     def on_pings(self, process: Process, incarnation: int) -> None:
         if process.limits is None or process.incarnation != incarnation:
             return
-        self.at(self.now + PING_INTERVAL_MS, "pings", process, incarnation)
+        self.schedule(self.now + PING_INTERVAL_MS, "pings", process, incarnation)
         for target in ranked(process.name, [p for p in self.proxies if p != process.name])[:PINGED_PEERS]:
             self.ping(process, target)
 
     def ping(self, process: Process, target: str) -> None:
         assert process.predecessor_shares is not None
         clock = process.clock_time(self.now)
-        remembers = process.predecessor_shares.remembered(clock, target).part > 0.0
+        remembers = process.predecessor_shares.share_of(clock, target).fraction > 0.0
         self.send_datagram("ping", process.name, target, (process.incarnation, clock, remembers))
 
     def send_datagram(self, kind: str, sender: str, target: str, payload: tuple) -> None:
@@ -209,7 +211,9 @@
             return
         for _ in range(2 if self.rng.random() < self.duplicate_rate else 1):
             delay = self.rng.expovariate(1 / 3000.0) if self.rng.random() < self.late_ping_rate else 0.0
-            self.at(self.now + self.rng.uniform(*ONE_WAY_DELAY_MS) + delay, kind, sender, target, *payload)
+            self.schedule(
+                self.now + self.rng.uniform(*ONE_WAY_DELAY_MS) + delay, kind, sender, target, *payload
+            )
 
     def on_ping(self, sender: str, target: str, incarnation: int, sent_at: float, remembers: bool) -> None:
         process = self.processes[target]
@@ -220,13 +224,13 @@
         ):
             return
         clock = process.clock_time(self.now)
-        share = NO_BASE if process.leaving else HeldBase(*process.limits.base(clock))
-        process.predecessor_shares.pinged(clock, sender, remembers, share)
-        sender_share = process.predecessor_shares.remembered(clock, sender)
+        share = NO_SHARE if process.leaving else HeldShare(*process.limits.fallback_share(clock))
+        process.predecessor_shares.record_ping(clock, sender, remembers, share)
+        sender_share = process.predecessor_shares.share_of(clock, sender)
         self.send_datagram(
             "ack", target, sender, (incarnation, sent_at, share, process.leaving, sender_share)
         )
-        if remembers and process.limits.may_inherit and not share.part:
+        if remembers and process.limits.can_inherit and not share.fraction:
             self.ping(process, sender)
 
     def on_ack(
@@ -235,28 +239,30 @@
         target: str,
         incarnation: int,
         sent_at: float,
-        share: HeldBase,
+        share: HeldShare,
         released: bool,
-        own_share: HeldBase,
+        own_share: HeldShare,
     ) -> None:
         process = self.processes[target]
         if process.limits is None or process.predecessor_shares is None or process.incarnation != incarnation:
             return
-        process.predecessor_shares.told(sender, sent_at, share, released)
-        if own_share.part > 0.0:
+        process.predecessor_shares.record_ping_ack(sender, sent_at, share, released)
+        if own_share.fraction > 0.0:
             clock = process.clock_time(self.now)
-            process.limits.inherit(clock, own_share.part, sent_at + own_share.time / DRIFT)
+            process.limits.inherit_fallback_share(
+                clock, own_share.fraction, sent_at + own_share.time_ms / MAX_CLOCK_RATE_RATIO
+            )
 
     # Time
 
-    def at(self, when: float, kind: str, *args: object) -> None:
+    def schedule(self, when: float, kind: str, *args: object) -> None:
         heapq.heappush(self.events, (when, next(self.event_numbers), kind, args))
 
     def wake(self, process: Process) -> None:
         if process.limits is not None:
             when = max(self.now + 0.05, process.real_time(process.limits.next_wakeup()))
             process.wake_at = when
-            self.at(when, "wake", process)
+            self.schedule(when, "wake", process)
 
     def run(self, ends_at: float) -> None:
         while self.events and self.events[0][0] <= ends_at:
@@ -278,7 +284,7 @@
     def on_stored(self, process: Process, limits: Limits, revision: int, state: bytes) -> None:
         if process.limits is limits:
             self.disks[process.name] = state
-            limits.stored(process.clock_time(self.now), revision)
+            limits.on_stored(process.clock_time(self.now), revision)
             self.flush(process)
 
     def on_message(self, sender: str, name: str, payload: bytes) -> None:
@@ -300,26 +306,28 @@
                 delay = self.rng.uniform(*ONE_WAY_DELAY_MS)
                 if self.rng.random() < self.delay_rate:
                     delay += self.rng.expovariate(1 / 600.0)
-                self.at(self.now + delay, "message", process.name, address, payload)
-        for ticket, admitted in limits.verdicts():
+                self.schedule(self.now + delay, "message", process.name, address, payload)
+        for ticket, admitted in limits.take_decisions():
             request = self.pending.pop((process.name, ticket), None)
             if request is not None:
                 self.record_decision(request[0], request[1], admitted, self.now - request[2])
         write = limits.to_store()
         if write is not None:
-            self.at(self.now + self.sync_ms, "stored", process, limits, *write)
+            self.schedule(self.now + self.sync_ms, "stored", process, limits, *write)
         self.wake(process)
 
     # Requests
 
-    def demand(self, demand: Demand) -> None:
+    def add_demand(self, demand: Demand) -> None:
         weights = demand.weights or [1.0] * len(self.proxies)
-        self.at(max(self.now, demand.start), "request", demand, list(accumulate(weights)))
+        self.schedule(max(self.now, demand.starts_at), "request", demand, list(accumulate(weights)))
 
     def on_request(self, demand: Demand, weights: list[float]) -> None:
         if self.now >= demand.ends_at:
             return
-        self.at(self.now + self.rng.expovariate(demand.requests_per_s / 1000.0), "request", demand, weights)
+        self.schedule(
+            self.now + self.rng.expovariate(demand.requests_per_s / 1000.0), "request", demand, weights
+        )
         index = bisect_right(weights, self.rng.random() * weights[-1])
         process = self.processes[self.proxies[min(index, len(self.proxies) - 1)]]
         if process.limits is None:
@@ -330,8 +338,8 @@
             if min_cost == max_cost
             else float(int(min_cost * (max_cost / min_cost) ** self.rng.random()))
         )
-        stats = self.tally[demand.tenant]
-        stats.asked += 1
+        stats = self.stats[demand.tenant]
+        stats.requested += 1
         stats.requested_cost += cost
         self.maybe_retry(process, demand.retry_share)
         ticket = next(self.tickets)
@@ -347,13 +355,13 @@
         """Count a request for the service, and retry this share of the requests if the budget allows it."""
         limits, clock = process.limits, process.clock_time(self.now)
         assert limits is not None
-        limits.requested(clock, SERVICE)
+        limits.record_request(clock, SERVICE)
         self.request_times.append(self.now)
-        if share and self.rng.random() < share and limits.may_repeat(clock, SERVICE):
+        if share and self.rng.random() < share and limits.may_retry(clock, SERVICE):
             self.retry_times.append(self.now)
 
     def record_decision(self, tenant: str, cost: float, admitted: bool, wait_ms: float) -> None:
-        stats = self.tally[tenant]
+        stats = self.stats[tenant]
         stats.waits_ms.append(wait_ms)
         if admitted:
             stats.admitted.append((self.now, cost))
@@ -364,7 +372,7 @@
 
     def on_check(self, interval_ms: float) -> None:
         self.check_invariants()
-        self.at(self.now + interval_ms, "check", interval_ms)
+        self.schedule(self.now + interval_ms, "check", interval_ms)
 
 
 def token_tenant(name: str, rate: float, burst: float | None = None) -> Tenant:
--- a/tests/fleet/test_key_leases.py
+++ b/tests/fleet/test_key_leases.py
@@ -14,7 +14,7 @@
 from brackenusher.cluster.key_leases import KeyLease
 from brackenusher.control_plane.version_confirmations import VersionConfirmations
 from tests.fleet.feed_world import ProxyProcess, configuration
-from tests.fleet.lease_world import REVOKE_MS, LeaseWorld, play_lease_day
+from tests.fleet.lease_world import REVOKE_MS, LeaseSimulation, run_lease_faults
 from tests.fleet.virtual_time import play
 
 DAYS = 12
@@ -22,12 +22,12 @@
 MOST_RENEWAL_BYTES = 60  # both messages of one, without TCP's own
 
 
-def story(test: Callable[[Any, LeaseWorld], Awaitable[None]]) -> Callable[[Any], None]:
+def story(test: Callable[[Any, LeaseSimulation], Awaitable[None]]) -> Callable[[Any], None]:
     """A test that is played in a world of its own, with one version in force."""
 
     def run(self: Any) -> None:
         async def whole() -> None:
-            world = LeaseWorld(random.Random(1), proxy_count=2)
+            world = LeaseSimulation(random.Random(1), proxy_count=2)
             world.start()
             world.commit(configuration(3))
             await asyncio.sleep(3.0)
@@ -86,14 +86,14 @@
 class FleetTest(unittest.TestCase):
     """Proxies, control processes and links in virtual time."""
 
-    async def cut_off(self, world: LeaseWorld, proxy: ProxyProcess) -> None:
+    async def cut_off(self, world: LeaseSimulation, proxy: ProxyProcess) -> None:
         for address in [*world.voters, *world.proxies]:
             if address != proxy.address:
                 world.network.cut(proxy.address, address)
 
     @story
     async def test_a_proxy_that_is_cut_off_stops_in_time_and_goes_on_afterwards(
-        self, world: LeaseWorld
+        self, world: LeaseSimulation
     ) -> None:
         proxy, other = world.proxies.values()
         lease = world.leases[proxy.address]
@@ -108,7 +108,7 @@
         self.assertTrue(lease.holds)
 
     @story
-    async def test_a_peer_passes_on_what_control_told_it(self, world: LeaseWorld) -> None:
+    async def test_a_peer_passes_on_what_control_told_it(self, world: LeaseSimulation) -> None:
         proxy = next(iter(world.proxies.values()))
         for voter in world.voters:
             world.network.cut(proxy.address, voter)
@@ -116,14 +116,14 @@
         self.assertTrue(world.leases[proxy.address].holds)
 
     @story
-    async def test_without_a_majority_all_leases_end(self, world: LeaseWorld) -> None:
+    async def test_without_a_majority_all_leases_end(self, world: LeaseSimulation) -> None:
         for voter in world.voters[1:]:
             world.kill_control(voter)
         await asyncio.sleep(REVOKE_MS / 1000.0 + 1.0)
         self.assertEqual([lease.holds for lease in world.leases.values()], [False, False])
 
     @story
-    async def test_many_questions_are_served_by_few_reads(self, world: LeaseWorld) -> None:
+    async def test_many_questions_are_served_by_few_reads(self, world: LeaseSimulation) -> None:
         voter = world.voters[0]
         reads = 0
         confirm = world.controls[voter].shard.confirm
@@ -149,9 +149,9 @@
 
 def histories(seed: int, strict: bool = True) -> list[str]:
     """What the oracle finds on one day."""
-    world = play_lease_day(seed, strict)
+    world = run_lease_faults(seed, strict)
     errors = [f"ERROR: {error!r}" for error in world.network.errors]
-    return world.revoked() + world.refused_in_touch + world.ended + errors
+    return world.find_revoked() + world.refused_while_connected + world.left_without_lease + errors
 
 
 class QuietTest(unittest.TestCase):
@@ -171,13 +171,13 @@
 
     def test_where_the_rule_is_off_no_request_is_refused_and_nothing_is_asked(self) -> None:
         for seed in range(3):
-            world = play_lease_day(seed, strict=False)
-            self.assertEqual(world.refused_in_touch + world.ended, [])
+            world = run_lease_faults(seed, strict=False)
+            self.assertEqual(world.refused_while_connected + world.left_without_lease, [])
             self.assertTrue(all(not told.held.version for told in world.confirmations.values()))
 
     def test_the_days_are_hard_enough(self) -> None:
         """Where the rule is off, keys are used after their time: the oracle sees it."""
-        self.assertTrue(any(play_lease_day(seed, strict=False).revoked() for seed in range(DAYS)))
+        self.assertTrue(any(run_lease_faults(seed, strict=False).find_revoked() for seed in range(DAYS)))
 
 
 class PlantedTest(QuietTest):
@@ -185,7 +185,7 @@
 
     def found(self, owner: Any, name: str, fault: Any) -> None:
         with mock.patch.object(owner, name, fault):
-            shown = any(play_lease_day(seed).revoked() for seed in range(MOST_DAYS))
+            shown = any(run_lease_faults(seed).find_revoked() for seed in range(MOST_DAYS))
         self.assertTrue(shown, "no day shows it")
 
     def test_a_lease_that_counts_from_the_answers_arrival(self) -> None:
--- a/tests/fleet/test_limits.py
+++ b/tests/fleet/test_limits.py
@@ -73,8 +73,8 @@
         for _ in range(5):
             now += 3.0
             limits.tick(now)
-        self.assertEqual(limits.verdicts(), [(7, True)])
-        self.assertEqual(limits.verdicts(), [])
+        self.assertEqual(limits.take_decisions(), [(7, True)])
+        self.assertEqual(limits.take_decisions(), [])
 
     def test_cancelled_request_is_not_decided(self) -> None:
         tenant = make_tenant("one", 10_000.0, unit=QuotaUnit.TOKENS)
@@ -82,7 +82,7 @@
         limits.decide(now, tenant, 9000.0, 7)
         limits.cancel(7)
         limits.tick(now + 1000.0)
-        self.assertEqual(limits.verdicts(), [])
+        self.assertEqual(limits.take_decisions(), [])
 
     def test_credit_of_one_unit_is_not_spent_in_another(self) -> None:
         tenant = make_tenant("one", 1000.0, unit=QuotaUnit.TOKENS)
@@ -116,7 +116,7 @@
         self.assertIs(limits.decide(0.0, tenant, 1.0, 1), Verdict.PENDING)
         self.assertLessEqual(limits.next_wakeup(), 150.0)
         limits.tick(150.0)
-        self.assertEqual(limits.verdicts(), [(1, False)])
+        self.assertEqual(limits.take_decisions(), [(1, False)])
         self.assertIs(limits.decide(2000.0, tenant, 1.0, 2), Verdict.REFUSED)  # it never had a fallback share
 
 
@@ -235,13 +235,13 @@
         for _ in range(3000):
             now += 3.0
             limits.tick(now)
-            taken += limits.may_repeat(now, "s")
+            taken += limits.may_retry(now, "s")
         self.assertGreater(taken, 25)
         self.assertLessEqual(taken, 60)
 
     def test_unknown_service_has_no_retry_budget(self) -> None:
         limits, now = single_node([])
-        self.assertFalse(limits.may_repeat(now, "other"))
+        self.assertFalse(limits.may_retry(now, "other"))
 
 
 class LimitsDriverTests(unittest.TestCase):
@@ -257,7 +257,9 @@
         network: dict[str, FakeLinks] = {}
         drivers = {}
         for name in ("c", "p"):
-            limits = Limits(name, ["c"], random.Random(1), 0.0, TOKEN_BOUNDS, asks=name == "p", fresh=True)
+            limits = Limits(
+                name, ["c"], random.Random(1), 0.0, TOKEN_BOUNDS, is_proxy=name == "p", bootstrap=True
+            )
             limits.configure(0.0, [tenant], [Service("s")])
             links = FakeLinks(name, network)
             drivers[name] = LimitsDriver(limits, links, lambda: loop.time() * 1000.0)  # type: ignore[arg-type]
--- a/tests/fleet/test_limits_keepers.py
+++ b/tests/fleet/test_limits_keepers.py
@@ -55,7 +55,7 @@
             loop.close()
 
     async def run_driver(self, loop: VirtualLoop, store: MemoryStore, bootstrap: bool) -> Limits:
-        limits = Limits("c", [], random.Random(1), 0.0, TOKEN_BOUNDS, asks=False, fresh=bootstrap)
+        limits = Limits("c", [], random.Random(1), 0.0, TOKEN_BOUNDS, is_proxy=False, bootstrap=bootstrap)
         driver = SharesDriver(
             limits,
             FakeLinks("c", {}),  # type: ignore[arg-type]
@@ -77,8 +77,8 @@
         self.assertTrue(stored.known)
         self.assertGreaterEqual(stored.version, 1)
         later = self.run_acceptor(store, bootstrap=False)
-        self.assertTrue(later.machine.acceptor_state.known)
-        self.assertGreaterEqual(later.machine.acceptor_state.version, stored.version)
+        self.assertTrue(later.credit_machine.acceptor_state.known)
+        self.assertGreaterEqual(later.credit_machine.acceptor_state.version, stored.version)
 
     def test_failed_write_is_retried(self) -> None:
         store = MemoryStore()
@@ -90,7 +90,7 @@
     def test_empty_disk_after_the_first_start_is_not_a_known_roster(self) -> None:
         store = MemoryStore()
         limits = self.run_acceptor(store, bootstrap=False)
-        self.assertFalse(limits.machine.acceptor_state.known)
+        self.assertFalse(limits.credit_machine.acceptor_state.known)
 
 
 class BucketFloorTests(unittest.TestCase):
@@ -178,17 +178,17 @@
     """A restarted acceptor that has stored its newest promise."""
 
     def restart_acceptor(self, acceptors: list[str]) -> Limits:
-        before = Limits("a", ["a", "b", "c"], random.Random(1), 0.0, TOKEN_BOUNDS, asks=False)
+        before = Limits("a", ["a", "b", "c"], random.Random(1), 0.0, TOKEN_BOUNDS, is_proxy=False)
         before.restore(0.0, None)
-        before.receive(2000.0, "b", messages.encode(warden_lease.Seek(1, 1)))
+        before.receive(2000.0, "b", messages.encode(warden_lease.LeaseRequest(1, 1)))
         stored = before.to_store()
         assert stored is not None
-        after = Limits("a", acceptors, random.Random(2), 0.0, TOKEN_BOUNDS, asks=False)
+        after = Limits("a", acceptors, random.Random(2), 0.0, TOKEN_BOUNDS, is_proxy=False)
         after.restore(0.0, stored[1])
         return after
 
     def request_lease(self, limits: Limits, now: float, candidate: str) -> list[bool]:
-        limits.receive(now, candidate, messages.encode(warden_lease.Seek(9, 1)))
+        limits.receive(now, candidate, messages.encode(warden_lease.LeaseRequest(9, 1)))
         messages_sent = [messages.decode(payload) for _, payload in limits.outbox()]
         return [message.granted for message in messages_sent if isinstance(message, warden_lease.Promise)]
 
@@ -199,19 +199,19 @@
     def test_other_candidates_wait_for_the_lease_to_expire(self) -> None:
         limits = self.restart_acceptor(["a", "b", "c"])
         self.assertEqual(self.request_lease(limits, 10.0, "c"), [False])
-        self.assertEqual(self.request_lease(limits, 0.9 * spans.LEASE_TIMES.lease, "c"), [False])
+        self.assertEqual(self.request_lease(limits, 0.9 * spans.LEASE_TIMES.lease_ms, "c"), [False])
 
     def test_stored_promise_is_void_for_another_set_of_acceptors(self) -> None:
         limits = self.restart_acceptor(["a", "b", "d"])
         self.assertEqual(self.request_lease(limits, 10.0, "b"), [False])
 
     def test_promise_is_sent_only_once_stored(self) -> None:
-        limits = Limits("a", ["a", "b", "c"], random.Random(1), 0.0, TOKEN_BOUNDS, asks=False)
+        limits = Limits("a", ["a", "b", "c"], random.Random(1), 0.0, TOKEN_BOUNDS, is_proxy=False)
         limits.restore(0.0, None)
         self.assertEqual(self.request_lease(limits, 2000.0, "b"), [])
         stored = limits.to_store()
         assert stored is not None
-        limits.stored(2010.0, stored[0])
+        limits.on_stored(2010.0, stored[0])
         messages_sent = [messages.decode(payload) for _, payload in limits.outbox()]
         self.assertEqual(messages_sent, [warden_lease.Promise(1, True)])
         self.assertIsNone(limits.to_store())
@@ -219,20 +219,20 @@
 
 class AcceptorChangeTests(unittest.TestCase):
     def test_new_acceptor_makes_no_promise_for_one_lease(self) -> None:
-        limits = Limits("d", ["a", "b", "c"], random.Random(1), 0.0, TOKEN_BOUNDS, asks=False)
-        limits.keepers_changed(5000.0, ["a", "b", "c", "d"])
-        request = messages.encode(warden_lease.Seek(1, 1))
-        lease = spans.LEASE_TIMES.lease
+        limits = Limits("d", ["a", "b", "c"], random.Random(1), 0.0, TOKEN_BOUNDS, is_proxy=False)
+        limits.set_acceptors(5000.0, ["a", "b", "c", "d"])
+        request = messages.encode(warden_lease.LeaseRequest(1, 1))
+        lease = spans.LEASE_TIMES.lease_ms
         limits.receive(5000.0 + 0.9 * lease, "a", request)
-        limits.receive(5000.0 + 1.1 * lease, "a", messages.encode(warden_lease.Seek(1, 2)))
+        limits.receive(5000.0 + 1.1 * lease, "a", messages.encode(warden_lease.LeaseRequest(1, 2)))
         replies = [messages.decode(payload) for _, payload in limits.outbox()]
         self.assertEqual(replies, [warden_lease.Promise(1, False), warden_lease.Promise(2, True)])
 
     def test_credit_server_steps_down_when_it_is_no_acceptor(self) -> None:
         limits, now = single_node([])
-        self.assertIsNotNone(limits.machine.books)
-        limits.keepers_changed(now, ["b", "c"])
-        self.assertIsNone(limits.machine.books)
+        self.assertIsNotNone(limits.credit_machine.term_state)
+        limits.set_acceptors(now, ["b", "c"])
+        self.assertIsNone(limits.credit_machine.term_state)
 
 
 if __name__ == "__main__":
--- a/tests/fleet/test_limits_planted.py
+++ b/tests/fleet/test_limits_planted.py
@@ -16,7 +16,7 @@
     warden_lease,
 )
 from tests.fleet.limits_schedules import SIMULATION_MS, random_faults, run_and_check
-from tests.fleet.limits_world import Demand, World, token_tenant
+from tests.fleet.limits_world import Demand, LimitsSimulation, token_tenant
 
 MUTATION_SEEDS = range(60)
 
@@ -60,13 +60,13 @@
 
     def excess_over_successive_servers(self) -> float:
         """Excess over the bound while each credit server resigns after a second under high load."""
-        sim = World(5, [token_tenant("hot", 100_000.0, 200_000.0)])
+        sim = LimitsSimulation(5, [token_tenant("hot", 100_000.0, 200_000.0)])
         sim.run(6000.0)
         for _ in range(12):
             burst = (sim.now + 450.0, sim.now + 700.0)
-            sim.demand(Demand("hot", 900.0, (500.0, 5000.0), start=burst[0], ends_at=burst[1]))
+            sim.add_demand(Demand("hot", 900.0, (500.0, 5000.0), starts_at=burst[0], ends_at=burst[1]))
             sim.run(burst[1] + 350.0)
-            for name in sim.wardens():
+            for name in sim.credit_servers():
                 process = sim.processes[name]
                 assert process.limits is not None
                 process.limits.resign(process.clock_time(sim.now))
@@ -89,11 +89,13 @@
         """Kill credit servers while proxies hold the maximum of credit and then ask for little."""
         limit_bounds = bounds.LimitBounds(quota_slack=72_000.0)
         for seed in range(8):
-            sim = World(10, [token_tenant("one", 400_000.0)], seed=seed, bounds=limit_bounds, durable=True)
-            sim.demand(Demand("one", 60.0, (2_000.0, 9_000.0), start=4_000.0, ends_at=9_990.0))
-            sim.demand(Demand("one", 20.0, (100.0, 101.0), start=9_990.0))
+            sim = LimitsSimulation(
+                10, [token_tenant("one", 400_000.0)], seed=seed, bounds=limit_bounds, durable=True
+            )
+            sim.add_demand(Demand("one", 60.0, (2_000.0, 9_000.0), starts_at=4_000.0, ends_at=9_990.0))
+            sim.add_demand(Demand("one", 20.0, (100.0, 101.0), starts_at=9_990.0))
             sim.run(10_000.0)
-            sim.kill(sim.wardens()[0])
+            sim.kill(sim.credit_servers()[0])
             for step in range(100):
                 sim.run(10_000.0 + 20.0 * step)
                 sim.check_invariants()
@@ -172,7 +174,7 @@
         patch = mock.patch.object(credit_client.CreditClient, "handle_reply", handle_reply)
         for seed in MUTATION_SEEDS:
             sim = random_faults(seed, SIMULATION_MS)
-            sim.at(6000.0, "call", "cut_off", sim.proxies[0])
+            sim.schedule(6000.0, "call", "cut_off", sim.proxies[0])
             try:
                 with patch:
                     sim.run(SIMULATION_MS + spans.SHARE_LIFETIME_MS)
@@ -196,26 +198,26 @@
         )
 
     def test_credit_server_continues_after_its_lease(self) -> None:
-        original = warden_lease.WardenLease.count_promises
+        original = warden_lease.CreditServerLease.count_promises
 
-        def count_promises(self: warden_lease.WardenLease, now: float) -> None:
+        def count_promises(self: warden_lease.CreditServerLease, now: float) -> None:
             original(self, now)
-            self.lease_end += 600.0
+            self.lease_expires_at += 600.0
 
         self.assert_detected(
-            lambda: mock.patch.object(warden_lease.WardenLease, "count_promises", count_promises),
+            lambda: mock.patch.object(warden_lease.CreditServerLease, "count_promises", count_promises),
             "credit servers",
         )
 
     def test_restarted_acceptor_forgets_its_promise(self) -> None:
-        original = warden_lease.WardenLease.__init__
+        original = warden_lease.CreditServerLease.__init__
 
         def init(self, *args, **kwargs):  # type: ignore[no-untyped-def]
             original(self, *args, **kwargs)
             self.promised_until = 0.0
 
         self.assertEqual(self.problem_after_acceptor_restart(), "")
-        with mock.patch.object(warden_lease.WardenLease, "__init__", init):
+        with mock.patch.object(warden_lease.CreditServerLease, "__init__", init):
             self.assertIn("credit servers", self.problem_after_acceptor_restart())
 
     def test_promise_confirmed_before_it_is_stored(self) -> None:
@@ -232,14 +234,14 @@
     def problem_after_lost_promise(self) -> str:
         """Elect a second credit server by an acceptor that loses power before its slow disk has synced."""
         for seed in range(8):
-            sim = World(3, [token_tenant("under", 100_000.0)], seed=seed, durable=True)
-            sim.at(0.0, "check", 10.0)
+            sim = LimitsSimulation(3, [token_tenant("under", 100_000.0)], seed=seed, durable=True)
+            sim.schedule(0.0, "check", 10.0)
             sim.run(5000.0)
-            first = sim.wardens()[0]
-            witness, second = (name for name in sim.keepers if name != first)
+            first = sim.credit_servers()[0]
+            witness, second = (name for name in sim.acceptors if name != first)
             sim.sync_ms = 30.0
             sim.cut_off(first)
-            while second not in sim.wardens() and sim.now < 9000.0:
+            while second not in sim.credit_servers() and sim.now < 9000.0:
                 sim.run(sim.now + 1.0)
             sim.kill(witness)
             sim.cut_off(second)
@@ -264,13 +266,13 @@
     def problem_after_repeated_kills(self) -> str:
         """Kill all processes every 1.2 s, with a tenant far over its limit, for several seeds."""
         for seed in range(4):
-            sim = World(8, [token_tenant("hot", 100_000.0)], seed=seed, durable=True)
-            sim.demand(Demand("hot", 150.0, (1000.0, 10_000.0), start=4000.0))
-            sim.at(0.0, "check", 20.0)
+            sim = LimitsSimulation(8, [token_tenant("hot", 100_000.0)], seed=seed, durable=True)
+            sim.add_demand(Demand("hot", 150.0, (1000.0, 10_000.0), starts_at=4000.0))
+            sim.schedule(0.0, "check", 20.0)
             for round_ in range(6):
-                for name in [*sim.keepers, *sim.proxies]:
-                    sim.at(9000.0 + 1200.0 * round_, "call", "kill", name)
-                    sim.at(9100.0 + 1200.0 * round_, "call", "start", name)
+                for name in [*sim.acceptors, *sim.proxies]:
+                    sim.schedule(9000.0 + 1200.0 * round_, "call", "kill", name)
+                    sim.schedule(9100.0 + 1200.0 * round_, "call", "start", name)
             if problem := run_and_check(sim):
                 return problem
         return ""
@@ -278,11 +280,11 @@
     def problem_after_acceptor_restart(self) -> str:
         """Disconnect the credit server; its only other acceptor restarts and gets a request of another."""
         for seed in range(12):
-            sim = World(3, [token_tenant("under", 100_000.0)], seed=seed)
-            sim.at(0.0, "check", 10.0)
+            sim = LimitsSimulation(3, [token_tenant("under", 100_000.0)], seed=seed)
+            sim.schedule(0.0, "check", 10.0)
             sim.run(5000.0)
-            first = sim.wardens()[0]
-            witness, other = (name for name in sim.keepers if name != first)
+            first = sim.credit_servers()[0]
+            witness, other = (name for name in sim.acceptors if name != first)
             sim.cut_off(other)
             sim.run(10_000.0)
             sim.kill(witness)
--- a/tests/fleet/test_limits_predecessors.py
+++ b/tests/fleet/test_limits_predecessors.py
@@ -7,10 +7,10 @@
 from barleybarrow.limits import credit_client, members, predecessors
 from barleybarrow.limits.lent import LentShare
 from barleybarrow.limits.messages import CreditReport
-from barleybarrow.limits.predecessors import NO_BASE, HeldBase, PredecessorBases
+from barleybarrow.limits.predecessors import NO_SHARE, HeldShare, PredecessorShares
 from barleybarrow.limits.spans import STORED_SHARE_LIFETIME_MS
 from tests.fleet.limits_schedules import repeated_restarts, run_and_check
-from tests.fleet.limits_world import World, token_tenant
+from tests.fleet.limits_world import LimitsSimulation, token_tenant
 
 MUTATION_SEEDS = range(360, 420)
 
@@ -19,40 +19,40 @@
     """Lifetimes count from the sending of a ping, on the sender's clock."""
 
     def test_share_of_a_peer_is_remembered_until_it_expires(self) -> None:
-        shares = PredecessorBases()
-        shares.told("p", 1000.0, HeldBase(0.25, 10_500.0), released=False)
-        self.assertEqual(shares.remembered(4000.0, "p"), HeldBase(0.25, 7000.0))
-        self.assertEqual(shares.remembered(11_001.0, "p"), NO_BASE)
-        self.assertEqual(shares.remembered(4000.0, "other"), NO_BASE)
+        shares = PredecessorShares()
+        shares.record_ping_ack("p", 1000.0, HeldShare(0.25, 10_500.0), released=False)
+        self.assertEqual(shares.share_of(4000.0, "p"), HeldShare(0.25, 7000.0))
+        self.assertEqual(shares.share_of(11_001.0, "p"), NO_SHARE)
+        self.assertEqual(shares.share_of(4000.0, "other"), NO_SHARE)
 
     def test_next_incarnation_without_a_share_keeps_it_remembered(self) -> None:
-        shares = PredecessorBases()
-        shares.told("p", 1000.0, HeldBase(0.25, 10_500.0), released=False)
-        shares.told("p", 2000.0, NO_BASE, released=False)
-        self.assertEqual(shares.remembered(4000.0, "p").part, 0.25)
-        shares.told("p", 3000.0, NO_BASE, released=True)
-        self.assertEqual(shares.remembered(4000.0, "p"), NO_BASE)
+        shares = PredecessorShares()
+        shares.record_ping_ack("p", 1000.0, HeldShare(0.25, 10_500.0), released=False)
+        shares.record_ping_ack("p", 2000.0, NO_SHARE, released=False)
+        self.assertEqual(shares.share_of(4000.0, "p").fraction, 0.25)
+        shares.record_ping_ack("p", 3000.0, NO_SHARE, released=True)
+        self.assertEqual(shares.share_of(4000.0, "p"), NO_SHARE)
 
     def test_share_is_released_once_no_peer_remembers_it(self) -> None:
-        shares = PredecessorBases()
-        shares.pinged(1000.0, "p", False, HeldBase(0.25, 10_000.0))
+        shares = PredecessorShares()
+        shares.record_ping(1000.0, "p", False, HeldShare(0.25, 10_000.0))
         self.assertFalse(shares.is_released(2000.0))
-        shares.pinged(2000.0, "p", True, NO_BASE)  # the reply that releases it may be lost
+        shares.record_ping(2000.0, "p", True, NO_SHARE)  # the reply that releases it may be lost
         self.assertFalse(shares.is_released(2000.0))
-        shares.pinged(3000.0, "p", False, NO_BASE)
+        shares.record_ping(3000.0, "p", False, NO_SHARE)
         self.assertTrue(shares.is_released(3000.0))
 
     def test_share_of_the_previous_incarnation_counts(self) -> None:
-        shares = PredecessorBases()
-        shares.pinged(1000.0, "p", True, NO_BASE)
+        shares = PredecessorShares()
+        shares.record_ping(1000.0, "p", True, NO_SHARE)
         self.assertFalse(shares.is_released(2000.0))
 
     def test_number_of_remembered_peers_is_bounded(self) -> None:
-        shares = PredecessorBases()
+        shares = PredecessorShares()
         for number in range(predecessors.MAX_REMEMBERED_PEERS + 10):
-            shares.told(f"p{number}", 0.0, HeldBase(0.1, 1000.0), released=False)
-        self.assertEqual(shares.remembered(1.0, "p0"), NO_BASE)
-        self.assertEqual(shares.remembered(1.0, "p20").part, 0.1)
+            shares.record_ping_ack(f"p{number}", 0.0, HeldShare(0.1, 1000.0), released=False)
+        self.assertEqual(shares.share_of(1.0, "p0"), NO_SHARE)
+        self.assertEqual(shares.share_of(1.0, "p20").fraction, 0.1)
 
 
 class ReservedShareTests(unittest.TestCase):
@@ -87,10 +87,10 @@
 
     def inherits_after(self, pause_ms: float) -> list[bool]:
         """Whether a proxy that starts this long after the loss of the credit server inherits its share."""
-        sim = World(6, [token_tenant("t", 100_000.0)], seed=5, durable=True)
+        sim = LimitsSimulation(6, [token_tenant("t", 100_000.0)], seed=5, durable=True)
         sim.ping_loss_rate = sim.late_ping_rate = 0.0
         sim.run(8000.0)
-        for name in sim.keepers:
+        for name in sim.acceptors:
             sim.kill(name)
         sim.run(8000.0 + pause_ms - 1000.0)
         sim.kill("p0")
@@ -99,7 +99,7 @@
         sim.run(sim.now + 2500.0)
         process = sim.processes["p0"]
         assert process.limits is not None
-        return [process.limits.base(process.clock_time(sim.now))[0] > 0.0]
+        return [process.limits.fallback_share(process.clock_time(sim.now))[0] > 0.0]
 
 
 class InjectedBugTests(unittest.TestCase):
@@ -130,12 +130,12 @@
         )
 
     def test_remembered_share_that_never_expires(self) -> None:
-        def remembered(self: PredecessorBases, now: float, peer: str) -> HeldBase:
+        def share_of(self: PredecessorShares, now: float, peer: str) -> HeldShare:
             peer_share = self._peer_shares.get(peer)
-            return HeldBase(peer_share.part, 20_000.0) if peer_share is not None else NO_BASE
+            return HeldShare(peer_share.fraction, 20_000.0) if peer_share is not None else NO_SHARE
 
         self.assert_test_fails(
-            "test_inheritance_ends_with_the_lifetime", PredecessorBases, "remembered", remembered
+            "test_inheritance_ends_with_the_lifetime", PredecessorShares, "share_of", share_of
         )
 
     def test_share_inherited_in_addition_to_an_assigned_one(self) -> None:
--- a/tests/fleet/test_process_lives.py
+++ b/tests/fleet/test_process_lives.py
@@ -106,7 +106,7 @@
         self.assertNotEqual(one.tick(0.0)[0].number, other.tick(0.0)[0].number)
         runs = [random.Random(seed).getrandbits(60) for seed in (1, 2)]
         clients = [CreditClient(run, 0.0, lambda key: None) for run in runs]
-        self.assertNotEqual(clients[0].report(1.0).number, clients[1].report(1.0).number)
+        self.assertNotEqual(clients[0].build_report(1.0).sequence, clients[1].build_report(1.0).sequence)
 
 
 class LostDiskTest(unittest.TestCase):
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -8,12 +8,12 @@
 from barleybarrow.shares import (
     GRANT,
     LEASE,
-    Here,
+    CreditServerHeartbeat,
+    LeaseRequest,
     Parts,
     Promise,
     Report,
     Role,
-    Seek,
     SharedRateLimiter,
     Shares,
 )
@@ -28,7 +28,7 @@
 def group(size, seed=1, **more):
     p = Portions(size, 3, seed, RATE, RATE, **more)
     p.run(5000.0)
-    assert [s.role for s in p.shares].count(Role.WARDEN) == 1
+    assert [s.role for s in p.shares].count(Role.CREDIT_SERVER) == 1
     return p
 
 
@@ -59,7 +59,7 @@
     assert p.most_between(0.0, p.now) <= NEARLY
     for i in away:  # the group's view takes them out: their parts are given to others after a while
         for s in p.shares:
-            s.reach = [n for n in s.reach if n != f"n{i}"]
+            s.reachable = [n for n in s.reachable if n != f"n{i}"]
     p.faults = []
     p.run(p.now + 4000.0)
     assert p.rate_between(p.now - 2000.0, p.now) >= 0.95 * RATE
@@ -68,7 +68,7 @@
 def test_one_that_holds_much_dies_or_is_paused_and_comes_back():
     for deed in ("crash", "pause"):
         p = group(5, seed=2)
-        holder = next(i for i, s in enumerate(p.shares) if s.role is not Role.WARDEN)
+        holder = next(i for i, s in enumerate(p.shares) if s.role is not Role.CREDIT_SERVER)
         p.demand[holder] = 600.0
         p.run(p.now + 4000.0)
         assert p.shares[holder].part("t", p.clock(holder)) > 0.9
@@ -103,7 +103,7 @@
     p.run(end)
     p.faults = []
     p.run(p.now + 8000.0)
-    wardens = sum(s.role is Role.WARDEN and p.up[i] for i, s in enumerate(p.shares))
+    wardens = sum(s.role is Role.CREDIT_SERVER and p.up[i] for i, s in enumerate(p.shares))
     assert wardens == (sum(p.up[:3]) >= 2)
     assert p.most_between(0.0, p.now) <= NEARLY or crashed
     if not crashed:
@@ -120,7 +120,10 @@
         most = 0
         while p.now < 150 * PERIOD:
             p.run(p.now + 50.0)
-            holds = [s.role is Role.WARDEN and p.clock(i) < s.lease_end for i, s in enumerate(p.shares)]
+            holds = [
+                s.role is Role.CREDIT_SERVER and p.clock(i) < s.lease_expires_at
+                for i, s in enumerate(p.shares)
+            ]
             most = max(most, sum(holds))
         assert most == 1
 
@@ -128,43 +131,44 @@
 def test_a_lease_and_a_part_count_from_the_question():
     s = Shares("n0", ["n0", "n1", "n2"], random.Random(1), 0.0, 3, lambda key: RATE)
     s.promised_until = 0.0
-    s.role, s.reach = Role.SEEKING, ["n1", "n2"]
-    s.ask_keepers(100.0)
-    s.receive(2000.0, "n1", Promise(s.token, True))
-    assert s.role is Role.WARDEN and s.lease_end == 100.0 + LEASE
+    s.role, s.reachable = Role.CANDIDATE, ["n1", "n2"]
+    s.send_lease_requests(100.0)
+    s.receive(2000.0, "n1", Promise(s.ballot, True))
+    assert s.role is Role.CREDIT_SERVER and s.lease_expires_at == 100.0 + LEASE
     late = Shares("n0", ["n0", "n1", "n2"], random.Random(1), 0.0, 3, lambda key: RATE)
     late.promised_until = 0.0
-    late.role = Role.SEEKING
-    late.ask_keepers(100.0)
-    late.receive(101.0 + LEASE, "n1", Promise(late.token, True))
-    assert late.role is Role.SEEKING  # it is over before it begins
+    late.role = Role.CANDIDATE
+    late.send_lease_requests(100.0)
+    late.receive(101.0 + LEASE, "n1", Promise(late.ballot, True))
+    assert late.role is Role.CANDIDATE  # it is over before it begins
     p = Shares("n5", ["n0", "n1", "n2"], random.Random(1), 0.0, 4, lambda key: RATE)
-    p.receive(0.0, "n0", Here(9))
+    p.receive(0.0, "n0", CreditServerHeartbeat(9))
     p.report(50.0)
-    assert p.out[-1] == ("n0", Report(9, 1, 0, 0.25, []))
+    assert p.outgoing[-1] == ("n0", Report(9, 1, 0, 0.25, []))
     p.receive(1500.0, "n0", Parts(9, 1, 1, 0.25, [("t", 0.9)]))
     assert p.part("t", 50.0 + GRANT - 1.0) == 0.9 and p.part("t", 50.0 + GRANT) == 0.25
     p.receive(1600.0, "n1", Parts(9, 1, 2, 0.25, [("t", 1.0)]))
     p.receive(1600.0, "n0", Parts(8, 1, 3, 0.25, [("t", 1.0)]))
     assert p.applied == 1  # not of another, nor of another time
-    p.receive(1700.0, "n1", Seek(7, 5))
-    assert p.out[-1][1] != Promise(5, True)  # it keeps nothing
+    p.receive(1700.0, "n1", LeaseRequest(7, 5))
+    assert p.outgoing[-1][1] != Promise(5, True)  # it keeps nothing
 
 
 def test_a_keeper_that_starts_promises_nobody_anything_for_as_long_as_it_may_have_before():
     s = Shares("n1", ["n0", "n1", "n2"], random.Random(1), 0.0, 3, lambda key: RATE)
-    s.receive(LEASE, "n0", Seek(7, 1))
-    assert s.out.pop() == ("n0", Promise(1, False))
-    s.receive(1.06 * LEASE, "n0", Seek(7, 2))
-    assert s.out.pop() == ("n0", Promise(2, True))
-    s.receive(1.07 * LEASE, "n2", Seek(7, 3))
-    assert s.out.pop() == ("n2", Promise(3, False))
-    s.receive(1.075 * LEASE, "n0", Seek(7, 1, True))  # of a question before the last: it changes nothing
-    s.receive(1.08 * LEASE, "n2", Seek(7, 3))
-    assert s.out.pop() == ("n2", Promise(3, False))
-    s.receive(1.08 * LEASE, "n0", Seek(7, 2, True))
-    s.receive(1.09 * LEASE, "n2", Seek(7, 4))
-    assert s.out.pop() == ("n2", Promise(4, True))
+    s.receive(LEASE, "n0", LeaseRequest(7, 1))
+    assert s.outgoing.pop() == ("n0", Promise(1, False))
+    s.receive(1.06 * LEASE, "n0", LeaseRequest(7, 2))
+    assert s.outgoing.pop() == ("n0", Promise(2, True))
+    s.receive(1.07 * LEASE, "n2", LeaseRequest(7, 3))
+    assert s.outgoing.pop() == ("n2", Promise(3, False))
+    # of a question before the last: it changes nothing
+    s.receive(1.075 * LEASE, "n0", LeaseRequest(7, 1, True))
+    s.receive(1.08 * LEASE, "n2", LeaseRequest(7, 3))
+    assert s.outgoing.pop() == ("n2", Promise(3, False))
+    s.receive(1.08 * LEASE, "n0", LeaseRequest(7, 2, True))
+    s.receive(1.09 * LEASE, "n2", LeaseRequest(7, 4))
+    assert s.outgoing.pop() == ("n2", Promise(4, True))
 
 
 def test_a_door_takes_up_its_part_and_gains_nothing_by_the_change():
