--- a/barleybarrow/agreement.py
+++ b/barleybarrow/agreement.py
@@ -1,21 +1,21 @@
-"""A log that a few voters agree on and any number of learners follow: Raft, without I/O.
+"""Raft without I/O: a log replicated to a small set of voters and any number of learners.
 
 Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm" (USENIX ATC 2014), with pre-vote,
-check-quorum, learners and the read index of Ongaro's thesis (2014). It must never let two leaders of one term
-have votes of a majority, and never count as agreed what a majority has not on disk: whatever it wants
-stored and sent comes in one `Ready`, which is stored first, sent then, and applied last.
+check-quorum, learners and the read index of Ongaro's thesis (2014). Two invariants must hold: a term has at
+most one leader elected by a majority, and an entry is committed only once a majority has it on disk. All
+output is therefore collected in one `Ready`, which the caller persists first, then sends, then applies.
 
-Its parts, each on top of the one before: `agreement_log` (what stands where), `agreement_replication` (the
-others' logs), `agreement_reads` (reads of a moment) and `agreement_elections`; here are time, messages and
-voters.
+The modules build on one another: `agreement_log` (log and hard state), `agreement_replication` (followers'
+logs), `agreement_reads` (linearizable reads) and `agreement_elections`. This module adds the clock, message
+dispatch and membership changes.
 
-| role | what it does | leaves it |
+| role | what it does | when it leaves the role |
 | --- | --- | --- |
-| LEARNER | follows, never stands or votes | a change of voters names it |
-| FOLLOWER | follows a leader, grants votes | silence for an election's span: PROBING |
-| PROBING | asks whether it would be elected, without raising the term | a majority says so: CANDIDATE |
-| CANDIDATE | asks for votes in a new term | a majority: LEADER; a greater term: FOLLOWER |
-| LEADER | appends, counts, beats | a greater term, or no majority heard for an election's span: FOLLOWER |
+| learner | follows; never campaigns or votes | it is added to the voters |
+| follower | follows a leader, grants votes | election timeout: starts a pre-vote |
+| pre-candidate | requests pre-votes without raising the term | majority: candidate |
+| candidate | requests votes in a new term | majority: leader; higher term: follower |
+| leader | appends, commits, sends heartbeats | higher term, or no quorum heard for a timeout: follower |
 """
 
 from random import Random
@@ -47,7 +47,7 @@
 
 
 class Agreement(Elections):
-    """One process's part."""
+    """The Raft state machine of one process."""
 
     def __init__(
         self,
@@ -64,7 +64,7 @@
         super().__init__(rng, now, barred, name, voters, term, vote, snapshot, entries)
         self.note = b""
 
-    # What whoever drives it calls
+    # Called by the driver
 
     def next(self) -> float:
         if self.role is Role.LEADER:
@@ -82,14 +82,14 @@
             self.stands_at = now + self.patience()
             if self.role is Role.LEARNER or self.barred:
                 self.leader = ""
-                for name in self.voters:  # whoever leads has to know that there is one more
+                for name in self.voters:  # the leader adds a learner once it hears from it
                     if name != self.name:
                         self.send(name, Appended(self.term, False, self.last, 0, self.note, False))
             else:
                 self.stand(now, probe=True)
 
     def propose(self, now: float, data: bytes, kind: int = Kind.DATA) -> int:
-        """Append, where this process leads: the index; else pass it on to who does, and 0."""
+        """Append an entry and return its index; a follower forwards data to the leader and returns 0."""
         if self.role is Role.LEADER:
             if kind == Kind.VOTERS and not self.may_change():
                 return 0
@@ -103,22 +103,25 @@
         return 0
 
     def stored(self, now: float, ready: Ready) -> None:
-        """What that one wanted stored is on disk."""
-        if self.term_of(ready.last) == ready.last_term:  # else other entries stand there since
+        """Report that everything in `ready` is on disk."""
+        if self.term_of(ready.last) == ready.last_term:  # otherwise those entries have been overwritten since
             self.stored_to = max(self.stored_to, ready.last)
         if self.role is Role.LEADER:
             self.advance(now)
 
-    # Changes of voters
+    # Membership changes
 
     def may_change(self) -> bool:
-        """One change of voters at a time, and none before something of this term is agreed on."""
+        """Whether a membership change may start.
+
+        Only one may be in progress, and an entry of the current term must have been committed before.
+        """
         since = range(self.commit + 1, self.last + 1)
         on_way = any(self.entries[i - self.snapshot.index - 1].kind == Kind.VOTERS for i in since)
         return not on_way and self.term_of(self.commit) == self.term
 
     def change_voters(self, now: float, voters: list[str]) -> bool:
-        """Take one voter in or out, where this process leads. Thesis, 4.1."""
+        """Add or remove a single voter if this process is the leader. Thesis, 4.1."""
         if len(set(voters) ^ set(self.voters)) != 1 or not voters:
             return False
         return self.propose(now, msgpack.encode(voters), Kind.VOTERS) > 0
@@ -126,7 +129,7 @@
     # Messages
 
     def receive(self, now: float, sender: str, m: Message) -> None:
-        """Take a message from another process, which is who it says."""
+        """Handle a message; the transport has authenticated the sender."""
         if isinstance(m, AskVote):
             self.asked(now, sender, m)
         elif isinstance(m, Vote):
@@ -168,6 +171,6 @@
         self.send(sender, Appended(self.term, True, index, round_, self.note, not self.barred))
 
     def tell(self) -> None:
-        """Have the leader hear at once what was noted since; it would else with its next word's answer."""
+        """Send the current note to the leader now instead of with the next append response."""
         if self.leader and self.leader != self.name:
             self.send(self.leader, Appended(self.term, True, self.applied, 0, self.note, not self.barred))
--- a/barleybarrow/agreement_elections.py
+++ b/barleybarrow/agreement_elections.py
@@ -1,6 +1,6 @@
 """Elections with pre-vote and check-quorum. Raft, 5.2; Ongaro's thesis (2014), 6.2 and 9.6.
 
-It must never give two votes in one term, nor one by a store that may lack what it has said.
+A process must never cast two votes in one term, nor any while its store may lack an earlier vote.
 """
 
 from math import inf
@@ -12,19 +12,19 @@
 from barleybarrow.agreement_reads import ReadIndex
 from barleybarrow.agreement_replication import Progress
 
-ELECTION = 600.0  # milliseconds of silence until a follower stands, and up to as much more by chance
-BROKEN_LINK = (150.0, 450.0)  # milliseconds until a follower stands whose link to the leader broke
-LEARNER_GONE = 30_000.0  # milliseconds of silence after which a leader forgets a learner
+ELECTION = 600.0  # plus a random extra of up to the same length
+BROKEN_LINK = (150.0, 450.0)  # shorter election timeout after the link to the leader broke
+LEARNER_GONE = 30_000.0  # the leader drops a learner that has been silent for this long
 
 
 class Elections(ReadIndex):
-    """Who leads, as far as this process knows, and whom it votes for."""
+    """Leader election of one process."""
 
     def __init__(self, rng: Random, now: float, barred: bool, *arguments: Any) -> None:
         super().__init__(*arguments)
         self.rng = rng
         self.heard_at = -inf
-        self.barred = barred  # its store may lack what it has said: no votes, no counting, until it caught up
+        self.barred = barred  # the store may have lost promises: no votes, and no part in a quorum
         self.votes: set[str] = set()
         self.stands_at = now + self.patience()
         self.beats_at = self.checks_at = now
@@ -34,17 +34,17 @@
         return ELECTION + self.rng.uniform(0.0, ELECTION)
 
     def slept(self, now: float) -> None:
-        """This process stood still: what it held for a silence of others was its own."""
+        """Restart the timers after this process was paused: it cannot tell who was silent meanwhile."""
         self.stands_at = now + self.patience()
         self.heard_at = -inf
         if self.role is Role.LEADER:
             self.follow(now, self.term, "")
 
     def trust(self) -> None:
-        """What its store lacks is made up for: it votes and counts from now on.
+        """Vote and count in quorums again, now that the log holds all that was lost.
 
-        In this term it may have voted before, for whom it no longer knows: so for nobody but its leader, and
-        where it knows of none, for nobody else.
+        The vote this process may have cast in the current term is unknown, so it records one for the leader
+        or, if no leader is known, for itself: no other candidate of this term can get a second vote.
         """
         self.barred = False
         if not self.vote:
@@ -99,7 +99,7 @@
             self.send(sender, Vote(m.term if granted else self.term, granted, True))
             return
         if led and m.term > self.term and not m.transfer:
-            return  # one that hears no leader must not unseat one that others hear
+            return  # a process that cannot hear the leader must not depose one that this process hears
         if m.term > self.term:
             self.follow(now, m.term, "")
         granted = m.term == self.term and up_to_date and self.vote in ("", sender)
@@ -124,9 +124,7 @@
             self.elected(now, self.role is Role.PROBING)
 
     def successor(self, now: float) -> str:
-        """Who would best take the lead over: the voter heard of late that holds most; "" where there
-        is none.
-        """
+        """The recently heard voter with the longest matching log, to transfer leadership to; "" if none."""
         held = [
             (p.match, name)
             for name, p in self.progress.items()
@@ -135,13 +133,13 @@
         return max(held)[1] if held else ""
 
     def unreachable(self, now: float, name: str) -> None:
-        """The link to this process broke: where it leads, stand soon, unless it is heard of again."""
+        """Shorten the election timeout if the broken link leads to the leader."""
         if self.leader == name and self.role is not Role.LEADER:
             self.heard_at = -inf
             self.stands_at = min(self.stands_at, now + self.rng.uniform(*BROKEN_LINK))
 
     def check(self, now: float) -> None:
-        """Step down where no majority was heard for an election's span; thesis, 6.2."""
+        """Step down if no majority was heard within an election timeout; thesis, 6.2."""
         self.checks_at = now + ELECTION / 2
         heard = sum(now - self.progress[n].heard_at < ELECTION for n in self.voters if n in self.progress)
         if heard + (self.name in self.voters) < self.majority:
--- a/barleybarrow/agreement_log.py
+++ b/barleybarrow/agreement_log.py
@@ -1,7 +1,7 @@
-"""The log of one process of an agreement, and its hard state: what stands where, and what is to be stored.
+"""The Raft log and hard state (term and vote) of one process.
 
-It must never take back what it has said to be stored: whatever is wanted stored and sent is gathered in one
-`Ready`, which is stored first, sent then, and applied last.
+What has been reported as persisted must never be taken back: writes and messages are collected in one
+`Ready`, which is persisted first, then sent, then applied.
 """
 
 from collections import Counter
@@ -11,11 +11,11 @@
 
 from barleybarrow.agreement_messages import Append, Entry, Kind, Message, Ready, Snapshot
 
-MOST_MESSAGES = 4000  # that wait to be sent
+MOST_MESSAGES = 4000
 
 
 class Role(Enum):
-    """What a process is in its term; see `barleybarrow.agreement`."""
+    """Raft role of a process in its term; the table in `barleybarrow.agreement` lists the transitions."""
 
     LEARNER = "learner"
     FOLLOWER = "follower"
@@ -25,7 +25,7 @@
 
 
 class ReplicatedLog:
-    """Snapshot, entries behind it, term and vote, and who votes by the last word in the log."""
+    """Snapshot, the entries after it, term, vote, and the voters named by the newest membership entry."""
 
     def __init__(
         self,
@@ -52,7 +52,7 @@
         return self.snapshot.index + len(self.entries)
 
     def term_of(self, index: int) -> int:
-        """The term of an entry, or of the last one in the snapshot; -1 where it is not there."""
+        """Term of the entry at an index, which may be the snapshot's last; -1 if it is not in the log."""
         if index == self.snapshot.index:
             return self.snapshot.term
         if self.snapshot.index < index <= self.last:
@@ -60,7 +60,7 @@
         return -1
 
     def voting(self) -> list[str]:
-        """Who votes, by the last word on it in the log, be it agreed on or not."""
+        """Voters named by the newest membership entry in the log, committed or not."""
         for entry in reversed(self.entries):
             if entry.kind == Kind.VOTERS:
                 return msgpack.decode(entry.data, type=list[str])
@@ -72,7 +72,7 @@
 
     @property
     def dropped(self) -> int:
-        """What was left out for lack of room: messages, questions, words of learners."""
+        """Messages, reads and learners' responses dropped because a limit was reached."""
         return sum(self.counts[what] for what in ("messages", "reads", "learners"))
 
     def append(self, entry: Entry) -> int:
@@ -80,7 +80,7 @@
         return self.last
 
     def place(self, first: int, entries: list[Entry]) -> None:
-        """Have entries stand from an index on, whatever stood there."""
+        """Write entries from an index on, replacing whatever follows it."""
         del self.entries[first - self.snapshot.index - 1 :]
         self.entries += entries
         ready = self.ready
@@ -102,8 +102,8 @@
             self.role = Role.FOLLOWER
 
     def match_up(self, m: Append) -> int:
-        """Put a leader's entries where they belong: the last index that agrees, or -1."""
-        if m.before < self.snapshot.index:  # what the snapshot holds is agreed on
+        """Append a leader's entries: the last index that matches its log, or -1 on a mismatch."""
+        if m.before < self.snapshot.index:  # entries in the snapshot are committed, so they match
             skip = self.snapshot.index - m.before
             if skip >= len(m.entries):
                 return max(self.snapshot.index, 0)
@@ -135,7 +135,10 @@
         return snapshot.index
 
     def compact(self, index: int, data: bytes) -> Snapshot | None:
-        """Put a snapshot in the place of what was applied, to be stored; None where it is older."""
+        """Replace applied entries by a snapshot, which the caller has to persist.
+
+        None if the index is not above the current snapshot's, or was not applied.
+        """
         if not self.snapshot.index < index <= self.applied:
             return None
         voters = self.voters_at(index)
@@ -150,19 +153,19 @@
                 return msgpack.decode(self.entries[i].data, type=list[str])
         return list(self.snapshot.voters)
 
-    # What is to be done
+    # Output
 
     def hard(self, term: int, vote: str) -> None:
         self.term, self.vote = term, vote
         self.ready.hard = term, vote
 
     def whole(self) -> Ready:
-        """All that is here, for a store that is empty yet."""
+        """The whole state, for an empty store."""
         first = self.snapshot.index + 1
         return Ready((self.term, self.vote), self.snapshot, first, list(self.entries))
 
     def take(self) -> Ready | None:
-        """What is to be done now; None where there is nothing."""
+        """The pending writes, messages and committed entries; None if there are none."""
         ready = self.ready
         ready.apply = []
         while self.applied < min(self.commit, self.last):
@@ -176,6 +179,6 @@
 
     def send(self, to: str, message: Message) -> None:
         self.ready.messages.append((to, message))
-        if len(self.ready.messages) > MOST_MESSAGES:  # the disk is slow, and every message bears to be lost
+        if len(self.ready.messages) > MOST_MESSAGES:  # slow disk; Raft tolerates lost messages
             del self.ready.messages[: MOST_MESSAGES // 2]
             self.counts["messages"] += MOST_MESSAGES // 2
--- a/barleybarrow/agreement_messages.py
+++ b/barleybarrow/agreement_messages.py
@@ -1,6 +1,6 @@
-"""What replicas of the agreement machine say to each other, and what one wants done: typed values, no logic.
+"""Raft messages, log entries and the output of the state machine: typed values without logic.
 
-Messages are msgpack arrays; fields are only ever added at their end, with a default.
+Messages are msgpack arrays: a new field is only ever added at the end, with a default.
 """
 
 from dataclasses import dataclass, field
@@ -13,7 +13,7 @@
 
 
 class Kind:
-    """What an entry holds."""
+    """Type of a log entry's data."""
 
     NOTHING, DATA, VOTERS = range(3)
 
@@ -25,7 +25,7 @@
 
 
 class Snapshot(Struct, array_like=True, frozen=True):
-    """All that was applied up to an index, and who voted then."""
+    """Application state as of an index, and the voters at that index."""
 
     index: Number
     term: Number
@@ -37,8 +37,8 @@
     term: Number
     last: Number
     last_term: Number
-    probe: bool  # whether it would: no term is raised, no vote is given
-    transfer: bool = False  # its leader has asked it to stand: those who hear that leader vote as well
+    probe: bool  # pre-vote: no term is raised and no vote is cast
+    transfer: bool = False  # leadership transfer: granted even by voters that still hear the leader
 
 
 class Vote(Struct, array_like=True, frozen=True, tag=2):
@@ -49,20 +49,20 @@
 
 class Append(Struct, array_like=True, frozen=True, tag=3):
     term: Number
-    before: Number  # index of the entry before these
+    before: Number  # index of the entry before `entries`
     before_term: Number
     entries: list[Entry]
     commit: Number
-    round: Number  # the leader's count of its words, for reads
+    round: Number  # the leader's heartbeat round, which confirms reads
 
 
 class Appended(Struct, array_like=True, frozen=True, tag=4):
     term: Number
     good: bool
-    index: Number  # the last that agrees; where not good, where the leader might try
+    index: Number  # last matching index; after a mismatch, a hint where the leader might retry
     round: Number
-    note: bytes = b""  # what whoever drives the machine wants the leader to know
-    counts: bool = True  # not of one that may have said more than it remembers
+    note: bytes = b""  # opaque data from the driver for the leader
+    counts: bool = True  # False from a process whose store may have lost what it acknowledged
 
 
 class Install(Struct, array_like=True, frozen=True, tag=5):
@@ -72,7 +72,7 @@
 
 
 class Read(Struct, array_like=True, frozen=True, tag=6):
-    """Up to where is it agreed? Asked of who is taken for the leader."""
+    """Asks the presumed leader for a confirmed commit index."""
 
     token: Number
 
@@ -83,13 +83,13 @@
 
 
 class Submit(Struct, array_like=True, frozen=True, tag=8):
-    """Append this, leader; it may get lost, and come twice: what is in it must bear that."""
+    """A proposal forwarded to the leader. It may be lost or duplicated, so its data must be idempotent."""
 
     data: bytes
 
 
 class TimeoutNow(Struct, array_like=True, frozen=True, tag=9):
-    """Stand at once: the leader of this term gives the lead away. Thesis, 3.10."""
+    """Campaign at once: the leader of this term transfers leadership. Thesis, 3.10."""
 
     term: Number
 
@@ -99,13 +99,13 @@
 
 @dataclass(slots=True)
 class Ready:
-    """What is to be done, in this order: store, send, apply; then `stored` is called."""
+    """Work for the driver, in this order: persist, send, apply, then report the persistence back."""
 
     hard: tuple[int, str] | None = None  # term and vote
-    snapshot: Snapshot | None = None  # takes the place of all before
-    first: int = 0  # entries from this index on take the place of what is there
+    snapshot: Snapshot | None = None  # replaces everything persisted before
+    first: int = 0  # index of the first of `entries`, which replace the stored ones from there on
     entries: list[Entry] = field(default_factory=list)
     messages: list[tuple[str, Message]] = field(default_factory=list)
     apply: list[tuple[int, Entry]] = field(default_factory=list)
-    last: int = 0  # index up to which all is stored by then
+    last: int = 0  # last index that is on disk once this has been persisted
     last_term: int = 0
--- a/barleybarrow/agreement_replication.py
+++ b/barleybarrow/agreement_replication.py
@@ -1,8 +1,8 @@
-"""How a leader brings the others' logs up to its own, and what it counts as agreed.
+"""Log replication from the leader, and the rule for advancing the commit index.
 
-Raft, 5.3 and 5.4: entries from where a follower agrees, else a snapshot; agreed is what a majority holds on
-disk, from an entry of the leader's own term on. It must never count a copy that an earlier life of a follower
-held.
+Raft, 5.3 and 5.4: followers get entries from the last matching index on, or a snapshot. An index is
+committed once a majority has it on disk and its entry is of the leader's own term. Copies acknowledged by an
+earlier incarnation of a follower must never be counted, since its disk may be gone.
 """
 
 from dataclasses import dataclass
@@ -12,49 +12,49 @@
 from barleybarrow.agreement_log import ReplicatedLog, Role
 from barleybarrow.agreement_messages import Append, Appended, Entry, Install
 
-BEAT = 100.0  # milliseconds between two words of a leader
-LEARNER_BEAT = 300.0  # and where a learner lacks nothing: it stands for nothing, and asks after 600 ms
-MOST_ENTRIES = 64  # in one message
+BEAT = 100.0
+LEARNER_BEAT = 300.0  # to learners that are up to date: they do not campaign, and query only after 600 ms
+MOST_ENTRIES = 64
 MOST_BYTES = 256 * 1024
 MOST_LEARNERS = 1024
 
 
 @dataclass(slots=True)
 class Progress:
-    """What a leader knows of another's log."""
+    """What the leader knows about a follower's log."""
 
     next: int
     match: int = 0
-    has: int = 0  # up to where it said that it agrees, be it on a disk or not
+    has: int = 0  # last index it acknowledged, also if that acknowledgement does not count for a quorum
     heard_at: float = -inf
     sent_at: float = -inf
     round: int = 0
-    fence: int = 0  # answers to words of earlier rounds are of a life that has ended: they prove no copy
+    fence: int = 0  # responses to earlier rounds come from a previous incarnation and prove no copy
 
 
 class Replication(ReplicatedLog):
-    """The leader's side of the log, and what it knows of each follower."""
+    """The leader's side of replication, with the progress of each follower."""
 
     def __init__(self, *arguments: Any, **named: Any) -> None:
         super().__init__(*arguments, **named)
         self.progress: dict[str, Progress] = {}
-        self.round = 0  # of the newest word to all
-        self.beats_at = self.beat_at = -inf  # when the next is due, and when the last one was
+        self.round = 0  # of the newest broadcast
+        self.beats_at = self.beat_at = -inf
 
-    # What other parts do
+    # Implemented by subclasses
 
     def follow(self, now: float, term: int, leader: str) -> None:
-        """Follow a leader, or nobody, in a term that is no lesser."""
+        """Become a follower of `leader` ("" if unknown) in a term that is not below the current one."""
         raise NotImplementedError
 
     def confirm(self) -> None:
-        """Followers have answered: answer the reads that a majority has confirmed since."""
+        """Answer the reads that a majority of voters has confirmed."""
         raise NotImplementedError
 
-    # Words to followers
+    # Sending to followers
 
     def beat(self, now: float, everybody: bool = False) -> None:
-        """A word to all voters, and to learners that lack something or were told nothing for a while."""
+        """Start a round: send to all voters, and to learners that are behind or due a heartbeat."""
         self.beats_at, self.beat_at = now + BEAT, now
         self.round += 1
         for name in self.voters:
@@ -66,7 +66,7 @@
                 self.inform(now, name, p)
 
     def invite(self, now: float, name: str) -> None:
-        """Say a word to one that may have started anew and know of no leader; an answer makes it stay."""
+        """Start replicating to a process that may have restarted and know no leader."""
         if self.role is Role.LEADER and name not in self.progress and len(self.progress) < MOST_LEARNERS:
             self.progress[name] = Progress(self.last + 1)
             self.inform(now, name, self.progress[name])
@@ -77,7 +77,7 @@
                 self.inform(now, name, p)
 
     def inform(self, now: float, name: str, p: Progress) -> None:
-        """Send one what it lacks, or a bare word."""
+        """Send a follower the snapshot or entries it is missing, or an empty heartbeat."""
         p.sent_at = now
         if p.next <= self.snapshot.index:
             self.send(name, Install(self.term, self.snapshot, self.round))
@@ -93,7 +93,7 @@
         self.send(name, Append(self.term, before, self.term_of(before), part, self.commit, self.round))
         p.next += len(part)
 
-    # Their answers
+    # Responses of followers
 
     def appended(self, now: float, sender: str, m: Appended) -> None:
         if m.term > self.term:
@@ -130,24 +130,24 @@
         self.confirm()
 
     def advance(self, now: float) -> None:
-        """Agreed is what a majority has on disk, and only from an entry of this term on; Raft, 5.4.2."""
+        """Commit what a majority has on disk, provided the last entry is of this term; Raft, 5.4.2."""
         index = self.agreed_index(now, {n: self.held_by(n) for n in self.voters})
         if index > self.commit and self.term_of(index) == self.term:
             self.commit = index
             self.beat(now, everybody=True)
             if self.name not in self.voters and self.term_of(self.commit) == self.term:
-                self.follow(now, self.term, "")  # it has led others through its own leaving
+                self.follow(now, self.term, "")  # its own removal is committed now
 
     def held_by(self, name: str) -> int:
-        """Up to where a voter is known to have the log on its disk."""
+        """Last index that a voter is known to have on disk."""
         return self.stored_to if name == self.name else self.match(name)
 
     def agreed_index(self, now: float, held: dict[str, int]) -> int:
-        """Up to where a majority holds the log; `held`: up to where each voter does."""
+        """Last index held by a majority, given the last index on the disk of each voter."""
         return sorted(held.values())[len(held) - self.majority]
 
     def restarted(self, name: str) -> None:
-        """Another life of this process has greeted: what the one before held may be gone with its disk."""
+        """Discard what a previous incarnation of a follower acknowledged: its disk may be gone."""
         p = self.progress.get(name)
         if p is not None:
             self.round += 1
--- a/barleybarrow/consensus/__init__.py
+++ b/barleybarrow/consensus/__init__.py
@@ -1,4 +1,4 @@
-"""Decisions of the control core: configuration state, membership of the voters, bootstrap.
+"""The replicated configuration: state machine, voter selection and bootstrap.
 
 No I/O; time is passed in.
 """
--- a/barleybarrow/consensus/config_node.py
+++ b/barleybarrow/consensus/config_node.py
@@ -1,12 +1,11 @@
-"""One process's part in the configuration shard, without I/O: it is told the time, messages and what was
-stored.
-
-It says what to do as one `Work` at a time: store first, then send, then report with `stored`, whereupon
-what was committed is applied. It must never vote or count by a store that may lack what it has promised: a
-process whose store is empty is `barred` until it has applied an entry that was proposed for it after its
-start (a `Witness`). Such an entry was committed by a majority without this process, so whoever could be
-elected by a forgotten vote lacks it, and whatever a forgotten acknowledgement helped to commit comes before
-it.
+"""A replica of the configuration shard, without I/O: the driver passes in time, messages and finished writes.
+
+Output comes as one `Work` at a time: the driver persists it, sends its messages and reports back, and then
+committed entries are applied. A replica must not vote or count in a quorum while its store may have lost
+earlier promises. A process that starts with an empty store is therefore quarantined until it has applied a
+log entry that was proposed for it after its start. A majority without this process committed that entry, so
+a candidate that could win by a forgotten vote lacks it, and everything that a forgotten acknowledgement
+helped to commit precedes it.
 """
 
 from collections.abc import Callable
@@ -47,25 +46,25 @@
     target_voters,
 )
 
-GATHER_MS = 600.0  # the machines of a first start begin within 300 ms of one another
-GATHER_LONGEST_MS = 1500.0  # where fewer than wanted are there; the first order is due 4 s after the start
-GATHER_ANYWAY_MS = 6000.0  # before, none votes whose loss together with all others is tolerated
-QUIET_MS = 200.0  # all seeds are there and nobody new came for so long: nobody else is expected
-ANNOUNCE_MS = 250.0  # between two words to the first voters that they vote
-WITNESS_MS = 400.0  # between two requests of a barred process
-INVITE_MS = 1000.0  # between two words of a leader to processes that do not follow it yet
-CHANGE_MS = 200.0  # between two looks at who votes
-FRESH_MS = 700.0  # a standby heard within this is there: it answers every 300 ms
+GATHER_MS = 600.0  # on a first start all machines start within 300 ms of one another
+GATHER_LONGEST_MS = 1500.0  # with fewer machines than wanted; the first order is due 4 s after the start
+GATHER_ANYWAY_MS = 6000.0  # until then, do not form a group that could be lost as a whole by tolerated losses
+QUIET_MS = 200.0  # all seeds are connected and nobody new appeared for this long: no more are expected
+ANNOUNCE_MS = 250.0
+WITNESS_MS = 400.0
+INVITE_MS = 1000.0  # to processes that do not follow the leader yet
+CHANGE_MS = 200.0
+FRESH_MS = 700.0  # a standby heard within this time is alive: it responds every 300 ms
 CONFIRM_AGAIN_MS = 500.0
-RESTARTED_MS = (300.0, 700.0)  # until a voter stands that was started: links take 200 ms
-LINKED_MS = (60.0, 300.0)  # and once a majority is linked: a leader would have said so within 20 ms
-HAND_OVER_MS = 500.0  # a leader that has named a successor takes no orders on for so long
-ASK_MS = 300.0  # between two words of a learner without a leader to those who are said to vote
-LONGEST_SLEEP_MS = 200.0  # so that a pause of the process is noticed
-PAUSE_MS = 500.0  # a process that was not run for so long has missed what others said meanwhile
-LEAVING = b"leaving"  # noted by a voter that ends as planned: where it can be, it is replaced
-MAX_LOG_BYTES = 256 * 1024  # then a snapshot takes the place of the log
-SNAPSHOT_SHARE = 2  # a log may be so many times as long as the snapshot: else it is written too often
+RESTARTED_MS = (300.0, 700.0)  # after a restart: connecting takes up to 200 ms
+LINKED_MS = (60.0, 300.0)  # once a majority is connected: a leader would have sent within 20 ms
+HAND_OVER_MS = 500.0  # after starting a leadership transfer, a leader advances no orders for this long
+ASK_MS = 300.0  # of a learner that looks for a leader among the known voters
+LONGEST_SLEEP_MS = 200.0  # well below the pause threshold, so that a pause is detected
+PAUSE_MS = 500.0  # a process that was not scheduled for this long has missed messages meanwhile
+LEAVING = b"leaving"  # note of a voter that shuts down as planned: it is replaced if a standby exists
+MAX_LOG_BYTES = 256 * 1024  # a longer log is compacted into a snapshot
+SNAPSHOT_SHARE = 2  # the log may be this many times as long: else large snapshots are written too often
 MAX_LOG_ENTRIES = 512
 
 NO_VOTERS: list[str] = []
@@ -74,9 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeOptions:
-    """What a process knows of itself. Names are internal addresses; `counts`: it may hold a vote on
-    its disk.
-    """
+    """Local settings of a replica. Names are internal addresses; `counts`: it has a disk and may vote."""
 
     name: str
     zone: str
@@ -84,19 +81,19 @@
     seeds: list[str]
     bootstrap: bool
     tolerated_machines: int = 1
-    tolerated_domains: int = 0  # zones, or regions where those may be lost
+    tolerated_domains: int = 0  # zones, or regions if whole regions may be lost
 
     @property
     def tolerated(self) -> int:
-        """How many voters, each in a domain of its own, may be lost at once."""
+        """How many voters, each in a failure domain of its own, may be lost at once."""
         return max(self.tolerated_machines, self.tolerated_domains)
 
 
 @dataclass(slots=True)
 class Work:
-    """What is to be done, in this order: store, send, then call `stored`.
+    """Work for the driver, in this order: persist, send, report back.
 
-    `image` takes the place of all that is stored, else `records` are added to it; both may be absent.
+    `image` replaces everything persisted; otherwise `records` are appended. Both may be absent.
     """
 
     ready: Ready
@@ -106,12 +103,12 @@
 
     @property
     def stores(self) -> bool:
-        """Whether there is anything to store."""
+        """Whether there is anything to persist."""
         return self.image is not None or bool(self.records)
 
 
 class ConfigNode:
-    """A replica of the configuration: voter, or learner."""
+    """A replica of the configuration, as voter or learner."""
 
     max_log_entries = MAX_LOG_ENTRIES
 
@@ -120,21 +117,22 @@
         self.state = ConfigurationState()
         self.applied_index = 0
         self.started_at = self.last_call = self.ticked_at = self.news_at = now
-        self.reachable: dict[str, ControlProcess] = {}  # control processes with a link, without this one
+        self.reachable: dict[str, ControlProcess] = {}  # connected control processes, without this one
         self.own = ControlProcess(options.name, options.zone, options.counts)
-        self.zones: dict[str, str] = {options.name: options.zone}  # of every control process ever met
+        self.zones: dict[str, str] = {options.name: options.zone}  # of every control process ever seen
         self.committed_voters: tuple[list[str], int] = (NO_VOTERS, 0)
-        self.told_voters: tuple[list[str], int] = (NO_VOTERS, 0)  # by others, of an index
+        self.told_voters: tuple[list[str], int] = (NO_VOTERS, 0)  # reported by others, with the log index
         self.nonce = rng.getrandbits(52)
-        self.tokens = count(self.nonce)  # of reads: none that an earlier life may still be answered
-        self.incarnations: dict[str, int] = {}  # of every control process ever met, the newest
+        # Tokens of reads start at random, so that late answers to a previous incarnation match none.
+        self.tokens = count(self.nonce)
+        self.incarnations: dict[str, int] = {}  # newest of every control process ever seen
         self.confirmations: dict[
             int, Callable[[], None]
-        ] = {}  # what to do once a read is answered and applied
-        self.awaited: list[tuple[int, int]] = []  # (index, token): answered reads that wait to be applied
+        ] = {}  # by token: callback once the read's index is applied
+        self.awaited: list[tuple[int, int]] = []  # (index, token) of answered reads not applied yet
         self.on_applied: list[Callable[[], None]] = []
         self.in_flight: Work | None = None
-        self.rewrite = False  # the whole state is to be stored with the next work
+        self.rewrite = False  # the next work has to persist a full image
         self.log_bytes = 0
         self.handed_over_at = -inf
         self.announce_at = self.witness_at = self.invite_at = self.change_at = self.confirm_at = now
@@ -148,7 +146,7 @@
 
     def _restored(self, now: float, kept: DurableState | None) -> PacedAgreement:
         if kept is None:
-            self.rewrite = True  # from now on an empty store means a lost one
+            self.rewrite = True  # from now on an empty store means that its content was lost
             return PacedAgreement(self.name, [], self.rng, now, barred=not self.options.bootstrap)
         snapshot = kept.snapshot
         if snapshot.index:
@@ -160,36 +158,36 @@
         agreement.stands_at = now + self.rng.uniform(*RESTARTED_MS)
         return agreement
 
-    # What others need to know
+    # State for callers
 
     @property
     def is_leader(self) -> bool:
-        """Whether this process leads, as far as it knows."""
+        """Whether this process believes that it is the leader."""
         return self.agreement.role is Role.LEADER
 
     @property
     def leader(self) -> str:
-        """Who leads; empty where it is not known."""
+        """Name of the leader, empty if unknown."""
         return self.agreement.leader if self.agreement.term else ""
 
     @property
     def voters(self) -> tuple[list[str], int]:
-        """The newest committed voters that are known here, and the log index that says so."""
+        """The newest committed voters known here, and the log index of that membership."""
         return max(self.committed_voters, self.told_voters, key=lambda voters: voters[1])
 
     def known(self) -> list[ControlProcess]:
-        """The control processes that can be reached, and this one."""
+        """This control process and those it is connected to."""
         return [self.own, *self.reachable.values()]
 
     def next_wakeup(self, now: float) -> float:
-        """When `tick` is due at the latest."""
+        """Time by which `tick` has to be called."""
         due = min(self.agreement.next(), self.ticked_at + LONGEST_SLEEP_MS)
         return max(due, now + 1.0)
 
-    # What happens to it
+    # Events from the driver
 
     def tick(self, now: float) -> None:
-        """Do what is due."""
+        """Run the timers that are due."""
         self._awake(now)
         self.ticked_at = now
         self.agreement.tick(now)
@@ -204,7 +202,7 @@
         self._settle(now)
 
     def receive(self, now: float, sender: str, payload: bytes) -> None:
-        """Take a message of another process; what can't be read is left aside."""
+        """Handle a message of another process; malformed ones are ignored."""
         self._awake(now)
         try:
             message = MESSAGES.decode(payload)
@@ -216,7 +214,7 @@
         self._settle(now)
 
     def link_up(self, now: float, process: ControlProcess) -> None:
-        """A control process can be reached."""
+        """A connection to a control process was opened."""
         if process.name not in self.reachable:
             self.news_at = now
         if self.incarnations.get(process.name, process.incarnation) != process.incarnation:
@@ -231,39 +229,39 @@
         self._stand_soon(now)
 
     def _stand_soon(self, now: float) -> None:
-        """Where a majority can be reached and none of them has said that it leads: do not wait for long."""
+        """Shorten the election timeout if a majority is connected and none of it has announced a leader."""
         agreement = self.agreement
         linked = sum(name in self.reachable for name in agreement.voters)
         if not self.leader and linked + 1 >= agreement.majority and self.name in agreement.voters:
             agreement.stands_at = min(agreement.stands_at, now + self.rng.uniform(*LINKED_MS))
 
     def link_down(self, now: float, name: str) -> None:
-        """The link to a control process broke."""
+        """The connection to a control process broke."""
         self.reachable.pop(name, None)
         self.agreement.unreachable(now, name)
 
     def hear_voters(self, voters: list[str], index: int) -> None:
-        """Another process tells who votes since an index of the log."""
+        """Another process reports the voters as of a log index."""
         if index > self.told_voters[1]:
             self.told_voters = (voters, index)
 
     def was_taken(self, kind: str, base_version: int, body: bytes) -> bool:
-        """Whether this very order is known here to be committed; then any process may acknowledge it."""
+        """Whether this exact order is known to be committed; if so, any process may acknowledge it."""
         return order_digest(kind, base_version, body) in self.state.taken
 
     def submit(self, now: float, kind: str, base_version: int, body: bytes, received_at: int) -> int:
-        """Take an order of the operator in: a ticket for `orders.outcomes`."""
+        """Submit an operator's order: returns a ticket, under which its outcome will be listed."""
         ticket = self.orders.submit(kind, base_version, body, received_at)
         self._settle(now)
         return ticket
 
     def checked(self, now: float, digest: bytes, error: str) -> None:
-        """The driver has checked a document."""
+        """The driver has validated a document; `error` is empty if it is valid."""
         self.orders.checked(now, digest, error)
         self._settle(now)
 
     def confirm(self, now: float, then: Callable[[], None]) -> int:
-        """Call `then` once all is applied here that was committed at this moment; it may never be called."""
+        """Call `then` once everything committed by now is applied here; it may never be called."""
         token = next(self.tokens)
         self.confirmations[token] = then
         self.agreement.read(now, token)
@@ -271,13 +269,11 @@
         return token
 
     def forget(self, token: int) -> None:
-        """Nobody waits for this confirmation any more."""
+        """Cancel a confirmation that nobody waits for any more."""
         self.confirmations.pop(token, None)
 
     def hand_over(self, now: float) -> list[tuple[str, bytes]]:
-        """Have the best follower stand at once, where this process leads: what to send, without
-        storing first.
-        """
+        """Transfer leadership to the most up-to-date follower: messages to send, without persisting first."""
         successor = self.agreement.successor(now) if self.is_leader else ""
         if not successor:
             return []
@@ -286,29 +282,29 @@
 
     @property
     def may_be_replaced(self) -> bool:
-        """Whether this process votes, and another that could is in touch."""
+        """Whether this process is a voter and a connected standby could take its place."""
         voters = self.agreement.voters
         standbys = [p for p in self.reachable.values() if p.counts and p.name not in voters]
         return self.name in voters and bool(standbys)
 
     @property
     def is_held_by_others(self) -> bool:
-        """Whether as many other voters hold all that is here as may be lost, and one more."""
+        """Whether the whole local log is on the disks of one more other voter than may be lost at once."""
         agreement = self.agreement
         others = [agreement.held_by(name) for name in agreement.voters if name != self.name]
         wanted = min(self.options.tolerated + 1, len(others))
         return sum(index >= agreement.last for index in others) >= wanted
 
     def leave(self, now: float) -> None:
-        """This process ends as planned: have the leader replace it, if there is one that can."""
+        """Planned shutdown: ask the leader to replace this voter if a standby is available."""
         self.agreement.note = LEAVING
         self.agreement.tell()
         self._settle(now)
 
-    # Store, send, apply
+    # Persist, send, apply
 
     def take(self) -> Work | None:
-        """What is to be done now; None where there is nothing, or the work before is not done."""
+        """The next work; None if there is none or the previous one is not completed."""
         if self.in_flight is not None:
             return None
         ready = self.agreement.take()
@@ -327,7 +323,7 @@
         return work
 
     def stored(self, now: float) -> None:
-        """The work that was taken is stored and its messages are sent: apply what was committed."""
+        """The current work is persisted and its messages are sent: apply committed entries."""
         work, self.in_flight = self.in_flight, None
         assert work is not None
         if work.ready.snapshot is not None and work.ready.snapshot.index > self.applied_index:
@@ -373,7 +369,7 @@
             self.rewrite = True
 
     def _settle(self, now: float) -> None:
-        """Take up answers to reads, and bring orders further."""
+        """Process answered reads, run callbacks whose index is applied, and advance the orders."""
         reads, self.agreement.reads = self.agreement.reads, []
         for token, index in reads:
             if not self.orders.confirmed(token):
@@ -399,10 +395,10 @@
         except DecodeError:
             return False
 
-    # The first voters
+    # Bootstrap
 
     def _form(self, now: float) -> None:
-        """Where this is the first seed of a first start: choose who votes, once enough are there."""
+        """On the first seed of a first start: choose the voters once enough processes are connected."""
         agreement = self.agreement
         first = bool(self.options.seeds) and self.options.seeds[0] == self.name
         blank = agreement.last == 0 and agreement.term == 0 and not agreement.voters
@@ -431,7 +427,7 @@
         return waited >= GATHER_MS or (seeds_are_here and now - self.news_at >= QUIET_MS)
 
     def _announce(self, now: float) -> None:
-        """Until a first leader is known: tell those that were chosen, and have the first of them stand."""
+        """Until there is a first leader: send the voter list to its members; the first one campaigns."""
         agreement = self.agreement
         if agreement.last != 1 or agreement.snapshot.term or now < self.announce_at:
             return
@@ -444,13 +440,13 @@
         if agreement.term == 0 and agreement.voters[0] == self.name:
             agreement.stand(now, probe=False, transfer=True)
 
-    # Losses and changes
+    # Recovery and membership changes
 
     def _may_vote(self) -> bool:
         return self.own.counts or not any(process.counts for process in self.reachable.values())
 
     def _ask_for_witness(self, now: float) -> None:
-        """Ask the leader for the entry that ends this process's bar."""
+        """Ask the leader to commit the entry that ends this process's quarantine."""
         agreement = self.agreement
         if not agreement.barred or not self.leader or now < self.witness_at or not self._may_vote():
             return
@@ -458,9 +454,7 @@
         agreement.propose(now, msgpack.encode(Witness(self.name, self.nonce)))
 
     def _invite(self, now: float) -> None:
-        """Where this process leads: have all control processes follow. Where it knows no leader: ask
-        for one.
-        """
+        """As leader, replicate to all connected processes; as a learner without a leader, look for one."""
         if now < self.invite_at:
             return
         if self.is_leader:
@@ -475,7 +469,7 @@
                     self.agreement.send(name, word)
 
     def _change_voters(self, now: float) -> None:
-        """Where this process leads: keep the number of voters, and replace those that are lost."""
+        """As leader, keep the target number of voters and replace lost or leaving ones."""
         agreement = self.agreement
         if not self.is_leader or now < self.change_at or not agreement.may_change():
             return
--- a/barleybarrow/consensus/configuration_state.py
+++ b/barleybarrow/consensus/configuration_state.py
@@ -1,9 +1,9 @@
-"""The operator's configuration as a replicated state machine: what orders, in the order of the log, make of
-it.
+"""The operator's configuration as a replicated state machine that applies orders in log order.
 
 Deterministic and without I/O: all replicas that applied the same entries hold the same document and gave
-each order the same outcome. It never forgets, within `MAX_TAKEN` orders, that an order was taken: the same
-order is acknowledged again. One that may be among those forgotten has no clear answer: it is never refused.
+each order the same outcome. A bounded number of accepted orders is remembered, so that a repeated order is
+acknowledged again. An order that may already have been evicted from this history is never refused: its
+outcome is reported as unknown.
 """
 
 import zlib
@@ -14,35 +14,35 @@
 
 from msgspec import DecodeError, Struct, json, msgpack
 
-MAX_TAKEN = 4096  # orders remembered, the oldest goes first: a long day has hundreds
+MAX_TAKEN = 4096  # the oldest are evicted first; a long day has hundreds of orders
 DIGEST_BYTES = 16
-COMPRESSION = 1  # of zlib: bodies shrink eightfold for about 2 ms of a core
-MAX_BODY_BYTES = 8 * 1024 * 1024  # of one order, as sent or unpacked; the largest seen are 0.2 MB
+COMPRESSION = 1  # zlib level: bodies shrink eightfold for about 2 ms of CPU
+MAX_BODY_BYTES = 8 * 1024 * 1024  # of one order, sent or decompressed; real ones have up to 0.2 MB
 ITEM_LISTS = ("Routes", "Services", "Tenants")
 
-Document = dict[str, Any]  # as the operator sent it, keys in Pascal case
+Document = dict[str, Any]  # as sent by the operator, with keys in PascalCase
 
 
 class OrderKind(StrEnum):
-    """What an order does to the document."""
+    """How an order changes the document."""
 
     REPLACE = "replace"
     PATCH = "patch"
 
 
 class OrderStatus(IntEnum):
-    """The answer to an order, as an HTTP status."""
+    """Outcome of an order, as an HTTP status."""
 
     TAKEN = 200
     INVALID = 400
     CONFLICT = 412
     TOO_LARGE = 413
-    UNCLEAR = 503  # it may have been taken or may be later
+    UNCLEAR = 503  # the order may have been accepted, or may be later
 
 
 @dataclass(frozen=True, slots=True)
 class OrderOutcome:
-    """What became of an order; `error` is one line that names the item and the remedy."""
+    """Outcome of an order; `error` is a single line that names the item and the remedy."""
 
     status: int
     error: str = ""
@@ -52,7 +52,7 @@
 
 
 class Order(Struct, array_like=True, frozen=True, tag=1):
-    """One order in the log. The body is compressed; `received_at` is Unix milliseconds at the leader."""
+    """An order in the log. The body is compressed; `received_at` is in Unix milliseconds at the leader."""
 
     kind: str
     base_version: int
@@ -62,9 +62,7 @@
 
 
 class Witness(Struct, array_like=True, frozen=True, tag=2):
-    """Proposed for a process that may have forgotten promises: whoever applies it knows its leader's
-    log since.
-    """
+    """Proposed for a quarantined process, which has caught up with the leader's log once it applies this."""
 
     name: str
     nonce: int
@@ -74,7 +72,7 @@
 
 
 class Taken(Struct, array_like=True, frozen=True):
-    """An order that was taken: the version it made, its digest, and the leader's Unix milliseconds."""
+    """An accepted order: the version it created, its digest, and the leader's clock in Unix milliseconds."""
 
     version: int
     digest: bytes
@@ -82,7 +80,7 @@
 
 
 class StateImage(Struct, array_like=True):
-    """The state in a snapshot. The document is compressed JSON, empty where there is none yet."""
+    """Serialized state for snapshots. The document is compressed JSON, empty if there is none yet."""
 
     version: int
     document: bytes
@@ -91,23 +89,23 @@
 
 
 class OrderError(Exception):
-    """The body of an order can't be read, or doesn't fit the document."""
+    """The body of an order is malformed or does not fit the document."""
 
 
 def order_digest(kind: str, base_version: int, body: bytes) -> bytes:
-    """What tells an order from all others."""
+    """Digest that identifies an order by kind, base version and body."""
     head = f"{kind}\n{base_version}\n".encode()
     return blake2b(head + body, digest_size=DIGEST_BYTES).digest()
 
 
 def make_order(kind: str, base_version: int, body: bytes, received_at: int) -> Order:
-    """The entry for an order as it was sent."""
+    """Build the log entry for an order."""
     digest = order_digest(kind, base_version, body)
     return Order(kind, base_version, zlib.compress(body, COMPRESSION), digest, received_at)
 
 
 def read_body(order: Order) -> Document:
-    """The JSON object in the body of an order. Raises OrderError."""
+    """Decompress and parse the JSON object in the body of an order. Raises OrderError."""
     unpacker = zlib.decompressobj()
     try:
         body = unpacker.decompress(order.body, MAX_BODY_BYTES)
@@ -120,7 +118,7 @@
 
 
 def generation_of(document: Document) -> int:
-    """The version a document names. Raises OrderError."""
+    """The `Generation` of a document. Raises OrderError."""
     generation = document.get("Generation")
     if not isinstance(generation, int) or isinstance(generation, bool) or not 0 < generation < 2**53:
         raise OrderError("Generation: a whole number above 0 is needed")
@@ -128,10 +126,9 @@
 
 
 def apply_patch(document: Document, patch: Document) -> Document:
-    """A new document: items of `Remove` left out, items of `Upsert` put in the place of those of the same
-    name.
+    """A new document without the items in `Remove` and with those in `Upsert` added or replaced by name.
 
-    Raises OrderError where the patch can't be read.
+    Raises OrderError if the patch is malformed.
     """
     made = dict(document)
     made["Generation"] = generation_of(patch)
@@ -147,13 +144,13 @@
 
 
 def given(document: Document, key: str, absent: Any) -> Any:
-    """The value of a key; null and no such key are the same."""
+    """The value of a key, or `absent` if it is null or missing."""
     value = document.get(key)
     return absent if value is None else value
 
 
 def patch_items(key: str, items: list[Document], removed: list[Any], added: list[Any]) -> list[Document]:
-    """One list of named items after removals and additions; replaced items keep their place."""
+    """Patch one list of named items; replaced items keep their position."""
     if not all(isinstance(name, str) for name in removed):
         raise OrderError(f"Remove.{key}: a list of names is needed")
     if not all(isinstance(item, dict) and isinstance(item.get("Name"), str) for item in added):
@@ -171,17 +168,17 @@
 
 
 class ConfigurationState:
-    """The newest document and the orders that were taken."""
+    """The current document and the accepted orders."""
 
     def __init__(self) -> None:
         self.version = 0
         self.document: Document | None = None
         self.taken: dict[bytes, Taken] = {}  # by digest, oldest first
-        self.forgotten = 0  # version made by the newest order that is remembered no longer; 0: none is
+        self.forgotten = 0  # version created by the newest evicted order; 0 if none was evicted
 
     def refusal(self, kind: str, base_version: int, document: Document) -> OrderOutcome | None:
-        """Why an order does not fit the state by its versions; None where it does."""
-        if base_version < self.forgotten:  # it may be an order that was taken long ago
+        """The refusal of an order whose versions do not fit the state; None if they do."""
+        if base_version < self.forgotten:  # it may be an order that was accepted and evicted since
             return OrderOutcome(OrderStatus.UNCLEAR, f"base the change on version {self.version}")
         if base_version != self.version:
             conflict = f"version {self.version} is current, not {base_version}: base the change on that one"
@@ -198,7 +195,7 @@
         return None
 
     def document_after(self, kind: str, body: Document) -> Document:
-        """The document that an order would make. Raises OrderError."""
+        """The document that an order would result in. Raises OrderError."""
         if kind == OrderKind.PATCH:
             return apply_patch(self.document or {}, body)
         if kind != OrderKind.REPLACE:
@@ -206,7 +203,7 @@
         return body
 
     def apply(self, order: Order) -> OrderOutcome:
-        """Take the next order of the log, or refuse it, the same on all replicas."""
+        """Apply the next order of the log: accepted or refused, with the same outcome on all replicas."""
         if order.digest in self.taken:
             return OrderOutcome(OrderStatus.TAKEN)
         try:
@@ -225,16 +222,16 @@
         return OrderOutcome(OrderStatus.TAKEN)
 
     def history(self) -> list[Taken]:
-        """The orders that were taken, oldest first."""
+        """The remembered accepted orders, oldest first."""
         return list(self.taken.values())
 
     def snapshot(self) -> bytes:
-        """All of the state."""
+        """Serialize the state."""
         document = b"" if self.document is None else zlib.compress(json.encode(self.document), COMPRESSION)
         return msgpack.encode(StateImage(self.version, document, self.history(), self.forgotten))
 
     def restore(self, data: bytes) -> None:
-        """Take the state of a snapshot; empty bytes are the state before the first order."""
+        """Load a serialized state; empty bytes stand for the state before the first order."""
         image = msgpack.decode(data, type=StateImage) if data else StateImage(0, b"", [])
         self.version, self.forgotten = image.version, image.forgotten
         self.document = json.decode(zlib.decompress(image.document)) if image.document else None
--- a/barleybarrow/consensus/durable_state.py
+++ b/barleybarrow/consensus/durable_state.py
@@ -1,6 +1,4 @@
-"""What a replica of the configuration shard keeps on its disk, as bytes: one image, and records that
-follow it.
-"""
+"""On-disk format of a replica of the configuration shard: an image, and records appended to it."""
 
 from dataclasses import dataclass, field
 
@@ -13,9 +11,7 @@
 
 
 class StoredImage(Struct, array_like=True):
-    """All that a replica must not forget. `barred`: it may have made promises that this store does not
-    know.
-    """
+    """Full persistent state of a replica. `barred`: votes and acknowledgements may be missing from it."""
 
     format: int
     term: int
@@ -26,7 +22,7 @@
 
 
 class StoredRecord(Struct, array_like=True):
-    """A change: term and vote from now on, and entries that stand from an index on in the place of others."""
+    """A change: the new term and vote, and entries that replace the log from index `first` on."""
 
     term: int
     vote: str
@@ -36,7 +32,7 @@
 
 @dataclass(slots=True)
 class DurableState:
-    """What was read back."""
+    """The persistent state after loading the image and its records."""
 
     term: int = 0
     vote: str = ""
@@ -46,23 +42,23 @@
 
 
 class DurableStateError(Exception):
-    """The stored bytes are not of this format: another release wrote them, or they are damaged."""
+    """The stored bytes are corrupt, or in the format of another release."""
 
 
 def encode_image(agreement: Agreement) -> bytes:
-    """All that an agreement holds."""
+    """Encode the full Raft state."""
     a = agreement
     return msgpack.encode(StoredImage(FORMAT, a.term, a.vote, a.barred, a.snapshot, a.entries))
 
 
 def encode_record(agreement: Agreement, ready: Ready) -> bytes:
-    """What is to be kept of a `Ready` without a snapshot."""
+    """Encode the hard state and entries of a `Ready` that has no snapshot."""
     term, vote = ready.hard or (agreement.term, agreement.vote)
     return msgpack.encode(StoredRecord(term, vote, ready.first, ready.entries))
 
 
 def decode_state(image: bytes, records: list[bytes]) -> DurableState:
-    """The state that an image and the records behind it make. Raises DurableStateError."""
+    """Decode an image and the records after it. Raises DurableStateError."""
     try:
         stored = msgpack.decode(image, type=StoredImage)
         if stored.format != FORMAT:
@@ -76,11 +72,11 @@
 
 
 def add_record(state: DurableState, record: StoredRecord) -> None:
-    """Take one record in. Raises DurableStateError where entries before it are missing."""
+    """Apply one record. Raises DurableStateError if entries before it are missing."""
     state.term, state.vote = record.term, record.vote
     if not record.entries:
         return
     kept = record.first - state.snapshot.index - 1
     if not 0 <= kept <= len(state.entries):
-        raise DurableStateError(f"entries from {record.first} on don't join the {len(state.entries)} before")
+        raise DurableStateError(f"log gap: record at index {record.first} after {len(state.entries)} entries")
     state.entries[kept:] = record.entries
--- a/barleybarrow/consensus/failure_domains.py
+++ b/barleybarrow/consensus/failure_domains.py
@@ -1,7 +1,8 @@
-"""How widely an entry must be held before it is agreed on, where whole failure domains may be lost.
+"""Commit rule for deployments that must survive the loss of whole failure domains.
 
-Pure functions. A majority of the voters may lie in one zone or region, as right after repairs. What is
-acknowledged must outlive the loss of as many domains, with their disks, as are tolerated.
+Pure functions. A majority of the voters may be in a single zone or region, for example right after lost
+voters were replaced. Acknowledged entries must survive the loss of the tolerated number of domains together
+with their disks.
 """
 
 from collections.abc import Collection, Mapping
@@ -10,10 +11,10 @@
 def spread_index(
     held: Mapping[str, int], domains: Mapping[str, str], silent: Collection[str], tolerated: int
 ) -> int:
-    """Up to where the log is held in more domains than may be lost.
+    """Last index that is persisted in more failure domains than may be lost.
 
-    `held` is the last index of each voter, `domains` the failure domain of each that was ever met. Domains
-    all of whose voters are `silent` count as lost already: they are no longer waited for.
+    `held` is the last persisted index of each voter, `domains` the failure domain of every process ever seen.
+    Domains whose voters are all `silent` are considered lost already and are not waited for.
     """
     by_domain: dict[str, int] = {}
     for voter, index in held.items():
--- a/barleybarrow/consensus/order_queue.py
+++ b/barleybarrow/consensus/order_queue.py
@@ -1,16 +1,16 @@
-"""Orders at the leader: from their arrival to an outcome that stays true whoever leads next.
+"""Orders at the leader, from arrival to an outcome that remains valid under any later leader.
 
-An order is looked at once all that was committed before is applied. One order at a time is checked and
-proposed; its outcome is what the state machine says when the entry is applied. A conflict is told only
-after a majority has confirmed that this process still leads: an order that another leader took must never
-be refused here.
+An order is examined once everything committed before it is applied. One order at a time is validated and
+proposed; its outcome is the state machine's result when the entry is applied. A conflict is reported only
+after a majority has confirmed that this process is still the leader: an order that another leader accepted
+must never be refused here.
 
-| phase | what it waits for | next |
+| phase | waiting for | next |
 | --- | --- | --- |
-| QUEUED | its turn, with all that was committed applied | CONFIRMING, CHECKING, or an outcome |
-| CONFIRMING | a read index of this moment | the refusal |
-| CHECKING | the document's check, done by the driver | PROPOSED, or a refusal |
-| PROPOSED | its entry to be applied, and held by enough disks | the outcome |
+| QUEUED | its turn, with all committed entries applied | CONFIRMING, CHECKING, or an outcome |
+| CONFIRMING | a read index | the refusal |
+| CHECKING | validation of the document by the driver | PROPOSED, or a refusal |
+| PROPOSED | its entry to be applied and on enough disks | the outcome |
 """
 
 from collections.abc import Iterator
@@ -33,12 +33,12 @@
     read_body,
 )
 
-MAX_ORDERS = 64  # under way at once; operators have eight
+MAX_ORDERS = 64  # in progress at once; operators send at most eight
 TOO_MANY = OrderOutcome(OrderStatus.UNCLEAR, "too many orders are under way: send the order again")
 
 
 class Phase(Enum):
-    """Where an order is; see the table above."""
+    """Progress of an order; see the table above."""
 
     QUEUED = auto()
     CONFIRMING = auto()
@@ -48,19 +48,19 @@
 
 @dataclass(slots=True)
 class Job:
-    """One order under way, and all who wait for its outcome."""
+    """An order in progress, with the tickets of all callers that wait for its outcome."""
 
     order: Order
     tickets: list[int]
     phase: Phase = Phase.QUEUED
-    refusal: OrderOutcome | None = None  # told once confirmed
-    index: int = 0  # of its entry
-    outcome: OrderOutcome | None = None  # of its entry; told once enough disks hold it
+    refusal: OrderOutcome | None = None  # reported once the read is confirmed
+    index: int = 0  # of its log entry
+    outcome: OrderOutcome | None = None  # of its log entry; reported once that is on enough disks
 
 
 @dataclass(frozen=True, slots=True)
 class CheckRequest:
-    """A document that the driver has to check before its order is proposed."""
+    """A document that the driver has to validate before its order is proposed."""
 
     digest: bytes
     document: Document
@@ -68,8 +68,9 @@
 
 @dataclass(slots=True)
 class OrderQueue:
-    """All orders under way at this process. `least_disks`: how many voters must hold an order that is
-    acknowledged.
+    """All orders in progress at this process.
+
+    `least_disks`: how many voters must have an order on disk before it is acknowledged.
     """
 
     agreement: Agreement
@@ -79,11 +80,11 @@
     jobs: dict[bytes, Job] = field(default_factory=dict)
     outcomes: list[tuple[int, OrderOutcome]] = field(default_factory=list)
     checks: list[CheckRequest] = field(default_factory=list)
-    confirming: dict[int, bytes] = field(default_factory=dict)  # digest by the token of its read
+    confirming: dict[int, bytes] = field(default_factory=dict)  # order digest by read token
     tickets: Iterator[int] = field(default_factory=lambda: count(1))
 
     def submit(self, kind: str, base_version: int, body: bytes, received_at: int) -> int:
-        """Take an order in: a ticket, under which `outcomes` will name what became of it."""
+        """Submit an order: returns a ticket, under which `outcomes` will list the result."""
         ticket = next(self.tickets)
         order = make_order(kind, base_version, body, received_at)
         if order.digest in self.state.taken:
@@ -99,7 +100,7 @@
         return ticket
 
     def advance(self, now: float) -> None:
-        """Bring each order as far as it gets now."""
+        """Advance each order as far as possible."""
         if self.agreement.role is not Role.LEADER:
             self.abandon()
             return
@@ -113,13 +114,13 @@
                 self._examine(now, job)
 
     def abandon(self) -> None:
-        """This process leads no longer: what is under way has no clear answer."""
+        """Leadership is lost: the outcome of all orders in progress is unknown."""
         for job in list(self.jobs.values()):
             self._finish(job, NO_ANSWER)
         self.confirming.clear()
 
     def checked(self, now: float, digest: bytes, error: str) -> None:
-        """What the driver found of a document; `error` is empty where it is valid."""
+        """The driver has validated a document; `error` is empty if it is valid."""
         job = self.jobs.get(digest)
         if job is None or job.phase is not Phase.CHECKING:
             return
@@ -133,7 +134,7 @@
             self._finish(job, NO_ANSWER)
 
     def applied(self, index: int, order: Order, outcome: OrderOutcome) -> None:
-        """An order of the log was applied here."""
+        """An order from the log was applied."""
         job = self.jobs.get(order.digest)
         if job is not None and job.phase is Phase.PROPOSED and job.index == index:
             job.outcome = outcome
@@ -142,7 +143,7 @@
             self._finish(job, outcome)
 
     def confirmed(self, token: int) -> bool:
-        """A majority has confirmed that this process led when a read was asked; False for others' tokens."""
+        """A majority has confirmed a read; False if the token belongs to no order."""
         digest = self.confirming.pop(token, None)
         if digest is None:
             return False
@@ -152,7 +153,7 @@
         return True
 
     def again(self, now: float) -> None:
-        """Ask anew for confirmations that did not come."""
+        """Retry confirmations that were not answered."""
         for token, digest in list(self.confirming.items()):
             del self.confirming[token]
             job = self.jobs.get(digest)
@@ -160,7 +161,7 @@
                 job.phase = Phase.QUEUED
 
     def _settled(self) -> bool:
-        """All that any leader before may have committed is applied here."""
+        """Whether everything that previous leaders may have committed is applied."""
         agreement = self.agreement
         return agreement.term_of(agreement.commit) == agreement.term and agreement.applied == agreement.commit
 
@@ -183,7 +184,7 @@
             document = self.state.document_after(order.kind, body)
         except OrderError as error:
             refusal = OrderOutcome(OrderStatus.INVALID, str(error))
-        if refusal is not None:  # it fits no document of this base, so nobody took it
+        if refusal is not None:  # invalid for any document of this base, so no leader can have accepted it
             self._finish(job, refusal)
             return
         job.phase = Phase.CHECKING
--- a/barleybarrow/consensus/paced_agreement.py
+++ b/barleybarrow/consensus/paced_agreement.py
@@ -1,10 +1,10 @@
-"""An agreement whose elections are tried again soon, and that does not answer the same refusal again at once.
+"""Raft with fast election retries, commits across failure domains, and rate-limited answers to refusals.
 
-A follower that asked a moment before the others missed the leader need not wait for a whole election's
-span: its question raises no term. Of two that ask at once one gives way, so that votes are seldom split.
-Where failure domains may be lost, an entry is agreed on only once more of them hold it.
-Two replicas whose logs can't be joined (a disk that lost what it had synced) would else exchange messages
-as fast as both can. It must never hold back what a replica that can follow waits for.
+A pre-vote raises no term, so one that came a moment before the others missed the leader is repeated without
+waiting for a whole election timeout. Of two concurrent pre-candidates one yields, so that split votes are
+rare. If whole failure domains may be lost, an entry is committed only once more domains than that have it.
+Two replicas whose logs cannot be reconciled, because a disk lost synced data, would otherwise exchange
+appends and refusals as fast as they can. The limit must never delay a replica that is able to follow.
 """
 
 from collections.abc import Mapping
@@ -15,39 +15,39 @@
 from barleybarrow.agreement_messages import Appended, AskVote, Vote
 from barleybarrow.consensus.failure_domains import spread_index
 
-PROBE_AGAIN_MS = (200.0, 450.0)  # after a question whether one would be elected: links answer within 100 ms
-YIELD_MS = (300.0, 600.0)  # who grants another its question leaves it time to be elected
-STAND_AGAIN_MS = (350.0, 800.0)  # after an election in which the votes were split
-LOST_MS = 1500.0  # silence after which a voter may be replaced: longer than most restarts take
-PAUSE_MS = 90.0  # the next beat, 100 ms after the one before, tries again
+PROBE_AGAIN_MS = (200.0, 450.0)  # a round trip takes up to 100 ms
+YIELD_MS = (300.0, 600.0)  # time for a pre-candidate to be elected after this process granted its pre-vote
+STAND_AGAIN_MS = (350.0, 800.0)  # after a split vote
+LOST_MS = 1500.0  # a silent voter may be replaced after this time, which is longer than most restarts
+PAUSE_MS = 90.0  # below the heartbeat interval of 100 ms, so that each heartbeat retries
 
 
 class PacedAgreement(Agreement):
-    """Answers a follower that refuses at the same index once a beat, and elects without long waits."""
+    """Retries elections early and answers a repeated refusal at most once per heartbeat."""
 
     def __init__(self, *arguments: Any, **named: Any) -> None:
         super().__init__(*arguments, **named)
         # By follower: the index of its last refusal, and when that was answered.
         self.refusals: dict[str, tuple[int, float]] = {}
-        self.notes: dict[str, bytes] = {}  # by follower: its newest note
-        self.domains: Mapping[str, str] = {}  # failure domain of each process ever met
+        self.notes: dict[str, bytes] = {}  # newest note by follower
+        self.domains: Mapping[str, str] = {}  # failure domain of each process ever seen
         self.tolerated_domains = 0  # that may be lost at once
 
     def tick(self, now: float) -> None:
-        """Do what is due; where that is to ask whether it would be elected, ask again soon."""
+        """Run the timers that are due; a pre-vote is retried early."""
         super().tick(now)
         if self.role is Role.PROBING:
             self.stands_at = min(self.stands_at, now + self.rng.uniform(*PROBE_AGAIN_MS))
 
     def elected(self, now: float, probe: bool) -> None:
-        """A majority has answered; where it was a question, an election follows."""
+        """Handle a majority of grants; an election that follows a pre-vote is retried early."""
         super().elected(now, probe)
         if self.role is Role.CANDIDATE:
             self.stands_at = now + self.rng.uniform(*STAND_AGAIN_MS)
 
     def asked(self, now: float, sender: str, m: AskVote) -> None:
-        """Somebody wants to be elected. Of two that ask at once the longer log goes on, or the lesser
-        name.
+        """Handle a vote request. Of two concurrent pre-candidates, the one with the longer log goes on, or
+        with equal logs the smaller name.
         """
         if m.probe and self.role is Role.PROBING and self._goes_before(sender, m):
             return
@@ -67,9 +67,7 @@
         return own_log > other_log or (own_log == other_log and self.name < other)
 
     def appended(self, now: float, sender: str, m: Appended) -> None:
-        """Take a follower's answer; a refusal just like the one before only corrects what is known of
-        its log.
-        """
+        """Handle a follower's response; a repeated refusal only updates its progress, without a retry."""
         self.notes[sender] = m.note
         repeated = self._repeated(now, sender, m)
         progress = self.progress.get(sender)
@@ -80,7 +78,7 @@
         progress.next = max(1, min(m.index + 1, self.last + 1))
 
     def agreed_index(self, now: float, held: dict[str, int]) -> int:
-        """Up to where a majority holds the log, and more failure domains than may be lost."""
+        """Last index held by a majority, and by more failure domains than may be lost."""
         agreed = super().agreed_index(now, held)
         if not self.tolerated_domains:
             return agreed
--- a/barleybarrow/consensus/voter_selection.py
+++ b/barleybarrow/consensus/voter_selection.py
@@ -1,31 +1,30 @@
-"""Who votes: the choice of the first voters, and single changes later. Pure functions over what a
-leader sees.
-"""
+"""Selection of the initial voters and of single membership changes. Pure functions of the leader's view."""
 
 from collections import Counter
 from collections.abc import Collection, Mapping
 from dataclasses import dataclass
 
-MIN_TARGET = 3  # below it no voter may be lost
-MAX_VOTERS = 9  # more make every order slower and protect from nothing new
+MIN_TARGET = 3  # fewer voters tolerate no loss
+MAX_VOTERS = 9  # more voters slow down every order without tolerating any further kind of loss
 
 
 @dataclass(frozen=True, slots=True)
 class ControlProcess:
-    """A control process as its Hello tells it. `counts`: its machine counts for the quorum, and has a
-    disk.
+    """A control process as described by its Hello.
+
+    `counts`: its machine counts for the quorum and has a disk.
     """
 
     name: str
     zone: str
     counts: bool
-    incarnation: int = 0  # of the process; another one may have lost its disk
+    incarnation: int = 0  # after a restart the disk may be gone
 
 
 def target_voters(tolerated_machines: int, disks: bool) -> int:
-    """How many voters there are to be: enough for a majority after the tolerated losses.
+    """Number of voters wanted: enough to keep a majority after the tolerated losses.
 
-    Without any disk all that serve `control` are the core, and more than half of them must do.
+    Without any disk, all control processes are voters up to the maximum, and a majority of them must survive.
     """
     if not disks:
         return MAX_VOTERS
@@ -33,13 +32,13 @@
 
 
 def eligible(processes: Collection[ControlProcess]) -> list[ControlProcess]:
-    """Those that may vote: those that count, or all where none does."""
+    """Processes that may vote: those that count for the quorum, or all of them if none does."""
     counting = [process for process in processes if process.counts]
     return counting or list(processes)
 
 
 def choose_voters(processes: Collection[ControlProcess], preferred: list[str], target: int) -> list[str]:
-    """The first voters: the zones in turn, in each the preferred first."""
+    """Choose the initial voters round-robin over the zones, preferred processes first in each zone."""
 
     def rank(process: ControlProcess) -> tuple[int, str]:
         place = preferred.index(process.name) if process.name in preferred else len(preferred)
@@ -58,8 +57,8 @@
 def evening_out(
     voters: list[str], standbys: list[ControlProcess], zones: Mapping[str, str]
 ) -> list[ControlProcess]:
-    """The standbys whose zones lack a voter that another zone has too many of, as a lost zone leaves it."""
-    if any(name not in zones for name in voters):  # one that was not met since this process started
+    """Standbys in zones that have at least two voters fewer than the fullest zone, as after a lost zone."""
+    if any(name not in zones for name in voters):  # a voter not seen since this process started
         return []
     held = Counter(zones[name] for name in voters)
     most = max(held.values(), default=0)
@@ -74,10 +73,10 @@
     standbys: list[ControlProcess],
     zones: Mapping[str, str],
 ) -> list[str] | None:
-    """The voters after the next change of one, as a leader would make it; None where nothing is to be
-    changed.
+    """The voters after the next single change; None if no change is needed or possible.
 
-    A standby comes in before a lost voter goes, and no change is made that those reachable could not commit.
+    A standby is added before a lost voter is removed, and no change is made that the reachable voters could
+    not commit.
     """
     alive = [name for name in voters if name in reachable]
     lost = [name for name in voters if name not in reachable]
