--- a/barleybarrow/agreement.py
+++ b/barleybarrow/agreement.py
@@ -29,14 +29,14 @@
     Appended,
     AskVote,
     Entry,
-    Install,
+    InstallSnapshot,
     Kind,
     Message,
-    Read,
+    Proposal,
+    ReadIndexRequest,
     ReadUpTo,
     Ready,
     Snapshot,
-    Submit,
     TimeoutNow,
     Vote,
 )
@@ -68,18 +68,18 @@
 
     def next(self) -> float:
         if self.role is Role.LEADER:
-            return min(self.beats_at, self.checks_at)
+            return min(self.heartbeat_due_at, self.quorum_check_due_at)
         return self.stands_at
 
     def tick(self, now: float) -> None:
         if self.role is Role.LEADER:
-            if now >= self.checks_at:
-                self.check(now)
-            if self.role is Role.LEADER and now >= self.beats_at:
+            if now >= self.quorum_check_due_at:
+                self.check_quorum(now)
+            if self.role is Role.LEADER and now >= self.heartbeat_due_at:
                 self.beat(now)
-                self.confirm()
+                self.answer_confirmed_reads()
         elif now >= self.stands_at:
-            self.stands_at = now + self.patience()
+            self.stands_at = now + self.random_election_timeout()
             if self.role is Role.LEARNER or self.barred:
                 self.leader = ""
                 for name in self.voters:  # the leader adds a learner once it hears from it
@@ -94,18 +94,19 @@
             if kind == Kind.VOTERS and not self.may_change():
                 return 0
             index = self.append(Entry(self.term, kind, data))
-            self.spread(now)
+            self.replicate_new_entries(now)
             return index
         if self.leader and kind == Kind.DATA:
-            self.send(self.leader, Submit(data))
+            self.send(self.leader, Proposal(data))
         else:
             self.counts["no_leader"] += 1
         return 0
 
     def stored(self, now: float, ready: Ready) -> None:
         """Report that everything in `ready` is on disk."""
-        if self.term_of(ready.last) == ready.last_term:  # otherwise those entries have been overwritten since
-            self.stored_to = max(self.stored_to, ready.last)
+        # If the terms differ, those entries have been overwritten since.
+        if self.term_of(ready.last_index) == ready.last_term:
+            self.stored_to = max(self.stored_to, ready.last_index)
         if self.role is Role.LEADER:
             self.advance(now)
 
@@ -116,9 +117,11 @@
 
         Only one may be in progress, and an entry of the current term must have been committed before.
         """
-        since = range(self.commit + 1, self.last + 1)
-        on_way = any(self.entries[i - self.snapshot.index - 1].kind == Kind.VOTERS for i in since)
-        return not on_way and self.term_of(self.commit) == self.term
+        uncommitted = range(self.commit + 1, self.last + 1)
+        change_pending = any(
+            self.entries[i - self.snapshot.index - 1].kind == Kind.VOTERS for i in uncommitted
+        )
+        return not change_pending and self.term_of(self.commit) == self.term
 
     def change_voters(self, now: float, voters: list[str]) -> bool:
         """Add or remove a single voter if this process is the leader. Thesis, 4.1."""
@@ -128,47 +131,53 @@
 
     # Messages
 
-    def receive(self, now: float, sender: str, m: Message) -> None:
+    def receive(self, now: float, sender: str, message: Message) -> None:
         """Handle a message; the transport has authenticated the sender."""
-        if isinstance(m, AskVote):
-            self.asked(now, sender, m)
-        elif isinstance(m, Vote):
-            self.voted(now, sender, m)
-        elif isinstance(m, Append | Install):
-            self.led(now, sender, m)
-        elif isinstance(m, Appended):
-            self.appended(now, sender, m)
-        elif isinstance(m, Read):
+        if isinstance(message, AskVote):
+            self.asked(now, sender, message)
+        elif isinstance(message, Vote):
+            self.handle_vote_response(now, sender, message)
+        elif isinstance(message, Append | InstallSnapshot):
+            self.handle_append(now, sender, message)
+        elif isinstance(message, Appended):
+            self.appended(now, sender, message)
+        elif isinstance(message, ReadIndexRequest):
             if self.role is Role.LEADER:
-                self.question(now, sender, m.token)
-        elif isinstance(m, ReadUpTo):
-            self.reads.append((m.token, m.index))
-        elif isinstance(m, TimeoutNow):
-            able = self.role is Role.FOLLOWER and not self.barred
-            if able and m.term == self.term and sender == self.leader:
-                self.stand(now, probe=False, transfer=True)
+                self.question(now, sender, message.token)
+        elif isinstance(message, ReadUpTo):
+            self.reads.append((message.token, message.index))
+        elif isinstance(message, TimeoutNow):
+            may_campaign = self.role is Role.FOLLOWER and not self.barred
+            if may_campaign and message.term == self.term and sender == self.leader:
+                self.stand(now, probe=False, leadership_transfer=True)
         elif self.role is Role.LEADER:
-            self.propose(now, m.data)
+            self.propose(now, message.data)
 
-    def led(self, now: float, sender: str, m: Append | Install) -> None:
-        if m.term < self.term:
+    def handle_append(self, now: float, sender: str, message: Append | InstallSnapshot) -> None:
+        if message.term < self.term:
             self.send(sender, Appended(self.term, False, self.last, 0))
             return
-        if m.term > self.term or self.role in (Role.PROBING, Role.CANDIDATE) or self.leader != sender:
-            self.follow(now, m.term, sender)
+        if (
+            message.term > self.term
+            or self.role in (Role.PRE_CANDIDATE, Role.CANDIDATE)
+            or self.leader != sender
+        ):
+            self.follow(now, message.term, sender)
         self.heard_at = now
-        self.stands_at = now + self.patience()
-        if isinstance(m, Install):
-            index = self.install(m.snapshot)
+        self.stands_at = now + self.random_election_timeout()
+        if isinstance(message, InstallSnapshot):
+            index = self.install_snapshot(message.snapshot)
         else:
-            index = self.match_up(m)
+            index = self.match_up(message)
             if index < 0:
-                hint = min(self.last, m.before - 1)
-                self.send(sender, Appended(self.term, False, max(hint, self.commit), m.round, self.note))
+                hint = min(self.last, message.before - 1)
+                self.send(
+                    sender, Appended(self.term, False, max(hint, self.commit), message.round, self.note)
+                )
                 return
-            self.commit = max(self.commit, min(m.commit, index))
-        round_ = 0 if self.barred else m.round
-        self.send(sender, Appended(self.term, True, index, round_, self.note, not self.barred))
+            self.commit = max(self.commit, min(message.commit, index))
+        acked_round = 0 if self.barred else message.round
+        self.send(sender, Appended(self.term, True, index, acked_round, self.note, not self.barred))
 
     def tell(self) -> None:
         """Send the current note to the leader now instead of with the next append response."""
--- a/barleybarrow/agreement_elections.py
+++ b/barleybarrow/agreement_elections.py
@@ -13,29 +13,29 @@
 from barleybarrow.agreement_replication import Progress
 
 ELECTION = 600.0  # plus a random extra of up to the same length
-BROKEN_LINK = (150.0, 450.0)  # shorter election timeout after the link to the leader broke
-LEARNER_GONE = 30_000.0  # the leader drops a learner that has been silent for this long
+BROKEN_LINK_TIMEOUT_MS = (150.0, 450.0)  # shorter election timeout after the link to the leader broke
+LEARNER_EXPIRY_MS = 30_000.0  # the leader drops a learner that has been silent for this long
 
 
 class Elections(ReadIndex):
     """Leader election of one process."""
 
-    def __init__(self, rng: Random, now: float, barred: bool, *arguments: Any) -> None:
+    def __init__(self, rng: Random, now: float, quarantined: bool, *arguments: Any) -> None:
         super().__init__(*arguments)
         self.rng = rng
         self.heard_at = -inf
-        self.barred = barred  # the store may have lost promises: no votes, and no part in a quorum
+        self.barred = quarantined  # the store may have lost promises: no votes, and no part in a quorum
         self.votes: set[str] = set()
-        self.stands_at = now + self.patience()
-        self.beats_at = self.checks_at = now
-        self.led_since = -inf
+        self.stands_at = now + self.random_election_timeout()
+        self.heartbeat_due_at = self.quorum_check_due_at = now
+        self.leader_since = -inf
 
-    def patience(self) -> float:
+    def random_election_timeout(self) -> float:
         return ELECTION + self.rng.uniform(0.0, ELECTION)
 
     def slept(self, now: float) -> None:
         """Restart the timers after this process was paused: it cannot tell who was silent meanwhile."""
-        self.stands_at = now + self.patience()
+        self.stands_at = now + self.random_election_timeout()
         self.heard_at = -inf
         if self.role is Role.LEADER:
             self.follow(now, self.term, "")
@@ -58,94 +58,99 @@
         self.votes.clear()
         self.questions.clear()
         self.progress.clear()
-        self.stands_at = now + self.patience()
+        self.stands_at = now + self.random_election_timeout()
 
-    def stand(self, now: float, probe: bool, transfer: bool = False) -> None:
+    def stand(self, now: float, probe: bool, leadership_transfer: bool = False) -> None:
         self.leader = ""
         self.votes = {self.name}
         if probe:
-            self.role = Role.PROBING
+            self.role = Role.PRE_CANDIDATE
         else:
             self.role = Role.CANDIDATE
             self.hard(self.term + 1, self.name)
         if len(self.votes) >= self.majority:
             self.elected(now, probe)
             return
-        ask = AskVote(self.term + probe, self.last, self.term_of(self.last), probe, transfer)
+        request = AskVote(self.term + probe, self.last, self.term_of(self.last), probe, leadership_transfer)
         for name in self.voters:
             if name != self.name:
-                self.send(name, ask)
+                self.send(name, request)
 
     def elected(self, now: float, probe: bool) -> None:
         if probe:
             self.stand(now, probe=False)
             return
-        self.role, self.leader, self.led_since = Role.LEADER, self.name, now
+        self.role, self.leader, self.leader_since = Role.LEADER, self.name, now
         self.progress = {name: Progress(self.last + 1) for name in self.voters if name != self.name}
         for p in self.progress.values():
-            p.heard_at = now
-        self.checks_at = now + ELECTION
+            p.last_heard_at = now
+        self.quorum_check_due_at = now + ELECTION
         self.append(Entry(self.term, Kind.NOTHING))
         self.counts["led"] += 1
         self.beat(now)
 
-    def asked(self, now: float, sender: str, m: AskVote) -> None:
-        up_to_date = (m.last_term, m.last) >= (self.term_of(self.last), self.last)
-        led = now - self.heard_at < ELECTION or self.role is Role.LEADER
+    def asked(self, now: float, sender: str, request: AskVote) -> None:
+        up_to_date = (request.last_term, request.last) >= (self.term_of(self.last), self.last)
+        has_leader = now - self.heard_at < ELECTION or self.role is Role.LEADER
         if self.barred or self.name not in self.voters:
             return
-        if m.probe:
-            granted = up_to_date and m.term > self.term and not led
-            self.send(sender, Vote(m.term if granted else self.term, granted, True))
+        if request.probe:
+            granted = up_to_date and request.term > self.term and not has_leader
+            self.send(sender, Vote(request.term if granted else self.term, granted, True))
             return
-        if led and m.term > self.term and not m.transfer:
+        if has_leader and request.term > self.term and not request.leadership_transfer:
             return  # a process that cannot hear the leader must not depose one that this process hears
-        if m.term > self.term:
-            self.follow(now, m.term, "")
-        granted = m.term == self.term and up_to_date and self.vote in ("", sender)
+        if request.term > self.term:
+            self.follow(now, request.term, "")
+        granted = request.term == self.term and up_to_date and self.vote in ("", sender)
         if granted:
             self.hard(self.term, sender)
-            self.stands_at = now + self.patience()
+            self.stands_at = now + self.random_election_timeout()
         self.send(sender, Vote(self.term, granted, False))
 
-    def voted(self, now: float, sender: str, m: Vote) -> None:
-        if m.probe:
-            if self.role is Role.PROBING and m.term == self.term + 1 and m.granted:
+    def handle_vote_response(self, now: float, sender: str, response: Vote) -> None:
+        if response.probe:
+            if self.role is Role.PRE_CANDIDATE and response.term == self.term + 1 and response.granted:
                 self.votes.add(sender)
-            elif not m.granted and m.term > self.term:
-                self.follow(now, m.term, "")
+            elif not response.granted and response.term > self.term:
+                self.follow(now, response.term, "")
                 return
-        elif m.term > self.term:
-            self.follow(now, m.term, "")
+        elif response.term > self.term:
+            self.follow(now, response.term, "")
             return
-        elif self.role is Role.CANDIDATE and m.term == self.term and m.granted:
+        elif self.role is Role.CANDIDATE and response.term == self.term and response.granted:
             self.votes.add(sender)
-        if self.role in (Role.PROBING, Role.CANDIDATE) and len(self.votes & {*self.voters}) >= self.majority:
-            self.elected(now, self.role is Role.PROBING)
+        if (
+            self.role in (Role.PRE_CANDIDATE, Role.CANDIDATE)
+            and len(self.votes & {*self.voters}) >= self.majority
+        ):
+            self.elected(now, self.role is Role.PRE_CANDIDATE)
 
-    def successor(self, now: float) -> str:
+    def choose_successor(self, now: float) -> str:
         """The recently heard voter with the longest matching log, to transfer leadership to; "" if none."""
-        held = [
+        candidates = [
             (p.match, name)
             for name, p in self.progress.items()
-            if name in self.voters and now - p.heard_at < ELECTION
+            if name in self.voters and now - p.last_heard_at < ELECTION
         ]
-        return max(held)[1] if held else ""
+        return max(candidates)[1] if candidates else ""
 
-    def unreachable(self, now: float, name: str) -> None:
+    def on_link_down(self, now: float, name: str) -> None:
         """Shorten the election timeout if the broken link leads to the leader."""
         if self.leader == name and self.role is not Role.LEADER:
             self.heard_at = -inf
-            self.stands_at = min(self.stands_at, now + self.rng.uniform(*BROKEN_LINK))
+            self.stands_at = min(self.stands_at, now + self.rng.uniform(*BROKEN_LINK_TIMEOUT_MS))
 
-    def check(self, now: float) -> None:
+    def check_quorum(self, now: float) -> None:
         """Step down if no majority was heard within an election timeout; thesis, 6.2."""
-        self.checks_at = now + ELECTION / 2
-        heard = sum(now - self.progress[n].heard_at < ELECTION for n in self.voters if n in self.progress)
+        self.quorum_check_due_at = now + ELECTION / 2
+        heard = sum(
+            now - self.progress[n].last_heard_at < ELECTION for n in self.voters if n in self.progress
+        )
         if heard + (self.name in self.voters) < self.majority:
             self.counts["stepped_down"] += 1
             self.follow(now, self.term, "")
             return
         for name in [n for n, p in self.progress.items() if n not in self.voters]:
-            if now - self.progress[name].heard_at > LEARNER_GONE:
+            if now - self.progress[name].last_heard_at > LEARNER_EXPIRY_MS:
                 del self.progress[name]
--- a/barleybarrow/agreement_log.py
+++ b/barleybarrow/agreement_log.py
@@ -19,7 +19,7 @@
 
     LEARNER = "learner"
     FOLLOWER = "follower"
-    PROBING = "probing"
+    PRE_CANDIDATE = "probing"
     CANDIDATE = "candidate"
     LEADER = "leader"
 
@@ -40,7 +40,7 @@
         self.term, self.vote = term, vote
         self.snapshot = snapshot or Snapshot(0, 0, voters, b"")
         self.entries = list(entries or ())
-        self.voters = self.voting()
+        self.voters = self.latest_voters()
         self.stored_to = self.last
         self.commit = self.applied = self.snapshot.index
         self.role = Role.FOLLOWER if name in self.voters else Role.LEARNER
@@ -59,7 +59,7 @@
             return self.entries[index - self.snapshot.index - 1].term
         return -1
 
-    def voting(self) -> list[str]:
+    def latest_voters(self) -> list[str]:
         """Voters named by the newest membership entry in the log, committed or not."""
         for entry in reversed(self.entries):
             if entry.kind == Kind.VOTERS:
@@ -73,52 +73,52 @@
     @property
     def dropped(self) -> int:
         """Messages, reads and learners' responses dropped because a limit was reached."""
-        return sum(self.counts[what] for what in ("messages", "reads", "learners"))
+        return sum(self.counts[reason] for reason in ("messages", "reads", "learners"))
 
     def append(self, entry: Entry) -> int:
         self.place(self.last + 1, [entry])
         return self.last
 
-    def place(self, first: int, entries: list[Entry]) -> None:
+    def place(self, first_index: int, entries: list[Entry]) -> None:
         """Write entries from an index on, replacing whatever follows it."""
-        del self.entries[first - self.snapshot.index - 1 :]
+        del self.entries[first_index - self.snapshot.index - 1 :]
         self.entries += entries
         ready = self.ready
-        if ready.entries and first <= ready.first + len(ready.entries):
-            del ready.entries[max(0, first - ready.first) :]
-            if first < ready.first:
-                ready.first = first
+        if ready.entries and first_index <= ready.first + len(ready.entries):
+            del ready.entries[max(0, first_index - ready.first) :]
+            if first_index < ready.first:
+                ready.first = first_index
         elif not ready.entries:
-            ready.first = first
+            ready.first = first_index
         ready.entries += entries
-        self.stored_to = min(self.stored_to, first - 1)
-        self.voters = self.voting()
-        self.settle_role()
+        self.stored_to = min(self.stored_to, first_index - 1)
+        self.voters = self.latest_voters()
+        self.update_role()
 
-    def settle_role(self) -> None:
+    def update_role(self) -> None:
         if self.name not in self.voters and self.role is not Role.LEADER:
             self.role = Role.LEARNER
         elif self.name in self.voters and self.role is Role.LEARNER:
             self.role = Role.FOLLOWER
 
-    def match_up(self, m: Append) -> int:
+    def match_up(self, message: Append) -> int:
         """Append a leader's entries: the last index that matches its log, or -1 on a mismatch."""
-        if m.before < self.snapshot.index:  # entries in the snapshot are committed, so they match
-            skip = self.snapshot.index - m.before
-            if skip >= len(m.entries):
+        if message.before < self.snapshot.index:  # entries in the snapshot are committed, so they match
+            skip = self.snapshot.index - message.before
+            if skip >= len(message.entries):
                 return max(self.snapshot.index, 0)
-            before, entries = self.snapshot.index, m.entries[skip:]
+            prev_index, entries = self.snapshot.index, message.entries[skip:]
         else:
-            before, entries = m.before, m.entries
-            if self.term_of(before) != m.before_term:
+            prev_index, entries = message.before, message.entries
+            if self.term_of(prev_index) != message.prev_term:
                 return -1
         for i, entry in enumerate(entries):
-            if self.term_of(before + 1 + i) != entry.term:
-                self.place(before + 1 + i, entries[i:])
+            if self.term_of(prev_index + 1 + i) != entry.term:
+                self.place(prev_index + 1 + i, entries[i:])
                 break
-        return before + len(entries)
+        return prev_index + len(entries)
 
-    def install(self, snapshot: Snapshot) -> int:
+    def install_snapshot(self, snapshot: Snapshot) -> int:
         if snapshot.index <= self.commit:
             return self.commit
         if self.term_of(snapshot.index) == snapshot.term:
@@ -130,8 +130,8 @@
         self.ready.first = snapshot.index + 1
         self.commit = self.applied = snapshot.index
         self.stored_to = min(self.stored_to, self.last)
-        self.voters = self.voting()
-        self.settle_role()
+        self.voters = self.latest_voters()
+        self.update_role()
         return snapshot.index
 
     def compact(self, index: int, data: bytes) -> Snapshot | None:
@@ -142,10 +142,10 @@
         if not self.snapshot.index < index <= self.applied:
             return None
         voters = self.voters_at(index)
-        made = Snapshot(index, self.term_of(index), voters, data)
+        snapshot = Snapshot(index, self.term_of(index), voters, data)
         del self.entries[: index - self.snapshot.index]
-        self.snapshot = made
-        return made
+        self.snapshot = snapshot
+        return snapshot
 
     def voters_at(self, index: int) -> list[str]:
         for i in range(index - self.snapshot.index - 1, -1, -1):
@@ -161,8 +161,8 @@
 
     def whole(self) -> Ready:
         """The whole state, for an empty store."""
-        first = self.snapshot.index + 1
-        return Ready((self.term, self.vote), self.snapshot, first, list(self.entries))
+        first_index = self.snapshot.index + 1
+        return Ready((self.term, self.vote), self.snapshot, first_index, list(self.entries))
 
     def take(self) -> Ready | None:
         """The pending writes, messages and committed entries; None if there are none."""
@@ -173,7 +173,7 @@
             ready.apply.append((self.applied, self.entries[self.applied - self.snapshot.index - 1]))
         if not (ready.hard or ready.snapshot or ready.entries or ready.messages or ready.apply):
             return None
-        ready.last, ready.last_term = self.last, self.term_of(self.last)
+        ready.last_index, ready.last_term = self.last, self.term_of(self.last)
         self.ready = Ready()
         return ready
 
--- a/barleybarrow/agreement_messages.py
+++ b/barleybarrow/agreement_messages.py
@@ -8,8 +8,8 @@
 
 from msgspec import Meta, Struct
 
-Number = Annotated[int, Meta(ge=0, le=2**53)]
-Name = Annotated[str, Meta(min_length=0, max_length=64)]
+Unsigned = Annotated[int, Meta(ge=0, le=2**53)]
+NodeName = Annotated[str, Meta(min_length=0, max_length=64)]
 
 
 class Kind:
@@ -19,7 +19,7 @@
 
 
 class Entry(Struct, array_like=True, frozen=True):
-    term: Number
+    term: Unsigned
     kind: Annotated[int, Meta(ge=0, le=2)]
     data: bytes = b""
 
@@ -27,62 +27,64 @@
 class Snapshot(Struct, array_like=True, frozen=True):
     """Application state as of an index, and the voters at that index."""
 
-    index: Number
-    term: Number
-    voters: list[Name]
+    index: Unsigned
+    term: Unsigned
+    voters: list[NodeName]
     data: bytes
 
 
 class AskVote(Struct, array_like=True, frozen=True, tag=1):
-    term: Number
-    last: Number
-    last_term: Number
+    term: Unsigned
+    last: Unsigned
+    last_term: Unsigned
     probe: bool  # pre-vote: no term is raised and no vote is cast
-    transfer: bool = False  # leadership transfer: granted even by voters that still hear the leader
+    leadership_transfer: bool = (
+        False  # leadership transfer: granted even by voters that still hear the leader
+    )
 
 
 class Vote(Struct, array_like=True, frozen=True, tag=2):
-    term: Number
+    term: Unsigned
     granted: bool
     probe: bool
 
 
 class Append(Struct, array_like=True, frozen=True, tag=3):
-    term: Number
-    before: Number  # index of the entry before `entries`
-    before_term: Number
+    term: Unsigned
+    before: Unsigned  # index of the entry before `entries`
+    prev_term: Unsigned
     entries: list[Entry]
-    commit: Number
-    round: Number  # the leader's heartbeat round, which confirms reads
+    commit: Unsigned
+    round: Unsigned  # the leader's heartbeat round, which confirms reads
 
 
 class Appended(Struct, array_like=True, frozen=True, tag=4):
-    term: Number
+    term: Unsigned
     good: bool
-    index: Number  # last matching index; after a mismatch, a hint where the leader might retry
-    round: Number
+    index: Unsigned  # last matching index; after a mismatch, a hint where the leader might retry
+    round: Unsigned
     note: bytes = b""  # opaque data from the driver for the leader
-    counts: bool = True  # False from a process whose store may have lost what it acknowledged
+    counts_for_commit: bool = True  # False from a process whose store may have lost what it acknowledged
 
 
-class Install(Struct, array_like=True, frozen=True, tag=5):
-    term: Number
+class InstallSnapshot(Struct, array_like=True, frozen=True, tag=5):
+    term: Unsigned
     snapshot: Snapshot
-    round: Number
+    round: Unsigned
 
 
-class Read(Struct, array_like=True, frozen=True, tag=6):
+class ReadIndexRequest(Struct, array_like=True, frozen=True, tag=6):
     """Asks the presumed leader for a confirmed commit index."""
 
-    token: Number
+    token: Unsigned
 
 
 class ReadUpTo(Struct, array_like=True, frozen=True, tag=7):
-    token: Number
-    index: Number
+    token: Unsigned
+    index: Unsigned
 
 
-class Submit(Struct, array_like=True, frozen=True, tag=8):
+class Proposal(Struct, array_like=True, frozen=True, tag=8):
     """A proposal forwarded to the leader. It may be lost or duplicated, so its data must be idempotent."""
 
     data: bytes
@@ -91,10 +93,12 @@
 class TimeoutNow(Struct, array_like=True, frozen=True, tag=9):
     """Campaign at once: the leader of this term transfers leadership. Thesis, 3.10."""
 
-    term: Number
+    term: Unsigned
 
 
-Message = AskVote | Vote | Append | Appended | Install | Read | ReadUpTo | Submit | TimeoutNow
+Message = (
+    AskVote | Vote | Append | Appended | InstallSnapshot | ReadIndexRequest | ReadUpTo | Proposal | TimeoutNow
+)
 
 
 @dataclass(slots=True)
@@ -107,5 +111,5 @@
     entries: list[Entry] = field(default_factory=list)
     messages: list[tuple[str, Message]] = field(default_factory=list)
     apply: list[tuple[int, Entry]] = field(default_factory=list)
-    last: int = 0  # last index that is on disk once this has been persisted
+    last_index: int = 0  # last index that is on disk once this has been persisted
     last_term: int = 0
--- a/barleybarrow/agreement_reads.py
+++ b/barleybarrow/agreement_reads.py
@@ -8,18 +8,18 @@
 from typing import Any
 
 from barleybarrow.agreement_log import Role
-from barleybarrow.agreement_messages import Read, ReadUpTo
+from barleybarrow.agreement_messages import ReadIndexRequest, ReadUpTo
 from barleybarrow.agreement_replication import Replication
 
-GATHER = 5.0  # requests within this time share a heartbeat round
+READ_BATCH_WINDOW_MS = 5.0  # requests within this time share a heartbeat round
 MOST_READS = 64
 
 
 @dataclass(slots=True)
-class Question:
+class PendingRead:
     """A read that waits for a majority to confirm the leader's round."""
 
-    asker: str
+    requester: str
     token: int
     index: int
     round: int
@@ -31,7 +31,7 @@
     def __init__(self, *arguments: Any, **named: Any) -> None:
         super().__init__(*arguments, **named)
         self.leader = ""
-        self.questions: list[Question] = []
+        self.questions: list[PendingRead] = []
         self.reads: list[tuple[int, int]] = []  # (token, commit index) of answered reads
 
     def read(self, now: float, token: int) -> None:
@@ -39,33 +39,33 @@
         if self.role is Role.LEADER:
             self.question(now, self.name, token)
         elif self.leader:
-            self.send(self.leader, Read(token))
+            self.send(self.leader, ReadIndexRequest(token))
 
-    def question(self, now: float, asker: str, token: int) -> None:
+    def question(self, now: float, requester: str, token: int) -> None:
         """Queue a read until a majority confirms that this process still leads. Thesis, 6.4."""
         if self.term_of(self.commit) != self.term:
             return
         if len(self.questions) >= MOST_READS:  # the requester retries
             self.counts["reads"] += 1
             return
-        self.questions.append(Question(asker, token, self.commit, self.round + 1))
-        if now - self.beat_at >= GATHER:
+        self.questions.append(PendingRead(requester, token, self.commit, self.round + 1))
+        if now - self.last_heartbeat_at >= READ_BATCH_WINDOW_MS:
             self.beat(now)
-            self.confirm()
+            self.answer_confirmed_reads()
         else:  # batched into the next round
-            self.beats_at = min(self.beats_at, self.beat_at + GATHER)
+            self.heartbeat_due_at = min(self.heartbeat_due_at, self.last_heartbeat_at + READ_BATCH_WINDOW_MS)
 
-    def confirm(self) -> None:
+    def answer_confirmed_reads(self) -> None:
         """Answer the reads whose round a majority has confirmed."""
-        rounds = sorted(self.round if n == self.name else self.round_of(n) for n in self.voters)
-        sure = rounds[len(rounds) - self.majority]
-        for q in [q for q in self.questions if q.round <= sure]:
-            self.questions.remove(q)
-            if q.asker == self.name:
-                self.reads.append((q.token, q.index))
+        rounds = sorted(self.round if n == self.name else self.acked_round_of(n) for n in self.voters)
+        confirmed_round = rounds[len(rounds) - self.majority]
+        for pending in [pending for pending in self.questions if pending.round <= confirmed_round]:
+            self.questions.remove(pending)
+            if pending.requester == self.name:
+                self.reads.append((pending.token, pending.index))
             else:
-                self.send(q.asker, ReadUpTo(q.token, q.index))
+                self.send(pending.requester, ReadUpTo(pending.token, pending.index))
 
-    def round_of(self, name: str) -> int:
-        p = self.progress.get(name)
-        return p.round if p is not None else 0
+    def acked_round_of(self, name: str) -> int:
+        progress = self.progress.get(name)
+        return progress.acked_round if progress is not None else 0
--- a/barleybarrow/agreement_replication.py
+++ b/barleybarrow/agreement_replication.py
@@ -10,12 +10,14 @@
 from typing import Any
 
 from barleybarrow.agreement_log import ReplicatedLog, Role
-from barleybarrow.agreement_messages import Append, Appended, Entry, Install
-
-BEAT = 100.0
-LEARNER_BEAT = 300.0  # to learners that are up to date: they do not campaign, and query only after 600 ms
-MOST_ENTRIES = 64
-MOST_BYTES = 256 * 1024
+from barleybarrow.agreement_messages import Append, Appended, Entry, InstallSnapshot
+
+HEARTBEAT_INTERVAL_MS = 100.0
+LEARNER_HEARTBEAT_INTERVAL_MS = (
+    300.0  # to learners that are up to date: they do not campaign, and query only after 600 ms
+)
+MAX_APPEND_ENTRIES = 64
+MAX_APPEND_BYTES = 256 * 1024
 MOST_LEARNERS = 1024
 
 
@@ -25,11 +27,11 @@
 
     next: int
     match: int = 0
-    has: int = 0  # last index it acknowledged, also if that acknowledgement does not count for a quorum
-    heard_at: float = -inf
-    sent_at: float = -inf
-    round: int = 0
-    fence: int = 0  # responses to earlier rounds come from a previous incarnation and prove no copy
+    received_index: int = 0  # last index it acknowledged, whether that counts for a quorum or not
+    last_heard_at: float = -inf
+    last_sent_at: float = -inf
+    acked_round: int = 0
+    min_valid_round: int = 0  # responses to earlier rounds come from a previous incarnation and prove no copy
 
 
 class Replication(ReplicatedLog):
@@ -39,7 +41,7 @@
         super().__init__(*arguments, **named)
         self.progress: dict[str, Progress] = {}
         self.round = 0  # of the newest broadcast
-        self.beats_at = self.beat_at = -inf
+        self.heartbeat_due_at = self.last_heartbeat_at = -inf
 
     # Implemented by subclasses
 
@@ -47,112 +49,114 @@
         """Become a follower of `leader` ("" if unknown) in a term that is not below the current one."""
         raise NotImplementedError
 
-    def confirm(self) -> None:
+    def answer_confirmed_reads(self) -> None:
         """Answer the reads that a majority of voters has confirmed."""
         raise NotImplementedError
 
     # Sending to followers
 
-    def beat(self, now: float, everybody: bool = False) -> None:
+    def beat(self, now: float, to_all: bool = False) -> None:
         """Start a round: send to all voters, and to learners that are behind or due a heartbeat."""
-        self.beats_at, self.beat_at = now + BEAT, now
+        self.heartbeat_due_at, self.last_heartbeat_at = now + HEARTBEAT_INTERVAL_MS, now
         self.round += 1
         for name in self.voters:
             if name != self.name and name not in self.progress:
                 self.progress[name] = Progress(self.last + 1)
         for name, p in self.progress.items():
-            waits = p.has >= self.last and now - p.sent_at < LEARNER_BEAT
-            if everybody or name in self.voters or not waits:
-                self.inform(now, name, p)
+            idle = p.received_index >= self.last and now - p.last_sent_at < LEARNER_HEARTBEAT_INTERVAL_MS
+            if to_all or name in self.voters or not idle:
+                self.replicate_to(now, name, p)
 
     def invite(self, now: float, name: str) -> None:
         """Start replicating to a process that may have restarted and know no leader."""
         if self.role is Role.LEADER and name not in self.progress and len(self.progress) < MOST_LEARNERS:
             self.progress[name] = Progress(self.last + 1)
-            self.inform(now, name, self.progress[name])
+            self.replicate_to(now, name, self.progress[name])
 
-    def spread(self, now: float) -> None:
+    def replicate_new_entries(self, now: float) -> None:
         for name, p in self.progress.items():
             if p.next <= self.last:
-                self.inform(now, name, p)
+                self.replicate_to(now, name, p)
 
-    def inform(self, now: float, name: str, p: Progress) -> None:
+    def replicate_to(self, now: float, name: str, progress: Progress) -> None:
         """Send a follower the snapshot or entries it is missing, or an empty heartbeat."""
-        p.sent_at = now
-        if p.next <= self.snapshot.index:
-            self.send(name, Install(self.term, self.snapshot, self.round))
-            p.next = self.snapshot.index + 1
+        progress.last_sent_at = now
+        if progress.next <= self.snapshot.index:
+            self.send(name, InstallSnapshot(self.term, self.snapshot, self.round))
+            progress.next = self.snapshot.index + 1
             return
-        part, size = list[Entry](), 0
-        for entry in self.entries[p.next - self.snapshot.index - 1 :][:MOST_ENTRIES]:
-            size += len(entry.data)
-            if part and size > MOST_BYTES:
+        batch, batch_bytes = list[Entry](), 0
+        for entry in self.entries[progress.next - self.snapshot.index - 1 :][:MAX_APPEND_ENTRIES]:
+            batch_bytes += len(entry.data)
+            if batch and batch_bytes > MAX_APPEND_BYTES:
                 break
-            part.append(entry)
-        before = p.next - 1
-        self.send(name, Append(self.term, before, self.term_of(before), part, self.commit, self.round))
-        p.next += len(part)
+            batch.append(entry)
+        prev_index = progress.next - 1
+        self.send(
+            name, Append(self.term, prev_index, self.term_of(prev_index), batch, self.commit, self.round)
+        )
+        progress.next += len(batch)
 
     # Responses of followers
 
-    def appended(self, now: float, sender: str, m: Appended) -> None:
-        if m.term > self.term:
-            self.follow(now, m.term, "")
+    def appended(self, now: float, sender: str, response: Appended) -> None:
+        if response.term > self.term:
+            self.follow(now, response.term, "")
             return
         if self.role is not Role.LEADER:
             return
-        p = self.progress.get(sender)
-        if p is None:
+        progress = self.progress.get(sender)
+        if progress is None:
             if len(self.progress) >= MOST_LEARNERS:
                 self.counts["learners"] += 1
                 return
-            p = self.progress[sender] = Progress(max(1, min(m.index, self.last) + 1))
-            p.heard_at = now
-            self.inform(now, sender, p)
-        if m.term < self.term:
+            progress = self.progress[sender] = Progress(max(1, min(response.index, self.last) + 1))
+            progress.last_heard_at = now
+            self.replicate_to(now, sender, progress)
+        if response.term < self.term:
             return
-        p.heard_at, p.round = now, max(p.round, m.round)
-        if m.good:
-            if not m.counts:
-                p.match = 0
-            elif m.round >= p.fence:
-                p.match = max(p.match, m.index)
-            p.has = max(p.has, m.index)
-            p.next = max(p.next, m.index + 1)
+        progress.last_heard_at, progress.acked_round = now, max(progress.acked_round, response.round)
+        if response.good:
+            if not response.counts_for_commit:
+                progress.match = 0
+            elif response.round >= progress.min_valid_round:
+                progress.match = max(progress.match, response.index)
+            progress.received_index = max(progress.received_index, response.index)
+            progress.next = max(progress.next, response.index + 1)
             self.advance(now)
-            if p.next <= self.last:
-                self.inform(now, sender, p)
+            if progress.next <= self.last:
+                self.replicate_to(now, sender, progress)
         else:
-            p.next = max(1, min(m.index + 1, self.last + 1))
-            p.match = 0 if m.index < p.match else p.match
-            p.has = min(p.has, m.index)
-            self.inform(now, sender, p)
-        self.confirm()
+            progress.next = max(1, min(response.index + 1, self.last + 1))
+            progress.match = 0 if response.index < progress.match else progress.match
+            progress.received_index = min(progress.received_index, response.index)
+            self.replicate_to(now, sender, progress)
+        self.answer_confirmed_reads()
 
     def advance(self, now: float) -> None:
         """Commit what a majority has on disk, provided the last entry is of this term; Raft, 5.4.2."""
-        index = self.agreed_index(now, {n: self.held_by(n) for n in self.voters})
+        index = self.quorum_index(now, {n: self.persisted_index_of(n) for n in self.voters})
         if index > self.commit and self.term_of(index) == self.term:
             self.commit = index
-            self.beat(now, everybody=True)
+            self.beat(now, to_all=True)
             if self.name not in self.voters and self.term_of(self.commit) == self.term:
                 self.follow(now, self.term, "")  # its own removal is committed now
 
-    def held_by(self, name: str) -> int:
+    def persisted_index_of(self, name: str) -> int:
         """Last index that a voter is known to have on disk."""
         return self.stored_to if name == self.name else self.match(name)
 
-    def agreed_index(self, now: float, held: dict[str, int]) -> int:
+    def quorum_index(self, now: float, persisted_indexes: dict[str, int]) -> int:
         """Last index held by a majority, given the last index on the disk of each voter."""
-        return sorted(held.values())[len(held) - self.majority]
+        return sorted(persisted_indexes.values())[len(persisted_indexes) - self.majority]
 
-    def restarted(self, name: str) -> None:
+    def on_peer_restart(self, name: str) -> None:
         """Discard what a previous incarnation of a follower acknowledged: its disk may be gone."""
-        p = self.progress.get(name)
-        if p is not None:
+        progress = self.progress.get(name)
+        if progress is not None:
             self.round += 1
-            p.match, p.fence = 0, self.round
+            progress.match, progress.min_valid_round = 0, self.round
 
     def match(self, name: str) -> int:
-        p = self.progress.get(name)
-        return p.match if p is not None else 0
+        progress = self.progress.get(name)
+        return progress.match if progress is not None else 0
--- a/barleybarrow/consensus/config_node.py
+++ b/barleybarrow/consensus/config_node.py
@@ -20,64 +20,64 @@
 from barleybarrow.agreement_messages import (
     Appended,
     Entry,
-    Install,
+    InstallSnapshot,
     Kind,
     Message,
+    Proposal,
     Ready,
     Snapshot,
-    Submit,
     TimeoutNow,
 )
 from barleybarrow.consensus.configuration_state import (
     Command,
     ConfigurationState,
     Order,
-    Witness,
+    RejoinMarker,
     order_digest,
 )
 from barleybarrow.consensus.durable_state import DurableState, encode_image, encode_record
 from barleybarrow.consensus.order_queue import OrderQueue
-from barleybarrow.consensus.paced_agreement import LOST_MS, PacedAgreement
+from barleybarrow.consensus.paced_agreement import VOTER_LOST_TIMEOUT_MS, PacedRaftNode
 from barleybarrow.consensus.voter_selection import (
     ControlProcess,
     choose_voters,
-    eligible,
-    next_change,
-    target_voters,
+    eligible_processes,
+    next_voter_change,
+    target_voter_count,
 )
 
-GATHER_MS = 600.0  # on a first start all machines start within 300 ms of one another
-GATHER_LONGEST_MS = 1500.0  # with fewer machines than wanted; the first order is due 4 s after the start
-GATHER_ANYWAY_MS = 6000.0  # until then, do not form a group that could be lost as a whole by tolerated losses
-QUIET_MS = 200.0  # all seeds are connected and nobody new appeared for this long: no more are expected
-ANNOUNCE_MS = 250.0
-WITNESS_MS = 400.0
-INVITE_MS = 1000.0  # to processes that do not follow the leader yet
-CHANGE_MS = 200.0
-FRESH_MS = 700.0  # a standby heard within this time is alive: it responds every 300 ms
-CONFIRM_AGAIN_MS = 500.0
-RESTARTED_MS = (300.0, 700.0)  # after a restart: connecting takes up to 200 ms
-LINKED_MS = (60.0, 300.0)  # once a majority is connected: a leader would have sent within 20 ms
-HAND_OVER_MS = 500.0  # after starting a leadership transfer, a leader advances no orders for this long
-ASK_MS = 300.0  # of a learner that looks for a leader among the known voters
-LONGEST_SLEEP_MS = 200.0  # well below the pause threshold, so that a pause is detected
-PAUSE_MS = 500.0  # a process that was not scheduled for this long has missed messages meanwhile
-LEAVING = b"leaving"  # note of a voter that shuts down as planned: it is replaced if a standby exists
+BOOTSTRAP_GATHER_MS = 600.0  # on a first start all machines start within 300 ms of one another
+BOOTSTRAP_PARTIAL_GATHER_MS = 1500.0  # fewer machines than wanted; the first order is due 4 s after the start
+BOOTSTRAP_MAX_GATHER_MS = 6000.0  # until then, form no group that tolerated losses could wipe out as a whole
+BOOTSTRAP_QUIET_MS = 200.0  # all seeds connected and nobody new for this long: no more are expected
+ANNOUNCE_INTERVAL_MS = 250.0
+REJOIN_REQUEST_INTERVAL_MS = 400.0
+CONTACT_INTERVAL_MS = 1000.0  # between a leader's attempts to reach processes that do not follow it yet
+VOTER_CHECK_INTERVAL_MS = 200.0
+STANDBY_FRESH_MS = 700.0  # a standby heard within this time is alive: it responds every 300 ms
+CONFIRM_RETRY_INTERVAL_MS = 500.0
+RESTART_ELECTION_TIMEOUT_MS = (300.0, 700.0)  # after a restart: connecting takes up to 200 ms
+CONNECTED_ELECTION_TIMEOUT_MS = (60.0, 300.0)  # majority connected: a leader would have sent within 20 ms
+TRANSFER_PAUSE_MS = 500.0  # after starting a leadership transfer, a leader advances no orders for this long
+LEADER_QUERY_INTERVAL_MS = 300.0  # of a learner that looks for a leader among the known voters
+MAX_TICK_INTERVAL_MS = 200.0  # well below the pause threshold, so that a pause is detected
+PAUSE_THRESHOLD_MS = 500.0  # a process that was not scheduled for this long has missed messages meanwhile
+NOTE_LEAVING = b"leaving"  # note of a voter that shuts down as planned: it is replaced if a standby exists
 MAX_LOG_BYTES = 256 * 1024  # a longer log is compacted into a snapshot
-SNAPSHOT_SHARE = 2  # the log may be this many times as long: else large snapshots are written too often
+MAX_LOG_TO_SNAPSHOT_RATIO = 2  # a longer log is allowed, so that large snapshots are not written too often
 MAX_LOG_ENTRIES = 512
 
 NO_VOTERS: list[str] = []
-MESSAGES: msgpack.Decoder[Message] = msgpack.Decoder(Message)
+MESSAGE_DECODER: msgpack.Decoder[Message] = msgpack.Decoder(Message)
 
 
 @dataclass(frozen=True, slots=True)
 class NodeOptions:
-    """Local settings of a replica. Names are internal addresses; `counts`: it has a disk and may vote."""
+    """Local settings of a replica; its name and the seeds are internal addresses."""
 
     name: str
     zone: str
-    counts: bool
+    counts: bool  # for the quorum: it has a disk and may vote
     seeds: list[str]
     bootstrap: bool
     tolerated_machines: int = 1
@@ -112,51 +112,57 @@
 
     max_log_entries = MAX_LOG_ENTRIES
 
-    def __init__(self, options: NodeOptions, rng: Random, now: float, kept: DurableState | None) -> None:
+    def __init__(self, options: NodeOptions, rng: Random, now: float, persisted: DurableState | None) -> None:
         self.options, self.name, self.rng = options, options.name, rng
         self.state = ConfigurationState()
         self.applied_index = 0
-        self.started_at = self.last_call = self.ticked_at = self.news_at = now
+        self.started_at = self.last_call_at = self.last_tick_at = self.last_discovery_at = now
         self.reachable: dict[str, ControlProcess] = {}  # connected control processes, without this one
-        self.own = ControlProcess(options.name, options.zone, options.counts)
+        self.own_process = ControlProcess(options.name, options.zone, options.counts)
         self.zones: dict[str, str] = {options.name: options.zone}  # of every control process ever seen
         self.committed_voters: tuple[list[str], int] = (NO_VOTERS, 0)
-        self.told_voters: tuple[list[str], int] = (NO_VOTERS, 0)  # reported by others, with the log index
+        self.reported_voters: tuple[list[str], int] = (NO_VOTERS, 0)  # reported by others, with the log index
         self.nonce = rng.getrandbits(52)
         # Tokens of reads start at random, so that late answers to a previous incarnation match none.
-        self.tokens = count(self.nonce)
+        self.read_tokens = count(self.nonce)
         self.incarnations: dict[str, int] = {}  # newest of every control process ever seen
-        self.confirmations: dict[
-            int, Callable[[], None]
-        ] = {}  # by token: callback once the read's index is applied
-        self.awaited: list[tuple[int, int]] = []  # (index, token) of answered reads not applied yet
+        self.read_callbacks: dict[int, Callable[[], None]] = {}  # by token
+        self.unapplied_reads: list[tuple[int, int]] = []  # (index, token) of answered reads not applied yet
         self.on_applied: list[Callable[[], None]] = []
         self.in_flight: Work | None = None
-        self.rewrite = False  # the next work has to persist a full image
+        self.image_pending = False  # the next work has to persist a full image
         self.log_bytes = 0
-        self.handed_over_at = -inf
-        self.announce_at = self.witness_at = self.invite_at = self.change_at = self.confirm_at = now
-        self.agreement = self._with_domains(self._restored(now, kept))
-        least_disks = options.tolerated_machines + 1
-        self.orders = OrderQueue(self.agreement, self.state, least_disks, self.tokens)
-
-    def _with_domains(self, agreement: PacedAgreement) -> PacedAgreement:
-        agreement.domains, agreement.tolerated_domains = self.zones, self.options.tolerated_domains
-        return agreement
-
-    def _restored(self, now: float, kept: DurableState | None) -> PacedAgreement:
-        if kept is None:
-            self.rewrite = True  # from now on an empty store means that its content was lost
-            return PacedAgreement(self.name, [], self.rng, now, barred=not self.options.bootstrap)
-        snapshot = kept.snapshot
+        self.transfer_started_at = -inf
+        self.announce_at = self.rejoin_at = self.contact_at = self.voter_check_at = self.confirm_at = now
+        self.agreement = self._configure_domains(self._restore_raft(now, persisted))
+        min_disks = options.tolerated_machines + 1
+        self.orders = OrderQueue(self.agreement, self.state, min_disks, self.read_tokens)
+
+    def _configure_domains(self, raft: PacedRaftNode) -> PacedRaftNode:
+        raft.domains, raft.tolerated_domains = self.zones, self.options.tolerated_domains
+        return raft
+
+    def _restore_raft(self, now: float, persisted: DurableState | None) -> PacedRaftNode:
+        if persisted is None:
+            self.image_pending = True  # from now on an empty store means that its content was lost
+            return PacedRaftNode(self.name, [], self.rng, now, barred=not self.options.bootstrap)
+        snapshot = persisted.snapshot
         if snapshot.index:
             self._restore(snapshot)
-        voters, entries = snapshot.voters, kept.entries
-        agreement = PacedAgreement(
-            self.name, voters, self.rng, now, kept.term, kept.vote, snapshot, entries, kept.barred
+        voters, entries = snapshot.voters, persisted.entries
+        raft = PacedRaftNode(
+            self.name,
+            voters,
+            self.rng,
+            now,
+            persisted.term,
+            persisted.vote,
+            snapshot,
+            entries,
+            persisted.quarantined,
         )
-        agreement.stands_at = now + self.rng.uniform(*RESTARTED_MS)
-        return agreement
+        raft.stands_at = now + self.rng.uniform(*RESTART_ELECTION_TIMEOUT_MS)
+        return raft
 
     # State for callers
 
@@ -173,77 +179,77 @@
     @property
     def voters(self) -> tuple[list[str], int]:
         """The newest committed voters known here, and the log index of that membership."""
-        return max(self.committed_voters, self.told_voters, key=lambda voters: voters[1])
+        return max(self.committed_voters, self.reported_voters, key=lambda voters: voters[1])
 
-    def known(self) -> list[ControlProcess]:
+    def known_processes(self) -> list[ControlProcess]:
         """This control process and those it is connected to."""
-        return [self.own, *self.reachable.values()]
+        return [self.own_process, *self.reachable.values()]
 
     def next_wakeup(self, now: float) -> float:
         """Time by which `tick` has to be called."""
-        due = min(self.agreement.next(), self.ticked_at + LONGEST_SLEEP_MS)
+        due = min(self.agreement.next(), self.last_tick_at + MAX_TICK_INTERVAL_MS)
         return max(due, now + 1.0)
 
     # Events from the driver
 
     def tick(self, now: float) -> None:
         """Run the timers that are due."""
-        self._awake(now)
-        self.ticked_at = now
+        self._detect_pause(now)
+        self.last_tick_at = now
         self.agreement.tick(now)
-        self._form(now)
-        self._announce(now)
-        self._ask_for_witness(now)
-        self._invite(now)
-        self._change_voters(now)
+        self._bootstrap(now)
+        self._announce_voters(now)
+        self._request_rejoin_marker(now)
+        self._contact_processes(now)
+        self._maintain_voters(now)
         if now >= self.confirm_at:
-            self.confirm_at = now + CONFIRM_AGAIN_MS
-            self.orders.again(now)
-        self._settle(now)
+            self.confirm_at = now + CONFIRM_RETRY_INTERVAL_MS
+            self.orders.retry_confirmations(now)
+        self._advance_reads_and_orders(now)
 
     def receive(self, now: float, sender: str, payload: bytes) -> None:
         """Handle a message of another process; malformed ones are ignored."""
-        self._awake(now)
+        self._detect_pause(now)
         try:
-            message = MESSAGES.decode(payload)
+            message = MESSAGE_DECODER.decode(payload)
         except DecodeError:
             return
-        if isinstance(message, Submit) and not self._is_witness(message.data):
+        if isinstance(message, Proposal) and not self._is_rejoin_marker(message.data):
             return
         self.agreement.receive(now, sender, message)
-        self._settle(now)
+        self._advance_reads_and_orders(now)
 
     def link_up(self, now: float, process: ControlProcess) -> None:
         """A connection to a control process was opened."""
         if process.name not in self.reachable:
-            self.news_at = now
+            self.last_discovery_at = now
         if self.incarnations.get(process.name, process.incarnation) != process.incarnation:
-            self.agreement.restarted(process.name)
+            self.agreement.on_peer_restart(process.name)
             self.agreement.notes.pop(process.name, None)
         self.incarnations[process.name] = process.incarnation
         self.reachable[process.name] = process
         self.zones[process.name] = process.zone
-        self.invite_at = self.announce_at = min(now, self.invite_at)
+        self.contact_at = self.announce_at = min(now, self.contact_at)
         if self.is_leader and process.name in self.agreement.progress:
-            self.agreement.inform(now, process.name, self.agreement.progress[process.name])
-        self._stand_soon(now)
+            self.agreement.replicate_to(now, process.name, self.agreement.progress[process.name])
+        self._campaign_soon(now)
 
-    def _stand_soon(self, now: float) -> None:
+    def _campaign_soon(self, now: float) -> None:
         """Shorten the election timeout if a majority is connected and none of it has announced a leader."""
-        agreement = self.agreement
-        linked = sum(name in self.reachable for name in agreement.voters)
-        if not self.leader and linked + 1 >= agreement.majority and self.name in agreement.voters:
-            agreement.stands_at = min(agreement.stands_at, now + self.rng.uniform(*LINKED_MS))
+        raft = self.agreement
+        connected = sum(name in self.reachable for name in raft.voters)
+        if not self.leader and connected + 1 >= raft.majority and self.name in raft.voters:
+            raft.stands_at = min(raft.stands_at, now + self.rng.uniform(*CONNECTED_ELECTION_TIMEOUT_MS))
 
     def link_down(self, now: float, name: str) -> None:
         """The connection to a control process broke."""
         self.reachable.pop(name, None)
-        self.agreement.unreachable(now, name)
+        self.agreement.on_link_down(now, name)
 
     def hear_voters(self, voters: list[str], index: int) -> None:
         """Another process reports the voters as of a log index."""
-        if index > self.told_voters[1]:
-            self.told_voters = (voters, index)
+        if index > self.reported_voters[1]:
+            self.reported_voters = (voters, index)
 
     def was_taken(self, kind: str, base_version: int, body: bytes) -> bool:
         """Whether this exact order is known to be committed; if so, any process may acknowledge it."""
@@ -252,54 +258,54 @@
     def submit(self, now: float, kind: str, base_version: int, body: bytes, received_at: int) -> int:
         """Submit an operator's order: returns a ticket, under which its outcome will be listed."""
         ticket = self.orders.submit(kind, base_version, body, received_at)
-        self._settle(now)
+        self._advance_reads_and_orders(now)
         return ticket
 
     def checked(self, now: float, digest: bytes, error: str) -> None:
         """The driver has validated a document; `error` is empty if it is valid."""
-        self.orders.checked(now, digest, error)
-        self._settle(now)
+        self.orders.on_document_checked(now, digest, error)
+        self._advance_reads_and_orders(now)
 
-    def confirm(self, now: float, then: Callable[[], None]) -> int:
-        """Call `then` once everything committed by now is applied here; it may never be called."""
-        token = next(self.tokens)
-        self.confirmations[token] = then
+    def confirm(self, now: float, callback: Callable[[], None]) -> int:
+        """Call `callback` once everything committed by now is applied here; it may never be called."""
+        token = next(self.read_tokens)
+        self.read_callbacks[token] = callback
         self.agreement.read(now, token)
-        self._settle(now)
+        self._advance_reads_and_orders(now)
         return token
 
     def forget(self, token: int) -> None:
         """Cancel a confirmation that nobody waits for any more."""
-        self.confirmations.pop(token, None)
+        self.read_callbacks.pop(token, None)
 
     def hand_over(self, now: float) -> list[tuple[str, bytes]]:
         """Transfer leadership to the most up-to-date follower: messages to send, without persisting first."""
-        successor = self.agreement.successor(now) if self.is_leader else ""
+        successor = self.agreement.choose_successor(now) if self.is_leader else ""
         if not successor:
             return []
-        self.handed_over_at = now
+        self.transfer_started_at = now
         return [(successor, msgpack.encode(TimeoutNow(self.agreement.term)))]
 
     @property
     def may_be_replaced(self) -> bool:
         """Whether this process is a voter and a connected standby could take its place."""
         voters = self.agreement.voters
-        standbys = [p for p in self.reachable.values() if p.counts and p.name not in voters]
+        standbys = [p for p in self.reachable.values() if p.counts_for_quorum and p.name not in voters]
         return self.name in voters and bool(standbys)
 
     @property
     def is_held_by_others(self) -> bool:
         """Whether the whole local log is on the disks of one more other voter than may be lost at once."""
-        agreement = self.agreement
-        others = [agreement.held_by(name) for name in agreement.voters if name != self.name]
-        wanted = min(self.options.tolerated + 1, len(others))
-        return sum(index >= agreement.last for index in others) >= wanted
+        raft = self.agreement
+        other_indexes = [raft.persisted_index_of(name) for name in raft.voters if name != self.name]
+        needed = min(self.options.tolerated + 1, len(other_indexes))
+        return sum(index >= raft.last for index in other_indexes) >= needed
 
     def leave(self, now: float) -> None:
         """Planned shutdown: ask the leader to replace this voter if a standby is available."""
-        self.agreement.note = LEAVING
+        self.agreement.note = NOTE_LEAVING
         self.agreement.tell()
-        self._settle(now)
+        self._advance_reads_and_orders(now)
 
     # Persist, send, apply
 
@@ -308,12 +314,12 @@
         if self.in_flight is not None:
             return None
         ready = self.agreement.take()
-        if ready is None and not self.rewrite:
+        if ready is None and not self.image_pending:
             return None
         work = Work(ready or Ready())
-        if self.rewrite or work.ready.snapshot is not None:
+        if self.image_pending or work.ready.snapshot is not None:
             work.image = encode_image(self.agreement)
-            self.rewrite, self.log_bytes = False, 0
+            self.image_pending, self.log_bytes = False, 0
         elif work.ready.hard is not None or work.ready.entries:
             record = encode_record(self.agreement, work.ready)
             work.records = [record]
@@ -332,7 +338,7 @@
             self._apply(index, entry)
         self.agreement.stored(now, work.ready)
         self._compact()
-        self._settle(now)
+        self._advance_reads_and_orders(now)
 
     def _apply(self, index: int, entry: Entry) -> None:
         self.applied_index = index
@@ -343,145 +349,159 @@
         command = msgpack.decode(entry.data, type=Command)
         if isinstance(command, Order):
             outcome = self.state.apply(command)
-            self._tell_applied()
-            self.orders.applied(index, command, outcome)
-        elif command == Witness(self.name, self.nonce) and self.agreement.barred:
+            self._notify_applied()
+            self.orders.on_order_applied(index, command, outcome)
+        elif command == RejoinMarker(self.name, self.nonce) and self.agreement.barred:
             self.agreement.trust()
-            self.rewrite = True
+            self.image_pending = True
 
     def _restore(self, snapshot: Snapshot) -> None:
         self.state.restore(snapshot.data)
         self.applied_index = snapshot.index
         self.committed_voters = (list(snapshot.voters), snapshot.index)
-        self._tell_applied()
+        self._notify_applied()
 
-    def _tell_applied(self) -> None:
+    def _notify_applied(self) -> None:
         for handler in self.on_applied:
             handler()
 
     def _compact(self) -> None:
-        agreement = self.agreement
-        most_bytes = max(MAX_LOG_BYTES, SNAPSHOT_SHARE * len(agreement.snapshot.data))
-        full = self.log_bytes > most_bytes or len(agreement.entries) > self.max_log_entries
-        if not full or self.applied_index != agreement.applied:
+        raft = self.agreement
+        max_bytes = max(MAX_LOG_BYTES, MAX_LOG_TO_SNAPSHOT_RATIO * len(raft.snapshot.data))
+        oversized = self.log_bytes > max_bytes or len(raft.entries) > self.max_log_entries
+        if not oversized or self.applied_index != raft.applied:
             return
-        if agreement.compact(self.applied_index, self.state.snapshot()) is not None:
-            self.rewrite = True
+        if raft.compact(self.applied_index, self.state.snapshot()) is not None:
+            self.image_pending = True
 
-    def _settle(self, now: float) -> None:
+    def _advance_reads_and_orders(self, now: float) -> None:
         """Process answered reads, run callbacks whose index is applied, and advance the orders."""
         reads, self.agreement.reads = self.agreement.reads, []
         for token, index in reads:
-            if not self.orders.confirmed(token):
-                self.awaited.append((index, token))
-        done = [token for index, token in self.awaited if index <= self.applied_index]
-        self.awaited = [(index, token) for index, token in self.awaited if index > self.applied_index]
-        for token in done:
-            then = self.confirmations.pop(token, None)
-            if then is not None:
-                then()
-        if now - self.handed_over_at >= HAND_OVER_MS or not self.is_leader:
+            if not self.orders.on_read_confirmed(token):
+                self.unapplied_reads.append((index, token))
+        applied_tokens = [token for index, token in self.unapplied_reads if index <= self.applied_index]
+        self.unapplied_reads = [
+            (index, token) for index, token in self.unapplied_reads if index > self.applied_index
+        ]
+        for token in applied_tokens:
+            callback = self.read_callbacks.pop(token, None)
+            if callback is not None:
+                callback()
+        if now - self.transfer_started_at >= TRANSFER_PAUSE_MS or not self.is_leader:
             self.orders.advance(now)
 
-    def _awake(self, now: float) -> None:
-        if now - self.last_call > PAUSE_MS:
+    def _detect_pause(self, now: float) -> None:
+        if now - self.last_call_at > PAUSE_THRESHOLD_MS:
             self.agreement.slept(now)
-        self.last_call = now
+        self.last_call_at = now
 
     @staticmethod
-    def _is_witness(data: bytes) -> bool:
+    def _is_rejoin_marker(data: bytes) -> bool:
         try:
-            return isinstance(msgpack.decode(data, type=Command), Witness)
+            return isinstance(msgpack.decode(data, type=Command), RejoinMarker)
         except DecodeError:
             return False
 
     # Bootstrap
 
-    def _form(self, now: float) -> None:
+    def _bootstrap(self, now: float) -> None:
         """On the first seed of a first start: choose the voters once enough processes are connected."""
-        agreement = self.agreement
-        first = bool(self.options.seeds) and self.options.seeds[0] == self.name
-        blank = agreement.last == 0 and agreement.term == 0 and not agreement.voters
-        if not first or not blank or agreement.barred or self.in_flight is not None or self.rewrite:
+        raft = self.agreement
+        is_first_seed = bool(self.options.seeds) and self.options.seeds[0] == self.name
+        is_empty = raft.last == 0 and raft.term == 0 and not raft.voters
+        if (
+            not is_first_seed
+            or not is_empty
+            or raft.barred
+            or self.in_flight is not None
+            or self.image_pending
+        ):
             return
-        found = eligible(self.known())
-        disks = any(process.counts for process in found)
-        target = target_voters(self.options.tolerated, disks)
-        if not self._gathered(now, len(found), target if disks else inf):
+        candidates = eligible_processes(self.known_processes())
+        have_disks = any(process.counts_for_quorum for process in candidates)
+        target = target_voter_count(self.options.tolerated, have_disks)
+        if not self._enough_candidates(now, len(candidates), target if have_disks else inf):
             return
-        voters = choose_voters(found, self.options.seeds, target)
+        voters = choose_voters(candidates, self.options.seeds, target)
         snapshot = Snapshot(1, 0, voters, b"")
-        agreement = PacedAgreement(self.name, voters, self.rng, now, snapshot=snapshot)
-        self.agreement = self._with_domains(agreement)
-        self.orders.agreement = self.agreement
+        raft = PacedRaftNode(self.name, voters, self.rng, now, snapshot=snapshot)
+        self.agreement = self._configure_domains(raft)
+        self.orders.raft = self.agreement
         self._restore(snapshot)
-        self.rewrite, self.announce_at = True, now
+        self.image_pending, self.announce_at = True, now
 
-    def _gathered(self, now: float, found: int, target: float) -> bool:
+    def _enough_candidates(self, now: float, candidate_count: int, target: float) -> bool:
         waited = now - self.started_at
-        if waited >= GATHER_ANYWAY_MS:
+        if waited >= BOOTSTRAP_MAX_GATHER_MS:
             return True
-        if found < target:
-            return waited >= GATHER_LONGEST_MS and found > self.options.tolerated_machines
+        if candidate_count < target:
+            return waited >= BOOTSTRAP_PARTIAL_GATHER_MS and candidate_count > self.options.tolerated_machines
         seeds_are_here = all(seed == self.name or seed in self.reachable for seed in self.options.seeds)
-        return waited >= GATHER_MS or (seeds_are_here and now - self.news_at >= QUIET_MS)
+        return waited >= BOOTSTRAP_GATHER_MS or (
+            seeds_are_here and now - self.last_discovery_at >= BOOTSTRAP_QUIET_MS
+        )
 
-    def _announce(self, now: float) -> None:
+    def _announce_voters(self, now: float) -> None:
         """Until there is a first leader: send the voter list to its members; the first one campaigns."""
-        agreement = self.agreement
-        if agreement.last != 1 or agreement.snapshot.term or now < self.announce_at:
+        raft = self.agreement
+        if raft.last != 1 or raft.snapshot.term or now < self.announce_at:
             return
-        if (agreement.term and agreement.leader) or agreement.barred:
+        if (raft.term and raft.leader) or raft.barred:
             return
-        self.announce_at = now + ANNOUNCE_MS
-        for name in agreement.voters:
+        self.announce_at = now + ANNOUNCE_INTERVAL_MS
+        for name in raft.voters:
             if name != self.name:
-                agreement.send(name, Install(0, agreement.snapshot, 0))
-        if agreement.term == 0 and agreement.voters[0] == self.name:
-            agreement.stand(now, probe=False, transfer=True)
+                raft.send(name, InstallSnapshot(0, raft.snapshot, 0))
+        if raft.term == 0 and raft.voters[0] == self.name:
+            raft.stand(now, probe=False, leadership_transfer=True)
 
     # Recovery and membership changes
 
     def _may_vote(self) -> bool:
-        return self.own.counts or not any(process.counts for process in self.reachable.values())
+        return self.own_process.counts_for_quorum or not any(
+            process.counts_for_quorum for process in self.reachable.values()
+        )
 
-    def _ask_for_witness(self, now: float) -> None:
+    def _request_rejoin_marker(self, now: float) -> None:
         """Ask the leader to commit the entry that ends this process's quarantine."""
-        agreement = self.agreement
-        if not agreement.barred or not self.leader or now < self.witness_at or not self._may_vote():
+        raft = self.agreement
+        if not raft.barred or not self.leader or now < self.rejoin_at or not self._may_vote():
             return
-        self.witness_at = now + WITNESS_MS
-        agreement.propose(now, msgpack.encode(Witness(self.name, self.nonce)))
+        self.rejoin_at = now + REJOIN_REQUEST_INTERVAL_MS
+        raft.propose(now, msgpack.encode(RejoinMarker(self.name, self.nonce)))
 
-    def _invite(self, now: float) -> None:
+    def _contact_processes(self, now: float) -> None:
         """As leader, replicate to all connected processes; as a learner without a leader, look for one."""
-        if now < self.invite_at:
+        if now < self.contact_at:
             return
         if self.is_leader:
-            self.invite_at = now + INVITE_MS
+            self.contact_at = now + CONTACT_INTERVAL_MS
             for name in self.reachable:
                 self.agreement.invite(now, name)
         elif self.agreement.role is Role.LEARNER and not self.leader:
-            self.invite_at = now + ASK_MS
-            word = Appended(self.agreement.term, False, self.agreement.last, 0, b"", False)
+            self.contact_at = now + LEADER_QUERY_INTERVAL_MS
+            query = Appended(self.agreement.term, False, self.agreement.last, 0, b"", False)
             for name in self.voters[0]:
                 if name in self.reachable:
-                    self.agreement.send(name, word)
+                    self.agreement.send(name, query)
 
-    def _change_voters(self, now: float) -> None:
+    def _maintain_voters(self, now: float) -> None:
         """As leader, keep the target number of voters and replace lost or leaving ones."""
-        agreement = self.agreement
-        if not self.is_leader or now < self.change_at or not agreement.may_change():
+        raft = self.agreement
+        if not self.is_leader or now < self.voter_check_at or not raft.may_change():
             return
-        self.change_at = now + CHANGE_MS
-        staying = {name: p for name, p in agreement.progress.items() if agreement.notes.get(name) != LEAVING}
-        heard = {name for name, p in staying.items() if now - p.heard_at < LOST_MS}
+        self.voter_check_at = now + VOTER_CHECK_INTERVAL_MS
+        remaining = {name: p for name, p in raft.progress.items() if raft.notes.get(name) != NOTE_LEAVING}
+        heard = {name for name, p in remaining.items() if now - p.last_heard_at < VOTER_LOST_TIMEOUT_MS}
         fresh = {
-            name for name, p in staying.items() if p.match >= agreement.commit and now - p.heard_at < FRESH_MS
+            name
+            for name, p in remaining.items()
+            if p.match >= raft.commit and now - p.last_heard_at < STANDBY_FRESH_MS
         }
-        may_vote = eligible(self.known())
-        standbys = [p for p in may_vote if p.name in fresh and p.name not in agreement.voters]
-        target = target_voters(self.options.tolerated, any(p.counts for p in may_vote))
-        voters = next_change(self.name, agreement.voters, target, heard | {self.name}, standbys, self.zones)
+        candidates = eligible_processes(self.known_processes())
+        standbys = [p for p in candidates if p.name in fresh and p.name not in raft.voters]
+        target = target_voter_count(self.options.tolerated, any(p.counts_for_quorum for p in candidates))
+        voters = next_voter_change(self.name, raft.voters, target, heard | {self.name}, standbys, self.zones)
         if voters is not None:
-            agreement.change_voters(now, voters)
+            raft.change_voters(now, voters)
--- a/barleybarrow/consensus/configuration_state.py
+++ b/barleybarrow/consensus/configuration_state.py
@@ -14,9 +14,9 @@
 
 from msgspec import DecodeError, Struct, json, msgpack
 
-MAX_TAKEN = 4096  # the oldest are evicted first; a long day has hundreds of orders
+MAX_ACCEPTED_ORDERS = 4096  # the oldest are evicted first; a long day has hundreds of orders
 DIGEST_BYTES = 16
-COMPRESSION = 1  # zlib level: bodies shrink eightfold for about 2 ms of CPU
+COMPRESSION_LEVEL = 1  # zlib level: bodies shrink eightfold for about 2 ms of CPU
 MAX_BODY_BYTES = 8 * 1024 * 1024  # of one order, sent or decompressed; real ones have up to 0.2 MB
 ITEM_LISTS = ("Routes", "Services", "Tenants")
 
@@ -61,17 +61,17 @@
     received_at: int
 
 
-class Witness(Struct, array_like=True, frozen=True, tag=2):
+class RejoinMarker(Struct, array_like=True, frozen=True, tag=2):
     """Proposed for a quarantined process, which has caught up with the leader's log once it applies this."""
 
     name: str
     nonce: int
 
 
-Command = Order | Witness
+Command = Order | RejoinMarker
 
 
-class Taken(Struct, array_like=True, frozen=True):
+class AcceptedOrder(Struct, array_like=True, frozen=True):
     """An accepted order: the version it created, its digest, and the leader's clock in Unix milliseconds."""
 
     version: int
@@ -84,8 +84,8 @@
 
     version: int
     document: bytes
-    taken: list[Taken]
-    forgotten: int = 0
+    accepted: list[AcceptedOrder]
+    evicted_version: int = 0
 
 
 class OrderError(Exception):
@@ -94,14 +94,14 @@
 
 def order_digest(kind: str, base_version: int, body: bytes) -> bytes:
     """Digest that identifies an order by kind, base version and body."""
-    head = f"{kind}\n{base_version}\n".encode()
-    return blake2b(head + body, digest_size=DIGEST_BYTES).digest()
+    header = f"{kind}\n{base_version}\n".encode()
+    return blake2b(header + body, digest_size=DIGEST_BYTES).digest()
 
 
 def make_order(kind: str, base_version: int, body: bytes, received_at: int) -> Order:
     """Build the log entry for an order."""
     digest = order_digest(kind, base_version, body)
-    return Order(kind, base_version, zlib.compress(body, COMPRESSION), digest, received_at)
+    return Order(kind, base_version, zlib.compress(body, COMPRESSION_LEVEL), digest, received_at)
 
 
 def read_body(order: Order) -> Document:
@@ -109,12 +109,12 @@
     unpacker = zlib.decompressobj()
     try:
         body = unpacker.decompress(order.body, MAX_BODY_BYTES)
-        content = json.decode(body)
+        parsed = json.decode(body)
     except (zlib.error, DecodeError, UnicodeDecodeError, RecursionError) as error:
         raise OrderError(f"the body can't be read: {error}") from error
-    if not isinstance(content, dict):
+    if not isinstance(parsed, dict):
         raise OrderError("the body must be a JSON object")
-    return content
+    return parsed
 
 
 def generation_of(document: Document) -> int:
@@ -130,23 +130,23 @@
 
     Raises OrderError if the patch is malformed.
     """
-    made = dict(document)
-    made["Generation"] = generation_of(patch)
-    removals, upserts = given(patch, "Remove", {}), given(patch, "Upsert", {})
+    result = dict(document)
+    result["Generation"] = generation_of(patch)
+    removals, upserts = value_or_default(patch, "Remove", {}), value_or_default(patch, "Upsert", {})
     if not isinstance(removals, dict) or not isinstance(upserts, dict):
         raise OrderError("Upsert and Remove: objects of lists are needed")
     for key in {**removals, **upserts}:
-        removed, added = given(removals, key, []), given(upserts, key, [])
+        removed, added = value_or_default(removals, key, []), value_or_default(upserts, key, [])
         if key not in ITEM_LISTS or not isinstance(removed, list) or not isinstance(added, list):
             raise OrderError(f"{key}: only lists of {', '.join(ITEM_LISTS)} can be patched")
-        made[key] = patch_items(key, given(made, key, []), removed, added)
-    return made
+        result[key] = patch_items(key, value_or_default(result, key, []), removed, added)
+    return result
 
 
-def given(document: Document, key: str, absent: Any) -> Any:
-    """The value of a key, or `absent` if it is null or missing."""
+def value_or_default(document: Document, key: str, default: Any) -> Any:
+    """The value of a key, or `default` if it is null or missing."""
     value = document.get(key)
-    return absent if value is None else value
+    return default if value is None else value
 
 
 def patch_items(key: str, items: list[Document], removed: list[Any], added: list[Any]) -> list[Document]:
@@ -155,16 +155,16 @@
         raise OrderError(f"Remove.{key}: a list of names is needed")
     if not all(isinstance(item, dict) and isinstance(item.get("Name"), str) for item in added):
         raise OrderError(f"Upsert.{key}: each item needs a Name")
-    gone, new = set(removed), {item["Name"]: item for item in added}
-    made, replaced = list[Document](), set[Any]()
+    removed_names, added_by_name = set(removed), {item["Name"]: item for item in added}
+    result, replaced_names = list[Document](), set[Any]()
     for item in items:
         name = item.get("Name")
-        if name in new and name not in replaced:
-            made.append(new[name])
-            replaced.add(name)
-        elif name not in new and name not in gone:
-            made.append(item)
-    return made + [item for name, item in new.items() if name not in replaced]
+        if name in added_by_name and name not in replaced_names:
+            result.append(added_by_name[name])
+            replaced_names.add(name)
+        elif name not in added_by_name and name not in removed_names:
+            result.append(item)
+    return result + [item for name, item in added_by_name.items() if name not in replaced_names]
 
 
 class ConfigurationState:
@@ -173,12 +173,12 @@
     def __init__(self) -> None:
         self.version = 0
         self.document: Document | None = None
-        self.taken: dict[bytes, Taken] = {}  # by digest, oldest first
-        self.forgotten = 0  # version created by the newest evicted order; 0 if none was evicted
+        self.taken: dict[bytes, AcceptedOrder] = {}  # by digest, oldest first
+        self.evicted_version = 0  # version created by the newest evicted order; 0 if none was evicted
 
-    def refusal(self, kind: str, base_version: int, document: Document) -> OrderOutcome | None:
+    def version_refusal(self, kind: str, base_version: int, document: Document) -> OrderOutcome | None:
         """The refusal of an order whose versions do not fit the state; None if they do."""
-        if base_version < self.forgotten:  # it may be an order that was accepted and evicted since
+        if base_version < self.evicted_version:  # it may be an order that was accepted and evicted since
             return OrderOutcome(OrderStatus.UNCLEAR, f"base the change on version {self.version}")
         if base_version != self.version:
             conflict = f"version {self.version} is current, not {base_version}: base the change on that one"
@@ -208,31 +208,33 @@
             return OrderOutcome(OrderStatus.TAKEN)
         try:
             body = read_body(order)
-            refused = self.refusal(order.kind, order.base_version, body)
-            if refused is not None:
-                return refused
+            refusal = self.version_refusal(order.kind, order.base_version, body)
+            if refusal is not None:
+                return refusal
             document = self.document_after(order.kind, body)
         except OrderError as error:
             return OrderOutcome(OrderStatus.INVALID, str(error))
         self.document, self.version = document, generation_of(document)
-        self.taken[order.digest] = Taken(self.version, order.digest, order.received_at)
-        while len(self.taken) > MAX_TAKEN:
+        self.taken[order.digest] = AcceptedOrder(self.version, order.digest, order.received_at)
+        while len(self.taken) > MAX_ACCEPTED_ORDERS:
             oldest = self.taken.pop(next(iter(self.taken)))
-            self.forgotten = oldest.version
+            self.evicted_version = oldest.version
         return OrderOutcome(OrderStatus.TAKEN)
 
-    def history(self) -> list[Taken]:
+    def history(self) -> list[AcceptedOrder]:
         """The remembered accepted orders, oldest first."""
         return list(self.taken.values())
 
     def snapshot(self) -> bytes:
         """Serialize the state."""
-        document = b"" if self.document is None else zlib.compress(json.encode(self.document), COMPRESSION)
-        return msgpack.encode(StateImage(self.version, document, self.history(), self.forgotten))
+        document = (
+            b"" if self.document is None else zlib.compress(json.encode(self.document), COMPRESSION_LEVEL)
+        )
+        return msgpack.encode(StateImage(self.version, document, self.history(), self.evicted_version))
 
     def restore(self, data: bytes) -> None:
         """Load a serialized state; empty bytes stand for the state before the first order."""
         image = msgpack.decode(data, type=StateImage) if data else StateImage(0, b"", [])
-        self.version, self.forgotten = image.version, image.forgotten
+        self.version, self.evicted_version = image.version, image.evicted_version
         self.document = json.decode(zlib.decompress(image.document)) if image.document else None
-        self.taken = {taken.digest: taken for taken in image.taken}
+        self.taken = {taken.digest: taken for taken in image.accepted}
--- a/barleybarrow/consensus/durable_state.py
+++ b/barleybarrow/consensus/durable_state.py
@@ -7,26 +7,26 @@
 from barleybarrow.agreement import Agreement
 from barleybarrow.agreement_messages import Entry, Ready, Snapshot
 
-FORMAT = 1
+FORMAT_VERSION = 1
 
 
 class StoredImage(Struct, array_like=True):
-    """Full persistent state of a replica. `barred`: votes and acknowledgements may be missing from it."""
+    """Full persistent state of a replica. If quarantined, earlier promises may be missing from it."""
 
     format: int
     term: int
     vote: str
-    barred: bool
+    quarantined: bool
     snapshot: Snapshot
     entries: list[Entry]
 
 
 class StoredRecord(Struct, array_like=True):
-    """A change: the new term and vote, and entries that replace the log from index `first` on."""
+    """A change: the new term and vote, and entries that replace the log from `first_index` on."""
 
     term: int
     vote: str
-    first: int
+    first_index: int
     entries: list[Entry]
 
 
@@ -36,7 +36,7 @@
 
     term: int = 0
     vote: str = ""
-    barred: bool = False
+    quarantined: bool = False
     snapshot: Snapshot = field(default_factory=lambda: Snapshot(0, 0, [], b""))
     entries: list[Entry] = field(default_factory=list)
 
@@ -45,15 +45,17 @@
     """The stored bytes are corrupt, or in the format of another release."""
 
 
-def encode_image(agreement: Agreement) -> bytes:
+def encode_image(raft: Agreement) -> bytes:
     """Encode the full Raft state."""
-    a = agreement
-    return msgpack.encode(StoredImage(FORMAT, a.term, a.vote, a.barred, a.snapshot, a.entries))
+    state = raft
+    return msgpack.encode(
+        StoredImage(FORMAT_VERSION, state.term, state.vote, state.barred, state.snapshot, state.entries)
+    )
 
 
-def encode_record(agreement: Agreement, ready: Ready) -> bytes:
+def encode_record(raft: Agreement, ready: Ready) -> bytes:
     """Encode the hard state and entries of a `Ready` that has no snapshot."""
-    term, vote = ready.hard or (agreement.term, agreement.vote)
+    term, vote = ready.hard or (raft.term, raft.vote)
     return msgpack.encode(StoredRecord(term, vote, ready.first, ready.entries))
 
 
@@ -61,22 +63,24 @@
     """Decode an image and the records after it. Raises DurableStateError."""
     try:
         stored = msgpack.decode(image, type=StoredImage)
-        if stored.format != FORMAT:
-            raise DurableStateError(f"format {stored.format} is not {FORMAT}")
-        state = DurableState(stored.term, stored.vote, stored.barred, stored.snapshot, stored.entries)
+        if stored.format != FORMAT_VERSION:
+            raise DurableStateError(f"format {stored.format} is not {FORMAT_VERSION}")
+        state = DurableState(stored.term, stored.vote, stored.quarantined, stored.snapshot, stored.entries)
         for record in records:
-            add_record(state, msgpack.decode(record, type=StoredRecord))
+            apply_record(state, msgpack.decode(record, type=StoredRecord))
     except DecodeError as error:
         raise DurableStateError(str(error)) from error
     return state
 
 
-def add_record(state: DurableState, record: StoredRecord) -> None:
+def apply_record(state: DurableState, record: StoredRecord) -> None:
     """Apply one record. Raises DurableStateError if entries before it are missing."""
     state.term, state.vote = record.term, record.vote
     if not record.entries:
         return
-    kept = record.first - state.snapshot.index - 1
-    if not 0 <= kept <= len(state.entries):
-        raise DurableStateError(f"log gap: record at index {record.first} after {len(state.entries)} entries")
-    state.entries[kept:] = record.entries
+    retained = record.first_index - state.snapshot.index - 1
+    if not 0 <= retained <= len(state.entries):
+        raise DurableStateError(
+            f"log gap: record at index {record.first_index} after {len(state.entries)} entries"
+        )
+    state.entries[retained:] = record.entries
--- a/barleybarrow/consensus/failure_domains.py
+++ b/barleybarrow/consensus/failure_domains.py
@@ -8,18 +8,21 @@
 from collections.abc import Collection, Mapping
 
 
-def spread_index(
-    held: Mapping[str, int], domains: Mapping[str, str], silent: Collection[str], tolerated: int
+def domain_quorum_index(
+    persisted_indexes: Mapping[str, int],
+    domains: Mapping[str, str],
+    silent: Collection[str],
+    tolerated_domains: int,
 ) -> int:
     """Last index that is persisted in more failure domains than may be lost.
 
-    `held` is the last persisted index of each voter, `domains` the failure domain of every process ever seen.
+    `persisted_indexes` is by voter, `domains` is the failure domain of every process ever seen.
     Domains whose voters are all `silent` are considered lost already and are not waited for.
     """
-    by_domain: dict[str, int] = {}
-    for voter, index in held.items():
+    index_by_domain: dict[str, int] = {}
+    for voter, index in persisted_indexes.items():
         domain = domains.get(voter, voter)
         if voter not in silent:
-            by_domain[domain] = max(index, by_domain.get(domain, 0))
-    needed = min(tolerated + 1, len(by_domain))
-    return sorted(by_domain.values(), reverse=True)[needed - 1]
+            index_by_domain[domain] = max(index, index_by_domain.get(domain, 0))
+    needed = min(tolerated_domains + 1, len(index_by_domain))
+    return sorted(index_by_domain.values(), reverse=True)[needed - 1]
--- a/barleybarrow/consensus/order_queue.py
+++ b/barleybarrow/consensus/order_queue.py
@@ -33,11 +33,11 @@
     read_body,
 )
 
-MAX_ORDERS = 64  # in progress at once; operators send at most eight
-TOO_MANY = OrderOutcome(OrderStatus.UNCLEAR, "too many orders are under way: send the order again")
+MAX_PENDING_ORDERS = 64  # in progress at once; operators send at most eight
+TOO_MANY_ORDERS = OrderOutcome(OrderStatus.UNCLEAR, "too many orders are under way: send the order again")
 
 
-class Phase(Enum):
+class OrderPhase(Enum):
     """Progress of an order; see the table above."""
 
     QUEUED = auto()
@@ -47,12 +47,12 @@
 
 
 @dataclass(slots=True)
-class Job:
+class PendingOrder:
     """An order in progress, with the tickets of all callers that wait for its outcome."""
 
     order: Order
     tickets: list[int]
-    phase: Phase = Phase.QUEUED
+    phase: OrderPhase = OrderPhase.QUEUED
     refusal: OrderOutcome | None = None  # reported once the read is confirmed
     index: int = 0  # of its log entry
     outcome: OrderOutcome | None = None  # of its log entry; reported once that is on enough disks
@@ -70,143 +70,145 @@
 class OrderQueue:
     """All orders in progress at this process.
 
-    `least_disks`: how many voters must have an order on disk before it is acknowledged.
+    `min_disks`: how many voters must have an order on disk before it is acknowledged.
     """
 
-    agreement: Agreement
+    raft: Agreement
     state: ConfigurationState
-    least_disks: int
-    tokens: Iterator[int]
-    jobs: dict[bytes, Job] = field(default_factory=dict)
+    min_disks: int
+    read_tokens: Iterator[int]
+    jobs: dict[bytes, PendingOrder] = field(default_factory=dict)
     outcomes: list[tuple[int, OrderOutcome]] = field(default_factory=list)
     checks: list[CheckRequest] = field(default_factory=list)
-    confirming: dict[int, bytes] = field(default_factory=dict)  # order digest by read token
-    tickets: Iterator[int] = field(default_factory=lambda: count(1))
+    digest_by_token: dict[int, bytes] = field(default_factory=dict)  # order digest by read token
+    ticket_numbers: Iterator[int] = field(default_factory=lambda: count(1))
 
     def submit(self, kind: str, base_version: int, body: bytes, received_at: int) -> int:
         """Submit an order: returns a ticket, under which `outcomes` will list the result."""
-        ticket = next(self.tickets)
+        ticket = next(self.ticket_numbers)
         order = make_order(kind, base_version, body, received_at)
         if order.digest in self.state.taken:
             self.outcomes.append((ticket, OrderOutcome(OrderStatus.TAKEN)))
-        elif self.agreement.role is not Role.LEADER:
+        elif self.raft.role is not Role.LEADER:
             self.outcomes.append((ticket, NO_ANSWER))
         elif order.digest in self.jobs:
             self.jobs[order.digest].tickets.append(ticket)
-        elif len(self.jobs) >= MAX_ORDERS:
-            self.outcomes.append((ticket, TOO_MANY))
+        elif len(self.jobs) >= MAX_PENDING_ORDERS:
+            self.outcomes.append((ticket, TOO_MANY_ORDERS))
         else:
-            self.jobs[order.digest] = Job(order, [ticket])
+            self.jobs[order.digest] = PendingOrder(order, [ticket])
         return ticket
 
     def advance(self, now: float) -> None:
         """Advance each order as far as possible."""
-        if self.agreement.role is not Role.LEADER:
+        if self.raft.role is not Role.LEADER:
             self.abandon()
             return
-        for job in list(self.jobs.values()):
-            if job.phase is Phase.PROPOSED:
-                self._acknowledge(job)
-        if not self._settled():
+        for pending in list(self.jobs.values()):
+            if pending.phase is OrderPhase.PROPOSED:
+                self._acknowledge(pending)
+        if not self._caught_up():
             return
-        for job in list(self.jobs.values()):
-            if job.phase is Phase.QUEUED:
-                self._examine(now, job)
+        for pending in list(self.jobs.values()):
+            if pending.phase is OrderPhase.QUEUED:
+                self._start(now, pending)
 
     def abandon(self) -> None:
         """Leadership is lost: the outcome of all orders in progress is unknown."""
-        for job in list(self.jobs.values()):
-            self._finish(job, NO_ANSWER)
-        self.confirming.clear()
+        for pending in list(self.jobs.values()):
+            self._finish(pending, NO_ANSWER)
+        self.digest_by_token.clear()
 
-    def checked(self, now: float, digest: bytes, error: str) -> None:
+    def on_document_checked(self, now: float, digest: bytes, error: str) -> None:
         """The driver has validated a document; `error` is empty if it is valid."""
-        job = self.jobs.get(digest)
-        if job is None or job.phase is not Phase.CHECKING:
+        pending = self.jobs.get(digest)
+        if pending is None or pending.phase is not OrderPhase.CHECKING:
             return
         if error:
-            self._finish(job, OrderOutcome(OrderStatus.INVALID, error))
+            self._finish(pending, OrderOutcome(OrderStatus.INVALID, error))
             return
-        job.index = self.agreement.propose(now, msgpack.encode(job.order))
-        if job.index:
-            job.phase = Phase.PROPOSED
+        pending.index = self.raft.propose(now, msgpack.encode(pending.order))
+        if pending.index:
+            pending.phase = OrderPhase.PROPOSED
         else:
-            self._finish(job, NO_ANSWER)
+            self._finish(pending, NO_ANSWER)
 
-    def applied(self, index: int, order: Order, outcome: OrderOutcome) -> None:
+    def on_order_applied(self, index: int, order: Order, outcome: OrderOutcome) -> None:
         """An order from the log was applied."""
-        job = self.jobs.get(order.digest)
-        if job is not None and job.phase is Phase.PROPOSED and job.index == index:
-            job.outcome = outcome
-            self._acknowledge(job)
-        elif job is not None and outcome.status == OrderStatus.TAKEN:
-            self._finish(job, outcome)
-
-    def confirmed(self, token: int) -> bool:
+        pending = self.jobs.get(order.digest)
+        if pending is not None and pending.phase is OrderPhase.PROPOSED and pending.index == index:
+            pending.outcome = outcome
+            self._acknowledge(pending)
+        elif pending is not None and outcome.status == OrderStatus.TAKEN:
+            self._finish(pending, outcome)
+
+    def on_read_confirmed(self, token: int) -> bool:
         """A majority has confirmed a read; False if the token belongs to no order."""
-        digest = self.confirming.pop(token, None)
+        digest = self.digest_by_token.pop(token, None)
         if digest is None:
             return False
-        job = self.jobs.get(digest)
-        if job is not None and job.phase is Phase.CONFIRMING and job.refusal is not None:
-            self._finish(job, job.refusal)
+        pending = self.jobs.get(digest)
+        if pending is not None and pending.phase is OrderPhase.CONFIRMING and pending.refusal is not None:
+            self._finish(pending, pending.refusal)
         return True
 
-    def again(self, now: float) -> None:
+    def retry_confirmations(self, now: float) -> None:
         """Retry confirmations that were not answered."""
-        for token, digest in list(self.confirming.items()):
-            del self.confirming[token]
-            job = self.jobs.get(digest)
-            if job is not None and job.phase is Phase.CONFIRMING:
-                job.phase = Phase.QUEUED
+        for token, digest in list(self.digest_by_token.items()):
+            del self.digest_by_token[token]
+            pending = self.jobs.get(digest)
+            if pending is not None and pending.phase is OrderPhase.CONFIRMING:
+                pending.phase = OrderPhase.QUEUED
 
-    def _settled(self) -> bool:
+    def _caught_up(self) -> bool:
         """Whether everything that previous leaders may have committed is applied."""
-        agreement = self.agreement
-        return agreement.term_of(agreement.commit) == agreement.term and agreement.applied == agreement.commit
+        raft = self.raft
+        return raft.term_of(raft.commit) == raft.term and raft.applied == raft.commit
 
-    def _busy(self) -> bool:
-        return any(job.phase in (Phase.CHECKING, Phase.PROPOSED) for job in self.jobs.values())
+    def _order_in_progress(self) -> bool:
+        return any(
+            pending.phase in (OrderPhase.CHECKING, OrderPhase.PROPOSED) for pending in self.jobs.values()
+        )
 
-    def _examine(self, now: float, job: Job) -> None:
-        order = job.order
+    def _start(self, now: float, pending: PendingOrder) -> None:
+        order = pending.order
         if order.digest in self.state.taken:
-            self._finish(job, OrderOutcome(OrderStatus.TAKEN))
+            self._finish(pending, OrderOutcome(OrderStatus.TAKEN))
             return
-        if self._busy():
+        if self._order_in_progress():
             return
         try:
             body = read_body(order)
-            refusal = self.state.refusal(order.kind, order.base_version, body)
+            refusal = self.state.version_refusal(order.kind, order.base_version, body)
             if refusal is not None and refusal.status == OrderStatus.CONFLICT:
-                self._confirm(now, job, refusal)
+                self._confirm_refusal(now, pending, refusal)
                 return
             document = self.state.document_after(order.kind, body)
         except OrderError as error:
             refusal = OrderOutcome(OrderStatus.INVALID, str(error))
         if refusal is not None:  # invalid for any document of this base, so no leader can have accepted it
-            self._finish(job, refusal)
+            self._finish(pending, refusal)
             return
-        job.phase = Phase.CHECKING
+        pending.phase = OrderPhase.CHECKING
         self.checks.append(CheckRequest(order.digest, document))
 
-    def _confirm(self, now: float, job: Job, refusal: OrderOutcome) -> None:
-        job.phase, job.refusal = Phase.CONFIRMING, refusal
-        token = next(self.tokens)
-        self.confirming[token] = job.order.digest
-        self.agreement.read(now, token)
+    def _confirm_refusal(self, now: float, pending: PendingOrder, refusal: OrderOutcome) -> None:
+        pending.phase, pending.refusal = OrderPhase.CONFIRMING, refusal
+        token = next(self.read_tokens)
+        self.digest_by_token[token] = pending.order.digest
+        self.raft.read(now, token)
 
-    def _acknowledge(self, job: Job) -> None:
-        if job.outcome is None:
+    def _acknowledge(self, pending: PendingOrder) -> None:
+        if pending.outcome is None:
             return
-        agreement = self.agreement
-        held = sum(
-            (agreement.stored_to if name == agreement.name else agreement.match(name)) >= job.index
-            for name in agreement.voters
+        raft = self.raft
+        persisted_count = sum(
+            (raft.stored_to if name == raft.name else raft.match(name)) >= pending.index
+            for name in raft.voters
         )
-        if held >= min(self.least_disks, len(agreement.voters)):
-            self._finish(job, job.outcome)
+        if persisted_count >= min(self.min_disks, len(raft.voters)):
+            self._finish(pending, pending.outcome)
 
-    def _finish(self, job: Job, outcome: OrderOutcome) -> None:
-        self.jobs.pop(job.order.digest, None)
-        self.outcomes += [(ticket, outcome) for ticket in job.tickets]
+    def _finish(self, pending: PendingOrder, outcome: OrderOutcome) -> None:
+        self.jobs.pop(pending.order.digest, None)
+        self.outcomes += [(ticket, outcome) for ticket in pending.tickets]
--- a/barleybarrow/consensus/paced_agreement.py
+++ b/barleybarrow/consensus/paced_agreement.py
@@ -13,22 +13,22 @@
 
 from barleybarrow.agreement import Agreement, Role
 from barleybarrow.agreement_messages import Appended, AskVote, Vote
-from barleybarrow.consensus.failure_domains import spread_index
+from barleybarrow.consensus.failure_domains import domain_quorum_index
 
-PROBE_AGAIN_MS = (200.0, 450.0)  # a round trip takes up to 100 ms
-YIELD_MS = (300.0, 600.0)  # time for a pre-candidate to be elected after this process granted its pre-vote
-STAND_AGAIN_MS = (350.0, 800.0)  # after a split vote
-LOST_MS = 1500.0  # a silent voter may be replaced after this time, which is longer than most restarts
-PAUSE_MS = 90.0  # below the heartbeat interval of 100 ms, so that each heartbeat retries
+PRE_VOTE_RETRY_MS = (200.0, 450.0)  # a round trip takes up to 100 ms
+GRANT_BACKOFF_MS = (300.0, 600.0)  # after granting a pre-vote: time for the other process to be elected
+ELECTION_RETRY_MS = (350.0, 800.0)  # after a split vote
+VOTER_LOST_TIMEOUT_MS = 1500.0  # silence after which a voter may be replaced: longer than most restarts
+REFUSAL_RETRY_INTERVAL_MS = 90.0  # below the heartbeat interval of 100 ms, so that each heartbeat retries
 
 
-class PacedAgreement(Agreement):
+class PacedRaftNode(Agreement):
     """Retries elections early and answers a repeated refusal at most once per heartbeat."""
 
     def __init__(self, *arguments: Any, **named: Any) -> None:
         super().__init__(*arguments, **named)
         # By follower: the index of its last refusal, and when that was answered.
-        self.refusals: dict[str, tuple[int, float]] = {}
+        self.last_refusals: dict[str, tuple[int, float]] = {}
         self.notes: dict[str, bytes] = {}  # newest note by follower
         self.domains: Mapping[str, str] = {}  # failure domain of each process ever seen
         self.tolerated_domains = 0  # that may be lost at once
@@ -36,64 +36,71 @@
     def tick(self, now: float) -> None:
         """Run the timers that are due; a pre-vote is retried early."""
         super().tick(now)
-        if self.role is Role.PROBING:
-            self.stands_at = min(self.stands_at, now + self.rng.uniform(*PROBE_AGAIN_MS))
+        if self.role is Role.PRE_CANDIDATE:
+            self.stands_at = min(self.stands_at, now + self.rng.uniform(*PRE_VOTE_RETRY_MS))
 
     def elected(self, now: float, probe: bool) -> None:
         """Handle a majority of grants; an election that follows a pre-vote is retried early."""
         super().elected(now, probe)
         if self.role is Role.CANDIDATE:
-            self.stands_at = now + self.rng.uniform(*STAND_AGAIN_MS)
+            self.stands_at = now + self.rng.uniform(*ELECTION_RETRY_MS)
 
-    def asked(self, now: float, sender: str, m: AskVote) -> None:
+    def asked(self, now: float, sender: str, request: AskVote) -> None:
         """Handle a vote request. Of two concurrent pre-candidates, the one with the longer log goes on, or
         with equal logs the smaller name.
         """
-        if m.probe and self.role is Role.PROBING and self._goes_before(sender, m):
+        if request.probe and self.role is Role.PRE_CANDIDATE and self._has_priority_over(sender, request):
             return
-        said_before = len(self.ready.messages)
-        super().asked(now, sender, m)
+        sent_before = len(self.ready.messages)
+        super().asked(now, sender, request)
         granted = any(
-            isinstance(said, Vote) and said.granted for _, said in self.ready.messages[said_before:]
+            isinstance(message, Vote) and message.granted for _, message in self.ready.messages[sent_before:]
         )
-        if not m.probe or not granted or self.role is Role.LEADER:
+        if not request.probe or not granted or self.role is Role.LEADER:
             return
-        if self.role is Role.PROBING:
+        if self.role is Role.PRE_CANDIDATE:
             self.follow(now, self.term, "")
-        self.stands_at = max(self.stands_at, now + self.rng.uniform(*YIELD_MS))
+        self.stands_at = max(self.stands_at, now + self.rng.uniform(*GRANT_BACKOFF_MS))
 
-    def _goes_before(self, other: str, m: AskVote) -> bool:
-        own_log, other_log = (self.term_of(self.last), self.last), (m.last_term, m.last)
+    def _has_priority_over(self, other: str, request: AskVote) -> bool:
+        own_log, other_log = (self.term_of(self.last), self.last), (request.last_term, request.last)
         return own_log > other_log or (own_log == other_log and self.name < other)
 
-    def appended(self, now: float, sender: str, m: Appended) -> None:
+    def appended(self, now: float, sender: str, response: Appended) -> None:
         """Handle a follower's response; a repeated refusal only updates its progress, without a retry."""
-        self.notes[sender] = m.note
-        repeated = self._repeated(now, sender, m)
+        self.notes[sender] = response.note
+        repeated = self._is_repeated_refusal(now, sender, response)
         progress = self.progress.get(sender)
         if not repeated or progress is None:
-            super().appended(now, sender, m)
+            super().appended(now, sender, response)
             return
-        progress.heard_at = now
-        progress.next = max(1, min(m.index + 1, self.last + 1))
+        progress.last_heard_at = now
+        progress.next = max(1, min(response.index + 1, self.last + 1))
 
-    def agreed_index(self, now: float, held: dict[str, int]) -> int:
+    def quorum_index(self, now: float, persisted_indexes: dict[str, int]) -> int:
         """Last index held by a majority, and by more failure domains than may be lost."""
-        agreed = super().agreed_index(now, held)
+        majority_index = super().quorum_index(now, persisted_indexes)
         if not self.tolerated_domains:
-            return agreed
-        silent = {n for n in held if n != self.name and now - self._heard_at(n) >= LOST_MS}
-        return min(agreed, spread_index(held, self.domains, silent, self.tolerated_domains))
+            return majority_index
+        silent = {
+            n
+            for n in persisted_indexes
+            if n != self.name and now - self._last_heard_at(n) >= VOTER_LOST_TIMEOUT_MS
+        }
+        return min(
+            majority_index,
+            domain_quorum_index(persisted_indexes, self.domains, silent, self.tolerated_domains),
+        )
 
-    def _heard_at(self, name: str) -> float:
+    def _last_heard_at(self, name: str) -> float:
         progress = self.progress.get(name)
-        return progress.heard_at if progress is not None else -inf
+        return progress.last_heard_at if progress is not None else -inf
 
-    def _repeated(self, now: float, sender: str, m: Appended) -> bool:
-        if m.good or m.term != self.term or self.role is not Role.LEADER:
+    def _is_repeated_refusal(self, now: float, sender: str, response: Appended) -> bool:
+        if response.good or response.term != self.term or self.role is not Role.LEADER:
             return False
-        index, answered_at = self.refusals.get(sender, (-1, 0.0))
-        if index == m.index and now - answered_at < PAUSE_MS:
+        index, answered_at = self.last_refusals.get(sender, (-1, 0.0))
+        if index == response.index and now - answered_at < REFUSAL_RETRY_INTERVAL_MS:
             return True
-        self.refusals[sender] = (m.index, now)
+        self.last_refusals[sender] = (response.index, now)
         return False
--- a/tests/fleet/config_search.py
+++ b/tests/fleet/config_search.py
@@ -302,7 +302,7 @@
     @staticmethod
     def wait_out(node: ConfigNode, now: float) -> None:
         """A span in which the others were not heard of, though this process ran all the while."""
-        node.last_call = now
+        node.last_call_at = now
         node.tick(now)
 
     def new_order(self, state: State, name: str) -> None:
@@ -352,7 +352,9 @@
         parts: list[object] = [state.orders_sent, state.acknowledged, state.bounds]
         for name, member in state.members.items():
             agreement = member.node.agreement
-            progress = tuple((n, p.next, p.match, p.has) for n, p in sorted(agreement.progress.items()))
+            progress = tuple(
+                (n, p.next, p.match, p.received_index) for n, p in sorted(agreement.progress.items())
+            )
             log = tuple((entry.term, entry.kind, hash(entry.data)) for entry in agreement.entries)
             parts.append(
                 (
--- a/tests/fleet/test_config_node.py
+++ b/tests/fleet/test_config_node.py
@@ -8,13 +8,13 @@
 from barleybarrow.agreement_messages import AskVote, Message, TimeoutNow, Vote
 from barleybarrow.consensus.config_node import ConfigNode, NodeOptions, Work
 from barleybarrow.consensus.durable_state import DurableState, decode_state
-from barleybarrow.consensus.paced_agreement import PacedAgreement
+from barleybarrow.consensus.paced_agreement import PacedRaftNode
 from barleybarrow.consensus.voter_selection import (
     ControlProcess,
     choose_voters,
-    eligible,
-    next_change,
-    target_voters,
+    eligible_processes,
+    next_voter_change,
+    target_voter_count,
 )
 
 VOTERS = ["a", "b", "c"]
@@ -44,7 +44,7 @@
 def founded() -> DurableState:
     """What a voter keeps that has just been told who votes."""
     node = voter(None, bootstrap=True)
-    node.agreement = PacedAgreement("a", VOTERS, Random(1), 0.0)
+    node.agreement = PacedRaftNode("a", VOTERS, Random(1), 0.0)
     return DurableState(snapshot=node.agreement.snapshot)
 
 
@@ -116,7 +116,7 @@
 
     def test_a_barred_voter_does_not_vote(self) -> None:
         state = founded()
-        state.barred = True
+        state.quarantined = True
         node = voter(state)
         say(node, "b", AskVote(5, 9, 4, False), 10.0)
         say(node, "b", AskVote(5, 9, 4, True), 11.0)
@@ -163,7 +163,7 @@
 
     def test_a_barred_voter_does_not_stand_when_it_is_named(self) -> None:
         state = founded()
-        state.barred = True
+        state.quarantined = True
         node = voter(state)
         node.agreement.leader = "b"
         say(node, "b", TimeoutNow(0), 10.0)
@@ -183,17 +183,17 @@
         self.assertEqual(choose_voters(found[:2], [], 3), ["p0", "p1"])
 
     def test_how_many(self) -> None:
-        self.assertEqual([target_voters(f, True) for f in (0, 1, 2, 3, 4, 9)], [3, 3, 5, 7, 9, 9])
-        self.assertEqual(target_voters(1, False), 9)
+        self.assertEqual([target_voter_count(f, True) for f in (0, 1, 2, 3, 4, 9)], [3, 3, 5, 7, 9, 9])
+        self.assertEqual(target_voter_count(1, False), 9)
 
     def test_who_may_vote(self) -> None:
         counting, others = processes("x"), processes("y", counts=False)
-        self.assertEqual(eligible(counting + others), counting)
-        self.assertEqual(eligible(others), others)
+        self.assertEqual(eligible_processes(counting + others), counting)
+        self.assertEqual(eligible_processes(others), others)
 
     def change(self, voters: str, reachable: str, standbys: str, target: int = 3) -> list[str] | None:
         waiting = [ControlProcess(name, "zone", True) for name in standbys]
-        return next_change("a", list(voters), target, set(reachable), waiting, {})
+        return next_voter_change("a", list(voters), target, set(reachable), waiting, {})
 
     def test_a_standby_comes_in_before_a_lost_voter_goes(self) -> None:
         self.assertEqual(self.change("abc", "abd", "d"), list("abcd"))
@@ -216,11 +216,11 @@
     def test_zones_are_evened_out_once_all_are_back(self) -> None:
         zones = {"a": "x", "b": "x", "c": "z", "d": "y", "e": "z"}
         back = [ControlProcess("e", "z", True), ControlProcess("d", "y", True)]
-        self.assertEqual(next_change("a", list("abc"), 3, set("abcde"), back, zones), list("abcd"))
-        self.assertEqual(next_change("a", list("abcd"), 3, set("abcde"), back[:1], zones), list("acd"))
-        self.assertIsNone(next_change("a", list("acd"), 3, set("abcde"), back[:1], zones))
+        self.assertEqual(next_voter_change("a", list("abc"), 3, set("abcde"), back, zones), list("abcd"))
+        self.assertEqual(next_voter_change("a", list("abcd"), 3, set("abcde"), back[:1], zones), list("acd"))
+        self.assertIsNone(next_voter_change("a", list("acd"), 3, set("abcde"), back[:1], zones))
 
     def test_of_too_many_the_own_and_the_zones_stay(self) -> None:
         zones = {"a": "x", "b": "y", "c": "z", "d": "z"}
-        self.assertEqual(next_change("d", list("abcd"), 3, set("abcd"), [], zones), list("abd"))
-        self.assertEqual(next_change("a", list("abcd"), 3, set("abcd"), [], zones), list("abc"))
+        self.assertEqual(next_voter_change("d", list("abcd"), 3, set("abcd"), [], zones), list("abd"))
+        self.assertEqual(next_voter_change("a", list("abcd"), 3, set("abcd"), [], zones), list("abc"))
--- a/tests/fleet/test_config_planted.py
+++ b/tests/fleet/test_config_planted.py
@@ -17,8 +17,8 @@
     read_body,
 )
 from barleybarrow.consensus.durable_state import StoredImage
-from barleybarrow.consensus.order_queue import Job, OrderQueue
-from barleybarrow.consensus.paced_agreement import PacedAgreement
+from barleybarrow.consensus.order_queue import OrderQueue, PendingOrder
+from barleybarrow.consensus.paced_agreement import PacedRaftNode
 from brackenusher.storage.slot_store import RECORD, Loaded, SlotStore, record_checksum
 from tests.fleet.config_schedules import Schedule
 
@@ -35,14 +35,14 @@
     def __init__(self, *arguments: Any) -> None:
         super().__init__(*arguments)
         proper = self.orders
-        self.orders = self.queue_class(proper.agreement, proper.state, proper.least_disks, proper.tokens)
+        self.orders = self.queue_class(proper.raft, proper.state, proper.min_disks, proper.read_tokens)
 
 
 class HastyQueue(OrderQueue):
     """Acknowledges what is only proposed."""
 
-    def checked(self, now: float, digest: bytes, error: str) -> None:
-        super().checked(now, digest, error)
+    def on_document_checked(self, now: float, digest: bytes, error: str) -> None:
+        super().on_document_checked(now, digest, error)
         job = self.jobs.get(digest)
         if job is not None and job.index:
             self._finish(job, OrderOutcome(OrderStatus.TAKEN))
@@ -57,10 +57,10 @@
     before it.
     """
 
-    def _confirm(self, now: float, job: Job, refusal: OrderOutcome) -> None:
-        self._finish(job, refusal)
+    def _confirm_refusal(self, now: float, pending: PendingOrder, refusal: OrderOutcome) -> None:
+        self._finish(pending, refusal)
 
-    def _settled(self) -> bool:
+    def _caught_up(self) -> bool:
         return True
 
 
@@ -108,7 +108,7 @@
 class ManyAtOnceQueue(OrderQueue):
     """Proposes several orders at once, with checks made before the others are applied."""
 
-    def _busy(self) -> bool:
+    def _order_in_progress(self) -> bool:
         return False
 
 
@@ -118,7 +118,7 @@
     def __init__(self, *arguments: Any) -> None:
         super().__init__(*arguments)
         proper = self.orders
-        self.orders = ManyAtOnceQueue(proper.agreement, proper.state, proper.least_disks, proper.tokens)
+        self.orders = ManyAtOnceQueue(proper.raft, proper.state, proper.min_disks, proper.read_tokens)
 
 
 class NeverBarredNode(ConfigNode):
@@ -133,7 +133,7 @@
         agreement = self.agreement
         if agreement.last == 0 and self.name in voters:
             agreement.voters = list(voters)
-            agreement.settle_role()
+            agreement.update_role()
 
 
 class ImageWithoutLogNode(ConfigNode):
@@ -161,18 +161,18 @@
 class UnconfirmedReadsNode(ConfigNode):
     """Takes what is here for the newest."""
 
-    def confirm(self, now: float, then: Any) -> int:
-        then()
+    def confirm(self, now: float, callback: Any) -> int:
+        callback()
         return 0
 
 
-class EarlyCommitAgreement(PacedAgreement):
+class EarlyCommitAgreement(PacedRaftNode):
     """Takes one disk for enough."""
 
     def advance(self, now: float) -> None:
         if self.stored_to > self.commit and self.term_of(self.stored_to) == self.term:
             self.commit = self.stored_to
-            self.beat(now, everybody=True)
+            self.beat(now, to_all=True)
 
 
 class EarlyCommitNode(ConfigNode):
@@ -180,8 +180,8 @@
         super().__init__(*arguments)
         self.agreement.__class__ = EarlyCommitAgreement
 
-    def _form(self, now: float) -> None:
-        super()._form(now)
+    def _bootstrap(self, now: float) -> None:
+        super()._bootstrap(now)
         self.agreement.__class__ = EarlyCommitAgreement
 
 
@@ -190,7 +190,7 @@
 
     def __init__(self, *arguments: Any) -> None:
         super().__init__(*arguments)
-        self.orders.least_disks = 1
+        self.orders.min_disks = 1
 
 
 class UnsyncedStore(SlotStore):
--- a/tests/fleet/test_config_search.py
+++ b/tests/fleet/test_config_search.py
@@ -7,7 +7,7 @@
 from barleybarrow.agreement_messages import AskVote
 from barleybarrow.consensus.config_node import ConfigNode
 from barleybarrow.consensus.configuration_state import ConfigurationState
-from barleybarrow.consensus.paced_agreement import PacedAgreement
+from barleybarrow.consensus.paced_agreement import PacedRaftNode
 from tests.fleet.config_search import Bounds, Search, State, ViolationError
 from tests.fleet.test_config_planted import EarlyCommitOneDisk
 
@@ -102,14 +102,14 @@
         super().hear_voters(voters, index)
         if self.agreement.last == 0 and self.name in voters:
             self.agreement.voters = list(voters)
-            self.agreement.settle_role()
+            self.agreement.update_role()
 
 
-class AnyLogAgreement(PacedAgreement):
+class AnyLogAgreement(PacedRaftNode):
     """Votes for whoever asks, whatever its log holds."""
 
-    def asked(self, now: float, sender: str, m: AskVote) -> None:
-        longest = AskVote(m.term, 2**50, m.term, m.probe, m.transfer)
+    def asked(self, now: float, sender: str, request: AskVote) -> None:
+        longest = AskVote(request.term, 2**50, request.term, request.probe, request.leadership_transfer)
         super().asked(now, sender, longest)
 
 
@@ -120,12 +120,12 @@
         super().__init__(*arguments)
         self.agreement.__class__ = AnyLogAgreement
 
-    def _form(self, now: float) -> None:
-        super()._form(now)
+    def _bootstrap(self, now: float) -> None:
+        super()._bootstrap(now)
         self.agreement.__class__ = AnyLogAgreement
 
 
-class MinorityAgreement(PacedAgreement):
+class MinorityAgreement(PacedRaftNode):
     """One vote elects."""
 
     @property
@@ -136,8 +136,8 @@
 class ElectsItself(VotesForAnyLog):
     """See above."""
 
-    def _form(self, now: float) -> None:
-        super()._form(now)
+    def _bootstrap(self, now: float) -> None:
+        super()._bootstrap(now)
         self.agreement.__class__ = MinorityAgreement
 
 
@@ -151,8 +151,8 @@
 class StandsInAnOldTerm(VotesForAnyLog):
     """See above."""
 
-    def _form(self, now: float) -> None:
-        super()._form(now)
+    def _bootstrap(self, now: float) -> None:
+        super()._bootstrap(now)
         self.agreement.__class__ = SameTermAgreement
 
 
--- a/tests/fleet/test_config_state.py
+++ b/tests/fleet/test_config_state.py
@@ -89,7 +89,7 @@
         self.assertEqual(len({order_digest(*order) for order in orders}), 4)
 
     def test_what_is_remembered_is_bounded(self) -> None:
-        state, most = ConfigurationState(), configuration_state.MAX_TAKEN
+        state, most = ConfigurationState(), configuration_state.MAX_ACCEPTED_ORDERS
         for version in range(most + 10):
             replaced(state, version, version + 1)
         self.assertEqual(len(state.taken), most)
@@ -100,7 +100,7 @@
 
     def test_what_is_forgotten_is_so_in_snapshots_too(self) -> None:
         state, other = ConfigurationState(), ConfigurationState()
-        with mock.patch.object(configuration_state, "MAX_TAKEN", 2):
+        with mock.patch.object(configuration_state, "MAX_ACCEPTED_ORDERS", 2):
             for version in range(4):
                 replaced(state, version, version + 1)
         other.restore(state.snapshot())
@@ -210,7 +210,7 @@
             encode_record(agreement, Ready(hard=(6, "b"), first=2, entries=[Entry(6, 1, b"other")])),
         ]
         state = decode_state(image, records)
-        self.assertEqual((state.term, state.vote, state.barred), (6, "b", False))
+        self.assertEqual((state.term, state.vote, state.quarantined), (6, "b", False))
         self.assertEqual(state.snapshot, Snapshot(0, 0, ["a", "b"], b""))
         self.assertEqual([entry.data for entry in state.entries], [b"one", b"other"])
 
--- a/tests/fleet/test_failure_domains.py
+++ b/tests/fleet/test_failure_domains.py
@@ -4,7 +4,7 @@
 from unittest import mock
 
 from barleybarrow.consensus import paced_agreement
-from barleybarrow.consensus.failure_domains import spread_index
+from barleybarrow.consensus.failure_domains import domain_quorum_index
 from tests.fleet.config_oracle import TAKEN
 from tests.fleet.fleet_simulation import World
 from tests.fleet.test_config_scenarios import leader, order, voters
@@ -16,18 +16,18 @@
 class SpreadTest(unittest.TestCase):
     def test_one_zone_is_not_enough_where_one_may_be_lost(self) -> None:
         held = {"a": 9, "b": 8, "c": 3}
-        self.assertEqual(spread_index(held, ZONES, (), 1), 3)
-        self.assertEqual(spread_index(held, ZONES, (), 0), 9)
+        self.assertEqual(domain_quorum_index(held, ZONES, (), 1), 3)
+        self.assertEqual(domain_quorum_index(held, ZONES, (), 0), 9)
 
     def test_two_losses_need_three_zones(self) -> None:
-        self.assertEqual(spread_index({"a": 9, "c": 7, "d": 5}, ZONES, (), 2), 5)
+        self.assertEqual(domain_quorum_index({"a": 9, "c": 7, "d": 5}, ZONES, (), 2), 5)
 
     def test_a_zone_that_is_lost_already_is_not_waited_for(self) -> None:
-        self.assertEqual(spread_index({"a": 9, "b": 8, "c": 3}, ZONES, ("c",), 1), 9)
-        self.assertEqual(spread_index({"a": 9, "b": 8, "c": 3, "d": 4}, ZONES, ("c",), 1), 4)
+        self.assertEqual(domain_quorum_index({"a": 9, "b": 8, "c": 3}, ZONES, ("c",), 1), 9)
+        self.assertEqual(domain_quorum_index({"a": 9, "b": 8, "c": 3, "d": 4}, ZONES, ("c",), 1), 4)
 
     def test_fewer_zones_than_may_be_lost(self) -> None:
-        self.assertEqual(spread_index({"a": 9, "b": 8}, ZONES, (), 1), 9)
+        self.assertEqual(domain_quorum_index({"a": 9, "b": 8}, ZONES, (), 1), 9)
 
 
 class LostZoneTest(unittest.TestCase):
@@ -74,9 +74,9 @@
 
     def test_a_rule_that_waits_for_lost_zones_is_found(self) -> None:
         def waits(held: object, zones: object, silent: object, tolerated: int) -> int:
-            return spread_index(held, zones, (), tolerated + 1)  # type: ignore[arg-type]
+            return domain_quorum_index(held, zones, (), tolerated + 1)  # type: ignore[arg-type]
 
-        with mock.patch.object(paced_agreement, "spread_index", waits):
+        with mock.patch.object(paced_agreement, "domain_quorum_index", waits):
             self.assertRaises(AssertionError, self.test_a_silent_zone_does_not_stop_the_others)
 
 
