--- a/tests/fleet/config_oracle.py
+++ b/tests/fleet/config_oracle.py
@@ -1,6 +1,6 @@
-"""What may never happen to the operator's configuration, read from histories of calls alone.
+"""Consistency checker for the operator's configuration, based on histories of client calls alone.
 
-It knows nothing of replicas or logs: only what operators sent and when, and what they were answered.
+It knows nothing about replicas or logs: only what operators sent, when, and the answers they got.
 """
 
 from collections import defaultdict
@@ -26,7 +26,7 @@
 
 @dataclass
 class Call:
-    """One call of an operator. `status` 0: no answer came. Times are milliseconds."""
+    """One call of an operator. `status` is 0 if there was no answer. Times are in milliseconds."""
 
     operation: str  # "order" or "read"
     machine: str
@@ -34,15 +34,15 @@
     order: SentOrder | None = None
     ended: float = 0.0
     status: int = 0
-    document: Document | None = None  # of a read that was answered
+    document: Document | None = None  # result of a read
 
 
 @dataclass
 class History:
-    """All calls of all operators, and the moments by which something was due."""
+    """All calls of all operators, and the deadlines that were missed."""
 
     calls: list[Call] = field(default_factory=list)
-    overdue: list[str] = field(default_factory=list)  # what was not done in time in a calm stretch
+    overdue: list[str] = field(default_factory=list)  # missed deadlines, one line each
 
 
 def names_to_items(document: Document) -> dict[str, Document]:
@@ -51,7 +51,7 @@
 
 
 def patched(document: Document, patch: Document) -> Document:
-    """The document that a patch makes, by a model of its own."""
+    """The result of a patch, computed independently of the production code."""
     items = names_to_items(document)
     for name in patch.get("Remove", {}).get("Routes", []):
         items.pop(name, None)
@@ -61,23 +61,23 @@
 
 
 def comparable(document: Document) -> Document:
-    """What two equal documents have in common whatever the order of their items."""
+    """A form of a document that does not depend on the order of its items."""
     return {"Generation": document["Generation"], "Routes": names_to_items(document)}
 
 
 class Oracle:
-    """Reads one history and names all that is wrong with it."""
+    """Checks one history and lists all violations."""
 
     def __init__(self, history: History, read_json: Any) -> None:
         self.history, self.read_json = history, read_json
         self.problems: list[str] = list(history.overdue)
         self.orders = {call.order.number: call.order for call in history.calls if call.order is not None}
-        self.acknowledged: dict[int, float] = {}  # by the order's number: when first
-        self.refused: dict[int, int] = {}  # a status that refused it
-        self.in_force: dict[int, int] = {}  # the order by its generation, as answers prove it
+        self.acknowledged: dict[int, float] = {}  # time of the first acknowledgement by order number
+        self.refused: dict[int, int] = {}  # status of a refusal by order number
+        self.in_force: dict[int, int] = {}  # order number by generation, as proven by answers
 
     def judge(self) -> list[str]:
-        """All problems, each one line; empty where the history is as it should be."""
+        """All problems, one line each; empty if the history is consistent."""
         self._collect()
         self._read_documents()
         self._one_for_each_base()
@@ -118,7 +118,7 @@
         return [order for order in named if any(made == wanted for made in self._documents(order, set()))]
 
     def _documents(self, order: SentOrder, above: set[int]) -> list[Document]:
-        """What an order makes of each document that may have had its base."""
+        """The possible results of an order, one for each document that may have had its base version."""
         change = self.read_json(order.change)
         if order.kind == "replace":
             return [comparable(change)]
@@ -139,14 +139,14 @@
             by_base[self.orders[number].base].add(number)
         for base, numbers in by_base.items():
             if len(numbers) > 1:
-                self.problems.append(f"orders {sorted(numbers)} were all taken on top of version {base}")
+                self.problems.append(f"orders {sorted(numbers)} were all accepted on top of version {base}")
 
     def _refusals(self) -> None:
         for number in {*self.in_force.values(), *self.acknowledged}:
             if number in self.refused:
-                self.problems.append(f"order {number} was taken, and refused with {self.refused[number]}")
+                self.problems.append(f"order {number} was accepted, and refused with {self.refused[number]}")
             if not self.orders[number].valid:
-                self.problems.append(f"order {number} is invalid, and was taken")
+                self.problems.append(f"order {number} is invalid, but was accepted")
 
     def _reads_are_newest(self) -> None:
         known = [(ended, self.orders[number].generation) for number, ended in self.acknowledged.items()]
@@ -162,5 +162,5 @@
 
 
 def generation_of(call: Call) -> int:
-    """The version that a read gave; 0 where there was none yet."""
+    """The version that a read returned; 0 if there was no document yet."""
     return call.document["Generation"] if call.document is not None else 0
--- a/tests/fleet/config_schedules.py
+++ b/tests/fleet/config_schedules.py
@@ -1,4 +1,4 @@
-"""Random days of the configuration shard: operators and faults drawn from one seed, and what they came to."""
+"""Random simulations of the configuration shard: operators and faults generated from one seed."""
 
 import json
 import random
@@ -10,17 +10,17 @@
 from tests.fleet.config_oracle import TAKEN, Call, Oracle, SentOrder
 from tests.fleet.fleet_simulation import Machine, Story, World
 
-START_MS = 300.0  # within which all processes begin
-FIRST_MS = 4000.0  # the first order is due after the start
+START_MS = 300.0  # all processes start within this time
+FIRST_MS = 4000.0  # deadline of the first order, counted from the start
 TROUBLE_FROM_MS, TROUBLE_UNTIL_MS = 2000.0, 10_000.0
 CONTACT_MS, ACK_MS = 3000.0, 4000.0
 END_MS = 20_000.0
-TRIES = 12  # of one order
-ROUTES = 6  # names that patches use
+TRIES = 12
+ROUTES = 6
 
 
 class Schedule:
-    """One day."""
+    """One simulation run."""
 
     def __init__(
         self,
@@ -68,7 +68,7 @@
         self.world.on_power_lost = lambda machine: self.restart(machine, self.rng.uniform(100.0, 1500.0))
 
     def play(self) -> list[str]:
-        """Play the day: all problems that the oracle found."""
+        """Run the simulation and return all problems found by the oracle."""
         world = self.world
         for machine in list(world.machines.values()):
             world.at(self.rng.uniform(0.0, START_MS), lambda machine=machine: world.start(machine, True))
@@ -89,11 +89,11 @@
     # Operators
 
     def any_machine(self) -> str:
-        """A machine that operators may call, down or not."""
+        """Any machine that was not removed, running or not."""
         return self.rng.choice([m.name for m in self.world.machines.values() if not m.removed])
 
     def make_order(self, base: int) -> SentOrder:
-        """A new order on top of a version."""
+        """A new order based on a version."""
         number = next(self.numbers)
         generation = base + self.rng.randint(1, 5)
         valid = self.rng.random() > 0.1
@@ -112,7 +112,7 @@
         return SentOrder(number, kind, base, generation, json.dumps(change), valid)
 
     def send(self, order: SentOrder, tries: int = TRIES) -> Story:
-        """Send an order until there is a clear answer; the last call is `self.last`."""
+        """Send an order until its outcome is known."""
         for number in range(tries):
             call: Call = yield "order", (self.any_machine(), order)
             if call.status == TAKEN or 400 <= call.status < 500:
@@ -120,7 +120,7 @@
             yield "sleep", 50.0 * (number + 1)
 
     def read(self, tries: int) -> Story:
-        """Read until there is an answer; the version is `self.version`."""
+        """Read until there is an answer."""
         for _ in range(tries):
             call: Call = yield "read", self.any_machine()
             if call.status == TAKEN:
@@ -128,7 +128,7 @@
             yield "sleep", 100.0
 
     def newest(self) -> int:
-        """The newest version that any call has told."""
+        """The newest version that any call has returned."""
         found = 0
         for call in self.world.history.calls:
             if call.status == TAKEN and call.order is not None:
@@ -142,14 +142,14 @@
         return any(c.order is order and c.status == TAKEN for c in self.world.history.calls)
 
     def first_order(self) -> Story:
-        """The first configuration; due soon after the start."""
+        """Send the first configuration, which has a deadline after the start."""
         order = SentOrder(next(self.numbers), "replace", 0, 3, '{"Generation": 3, "Routes": []}')
         yield from self.send(order, 100)
         if self.world.now > FIRST_MS:
-            self.world.history.overdue.append(f"the first order was taken at {self.world.now:.0f}")
+            self.world.history.overdue.append(f"the first order was accepted at {self.world.now:.0f}")
 
     def operator(self) -> Story:
-        """Read, change, now and then send a change that was taken once more."""
+        """Read, change the configuration, and sometimes repeat orders that were accepted."""
         while self.world.now < self.calm_from:
             yield from self.read(3)
             order = self.make_order(self.newest())
@@ -166,7 +166,7 @@
             yield "sleep", self.rng.uniform(10.0, 500.0)
 
     def last_order(self) -> Story:
-        """In a calm stretch a proper order is taken in time, and every machine gives the newest document."""
+        """After the last fault, a valid order is accepted in time and every machine answers a read."""
         began = self.world.now
         while True:
             yield from self.read(50)
@@ -179,22 +179,22 @@
                 break
         if self.world.now - began > ACK_MS:
             self.world.history.overdue.append(
-                f"no order was taken for {self.world.now - began:.0f} ms of calm"
+                f"no order was accepted for {self.world.now - began:.0f} ms after the last fault"
             )
         for machine in list(self.world.machines.values()):
             if not machine.removed:
                 call: Call = yield "read", machine.name
                 if call.status != TAKEN:
-                    self.world.history.overdue.append(f"{machine.name} gave no document in calm")
+                    self.world.history.overdue.append(f"{machine.name} answered no read after the last fault")
 
     # Faults
 
     def running(self) -> list[Machine]:
-        """Machines that count and run."""
+        """Running machines that count for the quorum."""
         return [m for m in self.world.machines.values() if m.node is not None and m.counts]
 
     def pick(self) -> Machine | None:
-        """Any machine that counts and runs; often the leader."""
+        """A random running machine that counts for the quorum, with a bias towards the leader."""
         running = self.running()
         leaders = [m for m in running if m.node is not None and m.node.is_leader]
         if leaders and self.rng.random() < 0.4:
@@ -202,7 +202,7 @@
         return self.rng.choice(running) if running else None
 
     def restart(self, machine: Machine, delay: float) -> None:
-        """Start a machine's process again after a while."""
+        """Restart a machine's process after a delay."""
 
         def again() -> None:
             if machine.node is None and not machine.removed:
@@ -211,14 +211,14 @@
         self.world.at(delay, again)
 
     def kill(self, machine: Machine | None = None, power: bool = False) -> None:
-        """End a process, back soon."""
+        """Kill a process and restart it."""
         machine = machine or self.pick()
         if machine is not None:
             self.world.kill(machine, power)
             self.restart(machine, self.rng.uniform(100.0, 3000.0))
 
     def kill_leader(self) -> None:
-        """End the process that leads."""
+        """Kill the leader."""
         for machine in self.running():
             if machine.node is not None and machine.node.is_leader:
                 self.kill(machine, self.rng.random() < 0.3)
@@ -228,54 +228,54 @@
         self.kill(power=True)
 
     def kill_all(self) -> None:
-        """All processes that count end at once, and are back within a second."""
+        """Kill all processes that count for the quorum; they restart within a second."""
         for machine in self.running():
             self.world.kill(machine)
             self.restart(machine, self.rng.uniform(100.0, 1000.0))
 
     def lose_power_of_all(self) -> None:
-        """All machines that count lose power at once; some take longer to come back."""
+        """All machines that count for the quorum lose power at once; some take longer to restart."""
         for machine in self.running():
             self.world.kill(machine, power=True)
             self.restart(machine, self.rng.uniform(100.0, self.rng.choice([1000.0, 4000.0])))
 
     def stop(self) -> None:
-        """A planned end, back soon."""
+        """A planned shutdown followed by a restart."""
         machine = self.pick()
         if machine is not None:
             self.world.stop(machine)
             self.restart(machine, self.rng.uniform(300.0, 1500.0))
 
     def isolate(self) -> None:
-        """One machine is cut from all others."""
+        """Partition one machine from all others."""
         machine = self.pick()
         if machine is not None:
             others = [m.name for m in self.world.machines.values() if m is not machine]
             self.cut(machine.name, others)
 
     def cut_pair(self) -> None:
-        """Two machines are cut from one another."""
+        """Partition two machines from each other."""
         names = [m.name for m in self.running()]
         if len(names) > 1:
             one, other = self.rng.sample(names, 2)
             self.cut(one, [other])
 
     def cut(self, one: str, others: list[str]) -> None:
-        """Cut, and heal after a while."""
+        """Cut links and heal them later."""
         says_so, lasts = self.rng.random() < 0.4, self.rng.uniform(300.0, 5000.0)
         for other in others:
             self.world.cut(one, other, says_so)
             self.world.at(lasts, lambda other=other: self.world.heal(one, other))
 
     def reset(self) -> None:
-        """All connections of a machine break once."""
+        """Reset all connections of a machine."""
         machine = self.pick()
         if machine is not None:
             for name in list(machine.sessions):
                 self.world.reset(machine.name, name)
 
     def stall_disk(self) -> None:
-        """A disk does nothing for a while."""
+        """A disk hangs for a while."""
         machine = self.pick()
         if machine is not None:
             machine.stalled_until = self.world.now + self.rng.uniform(500.0, 4000.0)
@@ -302,13 +302,13 @@
             self.world.at(self.rng.uniform(500.0, 4000.0), lambda: setattr(machine, "slow_link", 0.0))
 
     def kill_door(self) -> None:
-        """A process without a disk ends, and is back soon."""
+        """Kill and restart a process without a disk."""
         doors = [m for m in self.world.machines.values() if m.node is not None and not m.counts]
         if doors:
             self.kill(self.rng.choice(doors))
 
     def stop_and_remove(self) -> None:
-        """A planned replacement: the new machine comes first, and the old one is told to end."""
+        """A planned replacement: the new machine starts first, then the old one shuts down."""
         machine = self.pick()
         if machine is None or not self.may_lose(machine):
             return
@@ -318,13 +318,13 @@
         self.world.at(1600.0, lambda: self.remove(machine))
 
     def freeze(self) -> None:
-        """A process stands still for a while."""
+        """Pause a process for a while."""
         machine = self.pick()
         if machine is not None:
             machine.frozen_until = self.world.now + self.rng.uniform(300.0, 4000.0)
 
     def may_lose(self, machine: Machine) -> bool:
-        """Whether one more may lose what it holds: no more than are tolerated, until they have caught up."""
+        """Whether a machine may lose its disk: at most the tolerated number may be lost and not caught up."""
         machines = self.world.machines
         for other in machines.values():
             if other.wiped and other.node is not None and not other.node.agreement.barred:
@@ -336,19 +336,19 @@
         return len({*lost, machine.name}) <= self.world.tolerated
 
     def wipe(self) -> None:
-        """A machine loses its disk, and starts at its old address."""
+        """A machine loses its disk and restarts at its old address."""
         machine = self.pick()
         if machine is not None and self.may_lose(machine):
             self.lose_disk(machine)
 
     def replace(self) -> None:
-        """A machine is removed for good, and an empty one at a new address takes its place."""
+        """Remove a machine for good; an empty one at a new address replaces it."""
         machine = self.pick()
         if machine is None or not self.may_lose(machine):
             return
         name = f"10.0.2.{next(self.fresh_names)}:7680"
         fresh = self.world.add_machine(name, machine.zone, counts=True)
-        if self.rng.random() < 0.4:  # planned: the new one comes first
+        if self.rng.random() < 0.4:  # planned: the new machine starts first
             self.restart(fresh, 0.0)
             self.world.at(self.rng.uniform(500.0, 2500.0), lambda: self.remove(machine))
         else:
@@ -356,13 +356,13 @@
             self.restart(fresh, self.rng.uniform(300.0, 2500.0))
 
     def remove(self, machine: Machine) -> None:
-        """Take a machine away for good, where the others can bear it."""
+        """Remove a machine for good if the others tolerate its loss."""
         if machine.node is not None and self.may_lose(machine):
             machine.removed = True
             self.world.kill(machine, power=True)
 
     def after_next_acknowledgement(self, fault: Callable[[], None]) -> None:
-        """Have a fault come right after an order was acknowledged."""
+        """Inject a fault right after the next acknowledgement of an order."""
         seen = len(self.world.history.calls)
 
         def look() -> None:
@@ -374,13 +374,13 @@
         look()
 
     def lose_power_while_writing(self) -> None:
-        """Power goes in the middle of one of the next writes."""
+        """Lose power during one of the next disk operations."""
         machine = self.pick()
         if machine is not None:
             machine.disk.power_lost_at = machine.disk.operations + self.rng.randint(1, 12)
 
     def wipe_one_and_lose_power_of_others(self) -> None:
-        """As many as are tolerated lose their disks, while all others lose power."""
+        """The tolerated number of machines lose their disks, while all others lose power."""
         running = self.running()
         for machine in self.rng.sample(running, min(self.world.tolerated, len(running))):
             if self.may_lose(machine):
@@ -388,7 +388,7 @@
         self.lose_power_of_all()
 
     def isolate_one_then_wipe_another(self) -> None:
-        """One machine misses what the others agree on; one of those loses its disk, and the others power."""
+        """Isolate one machine while the others commit; then one of those loses its disk, the rest power."""
         machine = self.pick()
         if machine is None:
             return
@@ -398,7 +398,7 @@
         self.world.at(900.0, lambda: self.after_next_acknowledgement(lambda: self.wipe_beside(machine)))
 
     def wipe_beside(self, spared: Machine) -> None:
-        """Another machine loses its disk, and a third its power."""
+        """One of the other machines loses its disk, and the rest lose power."""
         others = [m for m in self.running() if m is not spared]
         self.rng.shuffle(others)
         for machine in others[:1]:
@@ -409,14 +409,14 @@
             self.restart(machine, self.rng.uniform(100.0, 4000.0))
 
     def lose_disk(self, machine: Machine) -> None:
-        """A machine's disk is replaced by an empty one."""
+        """Replace a machine's disk by an empty one and restart it."""
         machine.wiped = True
         self.world.kill(machine, power=True)
         machine.disk.wipe()
         self.restart(machine, self.rng.uniform(100.0, 1500.0))
 
     def heal_all(self) -> None:
-        """The end of all trouble."""
+        """End all faults."""
         world = self.world
         for one, other in list(world.cuts):
             world.heal(one, other)
--- a/tests/fleet/config_search.py
+++ b/tests/fleet/config_search.py
@@ -1,10 +1,10 @@
-"""A bounded search over the shipped `ConfigNode`: all ways of a few events from a given moment on.
+"""Bounded model checking of the production `ConfigNode` by breadth-first search over short event sequences.
 
-A state is a few nodes, what they have stored, and what is under way between them. From each state each event
-is tried: an election's span passes at a node, a process restarts, a disk is lost, an operator sends an order,
-or sends one again; and after it each way of delivery: all arrives, nothing, a few messages, or all but what
-one process sends and receives, which is lost. States that look alike are visited once, those with the fewest
-events first, up to a bound. The invariants are those of `docs/design/control-safety.md`.
+A state consists of a few nodes, their persisted data and the messages in transit. From each state every event
+is tried: an election timeout at a node, a restart, a lost disk, a new order, a repeated order. Each event is
+followed by every kind of delivery: all messages, none, a few, or all except those to and from one process,
+which are lost. Equivalent states are visited once, those with the fewest events first, up to a bound. The
+invariants are those of `docs/design/control-safety.md`.
 """
 
 import copy
@@ -28,23 +28,23 @@
 from barleybarrow.consensus.durable_state import decode_state
 from barleybarrow.consensus.voter_selection import ControlProcess
 
-SPAN_MS = 2000.0  # longer than any patience of a node
+SPAN_MS = 2000.0  # longer than any election timeout
 STEP_MS = 1.0
 SETTLE_STEPS = 400
-FEW = (1, 3)  # messages that arrive before the next event
-ORDERS = 3  # that operators send at most
+FEW = (1, 3)  # messages delivered before the next event
+ORDERS = 3
 
 
 Event = Callable[["State"], None]
 
 
 class ViolationError(AssertionError):
-    """An invariant does not hold."""
+    """An invariant is violated."""
 
 
 @dataclass(frozen=True)
 class Bounds:
-    """What may happen at most, all together."""
+    """Limits on the number of states visited and of events in one sequence."""
 
     states: int = 2000
     wipes: int = 1
@@ -54,7 +54,7 @@
 
 @dataclass
 class Member:
-    """A process: its machine, and what is on its disk."""
+    """A process with the contents of its disk."""
 
     node: ConfigNode
     image: bytes = b""
@@ -65,17 +65,17 @@
 
 @dataclass
 class State:
-    """All of it. Members are replaced, never changed, once a state is complete."""
+    """State of the whole system. Once a state is complete, its replicas are replaced, never mutated."""
 
     members: dict[str, Member]
     wires: dict[tuple[str, str], tuple[bytes, ...]]
     now: float
     bounds: Bounds
     orders_sent: int = 0
-    sent: dict[int, tuple[int, bytes]] = field(default_factory=dict)  # base and body of orders by generation
-    tickets: dict[tuple[str, int, int], int] = field(default_factory=dict)  # generation by node, life, ticket
-    taken_order: tuple[int, bytes] | None = None  # the first that was acknowledged
-    again: bool = True  # it may be sent once more
+    sent: dict[int, tuple[int, bytes]] = field(default_factory=dict)  # base and body by generation
+    tickets: dict[tuple[str, int, int], int] = field(default_factory=dict)  # to generation
+    taken_order: tuple[int, bytes] | None = None  # the first acknowledged one
+    again: bool = True  # whether that one may be sent again
     refused: tuple[int, ...] = ()  # statuses
     acknowledged: tuple[int, ...] = ()  # generations
     leaders: tuple[tuple[int, str], ...] = ()  # term and name
@@ -84,22 +84,22 @@
 
 
 def options_of(name: str, names: list[str], tolerated: int) -> NodeOptions:
-    """Each node in a zone of its own."""
+    """Options with each node in a zone of its own."""
     return NodeOptions(name, f"zone-{names.index(name)}", True, names[:3], True, tolerated)
 
 
 class Search:
-    """The search; `node_class` may have a fault planted."""
+    """The search; tests pass a `node_class` with an injected bug."""
 
     def __init__(self, names: list[str], tolerated: int, node_class: type[ConfigNode] = ConfigNode) -> None:
         self.names, self.tolerated, self.node_class = names, tolerated, node_class
-        self.visited = self.made = 0  # states that were left by each way, and those that were reached
+        self.visited = self.made = 0  # expanded states, and all generated ones
         self.max_log_entries = 6
 
-    # Making states
+    # Building states
 
     def first(self, running: list[str], bounds: Bounds) -> State:
-        """A founded group in which all that was sent has arrived."""
+        """A bootstrapped group with no messages in transit."""
         members = {name: Member(self.fresh(name, 0.0, 1)) for name in running}
         state = State(members, {}, 0.0, bounds)
         for name in running:
@@ -126,7 +126,7 @@
         return node
 
     def link_all(self, state: State, name: str) -> None:
-        """A process that started has links to all others that run."""
+        """Connect a started process to all others that run."""
         for other, member in state.members.items():
             if other != name and not member.down and not state.members[name].down:
                 for here, there in ((name, other), (other, name)):
@@ -137,7 +137,7 @@
                     self.act(state, here, lambda node, now, v=voters, i=index: node.hear_voters(list(v), i))
 
     def settle(self, state: State, most: int = SETTLE_STEPS) -> None:
-        """Have what is under way arrive, the oldest links first."""
+        """Deliver messages until none is in transit, the oldest channels first."""
         for _ in range(most):
             pairs = [pair for pair, wire in state.wires.items() if wire]
             if not pairs:
@@ -145,7 +145,7 @@
             self.deliver(state, pairs[0])
 
     def stop(self, state: State, name: str) -> None:
-        """A process ends for good, or for as long as the search lasts."""
+        """Stop a process for the rest of the search."""
         self.cut_wires(state, name)
         member = state.members[name]
         state.members[name] = Member(member.node, member.image, member.records, member.life, down=True)
@@ -153,14 +153,14 @@
             self.act(state, other, lambda node, now: node.link_down(now, name))
 
     def join(self, state: State, name: str) -> None:
-        """An empty machine at a new address."""
+        """Add an empty machine at a new address."""
         node = self.fresh(name, state.now, 1, Member(None))  # type: ignore[arg-type]
         state.members[name] = Member(node)
         self.act(state, name, lambda node, now: None)
         self.link_all(state, name)
 
     def settle_without(self, state: State, name: str) -> None:
-        """Have all arrive but what is sent to or by one process, which is lost."""
+        """Deliver everything except messages to and from one process, which are dropped."""
         for _ in range(SETTLE_STEPS):
             for pair in [pair for pair in state.wires if name in pair]:
                 del state.wires[pair]
@@ -187,10 +187,10 @@
             dict(state.committed),
         )
 
-    # What happens
+    # Events
 
     def act(self, state: State, name: str, action: object) -> None:
-        """Do something to a node, then store, send and apply what it wants."""
+        """Apply an action to a copy of a node, then complete the resulting work and check the invariants."""
         member = state.members[name]
         if member.down:
             return
@@ -238,7 +238,7 @@
         self.act(state, pair[1], lambda node, now: node.receive(now, pair[0], first))
 
     def cut_wires(self, state: State, name: str) -> None:
-        """What is under way to or from a process is lost."""
+        """Drop all messages to and from a process."""
         for pair in list(state.wires):
             if name in pair:
                 del state.wires[pair]
@@ -258,7 +258,7 @@
     # The search
 
     def successors(self, state: State) -> Iterator[State]:
-        """Each state that one event, and one way of delivery after it, leads to."""
+        """All states reached by one event and one kind of delivery after it."""
         for label, event, bounds in self.events(state):
             for mode, delivery in self.deliveries(state):
                 made = self.copied(state, f"{label}, {mode}")
@@ -268,7 +268,7 @@
                 yield made
 
     def events(self, state: State) -> Iterator[tuple[str, Event, Bounds]]:
-        """What may happen next, and what is left to happen after it."""
+        """The possible next events, with the bounds that remain after each."""
         bounds = state.bounds
         for name in [name for name, member in state.members.items() if not member.down]:
             if bounds.spans:
@@ -287,7 +287,7 @@
                     yield f"again {name}", lambda made, name=name: self.order_again(made, name), bounds
 
     def deliveries(self, state: State) -> Iterator[tuple[str, Event]]:
-        """How what is under way arrives: all, nothing, a few messages, or all but those of one process."""
+        """The kinds of delivery: everything, nothing, a few messages, or all but those of one process."""
         yield "all", self.settle
         yield "nothing", lambda made: None
         for few in FEW:
@@ -301,7 +301,7 @@
 
     @staticmethod
     def wait_out(node: ConfigNode, now: float) -> None:
-        """A span in which the others were not heard of, though this process ran all the while."""
+        """Tick after a silence of the others during which this process kept running."""
         node.last_call_at = now
         node.tick(now)
 
@@ -310,7 +310,7 @@
         self.order(state, name)
 
     def order_again(self, state: State, name: str) -> None:
-        """The order that was acknowledged first is sent once more."""
+        """Send the order that was acknowledged first once more."""
         state.again = False
         assert state.taken_order is not None
         base, body = state.taken_order
@@ -318,7 +318,7 @@
         self.act(state, name, lambda node, now: node.submit(now, "replace", base, body, 0) and None)
         self.settle(state)
         if len(state.refused) > before:
-            raise ViolationError(f"an order that was taken is refused: {state.path}")
+            raise ViolationError(f"an accepted order is refused: {state.path}")
 
     def order(self, state: State, name: str) -> None:
         base = state.members[name].node.state.version
@@ -334,7 +334,7 @@
         self.act(state, name, submit)
 
     def run(self, start: State) -> int:
-        """Visit states; raises ViolationError. How many were visited."""
+        """Search up to the bound and return the number of visited states. Raises ViolationError."""
         seen, waiting = {self.fingerprint(start)}, deque([start])
         while waiting and self.visited < start.bounds.states:
             state = waiting.popleft()
@@ -348,7 +348,7 @@
         return self.visited
 
     def fingerprint(self, state: State) -> int:
-        """What tells states apart; times are left out."""
+        """Hash of everything that distinguishes states, except times."""
         parts: list[object] = [state.orders_sent, state.acknowledged, state.bounds]
         for name, member in state.members.items():
             agreement = member.node.agreement
@@ -378,7 +378,7 @@
     # Invariants
 
     def check(self, state: State, name: str, member: Member) -> None:
-        """Raises ViolationError."""
+        """Check all invariants. Raises ViolationError."""
         agreement = member.node.agreement
         if agreement.role is Role.LEADER:
             self.one_leader_a_term(state, agreement.term, name)
@@ -399,7 +399,7 @@
         for entry in node.agreement.entries:
             if entry.kind == Kind.DATA and entry.data:
                 command = msgpack.decode(entry.data)
-                if command[0] == 1:  # an order; its compressed body names the version
+                if command[0] == 1:  # the tag of an order, whose compressed body contains the version
                     held.add(generation_of_order(entry.data))
         lost = [generation for generation in state.acknowledged if generation not in held]
         if lost and node.agreement.term >= max(term for term, _ in state.leaders):
@@ -419,7 +419,7 @@
 
 
 def generation_of_order(data: bytes) -> int:
-    """The version that an order in the log makes."""
+    """The version that an order in the log creates."""
     order = msgpack.decode(data, type=Command)
     assert isinstance(order, Order)
     return generation_of(read_body(order))
--- a/tests/fleet/emulated_disk.py
+++ b/tests/fleet/emulated_disk.py
@@ -1,4 +1,4 @@
-"""A disk in memory that loses power, fills up and fails at numbered operations: a `FileSystem`."""
+"""An in-memory `FileSystem` that can lose power, fill up, and fail at numbered operations."""
 
 import errno
 import random
@@ -6,19 +6,19 @@
 
 
 class PowerLost(BaseException):
-    """Power went at this operation: whatever the caller was doing ends here."""
+    """Power was lost during this operation; the caller is terminated."""
 
 
 @dataclass
 class Change:
-    """One operation on a file that is not synced yet."""
+    """An unsynced operation on a file."""
 
     offset: int
-    data: bytes | None  # None: the length is set to `offset`
+    data: bytes | None  # None: the file is truncated or extended to `offset`
 
 
 def make_change(content: bytearray, change: Change) -> None:
-    """Do one operation to the bytes of a file."""
+    """Apply an operation to the bytes of a file."""
     if change.data is None:
         del content[change.offset :]
         content.extend(bytes(change.offset - len(content)))
@@ -29,7 +29,7 @@
 
 @dataclass
 class EmulatedFile:
-    """What a process sees, what would be left without power, and what is between the two."""
+    """Contents as seen by a process, contents that survive a power loss, and the operations in between."""
 
     seen: bytearray = field(default_factory=bytearray)
     durable: bytearray | None = None  # None: the file itself was never synced
@@ -37,27 +37,27 @@
 
 
 class EmulatedDisk:
-    """Files by path. `operations` counts the calls that change something, for the faults below."""
+    """Files by path. Modifying calls are numbered, so that faults can be injected at a given operation."""
 
     def __init__(self, rng: random.Random, capacity: int = 2**40) -> None:
         self.rng, self.capacity = rng, capacity
         self.files: dict[str, EmulatedFile] = {}
         self.operations = 0
-        self.power_lost_at = 0  # the number of the operation during which power goes; 0: never
-        self.refuse_at: dict[int, int] = {}  # errno by the number of the operation
+        self.power_lost_at = 0  # number of the operation during which power is lost; 0: never
+        self.refuse_at: dict[int, int] = {}  # errno by operation number
         self.full = False
         self.syncs = 0
 
     def make_folder(self, path: str) -> None:
-        """Folders are always there."""
+        """Folders always exist."""
 
     def read(self, path: str) -> bytes | None:
-        """What a process sees."""
+        """Contents as seen by a process."""
         file = self.files.get(path)
         return None if file is None else bytes(file.seen)
 
     def write(self, path: str, offset: int, data: bytes) -> None:
-        """Write; where the disk is full a part may be written."""
+        """Write; if the disk fills up, a part of the data may be written."""
         lost = self._begin()
         file = self.files.setdefault(path, EmulatedFile())
         grows = offset + len(data) - len(file.seen)
@@ -87,19 +87,19 @@
         file.durable, file.unsynced = bytearray(file.seen), []
 
     def sync_folder(self, path: str) -> None:
-        """Names are never renamed or removed here."""
+        """Only injects faults: files are never renamed or removed here."""
         if self._begin():
             raise PowerLost
 
     def close(self) -> None:
-        """Nothing is held open."""
+        """No handles to close."""
 
     def used(self) -> int:
         """Bytes in all files."""
         return sum(len(file.seen) for file in self.files.values())
 
     def lose_power(self) -> None:
-        """Each operation since a file's last sync is kept, lost or torn; some losses take them all."""
+        """Keep, drop or tear each operation since a file's last sync; some power losses drop them all."""
         takes_all = self.rng.random() < 0.3
         for path, file in list(self.files.items()):
             if file.durable is None and (takes_all or self.rng.random() < 0.5):
@@ -114,7 +114,7 @@
         self.power_lost_at = 0
 
     def wipe(self) -> None:
-        """A new, empty disk."""
+        """Replace the disk by an empty one."""
         self.files.clear()
 
     def _torn(self, change: Change) -> Change | None:
--- a/tests/fleet/emulated_machine.py
+++ b/tests/fleet/emulated_machine.py
@@ -1,4 +1,4 @@
-"""Machines of a simulated fleet, and the line of time of all their events. Times are milliseconds."""
+"""Machines of a simulated fleet and the event queue that drives them. Times are in milliseconds."""
 
 import heapq
 from collections.abc import Callable
@@ -31,7 +31,7 @@
     disk: EmulatedDisk
     node: ConfigNode | None = None
     store: SlotStore | None = None
-    life: int = 0  # of the process; what was begun in an earlier one is void
+    life: int = 0  # of the process; callbacks of earlier ones are ignored
     sessions: dict[str, Session] = field(default_factory=dict)
     wanted: set[str] = field(default_factory=set)
     waiting: dict[int, Callable[[OrderOutcome], None]] = field(default_factory=dict)  # by ticket
@@ -39,16 +39,16 @@
     writing: Work | None = None
     tick_due: float = inf
     slow_disk: float = 1.0
-    slow_link: float = 0.0  # milliseconds that each message takes more
-    bytes_per_ms: float = inf  # that its links carry
+    slow_link: float = 0.0  # extra delay of each message
+    bytes_per_ms: float = inf  # bandwidth of its links
     stalled_until: float = 0.0
     frozen_until: float = 0.0
     removed: bool = False
-    wiped: bool = False  # since it last was trusted
+    wiped: bool = False  # lost its disk and has not caught up since
 
 
 class Timeline:
-    """Events in the order of their times; of one time, in the order they were set."""
+    """Event queue ordered by time; events of the same time run in the order they were scheduled."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -56,18 +56,18 @@
         self.sequence = count()
 
     def at(self, delay: float, action: Callable[[], None]) -> None:
-        """Have something happen after a while."""
+        """Schedule an action after a delay."""
         heapq.heappush(self.events, (self.now + delay, next(self.sequence), action))
 
     def run_until(self, end: float) -> None:
-        """Play all that happens up to a moment."""
+        """Run all events up to a time."""
         while self.events and self.events[0][0] <= end:
             self.now, _, action = heapq.heappop(self.events)
             action()
         self.now = end
 
     def on(self, machine: Machine, delay: float, action: Callable[[], None]) -> None:
-        """Have a process do something after a while, if it still runs then; a frozen one does it later."""
+        """Schedule an action of a process: skipped if that has ended by then, deferred while it is paused."""
         life = machine.life
 
         def run() -> None:
--- a/tests/fleet/play_config_histories.py
+++ b/tests/fleet/play_config_histories.py
@@ -1,5 +1,6 @@
-"""Plays random histories of the configuration shard: `python -m tests.fleet.play_config_histories
-FIRST COUNT`.
+"""Runs more random histories of the configuration shard than the tests do.
+
+Usage: `python -m tests.fleet.play_config_histories FIRST COUNT`
 """
 
 import sys
@@ -9,12 +10,12 @@
 
 
 def main(first: int, histories: int) -> int:
-    """Play them and print the seeds with problems: how many there were."""
+    """Run the histories, print seeds with problems, and return how many there were."""
     found = 0
     for seed in range(first, first + histories):
         try:
             problems = Schedule(seed).play()
-        except Exception:  # a seed that ends the simulation is a finding as well
+        except Exception:  # a crash of the simulation counts as a finding
             problems = [traceback.format_exc()]
         if problems:
             found += 1
--- a/tests/fleet/play_config_search.py
+++ b/tests/fleet/play_config_search.py
@@ -1,4 +1,7 @@
-"""Searches further than the tests do: `python -m tests.fleet.play_config_search STATES`, of each start."""
+"""Searches further than the tests do: up to STATES states from each start.
+
+Usage: `python -m tests.fleet.play_config_search STATES`
+"""
 
 import sys
 import time
@@ -8,7 +11,7 @@
 
 
 def main(states: int) -> int:
-    """Search with three and five voters and print what was visited: how many violations were found."""
+    """Search with three and five voters, print statistics, and return the number of violations found."""
     found = 0
     for names, tolerated, wipes in ((THREE, 1, 1), (FIVE, 2, 2)):
         for start in STARTS:
--- a/tests/fleet/shard_world.py
+++ b/tests/fleet/shard_world.py
@@ -1,4 +1,4 @@
-"""Control processes with the shipped `ConfigShard` on links and disks in memory, in virtual time."""
+"""Harness: control processes with the production `ConfigShard` on fake links and disks, in virtual time."""
 
 import asyncio
 import json
@@ -22,7 +22,7 @@
 
 
 class VirtualWriter(StorageWriter):
-    """Does the work of the storage thread on the virtual clock."""
+    """Runs the jobs of the storage thread on the virtual clock."""
 
     def __init__(self) -> None:
         self.loop = asyncio.get_running_loop()
@@ -48,14 +48,14 @@
 
 
 def check(raw: dict[str, Any]) -> Result[Configuration, ValueError]:
-    """Stands for the check of documents: what says that it is invalid is."""
+    """Stub for the validation of documents: one with the key `Invalid` is invalid."""
     if raw.get("Invalid"):
         return Failure(ValueError("Invalid: take it out"))
     return Success(Configuration(raw["Generation"]))
 
 
 def body(generation: int, **more: Any) -> bytes:
-    """A whole configuration."""
+    """A complete configuration document."""
     return json.dumps({"Generation": generation, "Routes": [], **more}).encode()
 
 
@@ -120,7 +120,7 @@
         self.shard = None
 
     def stall(self, seconds: float) -> None:
-        storage = self.writers[-1]  # the first one checks documents
+        storage = self.writers[-1]  # the first writer is the one that validates documents
         storage.stalled_until = asyncio.get_running_loop().time() + seconds
 
     async def take(self, generation: int, base: int, timeout_s: float = 4.0, **more: Any) -> OrderOutcome:
@@ -128,7 +128,7 @@
 
 
 class ShardWorld:
-    """All control processes. The first `counting` have disks, and the first three are the seeds."""
+    """All control processes. The first `counting` of them have disks, and the first three are seeds."""
 
     def __init__(self, counting: int = 3, doors: int = 1, seed: int = 1) -> None:
         self.rng = random.Random(seed)
@@ -137,7 +137,7 @@
         self.seeds = [f"10.0.0.{i + 1}:8665" for i in range(min(3, counting))]
 
     async def start(self) -> None:
-        """The first start of all, within 0.3 s."""
+        """First start of all processes, within 0.3 s."""
 
         async def later(control: Control) -> None:
             await asyncio.sleep(self.rng.uniform(0.0, 0.3))
@@ -146,18 +146,18 @@
         await asyncio.gather(*(later(control) for control in self.controls))
 
     def leader(self) -> Control:
-        """The process that leads, and of several the one of the newest term."""
+        """The leader, or of several the one with the highest term."""
         leading = [c for c in self.controls if c.shard is not None and c.shard.is_leader]
         return max(leading, key=lambda c: int(str(c.up.status()["term"])))
 
     def others(self) -> list[Control]:
-        """All that run and don't lead."""
+        """All running processes except the leader."""
         leader = self.leader()
         return [c for c in self.controls if c.shard is not None and c is not leader]
 
 
 async def until(condition: Callable[[], bool], seconds: float) -> float:
-    """Wait for something: how long it took. Raises TimeoutError."""
+    """Wait for a condition and return how long it took. Raises TimeoutError."""
     loop = asyncio.get_running_loop()
     began = loop.time()
     while not condition():
--- a/tests/fleet/test_config_catch_up.py
+++ b/tests/fleet/test_config_catch_up.py
@@ -1,4 +1,4 @@
-"""A replica that was away catches up, whatever changes come meanwhile and however narrow its link is."""
+"""A replica that was down catches up under continuous changes, also over a link of low bandwidth."""
 
 import random
 import unittest
@@ -8,33 +8,33 @@
 from tests.fleet.fleet_simulation import World
 from tests.fleet.test_config_scenarios import leader, order, started, voters
 
-BYTES_PER_MS = 600.0  # some 5 Mbit/s
+BYTES_PER_MS = 600.0  # about 5 Mbit/s
 CHANGE_MS = 80.0
 
 
 def large(tenants: int) -> list[dict[str, object]]:
-    """A document that hardly shrinks: all names and keys differ."""
+    """A document that compresses badly: all names and keys differ."""
     rng = random.Random(1)
     keys = [[f"{rng.getrandbits(80):x}" for _ in range(2)] for _ in range(tenants)]
     return [{"Name": f"t{i * 7919:x}", "Keys": keys[i]} for i in range(tenants)]
 
 
 def follower(world: World) -> Machine:
-    """A voter that does not lead."""
+    """A voter that is not the leader."""
     leading = leader(world)
     assert leading is not None
     return world.machines[next(name for name in voters(world) if name != leading.name)]
 
 
 def behind(world: World, machine: Machine) -> int:
-    """By how many versions a replica is behind the leader."""
+    """Number of versions by which a replica lags behind the leader."""
     leading = leader(world)
     assert leading is not None and leading.node is not None and machine.node is not None
     return leading.node.state.version - machine.node.state.version
 
 
 def keep_changing(world: World, version: int) -> None:
-    """A change each 80 ms from now on, by small patches."""
+    """Submit a small patch to the leader every 80 ms from now on."""
 
     def change() -> None:
         leading = leader(world)
@@ -50,10 +50,10 @@
 
 
 class CatchUpTest(unittest.TestCase):
-    """Changes go on all the while."""
+    """Changes continue during all tests."""
 
     def caught_up(self, machine: Machine, world: World, within_ms: float) -> float:
-        """Wait until a replica lacks at most what is under way: how long that took."""
+        """Wait until a replica lags by no more than the changes in progress; returns how long that took."""
         began = world.now
         while machine.node is None or machine.node.agreement.barred or behind(world, machine) > 3:
             world.run_until(world.now + 20.0)
@@ -61,7 +61,7 @@
         return world.now - began
 
     def day(self, seed: int, tenants: int, log_entries: int) -> tuple[World, Machine]:
-        """A group with a document of this size that changes each 80 ms, and one of its followers."""
+        """A group whose document, of the given size, changes every 80 ms, and one of its followers."""
         world = started(seed)
         self.assertEqual(order(world, "10.0.1.1:7680", 0, 3, large(tenants)).status, TAKEN)
         for machine in world.machines.values():
@@ -71,7 +71,7 @@
         return world, follower(world)
 
     def test_a_lost_disk_over_a_narrow_link(self) -> None:
-        """The snapshot takes longer to carry than an election's span, and others are made meanwhile."""
+        """Sending the snapshot takes longer than an election timeout, and newer ones are made meanwhile."""
         for log_entries in (512, 12):
             with self.subTest(log_entries=log_entries):
                 world, machine = self.day(1, 15_000, 12)
--- a/tests/fleet/test_config_driver_histories.py
+++ b/tests/fleet/test_config_driver_histories.py
@@ -1,4 +1,4 @@
-"""Random histories of the whole driver: the oracle reads what operators were answered by `ConfigShard`."""
+"""Random simulations of the whole `ConfigShard` driver, checked by the oracle on the operators' calls."""
 
 import asyncio
 import json
@@ -17,7 +17,7 @@
 
 
 class Day:
-    """Operators and faults drawn from one seed, on real drivers."""
+    """Operators and faults generated from one seed, on production drivers."""
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
@@ -28,7 +28,7 @@
         self.began = self.loop.time()
 
     async def play(self) -> list[str]:
-        """Play the day: all problems that the oracle found."""
+        """Run the simulation and return all problems found by the oracle."""
         await self.world.start()
         await self.order(0)
         operators = [asyncio.ensure_future(self.operate()) for _ in range(2)]
@@ -42,17 +42,17 @@
         return problems + [repr(error) for error in self.world.network.errors]
 
     def up(self) -> list[Control]:
-        """The processes that run."""
+        """The running processes."""
         return [control for control in self.world.controls if control.shard is not None]
 
     def newest(self) -> int:
-        """The newest version that an answer has told."""
+        """The newest version that any answer has returned."""
         taken = [call for call in self.history.calls if call.status == TAKEN]
         orders = [call.order.generation for call in taken if call.order is not None]
         return max([*orders, *(call.document["Generation"] for call in taken if call.document)], default=0)
 
     async def operate(self) -> None:
-        """Read, change, and send some of what was taken once more."""
+        """Read, change the configuration, and sometimes repeat accepted orders."""
         while self.loop.time() - self.began < TROUBLE_S:
             await self.read(self.rng.choice(self.world.controls), 0.7)
             await self.order(self.newest())
@@ -62,7 +62,7 @@
             await asyncio.sleep(self.rng.uniform(0.01, 0.4))
 
     async def order(self, base: int) -> SentOrder:
-        """Make an order and send it until there is a clear answer."""
+        """Create an order and send it until its outcome is known."""
         number, generation = next(self.numbers), base + self.rng.randint(1, 3)
         items = [{"Name": f"route-{self.rng.randrange(5)}", "Order": number}]
         if base and self.rng.random() < 0.5:
@@ -74,7 +74,7 @@
         return order
 
     async def send(self, order: SentOrder, tries: int) -> None:
-        """Send an order to one process after the other."""
+        """Send an order to random processes until its outcome is known."""
         for _ in range(tries):
             control = self.rng.choice(self.world.controls)
             call = Call("order", control.address, self.loop.time() * 1000.0, order)
@@ -82,7 +82,7 @@
             if control.shard is not None:
                 shard, body = control.shard, order.change.encode()
                 outcome = await shard.submit(order.kind, order.base, body, self.rng.choice([0.2, 0.9]))
-                if control.shard is shard:  # else nobody is left to give the answer
+                if control.shard is shard:  # otherwise the process that would answer is gone
                     call.status = int(outcome.status)
             call.ended = self.loop.time() * 1000.0
             if call.status == TAKEN or 400 <= call.status < 500:
@@ -102,7 +102,7 @@
         return call
 
     async def fault(self) -> None:
-        """Something goes wrong; it is over before the trouble ends, or with it."""
+        """Inject a random fault, which ends by itself after a while."""
         control = self.rng.choice(self.up() or self.world.controls)
         lasts = self.rng.uniform(0.2, 2.5)
         kind = self.rng.choice(["kill", "power", "stop", "cut", "stall", "full", "reset", "all"])
@@ -125,7 +125,7 @@
             self.trouble_links(control, kind, lasts)
 
     def trouble_links(self, control: Control, kind: str, lasts: float) -> None:
-        """Cut a process from some others, or reset its links."""
+        """Partition a process from some others, or reset its links."""
         for other in self.world.controls:
             if other is control or self.rng.random() < 0.4:
                 continue
@@ -136,7 +136,7 @@
                 self.world.network.reset(control.address, other.address)
 
     def kill(self, control: Control, power: bool, lasts: float) -> None:
-        """End a process, and have it back after a while."""
+        """Kill a process and restart it after a while."""
         control.kill(silent=power)
         if power:
             control.disk.lose_power()
@@ -149,17 +149,17 @@
         self.back = asyncio.ensure_future(back())
 
     async def calm(self) -> None:
-        """All is well: an order is taken in time, and every process gives the newest document."""
+        """After the last fault: an order is accepted in time, and every process answers a read."""
         began = self.loop.time()
         while not any(c.status == TAKEN and c.began >= began * 1000.0 for c in self.history.calls if c.order):
             await self.read(self.world.controls[0], 1.0)
             await self.order(self.newest())
             if self.loop.time() - began > ACK_S:
-                self.history.overdue.append("no order was taken in calm")
+                self.history.overdue.append("no order was accepted after the last fault")
                 break
         for control in self.world.controls:
             if (await self.read(control, 1.0)).status != TAKEN:
-                self.history.overdue.append(f"{control.address} gives no document in calm")
+                self.history.overdue.append(f"{control.address} answered no read after the last fault")
 
 
 class DriverHistoriesTest(unittest.TestCase):
--- a/tests/fleet/test_config_histories.py
+++ b/tests/fleet/test_config_histories.py
@@ -1,15 +1,15 @@
-"""Random histories of the configuration shard: the oracle finds nothing wrong with any of them."""
+"""Random simulations of the configuration shard: the oracle must find no violation in any history."""
 
 import unittest
 
 from tests.fleet.config_schedules import Schedule
 
-HISTORIES = 20  # of each test; further seeds are played by `python -m tests.fleet.play_config_histories`
+HISTORIES = 20  # per test; `python -m tests.fleet.play_config_histories` runs further seeds
 
 
 class HistoriesTest(unittest.TestCase):
     def play(self, first: int) -> None:
-        """Play histories from a seed on."""
+        """Run consecutive seeds."""
         for seed in range(first, first + HISTORIES):
             with self.subTest(seed=seed):
                 self.assertEqual(Schedule(seed).play(), [])
--- a/tests/fleet/test_config_node.py
+++ b/tests/fleet/test_config_node.py
@@ -1,4 +1,4 @@
-"""The machine of one replica: what it must store before it says it, and when it may vote."""
+"""A single replica: what it must persist before sending, when it may vote, and how voters are selected."""
 
 import unittest
 from random import Random
@@ -21,7 +21,7 @@
 
 
 class Kept:
-    """The store of a node under test."""
+    """In-memory store of the node under test."""
 
     def __init__(self) -> None:
         self.image = b""
@@ -42,19 +42,19 @@
 
 
 def founded() -> DurableState:
-    """What a voter keeps that has just been told who votes."""
+    """Persistent state of a voter that has just learned the initial voters."""
     node = voter(None, bootstrap=True)
     node.agreement = PacedRaftNode("a", VOTERS, Random(1), 0.0)
     return DurableState(snapshot=node.agreement.snapshot)
 
 
 def say(node: ConfigNode, sender: str, message: Message, now: float) -> None:
-    """Have a node receive a message."""
+    """Deliver a message to a node."""
     node.receive(now, sender, msgpack.encode(message))
 
 
 def votes(work: Work | None) -> list[tuple[str, bool]]:
-    """To whom a work says that it votes, and how."""
+    """The vote responses in a work: recipient, and whether the vote was granted."""
     said = [(to, msgpack.decode(data, type=Message)) for to, data in work.messages] if work else []
     return [(to, message.granted) for to, message in said if isinstance(message, Vote)]
 
@@ -171,7 +171,7 @@
 
 
 def processes(*zones: str, counts: bool = True) -> list[ControlProcess]:
-    """One process for each zone that is named."""
+    """One process for each given zone."""
     return [ControlProcess(f"p{i}", zone, counts) for i, zone in enumerate(zones)]
 
 
--- a/tests/fleet/test_config_planted.py
+++ b/tests/fleet/test_config_planted.py
@@ -1,4 +1,4 @@
-"""The oracle finds faults that are planted in the configuration shard: each class below plants one."""
+"""Mutation tests of the oracle: each class below injects a bug that random histories must reveal."""
 
 import re
 import unittest
@@ -22,13 +22,13 @@
 from brackenusher.storage.slot_store import RECORD, Loaded, SlotStore, record_checksum
 from tests.fleet.config_schedules import Schedule
 
-# A promise is broken; that nothing is taken any more in a calm stretch does not suffice.
-PROMISE = re.compile(r"taken on top|was known|refused with|is both|no order makes|DurableStateError")
-MOST_HISTORIES = 60  # until a planted fault must have been found
+# Messages about safety violations; a mere loss of liveness does not count as having found the bug.
+PROMISE = re.compile(r"accepted on top|was known|refused with|is both|no order makes|DurableStateError")
+MOST_HISTORIES = 60  # within which an injected bug has to be found
 
 
 class NodeWithQueue(ConfigNode):
-    """Puts a queue of orders with a fault in the place of the proper one."""
+    """Uses an order queue with a bug."""
 
     queue_class: type[OrderQueue] = OrderQueue
 
@@ -39,7 +39,7 @@
 
 
 class HastyQueue(OrderQueue):
-    """Acknowledges what is only proposed."""
+    """Acknowledges orders that are only proposed."""
 
     def on_document_checked(self, now: float, digest: bytes, error: str) -> None:
         super().on_document_checked(now, digest, error)
@@ -53,9 +53,7 @@
 
 
 class UnconfirmedQueue(OrderQueue):
-    """Refuses by what a leader believes that may be none any more, and has not applied what came
-    before it.
-    """
+    """Refuses orders without confirming leadership, and before earlier committed entries are applied."""
 
     def _confirm_refusal(self, now: float, pending: PendingOrder, refusal: OrderOutcome) -> None:
         self._finish(pending, refusal)
@@ -69,7 +67,7 @@
 
 
 class NodeWithState(ConfigNode):
-    """Puts a state with a fault in the place of the proper one."""
+    """Uses a configuration state with a bug."""
 
     state_class: type[ConfigurationState] = ConfigurationState
 
@@ -81,7 +79,7 @@
 
 
 class ForgetfulState(ConfigurationState):
-    """Forgets which orders were taken when it comes from a snapshot."""
+    """Loses the accepted orders when restored from a snapshot."""
 
     def restore(self, data: bytes) -> None:
         super().restore(data)
@@ -93,7 +91,7 @@
 
 
 class BaselessState(ConfigurationState):
-    """Does not compare the base version when an order is applied."""
+    """Does not check the base version when an order is applied."""
 
     def apply(self, order: Order) -> OrderOutcome:
         try:
@@ -106,7 +104,7 @@
 
 
 class ManyAtOnceQueue(OrderQueue):
-    """Proposes several orders at once, with checks made before the others are applied."""
+    """Proposes several orders at once, each validated before the others are applied."""
 
     def _order_in_progress(self) -> bool:
         return False
@@ -122,7 +120,7 @@
 
 
 class NeverBarredNode(ConfigNode):
-    """Votes by an empty store, as one of the voters it hears of, as if it had never promised anything."""
+    """Votes with an empty store once it learns that it is a voter, instead of staying in quarantine."""
 
     def __init__(self, *arguments: Any) -> None:
         super().__init__(*arguments)
@@ -137,7 +135,7 @@
 
 
 class ImageWithoutLogNode(ConfigNode):
-    """Leaves the entries behind a snapshot out of what is stored."""
+    """Omits the entries after a snapshot from the persisted image."""
 
     def take(self) -> Work | None:
         work = super().take()
@@ -149,7 +147,7 @@
 
 
 class SendsBeforeStoringNode(ConfigNode):
-    """Counts what it stores before the disk has it: the work has nothing to store, and a later one has."""
+    """Sends before storing: entries are not persisted until the next image."""
 
     def take(self) -> Work | None:
         work = super().take()
@@ -159,7 +157,7 @@
 
 
 class UnconfirmedReadsNode(ConfigNode):
-    """Takes what is here for the newest."""
+    """Treats the local state as the newest."""
 
     def confirm(self, now: float, callback: Any) -> int:
         callback()
@@ -167,7 +165,7 @@
 
 
 class EarlyCommitAgreement(PacedRaftNode):
-    """Takes one disk for enough."""
+    """Commits what is on a single disk."""
 
     def advance(self, now: float) -> None:
         if self.stored_to > self.commit and self.term_of(self.stored_to) == self.term:
@@ -186,7 +184,7 @@
 
 
 class EarlyCommitOneDisk(EarlyCommitNode):
-    """The same, and acknowledges on one disk."""
+    """Commits and acknowledges what is on a single disk."""
 
     def __init__(self, *arguments: Any) -> None:
         super().__init__(*arguments)
@@ -194,7 +192,7 @@
 
 
 class UnsyncedStore(SlotStore):
-    """Does not sync what it appends."""
+    """Does not sync appended records."""
 
     def append(self, records: list[bytes]) -> None:
         files = self.files
@@ -215,11 +213,11 @@
         return getattr(self.files, name)
 
     def sync(self, path: str) -> None:
-        """Nothing."""
+        """Does nothing."""
 
 
 class TrustingStore(SlotStore):
-    """Takes the end of the log as it finds it, damaged or not."""
+    """Accepts the tail of the log without verifying checksums."""
 
     def load(self) -> Loaded:
         loaded = super().load()
@@ -241,15 +239,15 @@
     def find(
         self, node_class: type[ConfigNode] = ConfigNode, store_class: type[SlotStore] = SlotStore
     ) -> None:
-        """Play histories until one shows the fault."""
+        """Run histories until one reveals the bug."""
         for seed in range(MOST_HISTORIES):
             try:
                 problems = Schedule(seed, node_class, store_class).play()
-            except Exception as error:  # a store that can't be read is found as well
+            except Exception as error:  # an unreadable store counts as found
                 problems = [repr(error)]
             if any(PROMISE.search(problem) for problem in problems):
                 return
-        self.fail(f"{MOST_HISTORIES} histories show nothing of the fault")
+        self.fail(f"the bug was not revealed by {MOST_HISTORIES} histories")
 
     def test_acknowledged_when_proposed(self) -> None:
         self.find(HastyNode)
--- a/tests/fleet/test_config_scenarios.py
+++ b/tests/fleet/test_config_scenarios.py
@@ -1,6 +1,4 @@
-"""Days of the configuration shard that are set by hand: first starts, replacements, processes without
-disks.
-"""
+"""Hand-written scenarios of the configuration shard: bootstrap, elections, replacements, large documents."""
 
 import json
 import statistics
@@ -13,16 +11,15 @@
 
 
 def started(seed: int, machines: int = 3, tolerated: int = 1, doors: int = 1) -> World:
-    """A world whose processes start within 0.3 s."""
+    """A simulation whose processes start within 0.3 s."""
     world = World(seed, machines, tolerated, doors)
     for machine in list(world.machines.values()):
-        # type: ignore[misc]
         world.at(world.rng.uniform(0.0, 300.0), lambda machine=machine: world.start(machine, True))
     return world
 
 
 def leader(world: World, beside: Machine | None = None) -> Machine | None:
-    """Who leads."""
+    """The current leader."""
     found = [
         m for m in world.machines.values() if m.node is not None and m.node.is_leader and m is not beside
     ]
@@ -30,7 +27,7 @@
 
 
 def time_to_leader(world: World, beside: Machine | None = None) -> float:
-    """How long it takes until one leads."""
+    """Time until there is a leader."""
     began = world.now
     while leader(world, beside) is None:
         world.run_until(world.now + 5.0)
@@ -40,14 +37,14 @@
 
 
 def voters(world: World) -> list[str]:
-    """Who votes, as the leader has committed it."""
+    """The voters committed by the leader."""
     found = leader(world)
     assert found is not None and found.node is not None
     return found.node.voters[0]
 
 
 def order(world: World, name: str, base: int, generation: int, more: object = None) -> Call:
-    """Have an order sent until it has a clear answer: its last call."""
+    """Send an order until its outcome is known, and return the last call."""
     text = json.dumps({"Generation": generation, "Routes": [], "More": more})
     sent = SentOrder(next(world.ids), "replace", base, generation, text)
     calls = list[Call]()
@@ -129,20 +126,19 @@
             world.run_until(world.rng.uniform(300.0, 1500.0))
             for machine in world.machines.values():
                 world.kill(machine, power=True)
-                # type: ignore[misc]
                 world.at(300.0, lambda world=world, machine=machine: world.start(machine))
             with self.subTest(seed=seed):
                 self.assertEqual(order(world, "10.0.0.2:7680", 0, 3).status, TAKEN)
 
 
 class SlowMachinesTest(unittest.TestCase):
-    """Event loops that stand still again and again, as on a machine that is far too busy."""
+    """Event loops that are blocked repeatedly, as on an overloaded machine."""
 
-    RUN_MS = 20.0  # between two times that a process stands still
+    RUN_MS = 20.0  # between two pauses
     LOOK_MS = 50.0
 
     def stutter(self, world: World, machine: Machine, still_ms: float, ends: float) -> None:
-        """Have a process stand still for so long, again and again, until a moment."""
+        """Pause a process repeatedly until a given time."""
 
         def stand_still() -> None:
             if world.now < ends:
@@ -152,7 +148,7 @@
         world.at(world.rng.uniform(0.0, still_ms), stand_still)
 
     def share_led(self, world: World, span_ms: float) -> float:
-        """The part of a span in which some process leads."""
+        """The fraction of a period during which there is a leader."""
         looks = int(span_ms / self.LOOK_MS)
         led = 0
         for _ in range(looks):
@@ -182,7 +178,7 @@
             self.assertIsNot(leader(world), slow, f"seed {seed}")
 
     def test_where_all_stand_still_for_longer_none_leads_until_they_run_again(self) -> None:
-        """A known bound: who stood still for half a second has missed what others said, and steps down."""
+        """A known limit: a process that was paused for half a second has missed messages and steps down."""
         for seed in range(SEEDS):
             world = started(seed)
             world.run_until(4000.0)
@@ -195,7 +191,7 @@
 
 class ElectionTest(unittest.TestCase):
     def times(self, how: str) -> list[float]:
-        """How long it takes until another leads."""
+        """Times until another process becomes leader."""
         found = list[float]()
         for seed in range(30):
             world = started(seed)
@@ -228,7 +224,7 @@
 
 class ReplacementTest(unittest.TestCase):
     def replace(self, world: World, lost: Machine, planned: bool) -> Machine:
-        """Remove a machine for good; an empty one at a new address comes before it or after it."""
+        """Remove a machine for good; an empty one at a new address is started before or after that."""
         fresh = world.add_machine("10.0.2.1:7680", lost.zone, counts=True)
         if planned:
             world.start(fresh)
--- a/tests/fleet/test_config_search.py
+++ b/tests/fleet/test_config_search.py
@@ -1,4 +1,4 @@
-"""No violation within the bounds of the search, and one for each fault that is planted."""
+"""Bounded search: no violation in the production code, and one for each injected bug."""
 
 import unittest
 from collections.abc import Callable
@@ -11,19 +11,19 @@
 from tests.fleet.config_search import Bounds, Search, State, ViolationError
 from tests.fleet.test_config_planted import EarlyCommitOneDisk
 
-STATES = 10  # of each start here; `python -m tests.fleet.play_config_search` visits more
-PLANTED_STATES = 30  # within which each fault has to be found
+STATES = 10  # per start; `python -m tests.fleet.play_config_search` visits more
+PLANTED_STATES = 30  # within which each injected bug has to be found
 THREE = ["a", "b", "c", "d"]
 FIVE = ["a", "b", "c", "d", "e", "f"]
 
 
 def quiet(search: Search, voters: int, bounds: Bounds) -> State:
-    """All has arrived, and nothing is wrong."""
+    """A healthy group with no messages in transit."""
     return search.first(search.names[:voters], bounds)
 
 
 def order_under_way(search: Search, voters: int, bounds: Bounds) -> State:
-    """The leader has proposed an order that no follower has yet."""
+    """The leader has proposed an order that no follower has received."""
     state = quiet(search, voters, bounds)
     leader = leader_of(state)
     search.order(state, leader)
@@ -32,7 +32,7 @@
 
 
 def lagging(search: Search, voters: int, bounds: Bounds) -> State:
-    """The last voter misses two orders; the leader has replaced its log by a snapshot since."""
+    """The last follower missed two orders; the leader has compacted its log since."""
     search.max_log_entries = 2
     state = quiet(search, voters, bounds)
     late = next(name for name in reversed(search.names[:voters]) if name != leader_of(state))
@@ -46,7 +46,7 @@
 
 
 def replaced(search: Search, voters: int, bounds: Bounds) -> State:
-    """A voter is gone for good, and an empty machine has come: two changes of voters are due."""
+    """A voter is gone for good and an empty machine has joined: two membership changes are due."""
     state = quiet(search, voters, bounds)
     gone = next(name for name in reversed(search.names[:voters]) if name != leader_of(state))
     search.stop(state, gone)
@@ -57,7 +57,7 @@
 
 
 def leaving(search: Search, voters: int, bounds: Bounds) -> State:
-    """A voter ends as planned beside a standby that has caught up."""
+    """A voter shuts down as planned while a standby has caught up."""
     state = quiet(search, voters, bounds)
     search.join(state, search.names[voters])
     search.settle(state)
@@ -67,7 +67,7 @@
 
 
 def leader_of(state: State) -> str:
-    """Who leads."""
+    """The current leader."""
     return next(name for name, member in state.members.items() if member.node.is_leader)
 
 
@@ -76,7 +76,7 @@
 
 
 class SearchTest(unittest.TestCase):
-    """The shipped node."""
+    """The production node."""
 
     def search(self, names: list[str], tolerated: int, bounds: Bounds) -> None:
         for start in STARTS:
@@ -92,7 +92,7 @@
 
 
 class NeverBarred(ConfigNode):
-    """Counts and votes by an empty store at the address of a voter."""
+    """Votes and counts for the quorum with an empty store at the address of a voter."""
 
     def __init__(self, *arguments: Any) -> None:
         super().__init__(*arguments)
@@ -106,7 +106,7 @@
 
 
 class AnyLogAgreement(PacedRaftNode):
-    """Votes for whoever asks, whatever its log holds."""
+    """Votes for any candidate, whatever its log contains."""
 
     def asked(self, now: float, sender: str, request: AskVote) -> None:
         longest = AskVote(request.term, 2**50, request.term, request.probe, request.leadership_transfer)
@@ -114,8 +114,6 @@
 
 
 class VotesForAnyLog(ConfigNode):
-    """See above."""
-
     def __init__(self, *arguments: Any) -> None:
         super().__init__(*arguments)
         self.agreement.__class__ = AnyLogAgreement
@@ -126,7 +124,7 @@
 
 
 class MinorityAgreement(PacedRaftNode):
-    """One vote elects."""
+    """A single vote wins an election."""
 
     @property
     def majority(self) -> int:
@@ -134,30 +132,26 @@
 
 
 class ElectsItself(VotesForAnyLog):
-    """See above."""
-
     def _bootstrap(self, now: float) -> None:
         super()._bootstrap(now)
         self.agreement.__class__ = MinorityAgreement
 
 
 class SameTermAgreement(MinorityAgreement):
-    """Stands without raising its term."""
+    """Campaigns without raising its term."""
 
     def hard(self, term: int, vote: str) -> None:
         super().hard(self.term if vote == self.name else term, vote)
 
 
 class StandsInAnOldTerm(VotesForAnyLog):
-    """See above."""
-
     def _bootstrap(self, now: float) -> None:
         super()._bootstrap(now)
         self.agreement.__class__ = SameTermAgreement
 
 
 class SnapshotForgetsOrders(ConfigNode):
-    """A restored state does not know which orders were taken."""
+    """Loses the accepted orders when its state is restored."""
 
     def __init__(self, *arguments: Any) -> None:
         super().__init__(*arguments)
@@ -165,7 +159,7 @@
 
 
 class ForgetfulState(ConfigurationState):
-    """Forgets which orders were taken when it comes from a snapshot."""
+    """Loses the accepted orders when restored from a snapshot."""
 
     def restore(self, data: bytes) -> None:
         super().restore(data)
@@ -173,7 +167,7 @@
 
 
 class PlantedTest(unittest.TestCase):
-    """Each invariant is broken by a planted fault, and the search finds it."""
+    """Each injected bug violates an invariant, and the search finds it."""
 
     def found(self, node_class: type[ConfigNode], start: Start, expected: str) -> None:
         search = Search(THREE, 1, node_class)
--- a/tests/fleet/test_config_state.py
+++ b/tests/fleet/test_config_state.py
@@ -1,4 +1,4 @@
-"""The replicated state of the configuration, and what a replica keeps of it."""
+"""The replicated configuration state and its on-disk format."""
 
 import json
 import unittest
@@ -30,13 +30,13 @@
 
 
 def ordered(state: ConfigurationState, kind: str, base: int, content: Any) -> OrderOutcome:
-    """Have a state apply an order."""
+    """Apply an order to a state."""
     body = content if isinstance(content, bytes) else json.dumps(content).encode()
     return state.apply(make_order(kind, base, body, 1))
 
 
 def replaced(state: ConfigurationState, base: int, generation: int, **more: Any) -> int:
-    """Have a state replaced: the status."""
+    """Apply a replacement to a state and return the status."""
     return ordered(state, "replace", base, {"Generation": generation, **more}).status
 
 
@@ -94,9 +94,11 @@
             replaced(state, version, version + 1)
         self.assertEqual(len(state.taken), most)
         self.assertEqual(replaced(state, 10, 11), 200)
-        self.assertEqual(replaced(state, 9, 10), 503, "it was taken, so it is never refused")
-        self.assertEqual(replaced(state, 9, 10, Routes=[{"Name": "a"}]), 503, "it may have been taken")
-        self.assertEqual(replaced(state, 10, 11, Routes=[{"Name": "a"}]), 412, "it was not, surely")
+        self.assertEqual(replaced(state, 9, 10), 503, "it was accepted, so it is never refused")
+        self.assertEqual(replaced(state, 9, 10, Routes=[{"Name": "a"}]), 503, "it may have been accepted")
+        self.assertEqual(
+            replaced(state, 10, 11, Routes=[{"Name": "a"}]), 412, "it was certainly not accepted"
+        )
 
     def test_what_is_forgotten_is_so_in_snapshots_too(self) -> None:
         state, other = ConfigurationState(), ConfigurationState()
--- a/tests/fleet/test_failure_domains.py
+++ b/tests/fleet/test_failure_domains.py
@@ -1,4 +1,4 @@
-"""What is acknowledged outlives the loss of a whole zone with its disks, where that is tolerated."""
+"""Acknowledged orders survive the loss of a whole zone with its disks, where that is tolerated."""
 
 import unittest
 from unittest import mock
@@ -31,10 +31,10 @@
 
 
 class LostZoneTest(unittest.TestCase):
-    """Two voters in one zone, as repairs leave them; the third, elsewhere, lags when that zone goes."""
+    """Two voters share a zone, as after a replacement; the third one lags when that zone is lost."""
 
     def lost_after_acknowledgement(self, seed: int, zones_tolerated: int) -> bool:
-        """Whether an acknowledged order is gone once the zone of two voters lost its disks."""
+        """Whether an acknowledged order is lost together with the disks of the zone that has two voters."""
         world = World(seed, machines=0, tolerated=1, doors=0, tolerated_domains=zones_tolerated)
         for number, zone in enumerate(("zone-0", "zone-0", "zone-1")):
             world.add_machine(f"10.0.0.{number + 1}:7680", zone, counts=True)
@@ -46,7 +46,7 @@
         first = leader(world)
         assert first is not None
         if first.zone != "zone-0":
-            return False  # its own disk holds whatever it acknowledges
+            return False  # the leader's own disk, in another zone, has whatever it acknowledges
         world.machines["10.0.0.3:7680"].slow_link = 400.0
         call = order(world, first.name, 3, 4)
         at_once = call.status == TAKEN and call.ended - call.began < 400.0
