--- a/tests/fleet/config_oracle.py
+++ b/tests/fleet/config_oracle.py
@@ -9,7 +9,7 @@
 
 Document = dict[str, Any]
 
-TAKEN = 200
+ACCEPTED = 200
 
 
 @dataclass(frozen=True)
@@ -30,7 +30,7 @@
 
     operation: str  # "order" or "read"
     machine: str
-    began: float
+    started_at: float
     order: SentOrder | None = None
     ended: float = 0.0
     status: int = 0
@@ -42,125 +42,133 @@
     """All calls of all operators, and the deadlines that were missed."""
 
     calls: list[Call] = field(default_factory=list)
-    overdue: list[str] = field(default_factory=list)  # missed deadlines, one line each
+    missed_deadlines: list[str] = field(default_factory=list)  # missed deadlines, one line each
 
 
-def names_to_items(document: Document) -> dict[str, Document]:
+def routes_by_name(document: Document) -> dict[str, Document]:
     """The routes of a document by name."""
     return {route["Name"]: route for route in document.get("Routes", [])}
 
 
-def patched(document: Document, patch: Document) -> Document:
+def apply_patch_model(document: Document, patch: Document) -> Document:
     """The result of a patch, computed independently of the production code."""
-    items = names_to_items(document)
+    routes = routes_by_name(document)
     for name in patch.get("Remove", {}).get("Routes", []):
-        items.pop(name, None)
+        routes.pop(name, None)
     for item in patch.get("Upsert", {}).get("Routes", []):
-        items[item["Name"]] = item
-    return {"Generation": patch["Generation"], "Routes": items}
+        routes[item["Name"]] = item
+    return {"Generation": patch["Generation"], "Routes": routes}
 
 
 def comparable(document: Document) -> Document:
     """A form of a document that does not depend on the order of its items."""
-    return {"Generation": document["Generation"], "Routes": names_to_items(document)}
+    return {"Generation": document["Generation"], "Routes": routes_by_name(document)}
 
 
-class Oracle:
+class ConsistencyChecker:
     """Checks one history and lists all violations."""
 
     def __init__(self, history: History, read_json: Any) -> None:
         self.history, self.read_json = history, read_json
-        self.problems: list[str] = list(history.overdue)
+        self.problems: list[str] = list(history.missed_deadlines)
         self.orders = {call.order.number: call.order for call in history.calls if call.order is not None}
         self.acknowledged: dict[int, float] = {}  # time of the first acknowledgement by order number
         self.refused: dict[int, int] = {}  # status of a refusal by order number
-        self.in_force: dict[int, int] = {}  # order number by generation, as proven by answers
+        self.order_by_version: dict[int, int] = {}  # order number by generation, as proven by answers
 
-    def judge(self) -> list[str]:
+    def check(self) -> list[str]:
         """All problems, one line each; empty if the history is consistent."""
-        self._collect()
-        self._read_documents()
-        self._one_for_each_base()
-        self._refusals()
-        self._reads_are_newest()
+        self._collect_answers()
+        self._check_read_documents()
+        self._check_one_order_per_base()
+        self._check_refusals()
+        self._check_reads_are_linearizable()
         return self.problems
 
-    def _collect(self) -> None:
+    def _collect_answers(self) -> None:
         for call in self.history.calls:
             if call.order is None or not call.status:
                 continue
             number = call.order.number
-            if call.status == TAKEN:
+            if call.status == ACCEPTED:
                 self.acknowledged[number] = min(call.ended, self.acknowledged.get(number, call.ended))
-                self._in_force(call.order)
+                self._record_version(call.order)
             elif 400 <= call.status < 500:
                 self.refused[number] = call.status
 
-    def _in_force(self, order: SentOrder) -> None:
-        other = self.in_force.setdefault(order.generation, order.number)
+    def _record_version(self, order: SentOrder) -> None:
+        other = self.order_by_version.setdefault(order.generation, order.number)
         if other != order.number:
             self.problems.append(f"version {order.generation} is both order {other} and order {order.number}")
 
-    def _read_documents(self) -> None:
+    def _check_read_documents(self) -> None:
         for call in self.history.calls:
-            if call.operation != "read" or call.status != TAKEN or call.document is None:
+            if call.operation != "read" or call.status != ACCEPTED or call.document is None:
                 continue
-            orders = self._orders_that_make(call.document)
+            orders = self._orders_resulting_in(call.document)
             if not orders:
                 generation = call.document.get("Generation")
                 self.problems.append(f"a read gave a document of version {generation} that no order makes")
             elif len(orders) == 1:
-                self._in_force(orders[0])
+                self._record_version(orders[0])
 
-    def _orders_that_make(self, document: Document) -> list[SentOrder]:
+    def _orders_resulting_in(self, document: Document) -> list[SentOrder]:
         wanted = comparable(document)
-        named = [o for o in self.orders.values() if o.generation == document["Generation"]]
-        return [order for order in named if any(made == wanted for made in self._documents(order, set()))]
-
-    def _documents(self, order: SentOrder, above: set[int]) -> list[Document]:
+        candidates = [o for o in self.orders.values() if o.generation == document["Generation"]]
+        return [
+            order
+            for order in candidates
+            if any(made == wanted for made in self._possible_documents(order, set()))
+        ]
+
+    def _possible_documents(self, order: SentOrder, visited: set[int]) -> list[Document]:
         """The possible results of an order, one for each document that may have had its base version."""
         change = self.read_json(order.change)
         if order.kind == "replace":
             return [comparable(change)]
-        found = list[Document]()
+        results = list[Document]()
         for base in self.orders.values():
-            if base.generation == order.base and base.number not in above:
-                for document in self._documents(base, above | {order.number}):
+            if base.generation == order.base and base.number not in visited:
+                for document in self._possible_documents(base, visited | {order.number}):
                     whole = {
                         "Generation": document["Generation"],
                         "Routes": list(document["Routes"].values()),
                     }
-                    found.append(patched(whole, change))
-        return found
+                    results.append(apply_patch_model(whole, change))
+        return results
 
-    def _one_for_each_base(self) -> None:
+    def _check_one_order_per_base(self) -> None:
         by_base = defaultdict(set)
-        for number in {*self.in_force.values(), *self.acknowledged}:
+        for number in {*self.order_by_version.values(), *self.acknowledged}:
             by_base[self.orders[number].base].add(number)
         for base, numbers in by_base.items():
             if len(numbers) > 1:
                 self.problems.append(f"orders {sorted(numbers)} were all accepted on top of version {base}")
 
-    def _refusals(self) -> None:
-        for number in {*self.in_force.values(), *self.acknowledged}:
+    def _check_refusals(self) -> None:
+        for number in {*self.order_by_version.values(), *self.acknowledged}:
             if number in self.refused:
                 self.problems.append(f"order {number} was accepted, and refused with {self.refused[number]}")
             if not self.orders[number].valid:
                 self.problems.append(f"order {number} is invalid, but was accepted")
 
-    def _reads_are_newest(self) -> None:
-        known = [(ended, self.orders[number].generation) for number, ended in self.acknowledged.items()]
-        reads = [c for c in self.history.calls if c.operation == "read" and c.status == TAKEN]
-        known += [(call.ended, generation_of(call)) for call in reads]
+    def _check_reads_are_linearizable(self) -> None:
+        known_versions = [
+            (ended, self.orders[number].generation) for number, ended in self.acknowledged.items()
+        ]
+        reads = [c for c in self.history.calls if c.operation == "read" and c.status == ACCEPTED]
+        known_versions += [(call.ended, version_read(call)) for call in reads]
         for call in reads:
-            before = max((generation for ended, generation in known if ended < call.began), default=0)
-            if generation_of(call) < before:
-                found = generation_of(call)
+            newest_known = max(
+                (generation for ended, generation in known_versions if ended < call.started_at), default=0
+            )
+            if version_read(call) < newest_known:
+                version = version_read(call)
                 self.problems.append(
-                    f"a read gave version {found} after {before} was known, at {call.began:.0f}"
+                    f"a read gave version {version} after {newest_known} was known, at {call.started_at:.0f}"
                 )
 
 
-def generation_of(call: Call) -> int:
+def version_read(call: Call) -> int:
     """The version that a read returned; 0 if there was no document yet."""
     return call.document["Generation"] if call.document is not None else 0
--- a/tests/fleet/config_search.py
+++ b/tests/fleet/config_search.py
@@ -28,14 +28,14 @@
 from barleybarrow.consensus.durable_state import decode_state
 from barleybarrow.consensus.voter_selection import ControlProcess
 
-SPAN_MS = 2000.0  # longer than any election timeout
+ELECTION_WAIT_MS = 2000.0  # longer than any election timeout
 STEP_MS = 1.0
-SETTLE_STEPS = 400
-FEW = (1, 3)  # messages delivered before the next event
-ORDERS = 3
+MAX_DELIVERIES = 400
+PARTIAL_DELIVERIES = (1, 3)  # messages delivered before the next event
+MAX_ORDERS = 3
 
 
-Event = Callable[["State"], None]
+Event = Callable[["SystemState"], None]
 
 
 class ViolationError(AssertionError):
@@ -49,36 +49,38 @@
     states: int = 2000
     wipes: int = 1
     restarts: int = 1
-    spans: int = 2
+    election_timeouts: int = 2
 
 
 @dataclass
-class Member:
+class Replica:
     """A process with the contents of its disk."""
 
     node: ConfigNode
     image: bytes = b""
     records: tuple[bytes, ...] = ()
-    life: int = 1
+    incarnation: int = 1
     down: bool = False
 
 
 @dataclass
-class State:
+class SystemState:
     """State of the whole system. Once a state is complete, its replicas are replaced, never mutated."""
 
-    members: dict[str, Member]
-    wires: dict[tuple[str, str], tuple[bytes, ...]]
+    replicas: dict[str, Replica]
+    in_transit: dict[tuple[str, str], tuple[bytes, ...]]
     now: float
     bounds: Bounds
     orders_sent: int = 0
     sent: dict[int, tuple[int, bytes]] = field(default_factory=dict)  # base and body by generation
-    tickets: dict[tuple[str, int, int], int] = field(default_factory=dict)  # to generation
-    taken_order: tuple[int, bytes] | None = None  # the first acknowledged one
-    again: bool = True  # whether that one may be sent again
-    refused: tuple[int, ...] = ()  # statuses
-    acknowledged: tuple[int, ...] = ()  # generations
-    leaders: tuple[tuple[int, str], ...] = ()  # term and name
+    generation_by_ticket: dict[tuple[str, int, int], int] = field(
+        default_factory=dict
+    )  # node, incarnation, ticket
+    accepted_order: tuple[int, bytes] | None = None  # the first acknowledged one
+    may_resend: bool = True  # whether that one may be sent again
+    refused_statuses: tuple[int, ...] = ()
+    acknowledged_generations: tuple[int, ...] = ()
+    known_leaders: tuple[tuple[int, str], ...] = ()  # term and name
     path: tuple[str, ...] = ()
     committed: dict[int, bytes] = field(default_factory=dict)  # by index
 
@@ -93,328 +95,356 @@
 
     def __init__(self, names: list[str], tolerated: int, node_class: type[ConfigNode] = ConfigNode) -> None:
         self.names, self.tolerated, self.node_class = names, tolerated, node_class
-        self.visited = self.made = 0  # expanded states, and all generated ones
+        self.visited = self.generated = 0  # expanded states, and all generated ones
         self.max_log_entries = 6
 
     # Building states
 
-    def first(self, running: list[str], bounds: Bounds) -> State:
+    def initial_state(self, running: list[str], bounds: Bounds) -> SystemState:
         """A bootstrapped group with no messages in transit."""
-        members = {name: Member(self.fresh(name, 0.0, 1)) for name in running}
-        state = State(members, {}, 0.0, bounds)
+        replicas = {name: Replica(self.new_node(name, 0.0, 1)) for name in running}
+        state = SystemState(replicas, {}, 0.0, bounds)
         for name in running:
-            self.link_all(state, name)
-        self.settle(state)
+            self.connect_all(state, name)
+        self.deliver_all(state)
         for _ in range(6):
             state.now += 300.0
             for name in running:
-                self.act(state, name, lambda node, now: node.tick(now))
-            self.settle(state)
+                self.run_on_node(state, name, lambda node, now: node.tick(now))
+            self.deliver_all(state)
         return state
 
-    def fresh(self, name: str, now: float, life: int, member: Member | None = None) -> ConfigNode:
-        kept = (
-            decode_state(member.image, list(member.records)) if member is not None and member.image else None
+    def new_node(self, name: str, now: float, incarnation: int, replica: Replica | None = None) -> ConfigNode:
+        persisted = (
+            decode_state(replica.image, list(replica.records))
+            if replica is not None and replica.image
+            else None
         )
         options = options_of(name, self.names, self.tolerated)
-        if member is not None:
+        if replica is not None:
             options = NodeOptions(
                 options.name, options.zone, True, options.seeds, False, options.tolerated_machines
             )
-        node = self.node_class(options, Random(hash((name, life)) & 0xFFFF), now, kept)
+        node = self.node_class(options, Random(hash((name, incarnation)) & 0xFFFF), now, persisted)
         node.max_log_entries = self.max_log_entries
         return node
 
-    def link_all(self, state: State, name: str) -> None:
+    def connect_all(self, state: SystemState, name: str) -> None:
         """Connect a started process to all others that run."""
-        for other, member in state.members.items():
-            if other != name and not member.down and not state.members[name].down:
-                for here, there in ((name, other), (other, name)):
-                    life = state.members[there].life
-                    process = ControlProcess(there, f"zone-{self.names.index(there)}", True, life)
-                    self.act(state, here, lambda node, now, process=process: node.link_up(now, process))
-                    voters, index = state.members[there].node.voters
-                    self.act(state, here, lambda node, now, v=voters, i=index: node.hear_voters(list(v), i))
-
-    def settle(self, state: State, most: int = SETTLE_STEPS) -> None:
+        for other, replica in state.replicas.items():
+            if other != name and not replica.down and not state.replicas[name].down:
+                for local_name, remote_name in ((name, other), (other, name)):
+                    incarnation = state.replicas[remote_name].incarnation
+                    process = ControlProcess(
+                        remote_name, f"zone-{self.names.index(remote_name)}", True, incarnation
+                    )
+                    self.run_on_node(
+                        state, local_name, lambda node, now, process=process: node.link_up(now, process)
+                    )
+                    voters, index = state.replicas[remote_name].node.voters
+                    self.run_on_node(
+                        state, local_name, lambda node, now, v=voters, i=index: node.hear_voters(list(v), i)
+                    )
+
+    def deliver_all(self, state: SystemState, max_deliveries: int = MAX_DELIVERIES) -> None:
         """Deliver messages until none is in transit, the oldest channels first."""
-        for _ in range(most):
-            pairs = [pair for pair, wire in state.wires.items() if wire]
+        for _ in range(max_deliveries):
+            pairs = [pair for pair, queue in state.in_transit.items() if queue]
             if not pairs:
                 return
             self.deliver(state, pairs[0])
 
-    def stop(self, state: State, name: str) -> None:
+    def stop_for_good(self, state: SystemState, name: str) -> None:
         """Stop a process for the rest of the search."""
-        self.cut_wires(state, name)
-        member = state.members[name]
-        state.members[name] = Member(member.node, member.image, member.records, member.life, down=True)
-        for other in state.members:
-            self.act(state, other, lambda node, now: node.link_down(now, name))
+        self.drop_messages(state, name)
+        replica = state.replicas[name]
+        state.replicas[name] = Replica(
+            replica.node, replica.image, replica.records, replica.incarnation, down=True
+        )
+        for other in state.replicas:
+            self.run_on_node(state, other, lambda node, now: node.link_down(now, name))
 
-    def join(self, state: State, name: str) -> None:
+    def add_machine(self, state: SystemState, name: str) -> None:
         """Add an empty machine at a new address."""
-        node = self.fresh(name, state.now, 1, Member(None))  # type: ignore[arg-type]
-        state.members[name] = Member(node)
-        self.act(state, name, lambda node, now: None)
-        self.link_all(state, name)
+        node = self.new_node(name, state.now, 1, Replica(None))  # type: ignore[arg-type]
+        state.replicas[name] = Replica(node)
+        self.run_on_node(state, name, lambda node, now: None)
+        self.connect_all(state, name)
 
-    def settle_without(self, state: State, name: str) -> None:
+    def deliver_all_except(self, state: SystemState, name: str) -> None:
         """Deliver everything except messages to and from one process, which are dropped."""
-        for _ in range(SETTLE_STEPS):
-            for pair in [pair for pair in state.wires if name in pair]:
-                del state.wires[pair]
-            pairs = [pair for pair, wire in state.wires.items() if wire]
+        for _ in range(MAX_DELIVERIES):
+            for pair in [pair for pair in state.in_transit if name in pair]:
+                del state.in_transit[pair]
+            pairs = [pair for pair, queue in state.in_transit.items() if queue]
             if not pairs:
                 return
             self.deliver(state, pairs[0])
 
-    def copied(self, state: State, step: str) -> State:
-        return State(
-            dict(state.members),
-            dict(state.wires),
+    def copy_state(self, state: SystemState, step: str) -> SystemState:
+        return SystemState(
+            dict(state.replicas),
+            dict(state.in_transit),
             state.now + STEP_MS,
             state.bounds,
             state.orders_sent,
             dict(state.sent),
-            dict(state.tickets),
-            state.taken_order,
-            state.again,
-            state.refused,
-            state.acknowledged,
-            state.leaders,
+            dict(state.generation_by_ticket),
+            state.accepted_order,
+            state.may_resend,
+            state.refused_statuses,
+            state.acknowledged_generations,
+            state.known_leaders,
             (*state.path, step),
             dict(state.committed),
         )
 
     # Events
 
-    def act(self, state: State, name: str, action: object) -> None:
+    def run_on_node(self, state: SystemState, name: str, action: object) -> None:
         """Apply an action to a copy of a node, then complete the resulting work and check the invariants."""
-        member = state.members[name]
-        if member.down:
+        replica = state.replicas[name]
+        if replica.down:
             return
-        member = Member(copy.deepcopy(member.node), member.image, member.records, member.life)
-        state.members[name] = member
-        action(member.node, state.now)  # type: ignore[operator]
-        self.pump(state, name, member)
-        self.check(state, name, member)
-
-    def pump(self, state: State, name: str, member: Member) -> None:
-        node = member.node
+        replica = Replica(copy.deepcopy(replica.node), replica.image, replica.records, replica.incarnation)
+        state.replicas[name] = replica
+        action(replica.node, state.now)  # type: ignore[operator]
+        self.complete_work(state, name, replica)
+        self.check_invariants(state, name, replica)
+
+    def complete_work(self, state: SystemState, name: str, replica: Replica) -> None:
+        node = replica.node
         while True:
             while (work := node.take()) is not None:
-                self.keep(member, work)
+                self.persist(replica, work)
                 for to, payload in work.messages:
                     self.send(state, name, to, payload)
                 node.stored(state.now)
-            checks, node.orders.checks = node.orders.checks, []
-            for request in checks:
+            requests, node.orders.checks = node.orders.checks, []
+            for request in requests:
                 node.checked(state.now, request.digest, "")
-            if not checks:
+            if not requests:
                 break
         outcomes, node.orders.outcomes = node.orders.outcomes, []
         for ticket, outcome in outcomes:
-            generation = state.tickets.get((name, member.life, ticket))
+            generation = state.generation_by_ticket.get((name, replica.incarnation, ticket))
             if outcome.status == OrderStatus.TAKEN and generation is not None:
-                state.acknowledged = (*state.acknowledged, generation)
-                state.taken_order = state.taken_order or state.sent[generation]
+                state.acknowledged_generations = (*state.acknowledged_generations, generation)
+                state.accepted_order = state.accepted_order or state.sent[generation]
             elif 400 <= outcome.status < 500:
-                state.refused = (*state.refused, int(outcome.status))
+                state.refused_statuses = (*state.refused_statuses, int(outcome.status))
 
-    def keep(self, member: Member, work: Work) -> None:
+    def persist(self, replica: Replica, work: Work) -> None:
         if work.image is not None:
-            member.image, member.records = work.image, ()
-        member.records = (*member.records, *work.records)
+            replica.image, replica.records = work.image, ()
+        replica.records = (*replica.records, *work.records)
 
-    def send(self, state: State, name: str, to: str, payload: bytes) -> None:
-        other = state.members.get(to)
+    def send(self, state: SystemState, name: str, to: str, payload: bytes) -> None:
+        other = state.replicas.get(to)
         if other is not None and not other.down:
-            state.wires[name, to] = (*state.wires.get((name, to), ()), payload)
+            state.in_transit[name, to] = (*state.in_transit.get((name, to), ()), payload)
 
-    def deliver(self, state: State, pair: tuple[str, str]) -> None:
-        first, *rest = state.wires[pair]
-        state.wires[pair] = tuple(rest)
-        self.act(state, pair[1], lambda node, now: node.receive(now, pair[0], first))
+    def deliver(self, state: SystemState, pair: tuple[str, str]) -> None:
+        first, *rest = state.in_transit[pair]
+        state.in_transit[pair] = tuple(rest)
+        self.run_on_node(state, pair[1], lambda node, now: node.receive(now, pair[0], first))
 
-    def cut_wires(self, state: State, name: str) -> None:
+    def drop_messages(self, state: SystemState, name: str) -> None:
         """Drop all messages to and from a process."""
-        for pair in list(state.wires):
+        for pair in list(state.in_transit):
             if name in pair:
-                del state.wires[pair]
+                del state.in_transit[pair]
 
-    def restart(self, state: State, name: str, wiped: bool) -> None:
-        member = state.members[name]
-        self.cut_wires(state, name)
-        for other in state.members:
+    def restart(self, state: SystemState, name: str, wiped: bool) -> None:
+        replica = state.replicas[name]
+        self.drop_messages(state, name)
+        for other in state.replicas:
             if other != name:
-                self.act(state, other, lambda node, now: node.link_down(now, name))
-        kept = Member(member.node, b"" if wiped else member.image, () if wiped else member.records)
-        node = self.fresh(name, state.now, member.life + 1, kept)
-        state.members[name] = Member(node, kept.image, kept.records, member.life + 1)
-        self.act(state, name, lambda node, now: None)
-        self.link_all(state, name)
+                self.run_on_node(state, other, lambda node, now: node.link_down(now, name))
+        old = Replica(replica.node, b"" if wiped else replica.image, () if wiped else replica.records)
+        node = self.new_node(name, state.now, replica.incarnation + 1, old)
+        state.replicas[name] = Replica(node, old.image, old.records, replica.incarnation + 1)
+        self.run_on_node(state, name, lambda node, now: None)
+        self.connect_all(state, name)
 
     # The search
 
-    def successors(self, state: State) -> Iterator[State]:
+    def successors(self, state: SystemState) -> Iterator[SystemState]:
         """All states reached by one event and one kind of delivery after it."""
         for label, event, bounds in self.events(state):
             for mode, delivery in self.deliveries(state):
-                made = self.copied(state, f"{label}, {mode}")
-                made.bounds = bounds
-                event(made)
-                delivery(made)
-                yield made
+                successor = self.copy_state(state, f"{label}, {mode}")
+                successor.bounds = bounds
+                event(successor)
+                delivery(successor)
+                yield successor
 
-    def events(self, state: State) -> Iterator[tuple[str, Event, Bounds]]:
+    def events(self, state: SystemState) -> Iterator[tuple[str, Event, Bounds]]:
         """The possible next events, with the bounds that remain after each."""
         bounds = state.bounds
-        for name in [name for name, member in state.members.items() if not member.down]:
-            if bounds.spans:
-                left = replace(bounds, spans=bounds.spans - 1)
-                yield f"span {name}", lambda made, name=name: self.span(made, name), left
+        for name in [name for name, replica in state.replicas.items() if not replica.down]:
+            if bounds.election_timeouts:
+                remaining = replace(bounds, election_timeouts=bounds.election_timeouts - 1)
+                yield (
+                    f"election timeout {name}",
+                    lambda next_state, name=name: self.elapse_election_timeout(next_state, name),
+                    remaining,
+                )
             if bounds.restarts:
-                left = replace(bounds, restarts=bounds.restarts - 1)
-                yield f"restart {name}", lambda made, name=name: self.restart(made, name, wiped=False), left
+                remaining = replace(bounds, restarts=bounds.restarts - 1)
+                yield (
+                    f"restart {name}",
+                    lambda next_state, name=name: self.restart(next_state, name, wiped=False),
+                    remaining,
+                )
             if bounds.wipes:
-                left = replace(bounds, wipes=bounds.wipes - 1)
-                yield f"wipe {name}", lambda made, name=name: self.restart(made, name, wiped=True), left
-            if state.members[name].node.is_leader:
-                if state.orders_sent < ORDERS:
-                    yield f"order {name}", lambda made, name=name: self.new_order(made, name), bounds
-                if state.taken_order is not None and state.again:
-                    yield f"again {name}", lambda made, name=name: self.order_again(made, name), bounds
-
-    def deliveries(self, state: State) -> Iterator[tuple[str, Event]]:
+                remaining = replace(bounds, wipes=bounds.wipes - 1)
+                yield (
+                    f"wipe {name}",
+                    lambda next_state, name=name: self.restart(next_state, name, wiped=True),
+                    remaining,
+                )
+            if state.replicas[name].node.is_leader:
+                if state.orders_sent < MAX_ORDERS:
+                    yield (
+                        f"order {name}",
+                        lambda next_state, name=name: self.submit_new_order(next_state, name),
+                        bounds,
+                    )
+                if state.accepted_order is not None and state.may_resend:
+                    yield (
+                        f"resend {name}",
+                        lambda next_state, name=name: self.resend_accepted_order(next_state, name),
+                        bounds,
+                    )
+
+    def deliveries(self, state: SystemState) -> Iterator[tuple[str, Event]]:
         """The kinds of delivery: everything, nothing, a few messages, or all but those of one process."""
-        yield "all", self.settle
-        yield "nothing", lambda made: None
-        for few in FEW:
-            yield f"{few} messages", lambda made, few=few: self.settle(made, few)
-        for name in state.members:
-            yield f"without {name}", lambda made, name=name: self.settle_without(made, name)
+        yield "all", self.deliver_all
+        yield "nothing", lambda next_state: None
+        for limit in PARTIAL_DELIVERIES:
+            yield f"{limit} messages", lambda next_state, limit=limit: self.deliver_all(next_state, limit)
+        for name in state.replicas:
+            yield f"without {name}", lambda next_state, name=name: self.deliver_all_except(next_state, name)
 
-    def span(self, state: State, name: str) -> None:
-        state.now += SPAN_MS
-        self.act(state, name, self.wait_out)
+    def elapse_election_timeout(self, state: SystemState, name: str) -> None:
+        state.now += ELECTION_WAIT_MS
+        self.run_on_node(state, name, self.tick_after_silence)
 
     @staticmethod
-    def wait_out(node: ConfigNode, now: float) -> None:
+    def tick_after_silence(node: ConfigNode, now: float) -> None:
         """Tick after a silence of the others during which this process kept running."""
         node.last_call_at = now
         node.tick(now)
 
-    def new_order(self, state: State, name: str) -> None:
+    def submit_new_order(self, state: SystemState, name: str) -> None:
         state.orders_sent += 1
-        self.order(state, name)
+        self.submit_order(state, name)
 
-    def order_again(self, state: State, name: str) -> None:
+    def resend_accepted_order(self, state: SystemState, name: str) -> None:
         """Send the order that was acknowledged first once more."""
-        state.again = False
-        assert state.taken_order is not None
-        base, body = state.taken_order
-        before = len(state.refused)
-        self.act(state, name, lambda node, now: node.submit(now, "replace", base, body, 0) and None)
-        self.settle(state)
-        if len(state.refused) > before:
+        state.may_resend = False
+        assert state.accepted_order is not None
+        base, body = state.accepted_order
+        before = len(state.refused_statuses)
+        self.run_on_node(state, name, lambda node, now: node.submit(now, "replace", base, body, 0) and None)
+        self.deliver_all(state)
+        if len(state.refused_statuses) > before:
             raise ViolationError(f"an accepted order is refused: {state.path}")
 
-    def order(self, state: State, name: str) -> None:
-        base = state.members[name].node.state.version
+    def submit_order(self, state: SystemState, name: str) -> None:
+        base = state.replicas[name].node.state.version
         generation = base + 1 + state.orders_sent
         body = b'{"Generation": %d}' % generation
         state.sent[generation] = (base, body)
-        life = state.members[name].life
+        incarnation = state.replicas[name].incarnation
 
         def submit(node: ConfigNode, now: float) -> None:
             ticket = node.submit(now, "replace", base, body, 0)
-            state.tickets[name, life, ticket] = generation
+            state.generation_by_ticket[name, incarnation, ticket] = generation
 
-        self.act(state, name, submit)
+        self.run_on_node(state, name, submit)
 
-    def run(self, start: State) -> int:
+    def run(self, start: SystemState) -> int:
         """Search up to the bound and return the number of visited states. Raises ViolationError."""
-        seen, waiting = {self.fingerprint(start)}, deque([start])
-        while waiting and self.visited < start.bounds.states:
-            state = waiting.popleft()
+        seen, queue = {self.fingerprint(start)}, deque([start])
+        while queue and self.visited < start.bounds.states:
+            state = queue.popleft()
             self.visited += 1
-            for made in self.successors(state):
-                self.made += 1
-                key = self.fingerprint(made)
+            for successor in self.successors(state):
+                self.generated += 1
+                key = self.fingerprint(successor)
                 if key not in seen:
                     seen.add(key)
-                    waiting.append(made)
+                    queue.append(successor)
         return self.visited
 
-    def fingerprint(self, state: State) -> int:
+    def fingerprint(self, state: SystemState) -> int:
         """Hash of everything that distinguishes states, except times."""
-        parts: list[object] = [state.orders_sent, state.acknowledged, state.bounds]
-        for name, member in state.members.items():
-            agreement = member.node.agreement
-            progress = tuple(
-                (n, p.next, p.match, p.received_index) for n, p in sorted(agreement.progress.items())
-            )
-            log = tuple((entry.term, entry.kind, hash(entry.data)) for entry in agreement.entries)
+        parts: list[object] = [state.orders_sent, state.acknowledged_generations, state.bounds]
+        for name, replica in state.replicas.items():
+            raft = replica.node.agreement
+            progress = tuple((n, p.next, p.match, p.received_index) for n, p in sorted(raft.progress.items()))
+            log = tuple((entry.term, entry.kind, hash(entry.data)) for entry in raft.entries)
             parts.append(
                 (
                     name,
-                    agreement.role.value,
-                    agreement.term,
-                    agreement.vote,
-                    agreement.leader,
-                    agreement.barred,
-                    agreement.snapshot.index,
-                    agreement.commit,
-                    tuple(sorted(agreement.votes)),
+                    raft.role.value,
+                    raft.term,
+                    raft.vote,
+                    raft.leader,
+                    raft.barred,
+                    raft.snapshot.index,
+                    raft.commit,
+                    tuple(sorted(raft.votes)),
                     progress,
                     log,
-                    member.life,
+                    replica.incarnation,
                 )
             )
-        parts += [(pair, wire) for pair, wire in sorted(state.wires.items()) if wire]
+        parts += [(pair, wire) for pair, wire in sorted(state.in_transit.items()) if wire]
         return hash(tuple(map(repr, parts)))
 
     # Invariants
 
-    def check(self, state: State, name: str, member: Member) -> None:
+    def check_invariants(self, state: SystemState, name: str, replica: Replica) -> None:
         """Check all invariants. Raises ViolationError."""
-        agreement = member.node.agreement
-        if agreement.role is Role.LEADER:
-            self.one_leader_a_term(state, agreement.term, name)
-            self.leaders_hold_what_is_acknowledged(state, member)
-        self.committed_entries_agree(state, member)
-        self.one_order_a_base(state)
-
-    def one_leader_a_term(self, state: State, term: int, name: str) -> None:
-        for known, leader in state.leaders:
-            if known == term and leader != name:
+        raft = replica.node.agreement
+        if raft.role is Role.LEADER:
+            self.check_single_leader_per_term(state, raft.term, name)
+            self.check_leader_has_acknowledged_orders(state, replica)
+        self.check_committed_entries_agree(state, replica)
+        self.check_acknowledged_once(state)
+
+    def check_single_leader_per_term(self, state: SystemState, term: int, name: str) -> None:
+        for known_term, leader in state.known_leaders:
+            if known_term == term and leader != name:
                 raise ViolationError(f"two leaders in term {term}: {leader} and {name}; {state.path}")
-        if (term, name) not in state.leaders:
-            state.leaders = (*state.leaders, (term, name))
+        if (term, name) not in state.known_leaders:
+            state.known_leaders = (*state.known_leaders, (term, name))
 
-    def leaders_hold_what_is_acknowledged(self, state: State, member: Member) -> None:
-        node = member.node
-        held = {taken.version for taken in node.state.history()}
+    def check_leader_has_acknowledged_orders(self, state: SystemState, replica: Replica) -> None:
+        node = replica.node
+        present = {taken.version for taken in node.state.history()}
         for entry in node.agreement.entries:
             if entry.kind == Kind.DATA and entry.data:
                 command = msgpack.decode(entry.data)
                 if command[0] == 1:  # the tag of an order, whose compressed body contains the version
-                    held.add(generation_of_order(entry.data))
-        lost = [generation for generation in state.acknowledged if generation not in held]
-        if lost and node.agreement.term >= max(term for term, _ in state.leaders):
-            raise ViolationError(f"a leader without acknowledged versions {lost}: {state.path}")
-
-    def committed_entries_agree(self, state: State, member: Member) -> None:
-        agreement = member.node.agreement
-        for index in range(agreement.snapshot.index + 1, agreement.commit + 1):
-            entry = agreement.entries[index - agreement.snapshot.index - 1]
+                    present.add(generation_of_order(entry.data))
+        missing = [generation for generation in state.acknowledged_generations if generation not in present]
+        if missing and node.agreement.term >= max(term for term, _ in state.known_leaders):
+            raise ViolationError(f"a leader without acknowledged versions {missing}: {state.path}")
+
+    def check_committed_entries_agree(self, state: SystemState, replica: Replica) -> None:
+        raft = replica.node.agreement
+        for index in range(raft.snapshot.index + 1, raft.commit + 1):
+            entry = raft.entries[index - raft.snapshot.index - 1]
             encoded = msgpack.encode(entry)
             if state.committed.setdefault(index, encoded) != encoded:
                 raise ViolationError(f"entry {index} was committed twice: {state.path}")
 
-    def one_order_a_base(self, state: State) -> None:
-        if len(set(state.acknowledged)) != len(state.acknowledged):
+    def check_acknowledged_once(self, state: SystemState) -> None:
+        if len(set(state.acknowledged_generations)) != len(state.acknowledged_generations):
             raise ViolationError(f"a version was acknowledged twice: {state.path}")
 
 
--- a/tests/fleet/emulated_disk.py
+++ b/tests/fleet/emulated_disk.py
@@ -10,21 +10,21 @@
 
 
 @dataclass
-class Change:
+class PendingOperation:
     """An unsynced operation on a file."""
 
     offset: int
     data: bytes | None  # None: the file is truncated or extended to `offset`
 
 
-def make_change(content: bytearray, change: Change) -> None:
+def apply_operation(content: bytearray, operation: PendingOperation) -> None:
     """Apply an operation to the bytes of a file."""
-    if change.data is None:
-        del content[change.offset :]
-        content.extend(bytes(change.offset - len(content)))
+    if operation.data is None:
+        del content[operation.offset :]
+        content.extend(bytes(operation.offset - len(content)))
         return
-    content.extend(bytes(max(0, change.offset - len(content))))
-    content[change.offset : change.offset + len(change.data)] = change.data
+    content.extend(bytes(max(0, operation.offset - len(content))))
+    content[operation.offset : operation.offset + len(operation.data)] = operation.data
 
 
 @dataclass
@@ -33,7 +33,7 @@
 
     seen: bytearray = field(default_factory=bytearray)
     durable: bytearray | None = None  # None: the file itself was never synced
-    unsynced: list[Change] = field(default_factory=list)
+    unsynced: list[PendingOperation] = field(default_factory=list)
 
 
 class EmulatedDisk:
@@ -58,29 +58,29 @@
 
     def write(self, path: str, offset: int, data: bytes) -> None:
         """Write; if the disk fills up, a part of the data may be written."""
-        lost = self._begin()
+        power_lost = self._next_operation()
         file = self.files.setdefault(path, EmulatedFile())
         grows = offset + len(data) - len(file.seen)
-        if self.full or (grows > 0 and self.used() + grows > self.capacity):
+        if self.full or (grows > 0 and self.used_bytes() + grows > self.capacity):
             part = data[: self.rng.randrange(len(data) + 1)] if not self.full else b""
-            self._change(file, Change(offset, part))
+            self._apply(file, PendingOperation(offset, part))
             raise OSError(errno.ENOSPC, "no space left on device", path)
-        self._change(file, Change(offset, data))
-        if lost:
+        self._apply(file, PendingOperation(offset, data))
+        if power_lost:
             raise PowerLost
 
     def truncate(self, path: str, size: int) -> None:
         """Set the length."""
-        lost = self._begin()
+        power_lost = self._next_operation()
         if self.full and size > len(self.files.setdefault(path, EmulatedFile()).seen):
             raise OSError(errno.ENOSPC, "no space left on device", path)
-        self._change(self.files.setdefault(path, EmulatedFile()), Change(size, None))
-        if lost:
+        self._apply(self.files.setdefault(path, EmulatedFile()), PendingOperation(size, None))
+        if power_lost:
             raise PowerLost
 
     def sync(self, path: str) -> None:
         """Make a file durable."""
-        if self._begin():
+        if self._next_operation():
             raise PowerLost
         self.syncs += 1
         file = self.files[path]
@@ -88,28 +88,28 @@
 
     def sync_folder(self, path: str) -> None:
         """Only injects faults: files are never renamed or removed here."""
-        if self._begin():
+        if self._next_operation():
             raise PowerLost
 
     def close(self) -> None:
         """No handles to close."""
 
-    def used(self) -> int:
+    def used_bytes(self) -> int:
         """Bytes in all files."""
         return sum(len(file.seen) for file in self.files.values())
 
     def lose_power(self) -> None:
         """Keep, drop or tear each operation since a file's last sync; some power losses drop them all."""
-        takes_all = self.rng.random() < 0.3
+        drop_all = self.rng.random() < 0.3
         for path, file in list(self.files.items()):
-            if file.durable is None and (takes_all or self.rng.random() < 0.5):
+            if file.durable is None and (drop_all or self.rng.random() < 0.5):
                 del self.files[path]
                 continue
             content = bytearray(file.durable or b"")
-            for change in file.unsynced:
-                kept = self._torn(change)
-                if kept is not None and not takes_all:
-                    make_change(content, kept)
+            for operation in file.unsynced:
+                surviving = self._survivor(operation)
+                if surviving is not None and not drop_all:
+                    apply_operation(content, surviving)
             self.files[path] = EmulatedFile(bytearray(content), bytearray(content))
         self.power_lost_at = 0
 
@@ -117,20 +117,20 @@
         """Replace the disk by an empty one."""
         self.files.clear()
 
-    def _torn(self, change: Change) -> Change | None:
-        luck = self.rng.random()
-        if luck < 0.35:
+    def _survivor(self, operation: PendingOperation) -> PendingOperation | None:
+        draw = self.rng.random()
+        if draw < 0.35:
             return None
-        if luck < 0.65 or not change.data:
-            return change
-        return Change(change.offset, change.data[: self.rng.randrange(len(change.data))])
+        if draw < 0.65 or not operation.data:
+            return operation
+        return PendingOperation(operation.offset, operation.data[: self.rng.randrange(len(operation.data))])
 
-    def _begin(self) -> bool:
+    def _next_operation(self) -> bool:
         self.operations += 1
         if self.operations in self.refuse_at:
             raise OSError(self.refuse_at[self.operations], "refused")
         return self.operations == self.power_lost_at
 
-    def _change(self, file: EmulatedFile, change: Change) -> None:
-        make_change(file.seen, change)
-        file.unsynced.append(change)
+    def _apply(self, file: EmulatedFile, operation: PendingOperation) -> None:
+        apply_operation(file.seen, operation)
+        file.unsynced.append(operation)
--- a/tests/fleet/emulated_machine.py
+++ b/tests/fleet/emulated_machine.py
@@ -68,10 +68,10 @@
 
     def on(self, machine: Machine, delay: float, action: Callable[[], None]) -> None:
         """Schedule an action of a process: skipped if that has ended by then, deferred while it is paused."""
-        life = machine.life
+        incarnation = machine.life
 
         def run() -> None:
-            if machine.life != life:
+            if machine.life != incarnation:
                 return
             if machine.frozen_until > self.now:
                 self.at(machine.frozen_until - self.now, run)
--- a/tests/fleet/play_config_histories.py
+++ b/tests/fleet/play_config_histories.py
@@ -6,22 +6,22 @@
 import sys
 import traceback
 
-from tests.fleet.config_schedules import Schedule
+from tests.fleet.config_schedules import SimulationRun
 
 
-def main(first: int, histories: int) -> int:
+def main(first: int, seed_count: int) -> int:
     """Run the histories, print seeds with problems, and return how many there were."""
-    found = 0
-    for seed in range(first, first + histories):
+    failing_seeds = 0
+    for seed in range(first, first + seed_count):
         try:
-            problems = Schedule(seed).play()
+            problems = SimulationRun(seed).run()
         except Exception:  # a crash of the simulation counts as a finding
             problems = [traceback.format_exc()]
         if problems:
-            found += 1
+            failing_seeds += 1
             print(seed, *problems[:5], sep="\n  ", flush=True)
-    print(f"{histories} histories from seed {first}: {found} with problems")
-    return found
+    print(f"{seed_count} histories from seed {first}: {failing_seeds} with problems")
+    return failing_seeds
 
 
 if __name__ == "__main__":
--- a/tests/fleet/shard_world.py
+++ b/tests/fleet/shard_world.py
@@ -18,7 +18,7 @@
 from tests.fleet.fake_links import FakeNetwork
 
 PORT = 7680
-DISK_S = 0.002
+DISK_LATENCY_S = 0.002
 
 
 class VirtualWriter(StorageWriter):
@@ -31,7 +31,7 @@
 
     def submit(self, work: Callable[[], Any]) -> "asyncio.Future[Any]":
         future: asyncio.Future[Any] = self.loop.create_future()
-        self.free_at = max(self.loop.time(), self.free_at, self.stalled_until) + DISK_S
+        self.free_at = max(self.loop.time(), self.free_at, self.stalled_until) + DISK_LATENCY_S
         self.loop.call_at(self.free_at, self.run, work, future)
         return future
 
@@ -47,7 +47,7 @@
         pass
 
 
-def check(raw: dict[str, Any]) -> Result[Configuration, ValueError]:
+def validate(raw: dict[str, Any]) -> Result[Configuration, ValueError]:
     """Stub for the validation of documents: one with the key `Invalid` is invalid."""
     if raw.get("Invalid"):
         return Failure(ValueError("Invalid: take it out"))
@@ -59,18 +59,18 @@
     return json.dumps({"Generation": generation, "Routes": [], **more}).encode()
 
 
-class Control:
+class ControlHarness:
     """One machine with a control process."""
 
-    def __init__(self, world: "ShardWorld", number: int, counts: bool) -> None:
-        self.world, self.counts = world, counts
+    def __init__(self, simulation: "ShardWorld", number: int, counts: bool) -> None:
+        self.simulation, self.counts = simulation, counts
         self.address = f"10.0.0.{number}:{PORT}"
         self.zone = f"zone-{number % 3}"
         self.disk = EmulatedDisk(random.Random(number))
         self.writers: list[VirtualWriter] = []
         self.committed: list[int] = []
         self.shard: ConfigShard | None = None
-        self.lives = 0
+        self.incarnation = 0
 
     @property
     def up(self) -> ConfigShard:
@@ -78,13 +78,13 @@
         return self.shard
 
     async def start(self, bootstrap: bool = False) -> None:
-        self.lives += 1
+        self.incarnation += 1
         hello = messages.Hello(
             self.address,
             "control",
             self.address,
             self.zone,
-            self.lives,
+            self.incarnation,
             self.counts,
             self.counts,
             self.address,
@@ -95,15 +95,15 @@
             self.address.split(":")[0],
             self.zone,
             internal_port_range=[PORT, PORT + 15],
-            seed_nodes=self.world.seeds,
+            seed_nodes=self.simulation.seeds,
             bootstrap=bootstrap,
             counts_for_quorum=self.counts,
             data_dir="data" if self.counts else "",
             fault_tolerance=FaultTolerance(machines=1),
         )
-        links: Any = self.world.network.open(hello)
-        rng = random.Random(self.world.rng.getrandbits(32))
-        self.shard = ConfigShard(settings, links, check, rng, self.make_writer, self.disk)
+        links: Any = self.simulation.network.open(hello)
+        rng = random.Random(self.simulation.rng.getrandbits(32))
+        self.shard = ConfigShard(settings, links, validate, rng, self.make_writer, self.disk)
         self.shard.on_committed.append(lambda found: self.committed.append(found.generation))
         await self.shard.start()
 
@@ -112,7 +112,7 @@
         return self.writers[-1]
 
     def kill(self, silent: bool = False) -> None:
-        self.world.network.kill(self.address, silent)
+        self.simulation.network.kill(self.address, silent)
         self.up._stopped = True
         assert self.up._storage is not None and self.up._members is not None
         self.up._storage.close()
@@ -128,29 +128,31 @@
 
 
 class ShardWorld:
-    """All control processes. The first `counting` of them have disks, and the first three are seeds."""
+    """All control processes. The first `quorum_count` of them have disks, and the first three are seeds."""
 
-    def __init__(self, counting: int = 3, doors: int = 1, seed: int = 1) -> None:
+    def __init__(self, quorum_count: int = 3, diskless_count: int = 1, seed: int = 1) -> None:
         self.rng = random.Random(seed)
         self.network = FakeNetwork(self.rng)
-        self.controls = [Control(self, i + 1, i < counting) for i in range(counting + doors)]
-        self.seeds = [f"10.0.0.{i + 1}:8665" for i in range(min(3, counting))]
+        self.controls = [
+            ControlHarness(self, i + 1, i < quorum_count) for i in range(quorum_count + diskless_count)
+        ]
+        self.seeds = [f"10.0.0.{i + 1}:8665" for i in range(min(3, quorum_count))]
 
     async def start(self) -> None:
         """First start of all processes, within 0.3 s."""
 
-        async def later(control: Control) -> None:
+        async def start_later(control: ControlHarness) -> None:
             await asyncio.sleep(self.rng.uniform(0.0, 0.3))
             await control.start(bootstrap=True)
 
-        await asyncio.gather(*(later(control) for control in self.controls))
+        await asyncio.gather(*(start_later(control) for control in self.controls))
 
-    def leader(self) -> Control:
+    def leader(self) -> ControlHarness:
         """The leader, or of several the one with the highest term."""
         leading = [c for c in self.controls if c.shard is not None and c.shard.is_leader]
         return max(leading, key=lambda c: int(str(c.up.status()["term"])))
 
-    def others(self) -> list[Control]:
+    def followers(self) -> list[ControlHarness]:
         """All running processes except the leader."""
         leader = self.leader()
         return [c for c in self.controls if c.shard is not None and c is not leader]
@@ -159,9 +161,9 @@
 async def until(condition: Callable[[], bool], seconds: float) -> float:
     """Wait for a condition and return how long it took. Raises TimeoutError."""
     loop = asyncio.get_running_loop()
-    began = loop.time()
+    started_at = loop.time()
     while not condition():
-        if loop.time() - began > seconds:
+        if loop.time() - started_at > seconds:
             raise TimeoutError
         await asyncio.sleep(0.005)
-    return loop.time() - began
+    return loop.time() - started_at
--- a/tests/fleet/test_config_histories.py
+++ b/tests/fleet/test_config_histories.py
@@ -2,26 +2,26 @@
 
 import unittest
 
-from tests.fleet.config_schedules import Schedule
+from tests.fleet.config_schedules import SimulationRun
 
-HISTORIES = 20  # per test; `python -m tests.fleet.play_config_histories` runs further seeds
+SEEDS_PER_TEST = 20  # per test; `python -m tests.fleet.play_config_histories` runs further seeds
 
 
 class HistoriesTest(unittest.TestCase):
-    def play(self, first: int) -> None:
+    def check_seeds(self, first: int) -> None:
         """Run consecutive seeds."""
-        for seed in range(first, first + HISTORIES):
+        for seed in range(first, first + SEEDS_PER_TEST):
             with self.subTest(seed=seed):
-                self.assertEqual(Schedule(seed).play(), [])
+                self.assertEqual(SimulationRun(seed).run(), [])
 
     def test_seeds_from_0(self) -> None:
-        self.play(0)
+        self.check_seeds(0)
 
     def test_seeds_from_1000(self) -> None:
-        self.play(1000)
+        self.check_seeds(1000)
 
     def test_seeds_from_2000(self) -> None:
-        self.play(2000)
+        self.check_seeds(2000)
 
     def test_seeds_from_3000(self) -> None:
-        self.play(3000)
+        self.check_seeds(3000)
--- a/tests/fleet/test_config_node.py
+++ b/tests/fleet/test_config_node.py
@@ -20,14 +20,14 @@
 VOTERS = ["a", "b", "c"]
 
 
-class Kept:
+class FakeStore:
     """In-memory store of the node under test."""
 
     def __init__(self) -> None:
         self.image = b""
         self.records: list[bytes] = []
 
-    def keep(self, work: Work) -> None:
+    def persist(self, work: Work) -> None:
         if work.image is not None:
             self.image, self.records = work.image, []
         self.records += work.records
@@ -36,93 +36,93 @@
         return decode_state(self.image, self.records)
 
 
-def voter(kept: DurableState | None, bootstrap: bool = False) -> ConfigNode:
+def voter(persisted: DurableState | None, bootstrap: bool = False) -> ConfigNode:
     """The node of the voter "a"."""
-    return ConfigNode(NodeOptions("a", "zone", True, VOTERS, bootstrap), Random(1), 0.0, kept)
+    return ConfigNode(NodeOptions("a", "zone", True, VOTERS, bootstrap), Random(1), 0.0, persisted)
 
 
-def founded() -> DurableState:
+def bootstrapped_state() -> DurableState:
     """Persistent state of a voter that has just learned the initial voters."""
     node = voter(None, bootstrap=True)
     node.agreement = PacedRaftNode("a", VOTERS, Random(1), 0.0)
     return DurableState(snapshot=node.agreement.snapshot)
 
 
-def say(node: ConfigNode, sender: str, message: Message, now: float) -> None:
+def deliver(node: ConfigNode, sender: str, message: Message, now: float) -> None:
     """Deliver a message to a node."""
     node.receive(now, sender, msgpack.encode(message))
 
 
-def votes(work: Work | None) -> list[tuple[str, bool]]:
+def vote_responses(work: Work | None) -> list[tuple[str, bool]]:
     """The vote responses in a work: recipient, and whether the vote was granted."""
-    said = [(to, msgpack.decode(data, type=Message)) for to, data in work.messages] if work else []
-    return [(to, message.granted) for to, message in said if isinstance(message, Vote)]
+    messages = [(to, msgpack.decode(data, type=Message)) for to, data in work.messages] if work else []
+    return [(to, message.granted) for to, message in messages if isinstance(message, Vote)]
 
 
 class VotesTest(unittest.TestCase):
     def test_a_vote_is_stored_in_the_work_that_sends_it(self) -> None:
-        node, kept = voter(founded()), Kept()
-        say(node, "b", AskVote(5, 0, 0, False), 10.0)
+        node, store = voter(bootstrapped_state()), FakeStore()
+        deliver(node, "b", AskVote(5, 0, 0, False), 10.0)
         work = node.take()
         assert work is not None
-        self.assertEqual(votes(work), [("b", True)])
+        self.assertEqual(vote_responses(work), [("b", True)])
         self.assertTrue(work.stores)
-        kept.image = msgpack.encode(("unused",))
+        store.image = msgpack.encode(("unused",))
         record = work.records[0]
         self.assertEqual(msgpack.decode(record)[:2], [5, "b"])
 
     def test_a_restarted_voter_does_not_vote_twice_in_a_term(self) -> None:
-        first, kept = voter(None, bootstrap=True), Kept()
+        first, store = voter(None, bootstrap=True), FakeStore()
         work = first.take()
         assert work is not None
-        kept.keep(work)
+        store.persist(work)
         first.stored(0.0)
-        state = founded()
+        state = bootstrapped_state()
         again = voter(state)
-        say(again, "b", AskVote(5, 0, 0, False), 10.0)
+        deliver(again, "b", AskVote(5, 0, 0, False), 10.0)
         work = again.take()
         assert work is not None
         state.term, state.vote = msgpack.decode(work.records[0])[:2]
         restarted = voter(state)
-        say(restarted, "c", AskVote(5, 0, 0, False), 2000.0)
-        self.assertEqual(votes(restarted.take()), [("c", False)])
-        say(restarted, "c", AskVote(6, 0, 0, False), 2001.0)
+        deliver(restarted, "c", AskVote(5, 0, 0, False), 2000.0)
+        self.assertEqual(vote_responses(restarted.take()), [("c", False)])
+        deliver(restarted, "c", AskVote(6, 0, 0, False), 2001.0)
 
-    def test_nothing_more_is_given_out_before_a_work_is_stored(self) -> None:
-        node = voter(founded())
-        say(node, "b", AskVote(5, 0, 0, False), 10.0)
+    def test_no_further_work_before_the_previous_one_is_persisted(self) -> None:
+        node = voter(bootstrapped_state())
+        deliver(node, "b", AskVote(5, 0, 0, False), 10.0)
         self.assertIsNotNone(node.take())
-        say(node, "c", AskVote(6, 0, 0, False), 20.0)
+        deliver(node, "c", AskVote(6, 0, 0, False), 20.0)
         self.assertIsNone(node.take())
         node.stored(30.0)
-        self.assertEqual(votes(node.take()), [("c", True)])
+        self.assertEqual(vote_responses(node.take()), [("c", True)])
 
 
 class EmptyStoreTest(unittest.TestCase):
-    def test_a_first_start_notes_that_the_store_is_not_lost(self) -> None:
-        node, kept = voter(None, bootstrap=True), Kept()
+    def test_a_first_start_is_recorded_so_that_an_empty_store_means_lost_data(self) -> None:
+        node, store = voter(None, bootstrap=True), FakeStore()
         work = node.take()
         assert work is not None and work.image is not None
-        kept.keep(work)
-        self.assertFalse(voter(kept.read()).agreement.barred)
+        store.persist(work)
+        self.assertFalse(voter(store.read()).agreement.barred)
 
-    def test_a_lost_store_stays_barred_over_restarts(self) -> None:
-        node, kept = voter(None), Kept()
+    def test_a_lost_store_stays_quarantined_after_restarts(self) -> None:
+        node, store = voter(None), FakeStore()
         self.assertTrue(node.agreement.barred)
         work = node.take()
         assert work is not None
-        kept.keep(work)
-        self.assertTrue(voter(kept.read()).agreement.barred)
+        store.persist(work)
+        self.assertTrue(voter(store.read()).agreement.barred)
 
-    def test_a_barred_voter_does_not_vote(self) -> None:
-        state = founded()
+    def test_a_quarantined_voter_does_not_vote(self) -> None:
+        state = bootstrapped_state()
         state.quarantined = True
         node = voter(state)
-        say(node, "b", AskVote(5, 9, 4, False), 10.0)
-        say(node, "b", AskVote(5, 9, 4, True), 11.0)
-        self.assertEqual(votes(node.take()), [])
+        deliver(node, "b", AskVote(5, 9, 4, False), 10.0)
+        deliver(node, "b", AskVote(5, 9, 4, True), 11.0)
+        self.assertEqual(vote_responses(node.take()), [])
 
-    def test_a_lost_store_does_not_found_the_shard(self) -> None:
+    def test_a_lost_store_does_not_bootstrap_the_shard(self) -> None:
         node = voter(None)
         for step in range(100):
             node.link_up(step * 100.0, ControlProcess("b", "zone", True))
@@ -134,39 +134,39 @@
 
 class TransferTest(unittest.TestCase):
     def leader(self) -> ConfigNode:
-        node = voter(founded())
+        node = voter(bootstrapped_state())
         node.agreement.stand(1000.0, probe=False)
         node.take()
         node.stored(1000.0)
-        say(node, "b", Vote(1, True, False), 1001.0)
+        deliver(node, "b", Vote(1, True, False), 1001.0)
         self.assertTrue(node.is_leader)
         return node
 
-    def test_a_leader_names_a_voter_it_hears(self) -> None:
+    def test_leadership_is_transferred_to_a_recently_heard_voter(self) -> None:
         node = self.leader()
         outgoing = node.hand_over(1100.0)
         self.assertEqual(len(outgoing), 1)
         self.assertIn(outgoing[0][0], ("b", "c"))
         self.assertEqual(msgpack.decode(outgoing[0][1], type=Message), TimeoutNow(1))
 
-    def test_whoever_does_not_lead_names_nobody(self) -> None:
-        self.assertEqual(voter(founded()).hand_over(0.0), [])
+    def test_a_follower_transfers_no_leadership(self) -> None:
+        self.assertEqual(voter(bootstrapped_state()).hand_over(0.0), [])
 
-    def test_a_voter_gives_its_vote_to_whoever_the_leader_names(self) -> None:
+    def test_a_voter_votes_for_the_target_of_a_leadership_transfer(self) -> None:
         node = self.leader()
         node.take()
         node.stored(1010.0)
         log = node.agreement
-        say(node, "b", AskVote(2, log.last, 1, False, True), 1020.0)
-        self.assertEqual(votes(node.take()), [("b", True)])
+        deliver(node, "b", AskVote(2, log.last, 1, False, True), 1020.0)
+        self.assertEqual(vote_responses(node.take()), [("b", True)])
         self.assertFalse(node.is_leader)
 
-    def test_a_barred_voter_does_not_stand_when_it_is_named(self) -> None:
-        state = founded()
+    def test_a_quarantined_voter_does_not_campaign_on_a_leadership_transfer(self) -> None:
+        state = bootstrapped_state()
         state.quarantined = True
         node = voter(state)
         node.agreement.leader = "b"
-        say(node, "b", TimeoutNow(0), 10.0)
+        deliver(node, "b", TimeoutNow(0), 10.0)
         self.assertEqual(node.agreement.term, 0)
 
 
@@ -176,17 +176,17 @@
 
 
 class SelectionTest(unittest.TestCase):
-    def test_zones_take_turns_and_seeds_come_first(self) -> None:
+    def test_voters_are_chosen_round_robin_over_zones_seeds_first(self) -> None:
         found = processes("x", "x", "x", "y", "y", "z")
         self.assertEqual(choose_voters(found, ["p1"], 3), ["p1", "p3", "p5"])
         self.assertEqual(choose_voters(found, [], 5), ["p0", "p3", "p5", "p1", "p4"])
         self.assertEqual(choose_voters(found[:2], [], 3), ["p0", "p1"])
 
-    def test_how_many(self) -> None:
+    def test_target_voter_count(self) -> None:
         self.assertEqual([target_voter_count(f, True) for f in (0, 1, 2, 3, 4, 9)], [3, 3, 5, 7, 9, 9])
         self.assertEqual(target_voter_count(1, False), 9)
 
-    def test_who_may_vote(self) -> None:
+    def test_only_processes_that_count_for_the_quorum_are_eligible_if_any(self) -> None:
         counting, others = processes("x"), processes("y", counts=False)
         self.assertEqual(eligible_processes(counting + others), counting)
         self.assertEqual(eligible_processes(others), others)
@@ -195,16 +195,16 @@
         waiting = [ControlProcess(name, "zone", True) for name in standbys]
         return next_voter_change("a", list(voters), target, set(reachable), waiting, {})
 
-    def test_a_standby_comes_in_before_a_lost_voter_goes(self) -> None:
+    def test_a_standby_is_added_before_a_lost_voter_is_removed(self) -> None:
         self.assertEqual(self.change("abc", "abd", "d"), list("abcd"))
         self.assertEqual(self.change("abcd", "abd", ""), list("abd"))
         self.assertIsNone(self.change("abd", "abd", ""))
 
-    def test_nothing_changes_without_need(self) -> None:
+    def test_no_membership_change_without_need(self) -> None:
         self.assertIsNone(self.change("abc", "abcd", "d"))
         self.assertIsNone(self.change("abc", "ab", ""))
 
-    def test_missing_voters_are_made_up_for(self) -> None:
+    def test_missing_voters_are_replaced(self) -> None:
         self.assertEqual(self.change("ab", "abc", "c"), list("abc"))
         self.assertEqual(self.change("a", "ab", "b"), list("ab"))
 
@@ -213,14 +213,14 @@
         self.assertIsNone(self.change("abcd", "a", ""))
         self.assertIsNone(self.change("abcdef", "ab", "", target=5))
 
-    def test_zones_are_evened_out_once_all_are_back(self) -> None:
+    def test_voters_are_rebalanced_over_zones_after_recovery(self) -> None:
         zones = {"a": "x", "b": "x", "c": "z", "d": "y", "e": "z"}
         back = [ControlProcess("e", "z", True), ControlProcess("d", "y", True)]
         self.assertEqual(next_voter_change("a", list("abc"), 3, set("abcde"), back, zones), list("abcd"))
         self.assertEqual(next_voter_change("a", list("abcd"), 3, set("abcde"), back[:1], zones), list("acd"))
         self.assertIsNone(next_voter_change("a", list("acd"), 3, set("abcde"), back[:1], zones))
 
-    def test_of_too_many_the_own_and_the_zones_stay(self) -> None:
+    def test_surplus_voters_are_removed_from_the_fullest_zone_but_not_the_leader(self) -> None:
         zones = {"a": "x", "b": "y", "c": "z", "d": "z"}
         self.assertEqual(next_voter_change("d", list("abcd"), 3, set("abcd"), [], zones), list("abd"))
         self.assertEqual(next_voter_change("a", list("abcd"), 3, set("abcd"), [], zones), list("abc"))
--- a/tests/fleet/test_config_planted.py
+++ b/tests/fleet/test_config_planted.py
@@ -20,25 +20,27 @@
 from barleybarrow.consensus.order_queue import OrderQueue, PendingOrder
 from barleybarrow.consensus.paced_agreement import PacedRaftNode
 from brackenusher.storage.slot_store import RECORD, Loaded, SlotStore, record_checksum
-from tests.fleet.config_schedules import Schedule
+from tests.fleet.config_schedules import SimulationRun
 
 # Messages about safety violations; a mere loss of liveness does not count as having found the bug.
-PROMISE = re.compile(r"accepted on top|was known|refused with|is both|no order makes|DurableStateError")
-MOST_HISTORIES = 60  # within which an injected bug has to be found
+SAFETY_VIOLATION = re.compile(
+    r"accepted on top|was known|refused with|is both|no order makes|DurableStateError"
+)
+MAX_HISTORIES = 60  # within which an injected bug has to be found
 
 
-class NodeWithQueue(ConfigNode):
+class NodeWithBuggyQueue(ConfigNode):
     """Uses an order queue with a bug."""
 
     queue_class: type[OrderQueue] = OrderQueue
 
     def __init__(self, *arguments: Any) -> None:
         super().__init__(*arguments)
-        proper = self.orders
-        self.orders = self.queue_class(proper.raft, proper.state, proper.min_disks, proper.read_tokens)
+        correct = self.orders
+        self.orders = self.queue_class(correct.raft, correct.state, correct.min_disks, correct.read_tokens)
 
 
-class HastyQueue(OrderQueue):
+class AcknowledgeProposedQueue(OrderQueue):
     """Acknowledges orders that are only proposed."""
 
     def on_document_checked(self, now: float, digest: bytes, error: str) -> None:
@@ -48,11 +50,11 @@
             self._finish(job, OrderOutcome(OrderStatus.TAKEN))
 
 
-class HastyNode(NodeWithQueue):
-    queue_class = HastyQueue
+class AcknowledgeProposedNode(NodeWithBuggyQueue):
+    queue_class = AcknowledgeProposedQueue
 
 
-class UnconfirmedQueue(OrderQueue):
+class UnconfirmedRefusalQueue(OrderQueue):
     """Refuses orders without confirming leadership, and before earlier committed entries are applied."""
 
     def _confirm_refusal(self, now: float, pending: PendingOrder, refusal: OrderOutcome) -> None:
@@ -62,11 +64,11 @@
         return True
 
 
-class UnconfirmedNode(NodeWithQueue):
-    queue_class = UnconfirmedQueue
+class UnconfirmedRefusalNode(NodeWithBuggyQueue):
+    queue_class = UnconfirmedRefusalQueue
 
 
-class NodeWithState(ConfigNode):
+class NodeWithBuggyState(ConfigNode):
     """Uses a configuration state with a bug."""
 
     state_class: type[ConfigurationState] = ConfigurationState
@@ -78,7 +80,7 @@
         self.state.restore(image)
 
 
-class ForgetfulState(ConfigurationState):
+class AmnesicState(ConfigurationState):
     """Loses the accepted orders when restored from a snapshot."""
 
     def restore(self, data: bytes) -> None:
@@ -86,11 +88,11 @@
         self.taken.clear()
 
 
-class ForgetfulNode(NodeWithState):
-    state_class = ForgetfulState
+class AmnesicNode(NodeWithBuggyState):
+    state_class = AmnesicState
 
 
-class BaselessState(ConfigurationState):
+class UncheckedBaseState(ConfigurationState):
     """Does not check the base version when an order is applied."""
 
     def apply(self, order: Order) -> OrderOutcome:
@@ -103,23 +105,23 @@
         return found
 
 
-class ManyAtOnceQueue(OrderQueue):
+class ConcurrentQueue(OrderQueue):
     """Proposes several orders at once, each validated before the others are applied."""
 
     def _order_in_progress(self) -> bool:
         return False
 
 
-class BaselessNode(NodeWithState):
-    state_class = BaselessState
+class UncheckedBaseNode(NodeWithBuggyState):
+    state_class = UncheckedBaseState
 
     def __init__(self, *arguments: Any) -> None:
         super().__init__(*arguments)
-        proper = self.orders
-        self.orders = ManyAtOnceQueue(proper.raft, proper.state, proper.min_disks, proper.read_tokens)
+        correct = self.orders
+        self.orders = ConcurrentQueue(correct.raft, correct.state, correct.min_disks, correct.read_tokens)
 
 
-class NeverBarredNode(ConfigNode):
+class NeverQuarantinedNode(ConfigNode):
     """Votes with an empty store once it learns that it is a voter, instead of staying in quarantine."""
 
     def __init__(self, *arguments: Any) -> None:
@@ -164,7 +166,7 @@
         return 0
 
 
-class EarlyCommitAgreement(PacedRaftNode):
+class EarlyCommitRaft(PacedRaftNode):
     """Commits what is on a single disk."""
 
     def advance(self, now: float) -> None:
@@ -176,14 +178,14 @@
 class EarlyCommitNode(ConfigNode):
     def __init__(self, *arguments: Any) -> None:
         super().__init__(*arguments)
-        self.agreement.__class__ = EarlyCommitAgreement
+        self.agreement.__class__ = EarlyCommitRaft
 
     def _bootstrap(self, now: float) -> None:
         super()._bootstrap(now)
-        self.agreement.__class__ = EarlyCommitAgreement
+        self.agreement.__class__ = EarlyCommitRaft
 
 
-class EarlyCommitOneDisk(EarlyCommitNode):
+class EarlyAcknowledgeNode(EarlyCommitNode):
     """Commits and acknowledges what is on a single disk."""
 
     def __init__(self, *arguments: Any) -> None:
@@ -196,14 +198,14 @@
 
     def append(self, records: list[bytes]) -> None:
         files = self.files
-        self.files = NoSync(files)  # type: ignore[assignment]
+        self.files = NoSyncFiles(files)  # type: ignore[assignment]
         try:
             super().append(records)
         finally:
             self.files = files
 
 
-class NoSync:
+class NoSyncFiles:
     """Files whose sync does nothing."""
 
     def __init__(self, files: Any) -> None:
@@ -216,7 +218,7 @@
         """Does nothing."""
 
 
-class TrustingStore(SlotStore):
+class UnverifiedTailStore(SlotStore):
     """Accepts the tail of the log without verifying checksums."""
 
     def load(self) -> Loaded:
@@ -235,49 +237,49 @@
         self.dirty = False
 
 
-class PlantedTest(unittest.TestCase):
-    def find(
+class InjectedBugsTest(unittest.TestCase):
+    def assert_revealed(
         self, node_class: type[ConfigNode] = ConfigNode, store_class: type[SlotStore] = SlotStore
     ) -> None:
         """Run histories until one reveals the bug."""
-        for seed in range(MOST_HISTORIES):
+        for seed in range(MAX_HISTORIES):
             try:
-                problems = Schedule(seed, node_class, store_class).play()
+                problems = SimulationRun(seed, node_class, store_class).run()
             except Exception as error:  # an unreadable store counts as found
                 problems = [repr(error)]
-            if any(PROMISE.search(problem) for problem in problems):
+            if any(SAFETY_VIOLATION.search(problem) for problem in problems):
                 return
-        self.fail(f"the bug was not revealed by {MOST_HISTORIES} histories")
+        self.fail(f"the bug was not revealed by {MAX_HISTORIES} histories")
 
-    def test_acknowledged_when_proposed(self) -> None:
-        self.find(HastyNode)
+    def test_orders_acknowledged_when_proposed(self) -> None:
+        self.assert_revealed(AcknowledgeProposedNode)
 
-    def test_refused_without_confirmation(self) -> None:
-        self.find(UnconfirmedNode)
+    def test_orders_refused_without_confirmed_leadership(self) -> None:
+        self.assert_revealed(UnconfirmedRefusalNode)
 
-    def test_orders_forgotten_with_a_snapshot(self) -> None:
-        self.find(ForgetfulNode)
+    def test_accepted_orders_lost_with_a_snapshot(self) -> None:
+        self.assert_revealed(AmnesicNode)
 
-    def test_base_not_compared_when_applied(self) -> None:
-        self.find(BaselessNode)
+    def test_base_version_not_checked_when_applied(self) -> None:
+        self.assert_revealed(UncheckedBaseNode)
 
-    def test_votes_by_an_empty_store(self) -> None:
-        self.find(NeverBarredNode)
+    def test_votes_with_an_empty_store(self) -> None:
+        self.assert_revealed(NeverQuarantinedNode)
 
-    def test_log_lost_with_a_snapshot(self) -> None:
-        self.find(ImageWithoutLogNode)
+    def test_log_not_persisted_with_a_snapshot(self) -> None:
+        self.assert_revealed(ImageWithoutLogNode)
 
-    def test_nothing_stored_between_snapshots(self) -> None:
-        self.find(SendsBeforeStoringNode)
+    def test_log_not_persisted_between_snapshots(self) -> None:
+        self.assert_revealed(SendsBeforeStoringNode)
 
     def test_reads_without_confirmation(self) -> None:
-        self.find(UnconfirmedReadsNode)
+        self.assert_revealed(UnconfirmedReadsNode)
 
-    def test_committed_by_one_disk(self) -> None:
-        self.find(EarlyCommitOneDisk)
+    def test_commit_on_a_single_disk(self) -> None:
+        self.assert_revealed(EarlyAcknowledgeNode)
 
     def test_append_without_sync(self) -> None:
-        self.find(store_class=UnsyncedStore)
+        self.assert_revealed(store_class=UnsyncedStore)
 
-    def test_damaged_tail_taken(self) -> None:
-        self.find(store_class=TrustingStore)
+    def test_corrupt_log_tail_accepted(self) -> None:
+        self.assert_revealed(store_class=UnverifiedTailStore)
--- a/tests/fleet/test_config_search.py
+++ b/tests/fleet/test_config_search.py
@@ -8,90 +8,96 @@
 from barleybarrow.consensus.config_node import ConfigNode
 from barleybarrow.consensus.configuration_state import ConfigurationState
 from barleybarrow.consensus.paced_agreement import PacedRaftNode
-from tests.fleet.config_search import Bounds, Search, State, ViolationError
-from tests.fleet.test_config_planted import EarlyCommitOneDisk
+from tests.fleet.config_search import Bounds, Search, SystemState, ViolationError
+from tests.fleet.test_config_planted import EarlyAcknowledgeNode
 
-STATES = 10  # per start; `python -m tests.fleet.play_config_search` visits more
-PLANTED_STATES = 30  # within which each injected bug has to be found
-THREE = ["a", "b", "c", "d"]
-FIVE = ["a", "b", "c", "d", "e", "f"]
+STATES_PER_START = 10  # `python -m tests.fleet.play_config_search` visits more
+BUG_SEARCH_STATES = 30  # within which each injected bug has to be found
+THREE_VOTERS = ["a", "b", "c", "d"]
+FIVE_VOTERS = ["a", "b", "c", "d", "e", "f"]
 
 
-def quiet(search: Search, voters: int, bounds: Bounds) -> State:
+def healthy_group(search: Search, voters: int, bounds: Bounds) -> SystemState:
     """A healthy group with no messages in transit."""
-    return search.first(search.names[:voters], bounds)
+    return search.initial_state(search.names[:voters], bounds)
 
 
-def order_under_way(search: Search, voters: int, bounds: Bounds) -> State:
+def order_in_progress(search: Search, voters: int, bounds: Bounds) -> SystemState:
     """The leader has proposed an order that no follower has received."""
-    state = quiet(search, voters, bounds)
-    leader = leader_of(state)
-    search.order(state, leader)
+    state = healthy_group(search, voters, bounds)
+    leader = leader_name(state)
+    search.submit_order(state, leader)
     state.orders_sent += 1
     return state
 
 
-def lagging(search: Search, voters: int, bounds: Bounds) -> State:
+def lagging_follower(search: Search, voters: int, bounds: Bounds) -> SystemState:
     """The last follower missed two orders; the leader has compacted its log since."""
     search.max_log_entries = 2
-    state = quiet(search, voters, bounds)
-    late = next(name for name in reversed(search.names[:voters]) if name != leader_of(state))
+    state = healthy_group(search, voters, bounds)
+    laggard = next(name for name in reversed(search.names[:voters]) if name != leader_name(state))
     for _ in range(2):
-        search.order(state, leader_of(state))
+        search.submit_order(state, leader_name(state))
         state.orders_sent += 1
-        for pair in [pair for pair in state.wires if late in pair]:
-            del state.wires[pair]
-        search.settle_without(state, late)
+        for pair in [pair for pair in state.in_transit if laggard in pair]:
+            del state.in_transit[pair]
+        search.deliver_all_except(state, laggard)
     return state
 
 
-def replaced(search: Search, voters: int, bounds: Bounds) -> State:
+def voter_replaced(search: Search, voters: int, bounds: Bounds) -> SystemState:
     """A voter is gone for good and an empty machine has joined: two membership changes are due."""
-    state = quiet(search, voters, bounds)
-    gone = next(name for name in reversed(search.names[:voters]) if name != leader_of(state))
-    search.stop(state, gone)
-    search.join(state, search.names[voters])
+    state = healthy_group(search, voters, bounds)
+    lost = next(name for name in reversed(search.names[:voters]) if name != leader_name(state))
+    search.stop_for_good(state, lost)
+    search.add_machine(state, search.names[voters])
     state.now += 1600.0
-    search.act(state, leader_of(state), Search.wait_out)
+    search.run_on_node(state, leader_name(state), Search.tick_after_silence)
     return state
 
 
-def leaving(search: Search, voters: int, bounds: Bounds) -> State:
+def voter_leaving(search: Search, voters: int, bounds: Bounds) -> SystemState:
     """A voter shuts down as planned while a standby has caught up."""
-    state = quiet(search, voters, bounds)
-    search.join(state, search.names[voters])
-    search.settle(state)
-    goes = next(name for name in search.names[:voters] if name != leader_of(state))
-    search.act(state, goes, lambda node, now: node.leave(now))
+    state = healthy_group(search, voters, bounds)
+    search.add_machine(state, search.names[voters])
+    search.deliver_all(state)
+    leaver = next(name for name in search.names[:voters] if name != leader_name(state))
+    search.run_on_node(state, leaver, lambda node, now: node.leave(now))
     return state
 
 
-def leader_of(state: State) -> str:
+def leader_name(state: SystemState) -> str:
     """The current leader."""
-    return next(name for name, member in state.members.items() if member.node.is_leader)
+    return next(name for name, replica in state.replicas.items() if replica.node.is_leader)
 
 
-Start = Callable[[Search, int, Bounds], State]
-STARTS: tuple[Start, ...] = (quiet, order_under_way, lagging, replaced, leaving)
+Start = Callable[[Search, int, Bounds], SystemState]
+STARTS: tuple[Start, ...] = (
+    healthy_group,
+    order_in_progress,
+    lagging_follower,
+    voter_replaced,
+    voter_leaving,
+)
 
 
 class SearchTest(unittest.TestCase):
     """The production node."""
 
-    def search(self, names: list[str], tolerated: int, bounds: Bounds) -> None:
+    def check_all_starts(self, names: list[str], tolerated: int, bounds: Bounds) -> None:
         for start in STARTS:
             with self.subTest(start=start.__name__):
                 search = Search(names, tolerated)
                 search.run(start(search, len(names) - 1, bounds))
 
-    def test_three_voters(self) -> None:
-        self.search(THREE, 1, Bounds(states=STATES))
+    def test_no_violation_with_three_voters(self) -> None:
+        self.check_all_starts(THREE_VOTERS, 1, Bounds(states=STATES_PER_START))
 
-    def test_five_voters(self) -> None:
-        self.search(FIVE, 2, Bounds(states=3, wipes=2))
+    def test_no_violation_with_five_voters(self) -> None:
+        self.check_all_starts(FIVE_VOTERS, 2, Bounds(states=3, wipes=2))
 
 
-class NeverBarred(ConfigNode):
+class NeverQuarantined(ConfigNode):
     """Votes and counts for the quorum with an empty store at the address of a voter."""
 
     def __init__(self, *arguments: Any) -> None:
@@ -105,7 +111,7 @@
             self.agreement.update_role()
 
 
-class AnyLogAgreement(PacedRaftNode):
+class AnyLogRaft(PacedRaftNode):
     """Votes for any candidate, whatever its log contains."""
 
     def asked(self, now: float, sender: str, request: AskVote) -> None:
@@ -116,14 +122,14 @@
 class VotesForAnyLog(ConfigNode):
     def __init__(self, *arguments: Any) -> None:
         super().__init__(*arguments)
-        self.agreement.__class__ = AnyLogAgreement
+        self.agreement.__class__ = AnyLogRaft
 
     def _bootstrap(self, now: float) -> None:
         super()._bootstrap(now)
-        self.agreement.__class__ = AnyLogAgreement
+        self.agreement.__class__ = AnyLogRaft
 
 
-class MinorityAgreement(PacedRaftNode):
+class MinorityRaft(PacedRaftNode):
     """A single vote wins an election."""
 
     @property
@@ -134,31 +140,31 @@
 class ElectsItself(VotesForAnyLog):
     def _bootstrap(self, now: float) -> None:
         super()._bootstrap(now)
-        self.agreement.__class__ = MinorityAgreement
+        self.agreement.__class__ = MinorityRaft
 
 
-class SameTermAgreement(MinorityAgreement):
+class SameTermRaft(MinorityRaft):
     """Campaigns without raising its term."""
 
     def hard(self, term: int, vote: str) -> None:
         super().hard(self.term if vote == self.name else term, vote)
 
 
-class StandsInAnOldTerm(VotesForAnyLog):
+class CampaignsInOldTerm(VotesForAnyLog):
     def _bootstrap(self, now: float) -> None:
         super()._bootstrap(now)
-        self.agreement.__class__ = SameTermAgreement
+        self.agreement.__class__ = SameTermRaft
 
 
-class SnapshotForgetsOrders(ConfigNode):
+class SnapshotLosesOrders(ConfigNode):
     """Loses the accepted orders when its state is restored."""
 
     def __init__(self, *arguments: Any) -> None:
         super().__init__(*arguments)
-        self.state.__class__ = ForgetfulState
+        self.state.__class__ = AmnesicState
 
 
-class ForgetfulState(ConfigurationState):
+class AmnesicState(ConfigurationState):
     """Loses the accepted orders when restored from a snapshot."""
 
     def restore(self, data: bytes) -> None:
@@ -166,31 +172,31 @@
         self.taken.clear()
 
 
-class PlantedTest(unittest.TestCase):
+class InjectedBugsTest(unittest.TestCase):
     """Each injected bug violates an invariant, and the search finds it."""
 
-    def found(self, node_class: type[ConfigNode], start: Start, expected: str) -> None:
-        search = Search(THREE, 1, node_class)
+    def assert_violation(self, node_class: type[ConfigNode], start: Start, expected: str) -> None:
+        search = Search(THREE_VOTERS, 1, node_class)
         with self.assertRaisesRegex(ViolationError, expected):
-            search.run(start(search, 3, Bounds(states=PLANTED_STATES)))
+            search.run(start(search, 3, Bounds(states=BUG_SEARCH_STATES)))
 
-    def test_one_disk_for_a_majority(self) -> None:
-        self.found(EarlyCommitOneDisk, quiet, "without acknowledged")
+    def test_commit_on_a_single_disk(self) -> None:
+        self.assert_violation(EarlyAcknowledgeNode, healthy_group, "without acknowledged")
 
-    def test_a_vote_by_an_empty_store(self) -> None:
-        self.found(NeverBarred, lagging, "without acknowledged")
+    def test_a_vote_with_an_empty_store(self) -> None:
+        self.assert_violation(NeverQuarantined, lagging_follower, "without acknowledged")
 
     def test_a_vote_for_a_shorter_log(self) -> None:
-        self.found(VotesForAnyLog, lagging, "without acknowledged")
+        self.assert_violation(VotesForAnyLog, lagging_follower, "without acknowledged")
 
-    def test_a_minority_that_elects(self) -> None:
-        self.found(ElectsItself, quiet, "committed twice")
+    def test_an_election_by_a_minority(self) -> None:
+        self.assert_violation(ElectsItself, healthy_group, "committed twice")
 
     def test_an_election_without_a_new_term(self) -> None:
-        self.found(StandsInAnOldTerm, quiet, "two leaders")
+        self.assert_violation(CampaignsInOldTerm, healthy_group, "two leaders")
 
-    def test_a_snapshot_that_forgets_orders(self) -> None:
-        self.found(SnapshotForgetsOrders, lagging, "acknowledged|refused")
+    def test_a_snapshot_that_loses_accepted_orders(self) -> None:
+        self.assert_violation(SnapshotLosesOrders, lagging_follower, "acknowledged|refused")
 
 
 if __name__ == "__main__":
