--- a/barleybarrow/agreement.py
+++ b/barleybarrow/agreement.py
@@ -67,11 +67,13 @@
     # Called by the driver
 
     def next(self) -> float:
+        """When `tick` is due."""
         if self.role is Role.LEADER:
             return min(self.heartbeat_due_at, self.quorum_check_due_at)
         return self.stands_at
 
     def tick(self, now: float) -> None:
+        """Run the timers that are due: heartbeats and the quorum check, or the election timeout."""
         if self.role is Role.LEADER:
             if now >= self.quorum_check_due_at:
                 self.check_quorum(now)
@@ -154,6 +156,7 @@
             self.propose(now, message.data)
 
     def handle_append(self, now: float, sender: str, message: Append | InstallSnapshot) -> None:
+        """Handle entries, a heartbeat or a snapshot from a leader."""
         if message.term < self.term:
             self.send(sender, Appended(self.term, False, self.last, 0))
             return
--- a/barleybarrow/agreement_elections.py
+++ b/barleybarrow/agreement_elections.py
@@ -61,6 +61,7 @@
         self.stands_at = now + self.random_election_timeout()
 
     def stand(self, now: float, probe: bool, leadership_transfer: bool = False) -> None:
+        """Start a pre-vote, or an election in a new term; a single voter wins at once."""
         self.leader = ""
         self.votes = {self.name}
         if probe:
@@ -77,6 +78,7 @@
                 self.send(name, request)
 
     def elected(self, now: float, probe: bool) -> None:
+        """After a majority of grants: start the election that follows a pre-vote, or become leader."""
         if probe:
             self.stand(now, probe=False)
             return
@@ -90,6 +92,7 @@
         self.beat(now)
 
     def asked(self, now: float, sender: str, request: AskVote) -> None:
+        """Handle a vote or pre-vote request."""
         up_to_date = (request.last_term, request.last) >= (self.term_of(self.last), self.last)
         has_leader = now - self.heard_at < ELECTION or self.role is Role.LEADER
         if self.barred or self.name not in self.voters:
@@ -109,6 +112,7 @@
         self.send(sender, Vote(self.term, granted, False))
 
     def handle_vote_response(self, now: float, sender: str, response: Vote) -> None:
+        """Count a vote or pre-vote."""
         if response.probe:
             if self.role is Role.PRE_CANDIDATE and response.term == self.term + 1 and response.granted:
                 self.votes.add(sender)
--- a/barleybarrow/agreement_log.py
+++ b/barleybarrow/agreement_log.py
@@ -96,6 +96,7 @@
         self.update_role()
 
     def update_role(self) -> None:
+        """Switch between learner and follower as the membership requires; a leader keeps its role."""
         if self.name not in self.voters and self.role is not Role.LEADER:
             self.role = Role.LEARNER
         elif self.name in self.voters and self.role is Role.LEARNER:
@@ -119,6 +120,7 @@
         return prev_index + len(entries)
 
     def install_snapshot(self, snapshot: Snapshot) -> int:
+        """Install a leader's snapshot unless it is outdated: the last index that matches its log."""
         if snapshot.index <= self.commit:
             return self.commit
         if self.term_of(snapshot.index) == snapshot.term:
@@ -156,6 +158,7 @@
     # Output
 
     def hard(self, term: int, vote: str) -> None:
+        """Set term and vote, to be persisted before any message is sent."""
         self.term, self.vote = term, vote
         self.ready.hard = term, vote
 
@@ -178,6 +181,7 @@
         return ready
 
     def send(self, to: str, message: Message) -> None:
+        """Queue a message; if too many are queued, the older half is dropped."""
         self.ready.messages.append((to, message))
         if len(self.ready.messages) > MOST_MESSAGES:  # slow disk; Raft tolerates lost messages
             del self.ready.messages[: MOST_MESSAGES // 2]
--- a/barleybarrow/agreement_replication.py
+++ b/barleybarrow/agreement_replication.py
@@ -74,6 +74,7 @@
             self.replicate_to(now, name, self.progress[name])
 
     def replicate_new_entries(self, now: float) -> None:
+        """Send to all followers that have not been sent the whole log."""
         for name, p in self.progress.items():
             if p.next <= self.last:
                 self.replicate_to(now, name, p)
@@ -100,6 +101,7 @@
     # Responses of followers
 
     def appended(self, now: float, sender: str, response: Appended) -> None:
+        """Update a follower's progress, commit what a majority has, and send what the follower needs next."""
         if response.term > self.term:
             self.follow(now, response.term, "")
             return
@@ -158,5 +160,6 @@
             progress.match, progress.min_valid_round = 0, self.round
 
     def match(self, name: str) -> int:
+        """Last index that a follower is known to have on disk."""
         progress = self.progress.get(name)
         return progress.match if progress is not None else 0
--- a/barleybarrow/consensus/configuration_state.py
+++ b/barleybarrow/consensus/configuration_state.py
@@ -237,4 +237,4 @@
         image = msgpack.decode(data, type=StateImage) if data else StateImage(0, b"", [])
         self.version, self.evicted_version = image.version, image.evicted_version
         self.document = json.decode(zlib.decompress(image.document)) if image.document else None
-        self.taken = {taken.digest: taken for taken in image.accepted}
+        self.taken = {order.digest: order for order in image.accepted}
--- a/tests/fleet/config_search.py
+++ b/tests/fleet/config_search.py
@@ -425,7 +425,7 @@
 
     def check_leader_has_acknowledged_orders(self, state: SystemState, replica: Replica) -> None:
         node = replica.node
-        present = {taken.version for taken in node.state.history()}
+        present = {order.version for order in node.state.history()}
         for entry in node.agreement.entries:
             if entry.kind == Kind.DATA and entry.data:
                 command = msgpack.decode(entry.data)
--- a/tests/fleet/test_config_node.py
+++ b/tests/fleet/test_config_node.py
@@ -132,7 +132,7 @@
         self.assertEqual((node.agreement.voters, node.agreement.last), ([], 0))
 
 
-class TransferTest(unittest.TestCase):
+class LeadershipTransferTest(unittest.TestCase):
     def leader(self) -> ConfigNode:
         node = voter(bootstrapped_state())
         node.agreement.stand(1000.0, probe=False)
@@ -170,12 +170,12 @@
         self.assertEqual(node.agreement.term, 0)
 
 
-def processes(*zones: str, counts: bool = True) -> list[ControlProcess]:
+def processes(*zones: str, counts_for_quorum: bool = True) -> list[ControlProcess]:
     """One process for each given zone."""
-    return [ControlProcess(f"p{i}", zone, counts) for i, zone in enumerate(zones)]
+    return [ControlProcess(f"p{i}", zone, counts_for_quorum) for i, zone in enumerate(zones)]
 
 
-class SelectionTest(unittest.TestCase):
+class VoterSelectionTest(unittest.TestCase):
     def test_voters_are_chosen_round_robin_over_zones_seeds_first(self) -> None:
         found = processes("x", "x", "x", "y", "y", "z")
         self.assertEqual(choose_voters(found, ["p1"], 3), ["p1", "p3", "p5"])
@@ -187,7 +187,7 @@
         self.assertEqual(target_voter_count(1, False), 9)
 
     def test_only_processes_that_count_for_the_quorum_are_eligible_if_any(self) -> None:
-        counting, others = processes("x"), processes("y", counts=False)
+        counting, others = processes("x"), processes("y", counts_for_quorum=False)
         self.assertEqual(eligible_processes(counting + others), counting)
         self.assertEqual(eligible_processes(others), others)
 
--- a/tests/fleet/test_config_planted.py
+++ b/tests/fleet/test_config_planted.py
@@ -45,9 +45,9 @@
 
     def on_document_checked(self, now: float, digest: bytes, error: str) -> None:
         super().on_document_checked(now, digest, error)
-        job = self.jobs.get(digest)
-        if job is not None and job.index:
-            self._finish(job, OrderOutcome(OrderStatus.TAKEN))
+        pending = self.jobs.get(digest)
+        if pending is not None and pending.index:
+            self._finish(pending, OrderOutcome(OrderStatus.TAKEN))
 
 
 class AcknowledgeProposedNode(NodeWithBuggyQueue):
@@ -101,8 +101,8 @@
                 return super().apply(order)
         except OrderError:
             return super().apply(order)
-        found = super().apply(Order(order.kind, self.version, order.body, order.digest, order.received_at))
-        return found
+        outcome = super().apply(Order(order.kind, self.version, order.body, order.digest, order.received_at))
+        return outcome
 
 
 class ConcurrentQueue(OrderQueue):
--- a/tests/fleet/test_config_scenarios.py
+++ b/tests/fleet/test_config_scenarios.py
@@ -10,9 +10,9 @@
 SEED_COUNT = 12
 
 
-def start_simulation(seed: int, machines: int = 3, tolerated: int = 1, doors: int = 1) -> World:
+def start_simulation(seed: int, machines: int = 3, tolerated: int = 1, diskless: int = 1) -> World:
     """A simulation whose processes start within 0.3 s."""
-    simulation = World(seed, machines, tolerated, doors)
+    simulation = World(seed, machines, tolerated, diskless)
     for machine in list(simulation.machines.values()):
         simulation.at(
             simulation.rng.uniform(0.0, 300.0), lambda machine=machine: simulation.start(machine, True)
@@ -22,12 +22,12 @@
 
 def leader(simulation: World, except_machine: Machine | None = None) -> Machine | None:
     """The current leader."""
-    found = [
+    leaders = [
         m
         for m in simulation.machines.values()
         if m.node is not None and m.node.is_leader and m is not except_machine
     ]
-    return max(found, key=lambda m: m.node.agreement.term if m.node else 0) if found else None
+    return max(leaders, key=lambda m: m.node.agreement.term if m.node else 0) if leaders else None
 
 
 def time_to_leader(simulation: World, except_machine: Machine | None = None) -> float:
@@ -42,15 +42,17 @@
 
 def voters(simulation: World) -> list[str]:
     """The voters committed by the leader."""
-    found = leader(simulation)
-    assert found is not None and found.node is not None
-    return found.node.voters[0]
+    current_leader = leader(simulation)
+    assert current_leader is not None and current_leader.node is not None
+    return current_leader.node.voters[0]
 
 
-def submit_order(simulation: World, name: str, base: int, generation: int, extra: object = None) -> Call:
+def submit_order(
+    simulation: World, name: str, base_version: int, generation: int, extra: object = None
+) -> Call:
     """Send an order until its outcome is known, and return the last call."""
     document = json.dumps({"Generation": generation, "Routes": [], "More": extra})
-    sent_order = SentOrder(next(simulation.ids), "replace", base, generation, document)
+    sent_order = SentOrder(next(simulation.ids), "replace", base_version, generation, document)
     calls = list[Call]()
 
     def story() -> Story:
@@ -106,7 +108,7 @@
 
     def test_all_processes_vote_if_none_has_a_disk(self) -> None:
         for seed in range(SEED_COUNT):
-            simulation = start_simulation(seed, machines=0, doors=5)
+            simulation = start_simulation(seed, machines=0, diskless=5)
             self.assertEqual(submit_order(simulation, "10.0.1.5:7680", 0, 3).status, ACCEPTED)
             self.assertLess(simulation.now, 4000.0)
             self.assertEqual(len(voters(simulation)), 5)
@@ -117,7 +119,7 @@
             self.assertEqual(submit_order(simulation, name, 3, 4).status, ACCEPTED)
 
     def test_a_single_machine_survives_a_power_loss(self) -> None:
-        simulation = start_simulation(1, machines=1, doors=0)
+        simulation = start_simulation(1, machines=1, diskless=0)
         self.assertEqual(submit_order(simulation, "10.0.0.1:7680", 0, 3).status, ACCEPTED)
         machine = simulation.machines["10.0.0.1:7680"]
         simulation.kill(machine, power=True)
@@ -174,12 +176,12 @@
         for seed in range(SEED_COUNT):
             simulation = start_simulation(seed)
             simulation.run_until(4000.0)
-            slow = leader(simulation)
-            assert slow is not None
-            self.pause_repeatedly(simulation, slow, 800.0, simulation.now + 12_000.0)
+            old_leader = leader(simulation)
+            assert old_leader is not None
+            self.pause_repeatedly(simulation, old_leader, 800.0, simulation.now + 12_000.0)
             simulation.run_until(simulation.now + 2000.0)
             self.assertGreater(self.leader_availability(simulation, 10_000.0), 0.99, f"seed {seed}")
-            self.assertIsNot(leader(simulation), slow, f"seed {seed}")
+            self.assertIsNot(leader(simulation), old_leader, f"seed {seed}")
 
     def test_pauses_of_800_ms_on_all_machines_leave_no_leader_until_they_end(self) -> None:
         """A known limit: a process that was paused for half a second has missed messages and steps down."""
@@ -196,7 +198,7 @@
 class ElectionTest(unittest.TestCase):
     def failover_times(self, fault: str) -> list[float]:
         """Times until another process becomes leader."""
-        found = list[float]()
+        times = list[float]()
         for seed in range(30):
             simulation = start_simulation(seed)
             simulation.run_until(4000.0)
@@ -208,8 +210,8 @@
                 simulation.stop(old_leader)
             else:
                 simulation.kill(old_leader, power=fault == "power")
-            found.append(time_to_leader(simulation, except_machine=old_leader))
-        return found
+            times.append(time_to_leader(simulation, except_machine=old_leader))
+        return times
 
     def test_failover_time_after_a_kill(self) -> None:
         times = self.failover_times("kill")
--- a/tests/fleet/test_config_state.py
+++ b/tests/fleet/test_config_state.py
@@ -40,7 +40,7 @@
     return apply_order(state, "replace", base, {"Generation": generation, **more}).status
 
 
-class VersionsTest(unittest.TestCase):
+class VersionChecksTest(unittest.TestCase):
     def test_the_base_must_be_the_current_version(self) -> None:
         state = ConfigurationState()
         self.assertEqual(apply_replacement(state, 1, 5), 412)
@@ -76,7 +76,7 @@
         for base, generation in ((0, 2), (2, 4), (4, 9)):
             self.assertEqual(apply_replacement(state, base, generation), 200)
         self.assertEqual(state.version, 9)
-        self.assertEqual([taken.version for taken in state.history()], [2, 4, 9])
+        self.assertEqual([order.version for order in state.history()], [2, 4, 9])
 
     def test_a_different_order_with_the_same_versions_is_refused(self) -> None:
         state = ConfigurationState()
@@ -161,10 +161,12 @@
             "Upsert": {"Routes": [{"Name": "d"}, {"Name": "a", "Y": 2}], "Tenants": [{"Name": "t"}]},
             "Remove": {"Routes": ["b", "absent"]},
         }
-        made = apply_patch(self.document, patch)
-        self.assertEqual(made["Routes"], [{"Name": "a", "Y": 2}, {"Name": "c"}, {"Name": "d"}])
-        self.assertEqual(made["Tenants"], [{"Name": "t"}])
-        self.assertEqual((made["Generation"], made["Extra"], made["Limits"]), (7, [1], {"MaxBodyBytes": 1}))
+        patched = apply_patch(self.document, patch)
+        self.assertEqual(patched["Routes"], [{"Name": "a", "Y": 2}, {"Name": "c"}, {"Name": "d"}])
+        self.assertEqual(patched["Tenants"], [{"Name": "t"}])
+        self.assertEqual(
+            (patched["Generation"], patched["Extra"], patched["Limits"]), (7, [1], {"MaxBodyBytes": 1})
+        )
         self.assertEqual(self.document["Routes"], [{"Name": "a", "X": 1}, {"Name": "b"}, {"Name": "c"}])
 
     def test_malformed_patches_are_refused(self) -> None:
