--- a/barleybarrow/agreement_elections.py
+++ b/barleybarrow/agreement_elections.py
@@ -34,7 +34,7 @@
         return ELECTION + self.rng.uniform(0.0, ELECTION)
 
     def slept(self, now: float) -> None:
-        """Restart the timers after this process was paused: it cannot tell who was silent meanwhile."""
+        """Restart the timers after this process was stalled: it cannot tell who was silent meanwhile."""
         self.stands_at = now + self.random_election_timeout()
         self.heard_at = -inf
         if self.role is Role.LEADER:
--- a/barleybarrow/consensus/config_node.py
+++ b/barleybarrow/consensus/config_node.py
@@ -60,8 +60,8 @@
 CONNECTED_ELECTION_TIMEOUT_MS = (60.0, 300.0)  # majority connected: a leader would have sent within 20 ms
 TRANSFER_PAUSE_MS = 500.0  # after starting a leadership transfer, a leader advances no orders for this long
 LEADER_QUERY_INTERVAL_MS = 300.0  # of a learner that looks for a leader among the known voters
-MAX_TICK_INTERVAL_MS = 200.0  # well below the pause threshold, so that a pause is detected
-PAUSE_THRESHOLD_MS = 500.0  # a process that was not scheduled for this long has missed messages meanwhile
+MAX_TICK_INTERVAL_MS = 200.0  # well below the stall threshold, so that a stall is detected
+STALL_THRESHOLD_MS = 500.0  # a process that was not scheduled for this long has missed messages meanwhile
 NOTE_LEAVING = b"leaving"  # note of a voter that shuts down as planned: it is replaced if a standby exists
 MAX_LOG_BYTES = 256 * 1024  # a longer log is compacted into a snapshot
 MAX_LOG_TO_SNAPSHOT_RATIO = 2  # a longer log is allowed, so that large snapshots are not written too often
@@ -194,7 +194,7 @@
 
     def tick(self, now: float) -> None:
         """Run the timers that are due."""
-        self._detect_pause(now)
+        self._detect_stall(now)
         self.last_tick_at = now
         self.agreement.tick(now)
         self._bootstrap(now)
@@ -209,7 +209,7 @@
 
     def receive(self, now: float, sender: str, payload: bytes) -> None:
         """Handle a message of another process; malformed ones are ignored."""
-        self._detect_pause(now)
+        self._detect_stall(now)
         try:
             message = MESSAGE_DECODER.decode(payload)
         except DecodeError:
@@ -391,8 +391,8 @@
         if now - self.transfer_started_at >= TRANSFER_PAUSE_MS or not self.is_leader:
             self.orders.advance(now)
 
-    def _detect_pause(self, now: float) -> None:
-        if now - self.last_call_at > PAUSE_THRESHOLD_MS:
+    def _detect_stall(self, now: float) -> None:
+        if now - self.last_call_at > STALL_THRESHOLD_MS:
             self.agreement.slept(now)
         self.last_call_at = now
 
