--- a/barleybarrow/agreement_elections.py
+++ b/barleybarrow/agreement_elections.py
@@ -1,6 +1,6 @@
 """Elections with pre-vote and check-quorum. Raft, 5.2; Ongaro's thesis (2014), 6.2 and 9.6.
 
-It must never give two votes in one term, nor one by a store that may lack what it has said.
+A process must never cast two votes in one term, nor any while its store may lack an earlier vote.
 """
 
 from math import inf
@@ -12,39 +12,39 @@
 from barleybarrow.agreement_reads import ReadIndex
 from barleybarrow.agreement_replication import Progress
 
-ELECTION = 600.0  # milliseconds of silence until a follower stands, and up to as much more by chance
-BROKEN_LINK = (150.0, 450.0)  # milliseconds until a follower stands whose link to the leader broke
-LEARNER_GONE = 30_000.0  # milliseconds of silence after which a leader forgets a learner
+ELECTION = 600.0  # plus a random extra of up to the same length
+BROKEN_LINK_TIMEOUT_MS = (150.0, 450.0)  # shorter election timeout after the link to the leader broke
+LEARNER_EXPIRY_MS = 30_000.0  # the leader drops a learner that has been silent for this long
 
 
 class Elections(ReadIndex):
-    """Who leads, as far as this process knows, and whom it votes for."""
+    """Leader election of one process."""
 
-    def __init__(self, rng: Random, now: float, barred: bool, *arguments: Any) -> None:
+    def __init__(self, rng: Random, now: float, quarantined: bool, *arguments: Any) -> None:
         super().__init__(*arguments)
         self.rng = rng
         self.heard_at = -inf
-        self.barred = barred  # its store may lack what it has said: no votes, no counting, until it caught up
+        self.barred = quarantined  # the store may have lost promises: no votes, and no part in a quorum
         self.votes: set[str] = set()
-        self.stands_at = now + self.patience()
-        self.beats_at = self.checks_at = now
-        self.led_since = -inf
+        self.stands_at = now + self.random_election_timeout()
+        self.heartbeat_due_at = self.quorum_check_due_at = now
+        self.leader_since = -inf
 
-    def patience(self) -> float:
+    def random_election_timeout(self) -> float:
         return ELECTION + self.rng.uniform(0.0, ELECTION)
 
     def slept(self, now: float) -> None:
-        """This process stood still: what it held for a silence of others was its own."""
-        self.stands_at = now + self.patience()
+        """Restart the timers after this process was stalled: it cannot tell who was silent meanwhile."""
+        self.stands_at = now + self.random_election_timeout()
         self.heard_at = -inf
         if self.role is Role.LEADER:
             self.follow(now, self.term, "")
 
     def trust(self) -> None:
-        """What its store lacks is made up for: it votes and counts from now on.
+        """Vote and count in quorums again, now that the log holds all that was lost.
 
-        In this term it may have voted before, for whom it no longer knows: so for nobody but its leader, and
-        where it knows of none, for nobody else.
+        The vote this process may have cast in the current term is unknown, so it records one for the leader
+        or, if no leader is known, for itself: no other candidate of this term can get a second vote.
         """
         self.barred = False
         if not self.vote:
@@ -58,96 +58,103 @@
         self.votes.clear()
         self.questions.clear()
         self.progress.clear()
-        self.stands_at = now + self.patience()
+        self.stands_at = now + self.random_election_timeout()
 
-    def stand(self, now: float, probe: bool, transfer: bool = False) -> None:
+    def stand(self, now: float, probe: bool, leadership_transfer: bool = False) -> None:
+        """Start a pre-vote, or an election in a new term; a single voter wins at once."""
         self.leader = ""
         self.votes = {self.name}
         if probe:
-            self.role = Role.PROBING
+            self.role = Role.PRE_CANDIDATE
         else:
             self.role = Role.CANDIDATE
             self.hard(self.term + 1, self.name)
         if len(self.votes) >= self.majority:
             self.elected(now, probe)
             return
-        ask = AskVote(self.term + probe, self.last, self.term_of(self.last), probe, transfer)
+        request = AskVote(self.term + probe, self.last, self.term_of(self.last), probe, leadership_transfer)
         for name in self.voters:
             if name != self.name:
-                self.send(name, ask)
+                self.send(name, request)
 
     def elected(self, now: float, probe: bool) -> None:
+        """After a majority of grants: start the election that follows a pre-vote, or become leader."""
         if probe:
             self.stand(now, probe=False)
             return
-        self.role, self.leader, self.led_since = Role.LEADER, self.name, now
+        self.role, self.leader, self.leader_since = Role.LEADER, self.name, now
         self.progress = {name: Progress(self.last + 1) for name in self.voters if name != self.name}
         for p in self.progress.values():
-            p.heard_at = now
-        self.checks_at = now + ELECTION
+            p.last_heard_at = now
+        self.quorum_check_due_at = now + ELECTION
         self.append(Entry(self.term, Kind.NOTHING))
         self.counts["led"] += 1
         self.beat(now)
 
-    def asked(self, now: float, sender: str, m: AskVote) -> None:
-        up_to_date = (m.last_term, m.last) >= (self.term_of(self.last), self.last)
-        led = now - self.heard_at < ELECTION or self.role is Role.LEADER
+    def asked(self, now: float, sender: str, request: AskVote) -> None:
+        """Handle a vote or pre-vote request."""
+        up_to_date = (request.last_term, request.last) >= (self.term_of(self.last), self.last)
+        has_leader = now - self.heard_at < ELECTION or self.role is Role.LEADER
         if self.barred or self.name not in self.voters:
             return
-        if m.probe:
-            granted = up_to_date and m.term > self.term and not led
-            self.send(sender, Vote(m.term if granted else self.term, granted, True))
+        if request.probe:
+            granted = up_to_date and request.term > self.term and not has_leader
+            self.send(sender, Vote(request.term if granted else self.term, granted, True))
             return
-        if led and m.term > self.term and not m.transfer:
-            return  # one that hears no leader must not unseat one that others hear
-        if m.term > self.term:
-            self.follow(now, m.term, "")
-        granted = m.term == self.term and up_to_date and self.vote in ("", sender)
+        if has_leader and request.term > self.term and not request.leadership_transfer:
+            return  # a process that cannot hear the leader must not depose one that this process hears
+        if request.term > self.term:
+            self.follow(now, request.term, "")
+        granted = request.term == self.term and up_to_date and self.vote in ("", sender)
         if granted:
             self.hard(self.term, sender)
-            self.stands_at = now + self.patience()
+            self.stands_at = now + self.random_election_timeout()
         self.send(sender, Vote(self.term, granted, False))
 
-    def voted(self, now: float, sender: str, m: Vote) -> None:
-        if m.probe:
-            if self.role is Role.PROBING and m.term == self.term + 1 and m.granted:
+    def handle_vote_response(self, now: float, sender: str, response: Vote) -> None:
+        """Count a vote or pre-vote."""
+        if response.probe:
+            if self.role is Role.PRE_CANDIDATE and response.term == self.term + 1 and response.granted:
                 self.votes.add(sender)
-            elif not m.granted and m.term > self.term:
-                self.follow(now, m.term, "")
+            elif not response.granted and response.term > self.term:
+                self.follow(now, response.term, "")
                 return
-        elif m.term > self.term:
-            self.follow(now, m.term, "")
+        elif response.term > self.term:
+            self.follow(now, response.term, "")
             return
-        elif self.role is Role.CANDIDATE and m.term == self.term and m.granted:
+        elif self.role is Role.CANDIDATE and response.term == self.term and response.granted:
             self.votes.add(sender)
-        if self.role in (Role.PROBING, Role.CANDIDATE) and len(self.votes & {*self.voters}) >= self.majority:
-            self.elected(now, self.role is Role.PROBING)
-
-    def successor(self, now: float) -> str:
-        """Who would best take the lead over: the voter heard of late that holds most; "" where there
-        is none.
-        """
-        held = [
+        if (
+            self.role in (Role.PRE_CANDIDATE, Role.CANDIDATE)
+            and len(self.votes & {*self.voters}) >= self.majority
+        ):
+            self.elected(now, self.role is Role.PRE_CANDIDATE)
+
+    def choose_successor(self, now: float) -> str:
+        """The recently heard voter with the longest matching log, to transfer leadership to; "" if none."""
+        candidates = [
             (p.match, name)
             for name, p in self.progress.items()
-            if name in self.voters and now - p.heard_at < ELECTION
+            if name in self.voters and now - p.last_heard_at < ELECTION
         ]
-        return max(held)[1] if held else ""
+        return max(candidates)[1] if candidates else ""
 
-    def unreachable(self, now: float, name: str) -> None:
-        """The link to this process broke: where it leads, stand soon, unless it is heard of again."""
+    def on_link_down(self, now: float, name: str) -> None:
+        """Shorten the election timeout if the broken link leads to the leader."""
         if self.leader == name and self.role is not Role.LEADER:
             self.heard_at = -inf
-            self.stands_at = min(self.stands_at, now + self.rng.uniform(*BROKEN_LINK))
-
-    def check(self, now: float) -> None:
-        """Step down where no majority was heard for an election's span; thesis, 6.2."""
-        self.checks_at = now + ELECTION / 2
-        heard = sum(now - self.progress[n].heard_at < ELECTION for n in self.voters if n in self.progress)
+            self.stands_at = min(self.stands_at, now + self.rng.uniform(*BROKEN_LINK_TIMEOUT_MS))
+
+    def check_quorum(self, now: float) -> None:
+        """Step down if no majority was heard within an election timeout; thesis, 6.2."""
+        self.quorum_check_due_at = now + ELECTION / 2
+        heard = sum(
+            now - self.progress[n].last_heard_at < ELECTION for n in self.voters if n in self.progress
+        )
         if heard + (self.name in self.voters) < self.majority:
             self.counts["stepped_down"] += 1
             self.follow(now, self.term, "")
             return
         for name in [n for n, p in self.progress.items() if n not in self.voters]:
-            if now - self.progress[name].heard_at > LEARNER_GONE:
+            if now - self.progress[name].last_heard_at > LEARNER_EXPIRY_MS:
                 del self.progress[name]
--- a/barleybarrow/agreement_log.py
+++ b/barleybarrow/agreement_log.py
@@ -1,7 +1,7 @@
-"""The log of one process of an agreement, and its hard state: what stands where, and what is to be stored.
+"""The Raft log and hard state (term and vote) of one process.
 
-It must never take back what it has said to be stored: whatever is wanted stored and sent is gathered in one
-`Ready`, which is stored first, sent then, and applied last.
+What has been reported as persisted must never be taken back: writes and messages are collected in one
+`Ready`, which is persisted first, then sent, then applied.
 """
 
 from collections import Counter
@@ -11,21 +11,21 @@
 
 from barleybarrow.agreement_messages import Append, Entry, Kind, Message, Ready, Snapshot
 
-MOST_MESSAGES = 4000  # that wait to be sent
+MOST_MESSAGES = 4000
 
 
 class Role(Enum):
-    """What a process is in its term; see `barleybarrow.agreement`."""
+    """Raft role of a process in its term; the table in `barleybarrow.agreement` lists the transitions."""
 
     LEARNER = "learner"
     FOLLOWER = "follower"
-    PROBING = "probing"
+    PRE_CANDIDATE = "probing"
     CANDIDATE = "candidate"
     LEADER = "leader"
 
 
 class ReplicatedLog:
-    """Snapshot, entries behind it, term and vote, and who votes by the last word in the log."""
+    """Snapshot, the entries after it, term, vote, and the voters named by the newest membership entry."""
 
     def __init__(
         self,
@@ -40,7 +40,7 @@
         self.term, self.vote = term, vote
         self.snapshot = snapshot or Snapshot(0, 0, voters, b"")
         self.entries = list(entries or ())
-        self.voters = self.voting()
+        self.voters = self.latest_voters()
         self.stored_to = self.last
         self.commit = self.applied = self.snapshot.index
         self.role = Role.FOLLOWER if name in self.voters else Role.LEARNER
@@ -52,15 +52,15 @@
         return self.snapshot.index + len(self.entries)
 
     def term_of(self, index: int) -> int:
-        """The term of an entry, or of the last one in the snapshot; -1 where it is not there."""
+        """Term of the entry at an index, which may be the snapshot's last; -1 if it is not in the log."""
         if index == self.snapshot.index:
             return self.snapshot.term
         if self.snapshot.index < index <= self.last:
             return self.entries[index - self.snapshot.index - 1].term
         return -1
 
-    def voting(self) -> list[str]:
-        """Who votes, by the last word on it in the log, be it agreed on or not."""
+    def latest_voters(self) -> list[str]:
+        """Voters named by the newest membership entry in the log, committed or not."""
         for entry in reversed(self.entries):
             if entry.kind == Kind.VOTERS:
                 return msgpack.decode(entry.data, type=list[str])
@@ -72,53 +72,55 @@
 
     @property
     def dropped(self) -> int:
-        """What was left out for lack of room: messages, questions, words of learners."""
-        return sum(self.counts[what] for what in ("messages", "reads", "learners"))
+        """Messages, reads and learners' responses dropped because a limit was reached."""
+        return sum(self.counts[reason] for reason in ("messages", "reads", "learners"))
 
     def append(self, entry: Entry) -> int:
         self.place(self.last + 1, [entry])
         return self.last
 
-    def place(self, first: int, entries: list[Entry]) -> None:
-        """Have entries stand from an index on, whatever stood there."""
-        del self.entries[first - self.snapshot.index - 1 :]
+    def place(self, first_index: int, entries: list[Entry]) -> None:
+        """Write entries from an index on, replacing whatever follows it."""
+        del self.entries[first_index - self.snapshot.index - 1 :]
         self.entries += entries
         ready = self.ready
-        if ready.entries and first <= ready.first + len(ready.entries):
-            del ready.entries[max(0, first - ready.first) :]
-            if first < ready.first:
-                ready.first = first
+        if ready.entries and first_index <= ready.first + len(ready.entries):
+            del ready.entries[max(0, first_index - ready.first) :]
+            if first_index < ready.first:
+                ready.first = first_index
         elif not ready.entries:
-            ready.first = first
+            ready.first = first_index
         ready.entries += entries
-        self.stored_to = min(self.stored_to, first - 1)
-        self.voters = self.voting()
-        self.settle_role()
+        self.stored_to = min(self.stored_to, first_index - 1)
+        self.voters = self.latest_voters()
+        self.update_role()
 
-    def settle_role(self) -> None:
+    def update_role(self) -> None:
+        """Switch between learner and follower as the membership requires; a leader keeps its role."""
         if self.name not in self.voters and self.role is not Role.LEADER:
             self.role = Role.LEARNER
         elif self.name in self.voters and self.role is Role.LEARNER:
             self.role = Role.FOLLOWER
 
-    def match_up(self, m: Append) -> int:
-        """Put a leader's entries where they belong: the last index that agrees, or -1."""
-        if m.before < self.snapshot.index:  # what the snapshot holds is agreed on
-            skip = self.snapshot.index - m.before
-            if skip >= len(m.entries):
+    def match_up(self, message: Append) -> int:
+        """Append a leader's entries: the last index that matches its log, or -1 on a mismatch."""
+        if message.before < self.snapshot.index:  # entries in the snapshot are committed, so they match
+            skip = self.snapshot.index - message.before
+            if skip >= len(message.entries):
                 return max(self.snapshot.index, 0)
-            before, entries = self.snapshot.index, m.entries[skip:]
+            prev_index, entries = self.snapshot.index, message.entries[skip:]
         else:
-            before, entries = m.before, m.entries
-            if self.term_of(before) != m.before_term:
+            prev_index, entries = message.before, message.entries
+            if self.term_of(prev_index) != message.prev_term:
                 return -1
         for i, entry in enumerate(entries):
-            if self.term_of(before + 1 + i) != entry.term:
-                self.place(before + 1 + i, entries[i:])
+            if self.term_of(prev_index + 1 + i) != entry.term:
+                self.place(prev_index + 1 + i, entries[i:])
                 break
-        return before + len(entries)
+        return prev_index + len(entries)
 
-    def install(self, snapshot: Snapshot) -> int:
+    def install_snapshot(self, snapshot: Snapshot) -> int:
+        """Install a leader's snapshot unless it is outdated: the last index that matches its log."""
         if snapshot.index <= self.commit:
             return self.commit
         if self.term_of(snapshot.index) == snapshot.term:
@@ -130,19 +132,22 @@
         self.ready.first = snapshot.index + 1
         self.commit = self.applied = snapshot.index
         self.stored_to = min(self.stored_to, self.last)
-        self.voters = self.voting()
-        self.settle_role()
+        self.voters = self.latest_voters()
+        self.update_role()
         return snapshot.index
 
     def compact(self, index: int, data: bytes) -> Snapshot | None:
-        """Put a snapshot in the place of what was applied, to be stored; None where it is older."""
+        """Replace applied entries by a snapshot, which the caller has to persist.
+
+        None if the index is not above the current snapshot's, or was not applied.
+        """
         if not self.snapshot.index < index <= self.applied:
             return None
         voters = self.voters_at(index)
-        made = Snapshot(index, self.term_of(index), voters, data)
+        snapshot = Snapshot(index, self.term_of(index), voters, data)
         del self.entries[: index - self.snapshot.index]
-        self.snapshot = made
-        return made
+        self.snapshot = snapshot
+        return snapshot
 
     def voters_at(self, index: int) -> list[str]:
         for i in range(index - self.snapshot.index - 1, -1, -1):
@@ -150,19 +155,20 @@
                 return msgpack.decode(self.entries[i].data, type=list[str])
         return list(self.snapshot.voters)
 
-    # What is to be done
+    # Output
 
     def hard(self, term: int, vote: str) -> None:
+        """Set term and vote, to be persisted before any message is sent."""
         self.term, self.vote = term, vote
         self.ready.hard = term, vote
 
     def whole(self) -> Ready:
-        """All that is here, for a store that is empty yet."""
-        first = self.snapshot.index + 1
-        return Ready((self.term, self.vote), self.snapshot, first, list(self.entries))
+        """The whole state, for an empty store."""
+        first_index = self.snapshot.index + 1
+        return Ready((self.term, self.vote), self.snapshot, first_index, list(self.entries))
 
     def take(self) -> Ready | None:
-        """What is to be done now; None where there is nothing."""
+        """The pending writes, messages and committed entries; None if there are none."""
         ready = self.ready
         ready.apply = []
         while self.applied < min(self.commit, self.last):
@@ -170,12 +176,13 @@
             ready.apply.append((self.applied, self.entries[self.applied - self.snapshot.index - 1]))
         if not (ready.hard or ready.snapshot or ready.entries or ready.messages or ready.apply):
             return None
-        ready.last, ready.last_term = self.last, self.term_of(self.last)
+        ready.last_index, ready.last_term = self.last, self.term_of(self.last)
         self.ready = Ready()
         return ready
 
     def send(self, to: str, message: Message) -> None:
+        """Queue a message; if too many are queued, the older half is dropped."""
         self.ready.messages.append((to, message))
-        if len(self.ready.messages) > MOST_MESSAGES:  # the disk is slow, and every message bears to be lost
+        if len(self.ready.messages) > MOST_MESSAGES:  # slow disk; Raft tolerates lost messages
             del self.ready.messages[: MOST_MESSAGES // 2]
             self.counts["messages"] += MOST_MESSAGES // 2
--- a/barleybarrow/consensus/configuration_state.py
+++ b/barleybarrow/consensus/configuration_state.py
@@ -1,9 +1,9 @@
-"""The operator's configuration as a replicated state machine: what orders, in the order of the log, make of
-it.
+"""The operator's configuration as a replicated state machine that applies orders in log order.
 
 Deterministic and without I/O: all replicas that applied the same entries hold the same document and gave
-each order the same outcome. It never forgets, within `MAX_TAKEN` orders, that an order was taken: the same
-order is acknowledged again. One that may be among those forgotten has no clear answer: it is never refused.
+each order the same outcome. A bounded number of accepted orders is remembered, so that a repeated order is
+acknowledged again. An order that may already have been evicted from this history is never refused: its
+outcome is reported as unknown.
 """
 
 import zlib
@@ -14,35 +14,35 @@
 
 from msgspec import DecodeError, Struct, json, msgpack
 
-MAX_TAKEN = 4096  # orders remembered, the oldest goes first: a long day has hundreds
+MAX_ACCEPTED_ORDERS = 4096  # the oldest are evicted first; a long day has hundreds of orders
 DIGEST_BYTES = 16
-COMPRESSION = 1  # of zlib: bodies shrink eightfold for about 2 ms of a core
-MAX_BODY_BYTES = 8 * 1024 * 1024  # of one order, as sent or unpacked; the largest seen are 0.2 MB
+COMPRESSION_LEVEL = 1  # zlib level: bodies shrink eightfold for about 2 ms of CPU
+MAX_BODY_BYTES = 8 * 1024 * 1024  # of one order, sent or decompressed; real ones have up to 0.2 MB
 ITEM_LISTS = ("Routes", "Services", "Tenants")
 
-Document = dict[str, Any]  # as the operator sent it, keys in Pascal case
+Document = dict[str, Any]  # as sent by the operator, with keys in PascalCase
 
 
 class OrderKind(StrEnum):
-    """What an order does to the document."""
+    """How an order changes the document."""
 
     REPLACE = "replace"
     PATCH = "patch"
 
 
 class OrderStatus(IntEnum):
-    """The answer to an order, as an HTTP status."""
+    """Outcome of an order, as an HTTP status."""
 
     TAKEN = 200
     INVALID = 400
     CONFLICT = 412
     TOO_LARGE = 413
-    UNCLEAR = 503  # it may have been taken or may be later
+    UNCLEAR = 503  # the order may have been accepted, or may be later
 
 
 @dataclass(frozen=True, slots=True)
 class OrderOutcome:
-    """What became of an order; `error` is one line that names the item and the remedy."""
+    """Outcome of an order; `error` is a single line that names the item and the remedy."""
 
     status: int
     error: str = ""
@@ -52,7 +52,7 @@
 
 
 class Order(Struct, array_like=True, frozen=True, tag=1):
-    """One order in the log. The body is compressed; `received_at` is Unix milliseconds at the leader."""
+    """An order in the log. The body is compressed; `received_at` is in Unix milliseconds at the leader."""
 
     kind: str
     base_version: int
@@ -61,20 +61,18 @@
     received_at: int
 
 
-class Witness(Struct, array_like=True, frozen=True, tag=2):
-    """Proposed for a process that may have forgotten promises: whoever applies it knows its leader's
-    log since.
-    """
+class RejoinMarker(Struct, array_like=True, frozen=True, tag=2):
+    """Proposed for a quarantined process, which has caught up with the leader's log once it applies this."""
 
     name: str
     nonce: int
 
 
-Command = Order | Witness
+Command = Order | RejoinMarker
 
 
-class Taken(Struct, array_like=True, frozen=True):
-    """An order that was taken: the version it made, its digest, and the leader's Unix milliseconds."""
+class AcceptedOrder(Struct, array_like=True, frozen=True):
+    """An accepted order: the version it created, its digest, and the leader's clock in Unix milliseconds."""
 
     version: int
     digest: bytes
@@ -82,45 +80,45 @@
 
 
 class StateImage(Struct, array_like=True):
-    """The state in a snapshot. The document is compressed JSON, empty where there is none yet."""
+    """Serialized state for snapshots. The document is compressed JSON, empty if there is none yet."""
 
     version: int
     document: bytes
-    taken: list[Taken]
-    forgotten: int = 0
+    accepted: list[AcceptedOrder]
+    evicted_version: int = 0
 
 
 class OrderError(Exception):
-    """The body of an order can't be read, or doesn't fit the document."""
+    """The body of an order is malformed or does not fit the document."""
 
 
 def order_digest(kind: str, base_version: int, body: bytes) -> bytes:
-    """What tells an order from all others."""
-    head = f"{kind}\n{base_version}\n".encode()
-    return blake2b(head + body, digest_size=DIGEST_BYTES).digest()
+    """Digest that identifies an order by kind, base version and body."""
+    header = f"{kind}\n{base_version}\n".encode()
+    return blake2b(header + body, digest_size=DIGEST_BYTES).digest()
 
 
 def make_order(kind: str, base_version: int, body: bytes, received_at: int) -> Order:
-    """The entry for an order as it was sent."""
+    """Build the log entry for an order."""
     digest = order_digest(kind, base_version, body)
-    return Order(kind, base_version, zlib.compress(body, COMPRESSION), digest, received_at)
+    return Order(kind, base_version, zlib.compress(body, COMPRESSION_LEVEL), digest, received_at)
 
 
 def read_body(order: Order) -> Document:
-    """The JSON object in the body of an order. Raises OrderError."""
+    """Decompress and parse the JSON object in the body of an order. Raises OrderError."""
     unpacker = zlib.decompressobj()
     try:
         body = unpacker.decompress(order.body, MAX_BODY_BYTES)
-        content = json.decode(body)
+        parsed = json.decode(body)
     except (zlib.error, DecodeError, UnicodeDecodeError, RecursionError) as error:
         raise OrderError(f"the body can't be read: {error}") from error
-    if not isinstance(content, dict):
+    if not isinstance(parsed, dict):
         raise OrderError("the body must be a JSON object")
-    return content
+    return parsed
 
 
 def generation_of(document: Document) -> int:
-    """The version a document names. Raises OrderError."""
+    """The `Generation` of a document. Raises OrderError."""
     generation = document.get("Generation")
     if not isinstance(generation, int) or isinstance(generation, bool) or not 0 < generation < 2**53:
         raise OrderError("Generation: a whole number above 0 is needed")
@@ -128,60 +126,59 @@
 
 
 def apply_patch(document: Document, patch: Document) -> Document:
-    """A new document: items of `Remove` left out, items of `Upsert` put in the place of those of the same
-    name.
+    """A new document without the items in `Remove` and with those in `Upsert` added or replaced by name.
 
-    Raises OrderError where the patch can't be read.
+    Raises OrderError if the patch is malformed.
     """
-    made = dict(document)
-    made["Generation"] = generation_of(patch)
-    removals, upserts = given(patch, "Remove", {}), given(patch, "Upsert", {})
+    result = dict(document)
+    result["Generation"] = generation_of(patch)
+    removals, upserts = value_or_default(patch, "Remove", {}), value_or_default(patch, "Upsert", {})
     if not isinstance(removals, dict) or not isinstance(upserts, dict):
         raise OrderError("Upsert and Remove: objects of lists are needed")
     for key in {**removals, **upserts}:
-        removed, added = given(removals, key, []), given(upserts, key, [])
+        removed, added = value_or_default(removals, key, []), value_or_default(upserts, key, [])
         if key not in ITEM_LISTS or not isinstance(removed, list) or not isinstance(added, list):
             raise OrderError(f"{key}: only lists of {', '.join(ITEM_LISTS)} can be patched")
-        made[key] = patch_items(key, given(made, key, []), removed, added)
-    return made
+        result[key] = patch_items(key, value_or_default(result, key, []), removed, added)
+    return result
 
 
-def given(document: Document, key: str, absent: Any) -> Any:
-    """The value of a key; null and no such key are the same."""
+def value_or_default(document: Document, key: str, default: Any) -> Any:
+    """The value of a key, or `default` if it is null or missing."""
     value = document.get(key)
-    return absent if value is None else value
+    return default if value is None else value
 
 
 def patch_items(key: str, items: list[Document], removed: list[Any], added: list[Any]) -> list[Document]:
-    """One list of named items after removals and additions; replaced items keep their place."""
+    """Patch one list of named items; replaced items keep their position."""
     if not all(isinstance(name, str) for name in removed):
         raise OrderError(f"Remove.{key}: a list of names is needed")
     if not all(isinstance(item, dict) and isinstance(item.get("Name"), str) for item in added):
         raise OrderError(f"Upsert.{key}: each item needs a Name")
-    gone, new = set(removed), {item["Name"]: item for item in added}
-    made, replaced = list[Document](), set[Any]()
+    removed_names, added_by_name = set(removed), {item["Name"]: item for item in added}
+    result, replaced_names = list[Document](), set[Any]()
     for item in items:
         name = item.get("Name")
-        if name in new and name not in replaced:
-            made.append(new[name])
-            replaced.add(name)
-        elif name not in new and name not in gone:
-            made.append(item)
-    return made + [item for name, item in new.items() if name not in replaced]
+        if name in added_by_name and name not in replaced_names:
+            result.append(added_by_name[name])
+            replaced_names.add(name)
+        elif name not in added_by_name and name not in removed_names:
+            result.append(item)
+    return result + [item for name, item in added_by_name.items() if name not in replaced_names]
 
 
 class ConfigurationState:
-    """The newest document and the orders that were taken."""
+    """The current document and the accepted orders."""
 
     def __init__(self) -> None:
         self.version = 0
         self.document: Document | None = None
-        self.taken: dict[bytes, Taken] = {}  # by digest, oldest first
-        self.forgotten = 0  # version made by the newest order that is remembered no longer; 0: none is
+        self.taken: dict[bytes, AcceptedOrder] = {}  # by digest, oldest first
+        self.evicted_version = 0  # version created by the newest evicted order; 0 if none was evicted
 
-    def refusal(self, kind: str, base_version: int, document: Document) -> OrderOutcome | None:
-        """Why an order does not fit the state by its versions; None where it does."""
-        if base_version < self.forgotten:  # it may be an order that was taken long ago
+    def version_refusal(self, kind: str, base_version: int, document: Document) -> OrderOutcome | None:
+        """The refusal of an order whose versions do not fit the state; None if they do."""
+        if base_version < self.evicted_version:  # it may be an order that was accepted and evicted since
             return OrderOutcome(OrderStatus.UNCLEAR, f"base the change on version {self.version}")
         if base_version != self.version:
             conflict = f"version {self.version} is current, not {base_version}: base the change on that one"
@@ -198,7 +195,7 @@
         return None
 
     def document_after(self, kind: str, body: Document) -> Document:
-        """The document that an order would make. Raises OrderError."""
+        """The document that an order would result in. Raises OrderError."""
         if kind == OrderKind.PATCH:
             return apply_patch(self.document or {}, body)
         if kind != OrderKind.REPLACE:
@@ -206,36 +203,38 @@
         return body
 
     def apply(self, order: Order) -> OrderOutcome:
-        """Take the next order of the log, or refuse it, the same on all replicas."""
+        """Apply the next order of the log: accepted or refused, with the same outcome on all replicas."""
         if order.digest in self.taken:
             return OrderOutcome(OrderStatus.TAKEN)
         try:
             body = read_body(order)
-            refused = self.refusal(order.kind, order.base_version, body)
-            if refused is not None:
-                return refused
+            refusal = self.version_refusal(order.kind, order.base_version, body)
+            if refusal is not None:
+                return refusal
             document = self.document_after(order.kind, body)
         except OrderError as error:
             return OrderOutcome(OrderStatus.INVALID, str(error))
         self.document, self.version = document, generation_of(document)
-        self.taken[order.digest] = Taken(self.version, order.digest, order.received_at)
-        while len(self.taken) > MAX_TAKEN:
+        self.taken[order.digest] = AcceptedOrder(self.version, order.digest, order.received_at)
+        while len(self.taken) > MAX_ACCEPTED_ORDERS:
             oldest = self.taken.pop(next(iter(self.taken)))
-            self.forgotten = oldest.version
+            self.evicted_version = oldest.version
         return OrderOutcome(OrderStatus.TAKEN)
 
-    def history(self) -> list[Taken]:
-        """The orders that were taken, oldest first."""
+    def history(self) -> list[AcceptedOrder]:
+        """The remembered accepted orders, oldest first."""
         return list(self.taken.values())
 
     def snapshot(self) -> bytes:
-        """All of the state."""
-        document = b"" if self.document is None else zlib.compress(json.encode(self.document), COMPRESSION)
-        return msgpack.encode(StateImage(self.version, document, self.history(), self.forgotten))
+        """Serialize the state."""
+        document = (
+            b"" if self.document is None else zlib.compress(json.encode(self.document), COMPRESSION_LEVEL)
+        )
+        return msgpack.encode(StateImage(self.version, document, self.history(), self.evicted_version))
 
     def restore(self, data: bytes) -> None:
-        """Take the state of a snapshot; empty bytes are the state before the first order."""
+        """Load a serialized state; empty bytes stand for the state before the first order."""
         image = msgpack.decode(data, type=StateImage) if data else StateImage(0, b"", [])
-        self.version, self.forgotten = image.version, image.forgotten
+        self.version, self.evicted_version = image.version, image.evicted_version
         self.document = json.decode(zlib.decompress(image.document)) if image.document else None
-        self.taken = {taken.digest: taken for taken in image.taken}
+        self.taken = {order.digest: order for order in image.accepted}
--- a/barleybarrow/consensus/order_queue.py
+++ b/barleybarrow/consensus/order_queue.py
@@ -1,16 +1,16 @@
-"""Orders at the leader: from their arrival to an outcome that stays true whoever leads next.
+"""Orders at the leader, from arrival to an outcome that remains valid under any later leader.
 
-An order is looked at once all that was committed before is applied. One order at a time is checked and
-proposed; its outcome is what the state machine says when the entry is applied. A conflict is told only
-after a majority has confirmed that this process still leads: an order that another leader took must never
-be refused here.
+An order is examined once everything committed before it is applied. One order at a time is validated and
+proposed; its outcome is the state machine's result when the entry is applied. A conflict is reported only
+after a majority has confirmed that this process is still the leader: an order that another leader accepted
+must never be refused here.
 
-| phase | what it waits for | next |
+| phase | waiting for | next |
 | --- | --- | --- |
-| QUEUED | its turn, with all that was committed applied | CONFIRMING, CHECKING, or an outcome |
-| CONFIRMING | a read index of this moment | the refusal |
-| CHECKING | the document's check, done by the driver | PROPOSED, or a refusal |
-| PROPOSED | its entry to be applied, and held by enough disks | the outcome |
+| QUEUED | its turn, with all committed entries applied | CONFIRMING, CHECKING, or an outcome |
+| CONFIRMING | a read index | the refusal |
+| CHECKING | validation of the document by the driver | PROPOSED, or a refusal |
+| PROPOSED | its entry to be applied and on enough disks | the outcome |
 """
 
 from collections.abc import Iterator
@@ -33,12 +33,12 @@
     read_body,
 )
 
-MAX_ORDERS = 64  # under way at once; operators have eight
-TOO_MANY = OrderOutcome(OrderStatus.UNCLEAR, "too many orders are under way: send the order again")
+MAX_PENDING_ORDERS = 64  # in progress at once; operators send at most eight
+TOO_MANY_ORDERS = OrderOutcome(OrderStatus.UNCLEAR, "too many orders are under way: send the order again")
 
 
-class Phase(Enum):
-    """Where an order is; see the table above."""
+class OrderPhase(Enum):
+    """Progress of an order; see the table above."""
 
     QUEUED = auto()
     CONFIRMING = auto()
@@ -47,20 +47,20 @@
 
 
 @dataclass(slots=True)
-class Job:
-    """One order under way, and all who wait for its outcome."""
+class PendingOrder:
+    """An order in progress, with the tickets of all callers that wait for its outcome."""
 
     order: Order
     tickets: list[int]
-    phase: Phase = Phase.QUEUED
-    refusal: OrderOutcome | None = None  # told once confirmed
-    index: int = 0  # of its entry
-    outcome: OrderOutcome | None = None  # of its entry; told once enough disks hold it
+    phase: OrderPhase = OrderPhase.QUEUED
+    refusal: OrderOutcome | None = None  # reported once the read is confirmed
+    index: int = 0  # of its log entry
+    outcome: OrderOutcome | None = None  # of its log entry; reported once that is on enough disks
 
 
 @dataclass(frozen=True, slots=True)
 class CheckRequest:
-    """A document that the driver has to check before its order is proposed."""
+    """A document that the driver has to validate before its order is proposed."""
 
     digest: bytes
     document: Document
@@ -68,144 +68,147 @@
 
 @dataclass(slots=True)
 class OrderQueue:
-    """All orders under way at this process. `least_disks`: how many voters must hold an order that is
-    acknowledged.
+    """All orders in progress at this process.
+
+    `min_disks`: how many voters must have an order on disk before it is acknowledged.
     """
 
-    agreement: Agreement
+    raft: Agreement
     state: ConfigurationState
-    least_disks: int
-    tokens: Iterator[int]
-    jobs: dict[bytes, Job] = field(default_factory=dict)
+    min_disks: int
+    read_tokens: Iterator[int]
+    jobs: dict[bytes, PendingOrder] = field(default_factory=dict)
     outcomes: list[tuple[int, OrderOutcome]] = field(default_factory=list)
     checks: list[CheckRequest] = field(default_factory=list)
-    confirming: dict[int, bytes] = field(default_factory=dict)  # digest by the token of its read
-    tickets: Iterator[int] = field(default_factory=lambda: count(1))
+    digest_by_token: dict[int, bytes] = field(default_factory=dict)  # order digest by read token
+    ticket_numbers: Iterator[int] = field(default_factory=lambda: count(1))
 
     def submit(self, kind: str, base_version: int, body: bytes, received_at: int) -> int:
-        """Take an order in: a ticket, under which `outcomes` will name what became of it."""
-        ticket = next(self.tickets)
+        """Submit an order: returns a ticket, under which `outcomes` will list the result."""
+        ticket = next(self.ticket_numbers)
         order = make_order(kind, base_version, body, received_at)
         if order.digest in self.state.taken:
             self.outcomes.append((ticket, OrderOutcome(OrderStatus.TAKEN)))
-        elif self.agreement.role is not Role.LEADER:
+        elif self.raft.role is not Role.LEADER:
             self.outcomes.append((ticket, NO_ANSWER))
         elif order.digest in self.jobs:
             self.jobs[order.digest].tickets.append(ticket)
-        elif len(self.jobs) >= MAX_ORDERS:
-            self.outcomes.append((ticket, TOO_MANY))
+        elif len(self.jobs) >= MAX_PENDING_ORDERS:
+            self.outcomes.append((ticket, TOO_MANY_ORDERS))
         else:
-            self.jobs[order.digest] = Job(order, [ticket])
+            self.jobs[order.digest] = PendingOrder(order, [ticket])
         return ticket
 
     def advance(self, now: float) -> None:
-        """Bring each order as far as it gets now."""
-        if self.agreement.role is not Role.LEADER:
+        """Advance each order as far as possible."""
+        if self.raft.role is not Role.LEADER:
             self.abandon()
             return
-        for job in list(self.jobs.values()):
-            if job.phase is Phase.PROPOSED:
-                self._acknowledge(job)
-        if not self._settled():
+        for pending in list(self.jobs.values()):
+            if pending.phase is OrderPhase.PROPOSED:
+                self._acknowledge(pending)
+        if not self._caught_up():
             return
-        for job in list(self.jobs.values()):
-            if job.phase is Phase.QUEUED:
-                self._examine(now, job)
+        for pending in list(self.jobs.values()):
+            if pending.phase is OrderPhase.QUEUED:
+                self._start(now, pending)
 
     def abandon(self) -> None:
-        """This process leads no longer: what is under way has no clear answer."""
-        for job in list(self.jobs.values()):
-            self._finish(job, NO_ANSWER)
-        self.confirming.clear()
-
-    def checked(self, now: float, digest: bytes, error: str) -> None:
-        """What the driver found of a document; `error` is empty where it is valid."""
-        job = self.jobs.get(digest)
-        if job is None or job.phase is not Phase.CHECKING:
+        """Leadership is lost: the outcome of all orders in progress is unknown."""
+        for pending in list(self.jobs.values()):
+            self._finish(pending, NO_ANSWER)
+        self.digest_by_token.clear()
+
+    def on_document_checked(self, now: float, digest: bytes, error: str) -> None:
+        """The driver has validated a document; `error` is empty if it is valid."""
+        pending = self.jobs.get(digest)
+        if pending is None or pending.phase is not OrderPhase.CHECKING:
             return
         if error:
-            self._finish(job, OrderOutcome(OrderStatus.INVALID, error))
+            self._finish(pending, OrderOutcome(OrderStatus.INVALID, error))
             return
-        job.index = self.agreement.propose(now, msgpack.encode(job.order))
-        if job.index:
-            job.phase = Phase.PROPOSED
+        pending.index = self.raft.propose(now, msgpack.encode(pending.order))
+        if pending.index:
+            pending.phase = OrderPhase.PROPOSED
         else:
-            self._finish(job, NO_ANSWER)
-
-    def applied(self, index: int, order: Order, outcome: OrderOutcome) -> None:
-        """An order of the log was applied here."""
-        job = self.jobs.get(order.digest)
-        if job is not None and job.phase is Phase.PROPOSED and job.index == index:
-            job.outcome = outcome
-            self._acknowledge(job)
-        elif job is not None and outcome.status == OrderStatus.TAKEN:
-            self._finish(job, outcome)
-
-    def confirmed(self, token: int) -> bool:
-        """A majority has confirmed that this process led when a read was asked; False for others' tokens."""
-        digest = self.confirming.pop(token, None)
+            self._finish(pending, NO_ANSWER)
+
+    def on_order_applied(self, index: int, order: Order, outcome: OrderOutcome) -> None:
+        """An order from the log was applied."""
+        pending = self.jobs.get(order.digest)
+        if pending is not None and pending.phase is OrderPhase.PROPOSED and pending.index == index:
+            pending.outcome = outcome
+            self._acknowledge(pending)
+        elif pending is not None and outcome.status == OrderStatus.TAKEN:
+            self._finish(pending, outcome)
+
+    def on_read_confirmed(self, token: int) -> bool:
+        """A majority has confirmed a read; False if the token belongs to no order."""
+        digest = self.digest_by_token.pop(token, None)
         if digest is None:
             return False
-        job = self.jobs.get(digest)
-        if job is not None and job.phase is Phase.CONFIRMING and job.refusal is not None:
-            self._finish(job, job.refusal)
+        pending = self.jobs.get(digest)
+        if pending is not None and pending.phase is OrderPhase.CONFIRMING and pending.refusal is not None:
+            self._finish(pending, pending.refusal)
         return True
 
-    def again(self, now: float) -> None:
-        """Ask anew for confirmations that did not come."""
-        for token, digest in list(self.confirming.items()):
-            del self.confirming[token]
-            job = self.jobs.get(digest)
-            if job is not None and job.phase is Phase.CONFIRMING:
-                job.phase = Phase.QUEUED
-
-    def _settled(self) -> bool:
-        """All that any leader before may have committed is applied here."""
-        agreement = self.agreement
-        return agreement.term_of(agreement.commit) == agreement.term and agreement.applied == agreement.commit
-
-    def _busy(self) -> bool:
-        return any(job.phase in (Phase.CHECKING, Phase.PROPOSED) for job in self.jobs.values())
+    def retry_confirmations(self, now: float) -> None:
+        """Retry confirmations that were not answered."""
+        for token, digest in list(self.digest_by_token.items()):
+            del self.digest_by_token[token]
+            pending = self.jobs.get(digest)
+            if pending is not None and pending.phase is OrderPhase.CONFIRMING:
+                pending.phase = OrderPhase.QUEUED
+
+    def _caught_up(self) -> bool:
+        """Whether everything that previous leaders may have committed is applied."""
+        raft = self.raft
+        return raft.term_of(raft.commit) == raft.term and raft.applied == raft.commit
+
+    def _order_in_progress(self) -> bool:
+        return any(
+            pending.phase in (OrderPhase.CHECKING, OrderPhase.PROPOSED) for pending in self.jobs.values()
+        )
 
-    def _examine(self, now: float, job: Job) -> None:
-        order = job.order
+    def _start(self, now: float, pending: PendingOrder) -> None:
+        order = pending.order
         if order.digest in self.state.taken:
-            self._finish(job, OrderOutcome(OrderStatus.TAKEN))
+            self._finish(pending, OrderOutcome(OrderStatus.TAKEN))
             return
-        if self._busy():
+        if self._order_in_progress():
             return
         try:
             body = read_body(order)
-            refusal = self.state.refusal(order.kind, order.base_version, body)
+            refusal = self.state.version_refusal(order.kind, order.base_version, body)
             if refusal is not None and refusal.status == OrderStatus.CONFLICT:
-                self._confirm(now, job, refusal)
+                self._confirm_refusal(now, pending, refusal)
                 return
             document = self.state.document_after(order.kind, body)
         except OrderError as error:
             refusal = OrderOutcome(OrderStatus.INVALID, str(error))
-        if refusal is not None:  # it fits no document of this base, so nobody took it
-            self._finish(job, refusal)
+        if refusal is not None:  # invalid for any document of this base, so no leader can have accepted it
+            self._finish(pending, refusal)
             return
-        job.phase = Phase.CHECKING
+        pending.phase = OrderPhase.CHECKING
         self.checks.append(CheckRequest(order.digest, document))
 
-    def _confirm(self, now: float, job: Job, refusal: OrderOutcome) -> None:
-        job.phase, job.refusal = Phase.CONFIRMING, refusal
-        token = next(self.tokens)
-        self.confirming[token] = job.order.digest
-        self.agreement.read(now, token)
+    def _confirm_refusal(self, now: float, pending: PendingOrder, refusal: OrderOutcome) -> None:
+        pending.phase, pending.refusal = OrderPhase.CONFIRMING, refusal
+        token = next(self.read_tokens)
+        self.digest_by_token[token] = pending.order.digest
+        self.raft.read(now, token)
 
-    def _acknowledge(self, job: Job) -> None:
-        if job.outcome is None:
+    def _acknowledge(self, pending: PendingOrder) -> None:
+        if pending.outcome is None:
             return
-        agreement = self.agreement
-        held = sum(
-            (agreement.stored_to if name == agreement.name else agreement.match(name)) >= job.index
-            for name in agreement.voters
+        raft = self.raft
+        persisted_count = sum(
+            (raft.stored_to if name == raft.name else raft.match(name)) >= pending.index
+            for name in raft.voters
         )
-        if held >= min(self.least_disks, len(agreement.voters)):
-            self._finish(job, job.outcome)
+        if persisted_count >= min(self.min_disks, len(raft.voters)):
+            self._finish(pending, pending.outcome)
 
-    def _finish(self, job: Job, outcome: OrderOutcome) -> None:
-        self.jobs.pop(job.order.digest, None)
-        self.outcomes += [(ticket, outcome) for ticket in job.tickets]
+    def _finish(self, pending: PendingOrder, outcome: OrderOutcome) -> None:
+        self.jobs.pop(pending.order.digest, None)
+        self.outcomes += [(ticket, outcome) for ticket in pending.tickets]
--- a/tests/fleet/play_config_histories.py
+++ b/tests/fleet/play_config_histories.py
@@ -1,26 +1,27 @@
-"""Plays random histories of the configuration shard: `python -m tests.fleet.play_config_histories
-FIRST COUNT`.
+"""Runs more random histories of the configuration shard than the tests do.
+
+Usage: `python -m tests.fleet.play_config_histories FIRST COUNT`
 """
 
 import sys
 import traceback
 
-from tests.fleet.config_schedules import Schedule
+from tests.fleet.config_schedules import SimulationRun
 
 
-def main(first: int, histories: int) -> int:
-    """Play them and print the seeds with problems: how many there were."""
-    found = 0
-    for seed in range(first, first + histories):
+def main(first: int, seed_count: int) -> int:
+    """Run the histories, print seeds with problems, and return how many there were."""
+    failing_seeds = 0
+    for seed in range(first, first + seed_count):
         try:
-            problems = Schedule(seed).play()
-        except Exception:  # a seed that ends the simulation is a finding as well
+            problems = SimulationRun(seed).run()
+        except Exception:  # a crash of the simulation counts as a finding
             problems = [traceback.format_exc()]
         if problems:
-            found += 1
+            failing_seeds += 1
             print(seed, *problems[:5], sep="\n  ", flush=True)
-    print(f"{histories} histories from seed {first}: {found} with problems")
-    return found
+    print(f"{seed_count} histories from seed {first}: {failing_seeds} with problems")
+    return failing_seeds
 
 
 if __name__ == "__main__":
--- a/tests/fleet/test_config_planted.py
+++ b/tests/fleet/test_config_planted.py
@@ -1,4 +1,4 @@
-"""The oracle finds faults that are planted in the configuration shard: each class below plants one."""
+"""Mutation tests of the oracle: each class below injects a bug that random histories must reveal."""
 
 import re
 import unittest
@@ -17,59 +17,59 @@
     read_body,
 )
 from barleybarrow.consensus.durable_state import StoredImage
-from barleybarrow.consensus.order_queue import Job, OrderQueue
-from barleybarrow.consensus.paced_agreement import PacedAgreement
+from barleybarrow.consensus.order_queue import OrderQueue, PendingOrder
+from barleybarrow.consensus.paced_agreement import PacedRaftNode
 from brackenusher.storage.slot_store import RECORD, Loaded, SlotStore, record_checksum
-from tests.fleet.config_schedules import Schedule
+from tests.fleet.config_schedules import SimulationRun
 
-# A promise is broken; that nothing is taken any more in a calm stretch does not suffice.
-PROMISE = re.compile(r"taken on top|was known|refused with|is both|no order makes|DurableStateError")
-MOST_HISTORIES = 60  # until a planted fault must have been found
+# Messages about safety violations; a mere loss of liveness does not count as having found the bug.
+SAFETY_VIOLATION = re.compile(
+    r"accepted on top|was known|refused with|is both|no order makes|DurableStateError"
+)
+MAX_HISTORIES = 60  # within which an injected bug has to be found
 
 
-class NodeWithQueue(ConfigNode):
-    """Puts a queue of orders with a fault in the place of the proper one."""
+class NodeWithBuggyQueue(ConfigNode):
+    """Uses an order queue with a bug."""
 
     queue_class: type[OrderQueue] = OrderQueue
 
     def __init__(self, *arguments: Any) -> None:
         super().__init__(*arguments)
-        proper = self.orders
-        self.orders = self.queue_class(proper.agreement, proper.state, proper.least_disks, proper.tokens)
+        correct = self.orders
+        self.orders = self.queue_class(correct.raft, correct.state, correct.min_disks, correct.read_tokens)
 
 
-class HastyQueue(OrderQueue):
-    """Acknowledges what is only proposed."""
+class AcknowledgeProposedQueue(OrderQueue):
+    """Acknowledges orders that are only proposed."""
 
-    def checked(self, now: float, digest: bytes, error: str) -> None:
-        super().checked(now, digest, error)
-        job = self.jobs.get(digest)
-        if job is not None and job.index:
-            self._finish(job, OrderOutcome(OrderStatus.TAKEN))
+    def on_document_checked(self, now: float, digest: bytes, error: str) -> None:
+        super().on_document_checked(now, digest, error)
+        pending = self.jobs.get(digest)
+        if pending is not None and pending.index:
+            self._finish(pending, OrderOutcome(OrderStatus.TAKEN))
 
 
-class HastyNode(NodeWithQueue):
-    queue_class = HastyQueue
+class AcknowledgeProposedNode(NodeWithBuggyQueue):
+    queue_class = AcknowledgeProposedQueue
 
 
-class UnconfirmedQueue(OrderQueue):
-    """Refuses by what a leader believes that may be none any more, and has not applied what came
-    before it.
-    """
+class UnconfirmedRefusalQueue(OrderQueue):
+    """Refuses orders without confirming leadership, and before earlier committed entries are applied."""
 
-    def _confirm(self, now: float, job: Job, refusal: OrderOutcome) -> None:
-        self._finish(job, refusal)
+    def _confirm_refusal(self, now: float, pending: PendingOrder, refusal: OrderOutcome) -> None:
+        self._finish(pending, refusal)
 
-    def _settled(self) -> bool:
+    def _caught_up(self) -> bool:
         return True
 
 
-class UnconfirmedNode(NodeWithQueue):
-    queue_class = UnconfirmedQueue
+class UnconfirmedRefusalNode(NodeWithBuggyQueue):
+    queue_class = UnconfirmedRefusalQueue
 
 
-class NodeWithState(ConfigNode):
-    """Puts a state with a fault in the place of the proper one."""
+class NodeWithBuggyState(ConfigNode):
+    """Uses a configuration state with a bug."""
 
     state_class: type[ConfigurationState] = ConfigurationState
 
@@ -80,20 +80,20 @@
         self.state.restore(image)
 
 
-class ForgetfulState(ConfigurationState):
-    """Forgets which orders were taken when it comes from a snapshot."""
+class AmnesicState(ConfigurationState):
+    """Loses the accepted orders when restored from a snapshot."""
 
     def restore(self, data: bytes) -> None:
         super().restore(data)
         self.taken.clear()
 
 
-class ForgetfulNode(NodeWithState):
-    state_class = ForgetfulState
+class AmnesicNode(NodeWithBuggyState):
+    state_class = AmnesicState
 
 
-class BaselessState(ConfigurationState):
-    """Does not compare the base version when an order is applied."""
+class UncheckedBaseState(ConfigurationState):
+    """Does not check the base version when an order is applied."""
 
     def apply(self, order: Order) -> OrderOutcome:
         try:
@@ -101,28 +101,28 @@
                 return super().apply(order)
         except OrderError:
             return super().apply(order)
-        found = super().apply(Order(order.kind, self.version, order.body, order.digest, order.received_at))
-        return found
+        outcome = super().apply(Order(order.kind, self.version, order.body, order.digest, order.received_at))
+        return outcome
 
 
-class ManyAtOnceQueue(OrderQueue):
-    """Proposes several orders at once, with checks made before the others are applied."""
+class ConcurrentQueue(OrderQueue):
+    """Proposes several orders at once, each validated before the others are applied."""
 
-    def _busy(self) -> bool:
+    def _order_in_progress(self) -> bool:
         return False
 
 
-class BaselessNode(NodeWithState):
-    state_class = BaselessState
+class UncheckedBaseNode(NodeWithBuggyState):
+    state_class = UncheckedBaseState
 
     def __init__(self, *arguments: Any) -> None:
         super().__init__(*arguments)
-        proper = self.orders
-        self.orders = ManyAtOnceQueue(proper.agreement, proper.state, proper.least_disks, proper.tokens)
+        correct = self.orders
+        self.orders = ConcurrentQueue(correct.raft, correct.state, correct.min_disks, correct.read_tokens)
 
 
-class NeverBarredNode(ConfigNode):
-    """Votes by an empty store, as one of the voters it hears of, as if it had never promised anything."""
+class NeverQuarantinedNode(ConfigNode):
+    """Votes with an empty store once it learns that it is a voter, instead of staying in quarantine."""
 
     def __init__(self, *arguments: Any) -> None:
         super().__init__(*arguments)
@@ -133,11 +133,11 @@
         agreement = self.agreement
         if agreement.last == 0 and self.name in voters:
             agreement.voters = list(voters)
-            agreement.settle_role()
+            agreement.update_role()
 
 
 class ImageWithoutLogNode(ConfigNode):
-    """Leaves the entries behind a snapshot out of what is stored."""
+    """Omits the entries after a snapshot from the persisted image."""
 
     def take(self) -> Work | None:
         work = super().take()
@@ -149,7 +149,7 @@
 
 
 class SendsBeforeStoringNode(ConfigNode):
-    """Counts what it stores before the disk has it: the work has nothing to store, and a later one has."""
+    """Sends before storing: entries are not persisted until the next image."""
 
     def take(self) -> Work | None:
         work = super().take()
@@ -159,53 +159,53 @@
 
 
 class UnconfirmedReadsNode(ConfigNode):
-    """Takes what is here for the newest."""
+    """Treats the local state as the newest."""
 
-    def confirm(self, now: float, then: Any) -> int:
-        then()
+    def confirm(self, now: float, callback: Any) -> int:
+        callback()
         return 0
 
 
-class EarlyCommitAgreement(PacedAgreement):
-    """Takes one disk for enough."""
+class EarlyCommitRaft(PacedRaftNode):
+    """Commits what is on a single disk."""
 
     def advance(self, now: float) -> None:
         if self.stored_to > self.commit and self.term_of(self.stored_to) == self.term:
             self.commit = self.stored_to
-            self.beat(now, everybody=True)
+            self.beat(now, to_all=True)
 
 
 class EarlyCommitNode(ConfigNode):
     def __init__(self, *arguments: Any) -> None:
         super().__init__(*arguments)
-        self.agreement.__class__ = EarlyCommitAgreement
+        self.agreement.__class__ = EarlyCommitRaft
 
-    def _form(self, now: float) -> None:
-        super()._form(now)
-        self.agreement.__class__ = EarlyCommitAgreement
+    def _bootstrap(self, now: float) -> None:
+        super()._bootstrap(now)
+        self.agreement.__class__ = EarlyCommitRaft
 
 
-class EarlyCommitOneDisk(EarlyCommitNode):
-    """The same, and acknowledges on one disk."""
+class EarlyAcknowledgeNode(EarlyCommitNode):
+    """Commits and acknowledges what is on a single disk."""
 
     def __init__(self, *arguments: Any) -> None:
         super().__init__(*arguments)
-        self.orders.least_disks = 1
+        self.orders.min_disks = 1
 
 
 class UnsyncedStore(SlotStore):
-    """Does not sync what it appends."""
+    """Does not sync appended records."""
 
     def append(self, records: list[bytes]) -> None:
         files = self.files
-        self.files = NoSync(files)  # type: ignore[assignment]
+        self.files = NoSyncFiles(files)  # type: ignore[assignment]
         try:
             super().append(records)
         finally:
             self.files = files
 
 
-class NoSync:
+class NoSyncFiles:
     """Files whose sync does nothing."""
 
     def __init__(self, files: Any) -> None:
@@ -215,11 +215,11 @@
         return getattr(self.files, name)
 
     def sync(self, path: str) -> None:
-        """Nothing."""
+        """Does nothing."""
 
 
-class TrustingStore(SlotStore):
-    """Takes the end of the log as it finds it, damaged or not."""
+class UnverifiedTailStore(SlotStore):
+    """Accepts the tail of the log without verifying checksums."""
 
     def load(self) -> Loaded:
         loaded = super().load()
@@ -237,49 +237,49 @@
         self.dirty = False
 
 
-class PlantedTest(unittest.TestCase):
-    def find(
+class InjectedBugsTest(unittest.TestCase):
+    def assert_revealed(
         self, node_class: type[ConfigNode] = ConfigNode, store_class: type[SlotStore] = SlotStore
     ) -> None:
-        """Play histories until one shows the fault."""
-        for seed in range(MOST_HISTORIES):
+        """Run histories until one reveals the bug."""
+        for seed in range(MAX_HISTORIES):
             try:
-                problems = Schedule(seed, node_class, store_class).play()
-            except Exception as error:  # a store that can't be read is found as well
+                problems = SimulationRun(seed, node_class, store_class).run()
+            except Exception as error:  # an unreadable store counts as found
                 problems = [repr(error)]
-            if any(PROMISE.search(problem) for problem in problems):
+            if any(SAFETY_VIOLATION.search(problem) for problem in problems):
                 return
-        self.fail(f"{MOST_HISTORIES} histories show nothing of the fault")
+        self.fail(f"the bug was not revealed by {MAX_HISTORIES} histories")
 
-    def test_acknowledged_when_proposed(self) -> None:
-        self.find(HastyNode)
+    def test_orders_acknowledged_when_proposed(self) -> None:
+        self.assert_revealed(AcknowledgeProposedNode)
 
-    def test_refused_without_confirmation(self) -> None:
-        self.find(UnconfirmedNode)
+    def test_orders_refused_without_confirmed_leadership(self) -> None:
+        self.assert_revealed(UnconfirmedRefusalNode)
 
-    def test_orders_forgotten_with_a_snapshot(self) -> None:
-        self.find(ForgetfulNode)
+    def test_accepted_orders_lost_with_a_snapshot(self) -> None:
+        self.assert_revealed(AmnesicNode)
 
-    def test_base_not_compared_when_applied(self) -> None:
-        self.find(BaselessNode)
+    def test_base_version_not_checked_when_applied(self) -> None:
+        self.assert_revealed(UncheckedBaseNode)
 
-    def test_votes_by_an_empty_store(self) -> None:
-        self.find(NeverBarredNode)
+    def test_votes_with_an_empty_store(self) -> None:
+        self.assert_revealed(NeverQuarantinedNode)
 
-    def test_log_lost_with_a_snapshot(self) -> None:
-        self.find(ImageWithoutLogNode)
+    def test_log_not_persisted_with_a_snapshot(self) -> None:
+        self.assert_revealed(ImageWithoutLogNode)
 
-    def test_nothing_stored_between_snapshots(self) -> None:
-        self.find(SendsBeforeStoringNode)
+    def test_log_not_persisted_between_snapshots(self) -> None:
+        self.assert_revealed(SendsBeforeStoringNode)
 
     def test_reads_without_confirmation(self) -> None:
-        self.find(UnconfirmedReadsNode)
+        self.assert_revealed(UnconfirmedReadsNode)
 
-    def test_committed_by_one_disk(self) -> None:
-        self.find(EarlyCommitOneDisk)
+    def test_commit_on_a_single_disk(self) -> None:
+        self.assert_revealed(EarlyAcknowledgeNode)
 
     def test_append_without_sync(self) -> None:
-        self.find(store_class=UnsyncedStore)
+        self.assert_revealed(store_class=UnsyncedStore)
 
-    def test_damaged_tail_taken(self) -> None:
-        self.find(store_class=TrustingStore)
+    def test_corrupt_log_tail_accepted(self) -> None:
+        self.assert_revealed(store_class=UnverifiedTailStore)
