--- a/barleybarrow/replication/change_log.py
+++ b/barleybarrow/replication/change_log.py
@@ -21,7 +21,7 @@
             self._last_offsets.pop(instance_id, None)
             self._last_offsets[instance_id] = self.offset
 
-    def restart(self, ids: Iterable[str]) -> None:
+    def start_epoch(self, ids: Iterable[str]) -> None:
         """Start a new epoch with these ids after others were removed; its readers need a snapshot first."""
         self.epoch += 1
         self.offset = 0
--- a/barleybarrow/replication/configuration_delta.py
+++ b/barleybarrow/replication/configuration_delta.py
@@ -71,7 +71,7 @@
     )
 
 
-def size(delta: ConfigurationDelta) -> int:
+def item_count(delta: ConfigurationDelta) -> int:
     """Number of items that a delta upserts or removes."""
     carried = len(delta.routes) + len(delta.services) + len(delta.tenants)
     removed = len(delta.removed_routes) + len(delta.removed_services) + len(delta.removed_tenants)
--- a/barleybarrow/replication/configuration_fetch.py
+++ b/barleybarrow/replication/configuration_fetch.py
@@ -18,7 +18,7 @@
     confirmed_version: int = -1  # newest confirmed by a majority since the subscription; -1: none
 
 
-class ConfigurationFetch:
+class ConfigurationFetcher:
     """Offers of all sources, and the single fetch in progress."""
 
     def __init__(self) -> None:
@@ -29,7 +29,7 @@
         self._timeout_ms = INITIAL_TIMEOUT_MS
         self._offers: dict[str, Offer] = {}
 
-    def offered(self, source: str, version: int, confirmed: bool) -> None:
+    def on_offer(self, source: str, version: int, confirmed: bool) -> None:
         """Handle an offer of a version by a source."""
         offer = self._offers.setdefault(source, Offer())
         offer.version = max(offer.version, version)
@@ -37,19 +37,19 @@
             offer.confirmed_version = max(offer.confirmed_version, version)
         self._update_confirmed()
 
-    def lost(self, source: str) -> None:
+    def on_disconnected(self, source: str) -> None:
         """Forget the offers of a source whose connection was lost."""
         self._offers.pop(source, None)
         if self.pending_source == source:
             self.pending_source = ""
 
-    def taken(self, version: int) -> None:
+    def on_applied(self, version: int) -> None:
         """Handle that a version has come into force in this process."""
         self.version = max(self.version, version)
         self.pending_source, self._timeout_ms = "", INITIAL_TIMEOUT_MS
         self._update_confirmed()
 
-    def ask(self, now: float) -> str | None:
+    def next_source(self, now: float) -> str | None:
         """Return the source to ask now, if any; a source that timed out is followed by the next in order."""
         candidates = sorted(source for source, offer in self._offers.items() if offer.version > self.version)
         if not candidates:
--- a/barleybarrow/replication/feed_view.py
+++ b/barleybarrow/replication/feed_view.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field, replace
 
 from barleybarrow.replication.records import FINALITY, InstanceRecord, InstanceState
-from barleybarrow.replication.rendezvous import SHARDS, shard_of
+from barleybarrow.replication.rendezvous import SHARD_COUNT, shard_of
 
 FINAL_RETENTION_MS = 900_000.0  # same as in the registry
 SILENT_RETENTION_MS = 600_000.0
@@ -38,7 +38,7 @@
     @property
     def is_authoritative(self) -> bool:
         """Whether it is connected and its list complete, so that a missing server means something."""
-        return self.connected and self.settled and len(self.shards) == SHARDS
+        return self.connected and self.settled and len(self.shards) == SHARD_COUNT
 
 
 @dataclass(slots=True)
@@ -67,20 +67,20 @@
         """Whether some connected source has sent a complete, settled list."""
         return any(source.is_authoritative for source in self.sources.values())
 
-    def connected(self, name: str, now: float) -> None:
+    def on_connected(self, name: str, now: float) -> None:
         """Handle a new connection to a source; its old list stays until it sends an update."""
         source = self.sources.setdefault(name, SourceView())
         source.connected, source.settled = True, False
         self._update_all_silence(now)
 
-    def disconnected(self, name: str, now: float) -> None:
+    def on_disconnected(self, name: str, now: float) -> None:
         """Handle a lost connection to a source; its list is kept, to resume from after a reconnect."""
         source = self.sources.get(name)
         if source is not None:
             source.connected = False
             self._update_all_silence(now)
 
-    def drop(self, name: str, now: float) -> None:
+    def remove_source(self, name: str, now: float) -> None:
         """Remove a source and its list."""
         if self.sources.pop(name, None) is not None:
             self._update_all_silence(now)
@@ -91,7 +91,7 @@
         view = None if source is None else source.shards.get(shard)
         return None if view is None else (view.epoch, view.offset)
 
-    def take(
+    def apply_update(
         self,
         name: str,
         shard: int,
@@ -123,7 +123,7 @@
             self._update_all_silence(now)
         return True
 
-    def offered(self, service: str, now: float) -> list[InstanceRecord]:
+    def offered_records(self, service: str, now: float) -> list[InstanceRecord]:
         """Usable servers of a service, then draining ones, each sorted by id."""
         ids = sorted(self._by_service.get(service, ()))
         not_gone = [instance for instance in map(self.instances.__getitem__, ids) if instance.finality < 2]
@@ -135,7 +135,7 @@
             self._to_record(instance, InstanceState.DRAINING, now) for instance in draining
         ]
 
-    def forget(self, now: float) -> None:
+    def expire(self, now: float) -> None:
         """Remove servers past their retention period that no source lists any more."""
         for instance_id, instance in list(self.instances.items()):
             age = now - instance.changed_at
--- a/barleybarrow/replication/registry.py
+++ b/barleybarrow/replication/registry.py
@@ -17,7 +17,7 @@
 from dataclasses import dataclass, replace
 
 from barleybarrow.replication.records import FINALITY, InstanceRecord, InstanceState, Renewal
-from barleybarrow.replication.rendezvous import SHARDS, shard_of
+from barleybarrow.replication.rendezvous import SHARD_COUNT, shard_of
 
 FINAL_RETENTION_MS = 900_000.0  # no heartbeat is delayed in transit by 15 minutes
 SILENT_RETENTION_MS = 600_000.0  # a server that returns later is treated as new
@@ -29,13 +29,13 @@
 
 
 @dataclass(slots=True)
-class Entry:
+class RegistryEntry:
     """Merged state of one incarnation."""
 
     details: InstanceRecord
     details_precedence: tuple[bool, int]  # (sent by the server itself, sequence)
     finality: int
-    heard: int
+    last_sequence: int
     silent_sequence: int
     last_heartbeat_at: float  # local time at which the newest heartbeat became known
     changed_at: float
@@ -47,12 +47,12 @@
             return InstanceState.GONE
         if self.finality == DRAINING_FINALITY:
             return InstanceState.DRAINING
-        return InstanceState.SILENT if self.silent_sequence >= self.heard else InstanceState.READY
+        return InstanceState.SILENT if self.silent_sequence >= self.last_sequence else InstanceState.READY
 
     def record(self, now: float) -> InstanceRecord:
         """The entry as one record, with the sequence of its details, or of the last heartbeat if silent."""
         state = self.state
-        sequence = self.heard if state is InstanceState.SILENT else self.details_precedence[1]
+        sequence = self.last_sequence if state is InstanceState.SILENT else self.details_precedence[1]
         cold_remaining_ms = max(0, int(self.cold_until - now))
         return replace(self.details, state=state, sequence=sequence, cold_remaining_ms=cold_remaining_ms)
 
@@ -64,14 +64,14 @@
         return [replace(record, state=InstanceState.READY, sequence=self.details_precedence[1]), record]
 
 
-def _entry_from(record: InstanceRecord, now: float) -> Entry:
+def _entry_from(record: InstanceRecord, now: float) -> RegistryEntry:
     """Convert a single record to an entry, to be merged."""
     silent = record.state is InstanceState.SILENT
-    return Entry(
+    return RegistryEntry(
         details=record,
         details_precedence=(not silent and bool(record.service), record.sequence),
         finality=FINALITY[record.state],
-        heard=record.sequence,
+        last_sequence=record.sequence,
         silent_sequence=record.sequence if silent else NO_SEQUENCE,
         last_heartbeat_at=now,
         changed_at=now,
@@ -83,7 +83,7 @@
     """All entries known to one process, by instance id."""
 
     def __init__(self) -> None:
-        self.entries: dict[str, Entry] = {}
+        self.entries: dict[str, RegistryEntry] = {}
 
     def merge(self, record: InstanceRecord, now: float) -> bool:
         """Merge a record; whether anything beyond a renewal changed, which peers have to be sent."""
@@ -96,7 +96,7 @@
         changed = self._merge_details(entry, incoming)
         entry.finality = max(entry.finality, incoming.finality)
         entry.silent_sequence = max(entry.silent_sequence, incoming.silent_sequence)
-        self._record_heartbeat(entry, incoming.heard, now)
+        self._record_heartbeat(entry, incoming.last_sequence, now)
         changed = changed or entry.state is not before
         if changed:
             entry.changed_at = now
@@ -114,17 +114,19 @@
         entry.changed_at = now
         return True
 
-    def gone(self, instance_id: str) -> InstanceRecord:
+    def gone_record(self, instance_id: str) -> InstanceRecord:
         """Build the record that marks an incarnation as gone; the caller merges it."""
         entry = self.entries.get(instance_id)
         if entry is None:
             return InstanceRecord(instance_id, state=InstanceState.GONE)
-        return replace(entry.details, state=InstanceState.GONE, sequence=entry.heard, cold_remaining_ms=0)
+        return replace(
+            entry.details, state=InstanceState.GONE, sequence=entry.last_sequence, cold_remaining_ms=0
+        )
 
-    def silence(self, instance_id: str, now: float) -> InstanceRecord:
+    def mark_silent(self, instance_id: str, now: float) -> InstanceRecord:
         """Mark a ready server as silent since its newest known heartbeat; return the record for peers."""
         entry = self.entries[instance_id]
-        entry.silent_sequence = entry.heard
+        entry.silent_sequence = entry.last_sequence
         entry.changed_at = now
         return entry.record(now)
 
@@ -138,7 +140,7 @@
             and shard_of(entry.details.service) in shards
         ]
 
-    def at_address(self, address: str) -> list[str]:
+    def ready_at_address(self, address: str) -> list[str]:
         """Ids of ready servers with this address."""
         return [
             instance_id
@@ -146,7 +148,7 @@
             if entry.details.address == address and entry.state is InstanceState.READY
         ]
 
-    def forget(self, now: float) -> set[int]:
+    def expire(self, now: float) -> set[int]:
         """Remove entries past their retention and any excess; return the shards that lost entries."""
         expired = [i for i, entry in self.entries.items() if self._is_expired(entry, now)]
         excess = len(self.entries) - len(expired) - MAX_ENTRIES
@@ -154,18 +156,18 @@
             expired += self._oldest_inactive(set(expired), excess)
         return {shard_of(self.entries.pop(i).details.service) for i in expired}
 
-    def ids(self, shard: int) -> list[str]:
+    def ids_in_shard(self, shard: int) -> list[str]:
         """Ids of the entries of a shard."""
         return [i for i, entry in self.entries.items() if shard_of(entry.details.service) == shard]
 
-    def by_shard(self, now: float) -> list[list[InstanceRecord]]:
+    def records_by_shard(self, now: float) -> list[list[InstanceRecord]]:
         """Records of all entries, one list per shard."""
-        shards: list[list[InstanceRecord]] = [[] for _ in range(SHARDS)]
+        shards: list[list[InstanceRecord]] = [[] for _ in range(SHARD_COUNT)]
         for entry in self.entries.values():
             shards[shard_of(entry.details.service)] += entry.all_records(now)
         return shards
 
-    def _merge_details(self, entry: Entry, incoming: Entry) -> bool:
+    def _merge_details(self, entry: RegistryEntry, incoming: RegistryEntry) -> bool:
         if incoming.details_precedence <= entry.details_precedence or not incoming.details.service:
             return False
         changed = not incoming.details.same_details(entry.details)
@@ -173,11 +175,11 @@
         entry.cold_until = incoming.cold_until
         return changed
 
-    def _record_heartbeat(self, entry: Entry, sequence: int, now: float) -> None:
-        if sequence > entry.heard:
-            entry.heard, entry.last_heartbeat_at = sequence, now
+    def _record_heartbeat(self, entry: RegistryEntry, sequence: int, now: float) -> None:
+        if sequence > entry.last_sequence:
+            entry.last_sequence, entry.last_heartbeat_at = sequence, now
 
-    def _is_expired(self, entry: Entry, now: float) -> bool:
+    def _is_expired(self, entry: RegistryEntry, now: float) -> bool:
         age = now - entry.changed_at
         if entry.finality == GONE_FINALITY:
             return age > FINAL_RETENTION_MS
--- a/barleybarrow/replication/rendezvous.py
+++ b/barleybarrow/replication/rendezvous.py
@@ -9,7 +9,7 @@
 from hashlib import blake2b
 
 SERVICE_CACHE_SIZE = 4096  # well above the number of services in a configuration
-SHARDS = 16  # of the registry; enough to spread ownership over seven voters
+SHARD_COUNT = 16  # of the registry; enough to spread ownership over seven voters
 
 
 def digest(text: str) -> int:
@@ -20,7 +20,7 @@
 @lru_cache(maxsize=SERVICE_CACHE_SIZE)
 def shard_of(service: str) -> int:
     """Shard of the registry that holds a service."""
-    return digest(service) % SHARDS
+    return digest(service) % SHARD_COUNT
 
 
 def ranked(key: str, names: Iterable[str]) -> list[str]:
--- a/barleybarrow/replication/revocation_lease.py
+++ b/barleybarrow/replication/revocation_lease.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 from math import inf
 
-DRIFT = 1.05  # upper bound of the rate difference of two monotonic clocks
+MAX_CLOCK_DRIFT_RATIO = 1.05  # upper bound of the rate difference of two monotonic clocks
 RENEWALS_PER_LEASE = 5  # some may be lost without a request being rejected
 MIN_RENEWAL_INTERVAL_MS, MAX_RENEWAL_INTERVAL_MS = 50.0, 1000.0
 
@@ -23,50 +23,50 @@
     """Every version acknowledged before a point in time is at most `version`."""
 
     version: int
-    at: float  # on the holder's monotonic clock; -inf: no confirmation yet
+    as_of: float  # on the holder's monotonic clock; -inf: no confirmation yet
 
     def age(self, now: float) -> float:
-        return now - self.at
+        return now - self.as_of
 
 
-UNKNOWN = Confirmation(0, -inf)
+NO_CONFIRMATION = Confirmation(0, -inf)
 
 
 class RevocationLease:
     """The lease of one process; `revoke_ms` is the setting `RevokeMs`."""
 
     def __init__(self, revoke_ms: float) -> None:
-        self.span_ms = revoke_ms / DRIFT
-        self.renewal_ms = min(
-            MAX_RENEWAL_INTERVAL_MS, max(MIN_RENEWAL_INTERVAL_MS, self.span_ms / RENEWALS_PER_LEASE)
+        self.duration_ms = revoke_ms / MAX_CLOCK_DRIFT_RATIO
+        self.renewal_interval_ms = min(
+            MAX_RENEWAL_INTERVAL_MS, max(MIN_RENEWAL_INTERVAL_MS, self.duration_ms / RENEWALS_PER_LEASE)
         )
-        self.held = UNKNOWN  # newest one whose version is in force here
+        self.current = NO_CONFIRMATION  # newest one whose version is in force here
         self._applied_version = 0
-        self._pending = UNKNOWN  # newest one whose version is not in force here yet
+        self._pending = NO_CONFIRMATION  # newest one whose version is not in force here yet
 
-    def took(self, version: int) -> None:
+    def on_applied(self, version: int) -> None:
         """Handle that a version has come into force in this process."""
         self._applied_version = max(self._applied_version, version)
         if self._pending.version <= self._applied_version:
             self._keep_newest(self._pending)
-            self._pending = UNKNOWN
+            self._pending = NO_CONFIRMATION
 
-    def confirmed(self, version: int, asked_at: float, age_ms: float) -> None:
+    def on_confirmation(self, version: int, requested_at: float, age_ms: float) -> None:
         """Handle the answer to a request sent at that local time: a confirmation and its age."""
-        confirmation = Confirmation(version, asked_at - max(0.0, age_ms))
+        confirmation = Confirmation(version, requested_at - max(0.0, age_ms))
         if version <= self._applied_version:
             self._keep_newest(confirmation)
-        elif confirmation.at > self._pending.at:
+        elif confirmation.as_of > self._pending.as_of:
             self._pending = confirmation
 
-    def holds(self, now: float) -> bool:
+    def is_valid(self, now: float) -> bool:
         """Whether a request received by now may use its API key."""
-        return self.held.age(now) <= self.span_ms
+        return self.current.age(now) <= self.duration_ms
 
-    def to_tell(self, now: float) -> Confirmation | None:
+    def shareable_confirmation(self, now: float) -> Confirmation | None:
         """The confirmation to pass on to peers; None if it has expired."""
-        return self.held if self.holds(now) else None
+        return self.current if self.is_valid(now) else None
 
     def _keep_newest(self, confirmation: Confirmation) -> None:
-        if confirmation.at > self.held.at:
-            self.held = confirmation
+        if confirmation.as_of > self.current.as_of:
+            self.current = confirmation
--- a/barleybarrow/replication/silence.py
+++ b/barleybarrow/replication/silence.py
@@ -7,7 +7,7 @@
 from collections.abc import Container
 from dataclasses import dataclass
 
-from barleybarrow.replication.rendezvous import SHARDS
+from barleybarrow.replication.rendezvous import SHARD_COUNT
 
 MISSED_HEARTBEATS = 3
 HEARTBEAT_SLACK_MS = 700.0  # a heartbeat may take a second to arrive, and its renewal is batched
@@ -19,22 +19,22 @@
     """Selects the servers to mark as silent: those of these shards without a heartbeat since a time."""
 
     shards: Container[int]
-    heard_before: float
+    last_heartbeat_before: float
 
 
-class SilenceWatch:
+class SilenceDetector:
     """Tracks since when one process could have received the heartbeats of the shards that it owns."""
 
     def __init__(self, heartbeat_ms: float, now: float) -> None:
         self.owned: set[int] = set()
         self._timeout_ms = MISSED_HEARTBEATS * heartbeat_ms + HEARTBEAT_SLACK_MS
-        self._owned_since = [now] * SHARDS
+        self._owned_since = [now] * SHARD_COUNT
         self._ticked_at = now
 
-    def ticked(self, now: float) -> None:
+    def tick(self, now: float) -> None:
         """Detect stalls of this process; called several times a second."""
         if now - self._ticked_at > STALL_THRESHOLD_MS:
-            self._owned_since = [now] * SHARDS
+            self._owned_since = [now] * SHARD_COUNT
         self._ticked_at = now
 
     def overdue(self, owned: set[int], now: float) -> OverdueCriteria:
--- a/barleybarrow/view_agreement.py
+++ b/barleybarrow/view_agreement.py
@@ -16,7 +16,7 @@
 from barleybarrow.view_links import ACTIVE_INTERVAL_PERIODS
 from barleybarrow.view_messages import (
     Accept,
-    Body,
+    AgreementMessage,
     Decided,
     EpochEnded,
     Prepare,
@@ -26,7 +26,7 @@
 )
 from barleybarrow.view_rounds import ROUND_TIMEOUT_PERIODS, ProposerState, Stage, ViewRounds
 from barleybarrow.view_updates import MAX_PAYLOAD_BYTES, REMOVAL_RETENTION_PERIODS
-from barleybarrow.views import Address, GroupMember, Peer, Stamp, View
+from barleybarrow.views import Address, GroupMember, Peer, View, ViewStamp
 
 # Times are in protocol periods.
 IDLE_INTERVAL_PERIODS = 1.0  # between two checks while there is nothing to do
@@ -54,9 +54,9 @@
         self.acts_as_seed = not seeds or address in seeds
         self.founding_voters = {*seeds} if self.acts_as_seed and seeds else {*seeds, address}
 
-    def slept(self, now: float) -> None:
+    def on_stall(self, now: float) -> None:
         """Handle a stall of this process: it counts as disconnected until a majority has answered."""
-        self.self_check_since, self.cut_off = now, True
+        self.self_check_since, self.disconnected = now, True
         self.proposer = ProposerState()
         self.promises.clear()
         for link in self.links.values():
@@ -64,11 +64,11 @@
         self.check_soon(now)
 
     def tick(self, now: float) -> None:
-        if now < self.next_look:
+        if now < self.next_check:
             return
-        self.pings.clear()
+        self.pending_pings.clear()
         busy = self.run_checks(now)
-        self.next_look = now + (ACTIVE_INTERVAL_PERIODS if busy else IDLE_INTERVAL_PERIODS) * self.period
+        self.next_check = now + (ACTIVE_INTERVAL_PERIODS if busy else IDLE_INTERVAL_PERIODS) * self.period
 
     def run_checks(self, now: float) -> bool:
         """Run the checks that are due; returns whether the next ones are due soon."""
@@ -77,14 +77,14 @@
             return True
         if self.is_unrecoverable(now):
             self.counts["dissolved"] += 1
-            self.reborn(now, may_found=True)
+            self.start_new_epoch(now, may_found=True)
             return True
         busy = self.check_self(now)
         busy |= self.ping_due_links(now)
         busy |= self.propose(now)
         return busy
 
-    def receive(self, now: float, source: Peer, stamp: Stamp, body: Body) -> None:
+    def receive(self, now: float, source: Peer, stamp: ViewStamp, body: AgreementMessage) -> None:
         """Handle a message from a verified peer, with the stamp that it carried."""
         self.check_soon(now)
         if isinstance(body, Decided):
@@ -94,13 +94,13 @@
         elif isinstance(body, ViewRequest):
             self.send_updates(now, source, stamp)
         elif isinstance(body, EpochEnded):
-            if self.view is None and body.epoch >= self.life:
-                self.life = body.epoch  # higher than the own one if the local clock went back
-                self.reborn(now)
+            if self.view is None and body.epoch >= self.epoch:
+                self.epoch = body.epoch  # higher than the own one if the local clock went back
+                self.start_new_epoch(now)
         elif stamp.group == 0 and isinstance(body, Prepare | Promise):
             self.on_founding_message(now, source, body)
         elif self.view is not None and (stamp.group, stamp.number) == (self.view.group, self.view.number):
-            if not self.view.has(source.name, source.epoch):
+            if not self.view.has_epoch(source.name, source.epoch):
                 self.counts["stranger"] += 1
             elif isinstance(body, Prepare | Accept):
                 self.on_proposer_message(now, source, body)
@@ -170,7 +170,7 @@
     def found_if_elected(self, now: float) -> None:
         if len(self.promises) * 2 <= len(self.founding_voters):
             return
-        members, room = [GroupMember(self.name, self.life, *self.address)], MAX_PAYLOAD_BYTES
+        members, room = [GroupMember(self.name, self.epoch, *self.address)], MAX_PAYLOAD_BYTES
         for member in self.joiners(now):
             room -= len(member.name) + len(member.host) + 16
             if room >= 0:
--- a/barleybarrow/view_links.py
+++ b/barleybarrow/view_links.py
@@ -6,8 +6,8 @@
 from math import ceil, inf
 from random import Random
 
-from barleybarrow.view_messages import Body
-from barleybarrow.views import ALIVE, SUSPECT, Address, Peer, Stamp, View, missed_pings_limit
+from barleybarrow.view_messages import AgreementMessage
+from barleybarrow.views import ALIVE, SUSPECT, Address, Peer, View, ViewStamp, missed_pings_limit
 
 # Times are in protocol periods.
 ACTIVE_INTERVAL_PERIODS = 0.3  # between two checks while there is something to do
@@ -57,16 +57,16 @@
         rng: Random,
         now: float,
     ) -> None:
-        self.name, self.life, self.address, self.peers = name, epoch, address, peers
+        self.name, self.epoch, self.address, self.peers = name, epoch, address, peers
         self.period, self.rng = period, rng
         self.view: View | None = None
-        self.cut_off = True
+        self.disconnected = True
         self.links: dict[str, Link] = {}
-        self.out: list[tuple[Address, Body]] = []
-        self.pings: list[str] = []
+        self.outbox: list[tuple[Address, AgreementMessage]] = []
+        self.pending_pings: list[str] = []
         self.counts: Counter[str] = Counter()
         self.requested_probes: dict[str, float] = {}  # joiners that others asked to probe, and until when
-        self.next_look = now
+        self.next_check = now
         self.round_seen_at = -inf
         self.probe_failures, self.self_check_since = 0, now  # bit mask; inf: no self-check in progress
 
@@ -74,11 +74,11 @@
     def number(self) -> int:
         return self.view.number if self.view is not None else 0
 
-    def stamp(self) -> Stamp:
+    def stamp(self) -> ViewStamp:
         view = self.view
         if view is None:
-            return Stamp()
-        return Stamp(view.group, view.number, len(view.members), self.cut_off)
+            return ViewStamp()
+        return ViewStamp(view.group, view.number, len(view.members), self.disconnected)
 
     def reaches(self, name: str) -> bool:
         """Whether a member is reachable in both directions and not suspected, as far as known locally."""
@@ -86,9 +86,9 @@
             return True
         peer = self.peers.get(name)
         is_member = self.view is not None and name in self.view.by_name
-        return is_member and peer is not None and peer.state == ALIVE and not self.down(name)
+        return is_member and peer is not None and peer.state == ALIVE and not self.is_down(name)
 
-    def down(self, name: str) -> bool:
+    def is_down(self, name: str) -> bool:
         link = self.links.get(name)
         size = len(self.view.members) if self.view is not None else 0
         return link is not None and link.missed_pings >= missed_pings_limit(size)
@@ -96,7 +96,9 @@
     def one_way(self, now: float) -> list[str]:
         """Members whose datagrams arrive but that do not answer pings."""
         since = now - CONTACT_WINDOW_PERIODS * self.period
-        return sorted(name for name, link in self.links.items() if self.down(name) and link.heard_at > since)
+        return sorted(
+            name for name, link in self.links.items() if self.is_down(name) and link.heard_at > since
+        )
 
     def link(self, name: str) -> Link:
         link = self.links.get(name)
@@ -104,16 +106,16 @@
             link = self.links[name] = Link()
         return link
 
-    def heard(self, now: float, name: str) -> None:
+    def on_heard(self, now: float, name: str) -> None:
         self.link(name).heard_at = now
 
-    def answered(self, now: float, name: str) -> None:
+    def on_answer(self, now: float, name: str) -> None:
         """Handle an answer to a ping, sent by its target from the target's address."""
         link = self.link(name)
         link.answering_since = min(link.answering_since, now)
         link.missed_pings, link.answered_at, link.heard_at = 0, now, now
 
-    def missed(self, now: float, name: str) -> None:
+    def on_missed_ping(self, now: float, name: str) -> None:
         """Handle a ping that was not answered."""
         link = self.link(name)
         link.missed_pings += 1
@@ -121,7 +123,7 @@
             link.answering_since = inf
         self.check_soon(now)
 
-    def probed(self, now: float, answered: bool) -> None:
+    def on_probe_result(self, now: float, answered: bool) -> None:
         """Record whether a randomly chosen member has answered a probe, directly or indirectly."""
         self.probe_failures = (self.probe_failures << 1 | (not answered)) & (1 << PROBE_HISTORY_LENGTH) - 1
         if self.probe_failures.bit_count() >= SELF_CHECK_FAILURES and self.self_check_since == inf:
@@ -129,7 +131,7 @@
             self.check_soon(now)
 
     def check_soon(self, now: float) -> None:
-        self.next_look = min(self.next_look, now + ACTIVE_INTERVAL_PERIODS * self.period)
+        self.next_check = min(self.next_check, now + ACTIVE_INTERVAL_PERIODS * self.period)
 
     def check_self(self, now: float) -> bool:
         """While this process doubts its own links, ping members until a majority has answered."""
@@ -144,10 +146,10 @@
             if member.name != self.name and self.link(member.name).answered_at < since
         ]
         if len(view.members) - len(silent) >= view.majority:
-            self.self_check_since, self.cut_off, self.probe_failures = inf, False, 0
+            self.self_check_since, self.disconnected, self.probe_failures = inf, False, 0
             return False
         if now - self.self_check_since >= (SELF_CHECK_TIMEOUT_PERIODS + extra_periods) * self.period:
-            self.cut_off = True
+            self.disconnected = True
         max_pings = MAX_PINGS_PER_CHECK
         # After a long disconnect, send just enough pings to detect its end within the contact window.
         if now - self.self_check_since > LONG_DISCONNECT_PERIODS * self.period:
@@ -161,9 +163,9 @@
 
     def queue_pings(self, now: float, names: Collection[str]) -> None:
         for name in names:
-            if len(self.pings) < MAX_PINGS_PER_CHECK and name not in self.pings:
+            if len(self.pending_pings) < MAX_PINGS_PER_CHECK and name not in self.pending_pings:
                 self.link(name).pinged_at = now
-                self.pings.append(name)
+                self.pending_pings.append(name)
 
     def ping_due_links(self, now: float) -> bool:
         """Ping suspected members that this process observes, members that missed pings, and joiners."""
@@ -191,7 +193,7 @@
         if self.rank() < JOINER_PINGERS:  # a likely proposer has to know about joiners
             for peer in self.peers.values():
                 unknown_epoch = (
-                    peer.state == ALIVE and not peer.proved and not view.has(peer.name, peer.epoch)
+                    peer.state == ALIVE and not peer.verified and not view.has_epoch(peer.name, peer.epoch)
                 )
                 if unknown_epoch and now - self.link(peer.name).pinged_at >= self.period:
                     due.append(peer.name)
@@ -209,7 +211,7 @@
         """Members that do not answer, doubtful members, and joiners that answer reliably."""
         view = self.view
         assert view is not None
-        down = [name for name in self.links if name in view.by_name and self.down(name)]
+        down = [name for name in self.links if name in view.by_name and self.is_down(name)]
         # With datagram loss, one or two missed pings mean nothing.
         last_miss = missed_pings_limit(len(view.members)) - 1
         doubtful = [
@@ -241,8 +243,8 @@
             before += self.reaches(member.name)
         return before
 
-    def enqueue(self, address: Address, body: Body) -> None:
-        if len(self.out) < MAX_OUTBOX:
-            self.out.append((address, body))
+    def enqueue(self, address: Address, body: AgreementMessage) -> None:
+        if len(self.outbox) < MAX_OUTBOX:
+            self.outbox.append((address, body))
         else:
             self.counts["out"] += 1
--- a/barleybarrow/view_messages.py
+++ b/barleybarrow/view_messages.py
@@ -4,11 +4,11 @@
 
 from msgspec import Meta, Struct
 
-from barleybarrow.views import MOST_MEMBERS, GroupMember, Name, NonNegativeInt, ViewChange
+from barleybarrow.views import MAX_MEMBERS, GroupMember, Name, NonNegativeInt, ViewChange
 
 MAX_REPORTED_MEMBERS = 64  # in one report; what fits into a datagram
 
-MemberIndex = Annotated[int, Meta(ge=0, lt=MOST_MEMBERS)]
+MemberIndex = Annotated[int, Meta(ge=0, lt=MAX_MEMBERS)]
 
 
 class Prepare(Struct, array_like=True, frozen=True, tag=1):
@@ -53,7 +53,7 @@
     group: NonNegativeInt
     number: NonNegativeInt
     size: NonNegativeInt
-    members: Annotated[list[GroupMember], Meta(max_length=MOST_MEMBERS)]
+    members: Annotated[list[GroupMember], Meta(max_length=MAX_MEMBERS)]
     removed: Annotated[list[tuple[Name, NonNegativeInt]], Meta(max_length=64)] = []  # recent: (name, epoch)
 
 
@@ -71,4 +71,4 @@
     epoch: NonNegativeInt
 
 
-Body = Prepare | Promise | Accept | Accepted | Decided | ViewPage | ViewRequest | EpochEnded
+AgreementMessage = Prepare | Promise | Accept | Accepted | Decided | ViewPage | ViewRequest | EpochEnded
--- a/barleybarrow/view_rounds.py
+++ b/barleybarrow/view_rounds.py
@@ -16,13 +16,21 @@
     REPORT_VALIDITY_PERIODS,
     UNSTABLE_MISSED_PINGS,
 )
-from barleybarrow.view_messages import MAX_REPORTED_MEMBERS, Accept, Accepted, Body, Decided, Prepare, Promise
+from barleybarrow.view_messages import (
+    MAX_REPORTED_MEMBERS,
+    Accept,
+    Accepted,
+    AgreementMessage,
+    Decided,
+    Prepare,
+    Promise,
+)
 from barleybarrow.view_updates import MAX_PAYLOAD_BYTES, ViewUpdates
 from barleybarrow.views import (
     ALIVE,
     HIGH_WATERMARK,
     LEFT,
-    MOST_MEMBERS,
+    MAX_MEMBERS,
     SUSPECT,
     Address,
     GroupMember,
@@ -97,8 +105,8 @@
         for member in view.members:
             peer = self.peers.get(member.name)
             if peer is not None and member.name != self.name:
-                if (peer.epoch > member.life and peer.proved) or (
-                    peer.epoch == member.life and peer.state == LEFT
+                if (peer.epoch > member.epoch and peer.verified) or (
+                    peer.epoch == member.epoch and peer.state == LEFT
                 ):
                     ended.append(member.name)
         return ended
@@ -132,8 +140,8 @@
         for peer in self.peers.values():
             if (
                 peer.state != ALIVE
-                or not peer.proved
-                or (view is not None and view.has(peer.name, peer.epoch))
+                or not peer.verified
+                or (view is not None and view.has_epoch(peer.name, peer.epoch))
             ):
                 continue
             if self.is_superseded(peer):
@@ -156,7 +164,9 @@
         suspected = [
             peer.name
             for peer in self.peers.values()
-            if peer.state == SUSPECT and peer.since <= suspected_before and view.has(peer.name, peer.epoch)
+            if peer.state == SUSPECT
+            and peer.state_since <= suspected_before
+            and view.has_epoch(peer.name, peer.epoch)
         ]
         joiners = self.joiners(now)
         if not (suspected or joiners or self.ended_members()):
@@ -167,7 +177,7 @@
         if proposer.stage is Stage.IDLE:
             waited = now - self.change_needed_since >= min(self.rank(), 8) * RANK_DELAY_PERIODS * self.period
             round_in_progress = now - self.round_seen_at < ROUND_DEFERENCE_PERIODS * self.period
-            if waited and not round_in_progress and now >= proposer.backoff_until and not self.cut_off:
+            if waited and not round_in_progress and now >= proposer.backoff_until and not self.disconnected:
                 self.start_round(now)
             return True
         if proposer.stage is Stage.ACCEPTING:
@@ -178,7 +188,7 @@
                 self.broadcast(Accept(proposer.ballot[0], proposer.change), self.accepted_by)
             return True
         if (
-            self.cut_off
+            self.disconnected
             or now - max(proposer.began_at, proposer.majority_heard_at) > ROUND_TIMEOUT_PERIODS * self.period
         ):
             self.back_off(now)  # no majority has answered
@@ -212,7 +222,7 @@
             ),
         )
 
-    def broadcast(self, body: Body, exclude: Collection[str] = ()) -> None:
+    def broadcast(self, body: AgreementMessage, exclude: Collection[str] = ()) -> None:
         assert self.view is not None
         for member in self.view.members:
             if member.name != self.name and member.name not in exclude:
@@ -283,7 +293,7 @@
         added, room = list[GroupMember](), MAX_PAYLOAD_BYTES - 3 * sum(len(name) for name in removed)
         for joiner in joiners:
             room -= len(joiner.name) + len(joiner.host) + 16
-            full = len(view.members) - len(removed) + len(added) >= MOST_MEMBERS
+            full = len(view.members) - len(removed) + len(added) >= MAX_MEMBERS
             if room < 0 or full or (joiner.name in view.by_name and joiner.name not in removed):
                 continue
             if joiner.name not in self.removed or self.is_vouched_for(now, joiner.name, removed, reports):
--- a/barleybarrow/view_updates.py
+++ b/barleybarrow/view_updates.py
@@ -6,7 +6,7 @@
 
 from barleybarrow.view_links import ANSWER_VALIDITY_PERIODS, MAX_PINGS_PER_CHECK, ViewLinks
 from barleybarrow.view_messages import Decided, EpochEnded, ViewPage, ViewRequest
-from barleybarrow.views import ALIVE, Address, GroupMember, Peer, Stamp, View, ViewChange
+from barleybarrow.views import ALIVE, Address, GroupMember, Peer, View, ViewChange, ViewStamp
 
 # Times are in protocol periods.
 YIELD_DELAY_PERIODS = 3.0  # contact with a larger group before this process leaves its own for it
@@ -34,12 +34,12 @@
         now: float,
     ) -> None:
         super().__init__(name, epoch, address, peers, period, rng, now)
-        self.turned: list[tuple[int, View | None, View | None]] = []  # epoch, before, after
+        self.view_changes: list[tuple[int, View | None, View | None]] = []  # epoch, before, after
         self.flaps = 0
         self.removed: dict[str, tuple[float, int]] = {}  # (time of the removal, epoch)
         self.history: dict[int, View] = {}
         self.log: dict[int, ViewChange] = {}
-        self.peer_stamps: dict[str, tuple[Stamp, int]] = {}  # latest stamp, and epoch of its sender
+        self.peer_stamps: dict[str, tuple[ViewStamp, int]] = {}  # latest stamp, and epoch of its sender
         self.received_members: dict[str, GroupMember] = {}
         self.received_page_key: tuple[int, int, int] = (0, 0, 0)
         self.epoch_began_at = now
@@ -64,7 +64,7 @@
                 self.flaps += now - self.removed[member.name][0] < FLAP_WINDOW_PERIODS * self.period
         for member in before.members if before is not None else ():
             if member.name not in after.by_name:
-                self.removed[member.name] = now, member.life
+                self.removed[member.name] = now, member.epoch
         for name in [
             removed_name
             for removed_name, (removed_at, _) in self.removed.items()
@@ -75,38 +75,38 @@
         if len(self.history) > MAX_HISTORY_VIEWS:
             del self.history[min(self.history)]
         self.reset_round()
-        if not after.has(self.name, self.life):
+        if not after.has_epoch(self.name, self.epoch):
             self.counts["taken_out"] += 1
-            self.reborn(now, before)
+            self.start_new_epoch(now, before)
             return
         first = self.view is None
         self.view = after
-        self.turned.append((self.life, before, after))
+        self.view_changes.append((self.epoch, before, after))
         for name in [peer for peer in self.links if peer not in after.by_name and peer not in self.peers]:
             del self.links[name]
         if first:
             self.self_check_since = now if len(after.members) > 1 else inf
-            self.cut_off = len(after.members) > 1
-        self.next_look = now
+            self.disconnected = len(after.members) > 1
+        self.next_check = now
 
-    def reborn(self, now: float, before: View | None = None, may_found: bool = False) -> None:
+    def start_new_epoch(self, now: float, before: View | None = None, may_found: bool = False) -> None:
         """Continue with a new epoch, without a group, since this one is no longer accepted by the group.
 
         It may not found a group for a long time, unless the old group is known to have ended: after a removal
         or after leaving a smaller group, the other members still exist.
         """
         self.founding_barred_until = now if may_found else now + REMOVAL_RETENTION_PERIODS * self.period
-        self.turned.append((self.life, before or self.view, None))
-        self.view, self.cut_off, self.self_check_since = None, True, now
-        self.life += 1
+        self.view_changes.append((self.epoch, before or self.view, None))
+        self.view, self.disconnected, self.self_check_since = None, True, now
+        self.epoch += 1
         self.history.clear()
         self.log.clear()
         self.removed.clear()
         self.received_members.clear()
         self.epoch_began_at, self.group_heard_at = now, -inf
         self.reset_round()
-        self.next_look = now
-        reachable = [peer.name for peer in self.peers.values() if peer.state == ALIVE and peer.proved]
+        self.next_check = now
+        reachable = [peer.name for peer in self.peers.values() if peer.state == ALIVE and peer.verified]
         self.queue_pings(now, self.rng.sample(reachable, min(MAX_PINGS_PER_CHECK // 2, len(reachable))))
 
     def on_decided(self, now: float, body: Decided) -> None:
@@ -139,11 +139,11 @@
         self.received_page_key = (0, 0, 0)
         self.received_members.clear()
         self.log.clear()  # the log must have no gaps; peers that lack older changes get pages
-        if view is None and not received.has(self.name, self.life):
+        if view is None and not received.has_epoch(self.name, self.epoch):
             return
         self.install(now, view, received)
 
-    def compare(self, now: float, source: Peer, stamp: Stamp) -> None:
+    def on_stamp(self, now: float, source: Peer, stamp: ViewStamp) -> None:
         """Compare views on a datagram from a peer, and update whichever side lags behind."""
         self.peer_stamps[source.name] = stamp, source.epoch
         view = self.view
@@ -157,22 +157,22 @@
                 self.enqueue(source.address, ViewRequest())
         elif stamp.group == view.group and stamp.number < view.number:
             self.send_updates(now, source, stamp)
-        elif stamp.group == 0 and view.has(source.name, source.epoch):
+        elif stamp.group == 0 and view.has_epoch(source.name, source.epoch):
             self.send_updates(now, source, stamp)
         elif stamp.group == 0 and source.epoch <= self.removed.get(source.name, (0.0, -1))[1]:
             # The peer's clock may have gone back.
             self.enqueue(source.address, EpochEnded(self.removed[source.name][1]))
         elif stamp.group == 0 and self.is_superseded(source):
-            self.enqueue(source.address, EpochEnded(view.by_name[source.name].life))
+            self.enqueue(source.address, EpochEnded(view.by_name[source.name].epoch))
         elif stamp.group not in (0, view.group):
             self.on_foreign_group(now, source, stamp)
 
     def is_superseded(self, source: Peer) -> bool:
         """Whether a member has a higher epoch of this name, as the clock went back at a restart."""
         held = self.view.by_name.get(source.name) if self.view is not None else None
-        return held is not None and held.life > source.epoch
+        return held is not None and held.epoch > source.epoch
 
-    def send_updates(self, now: float, source: Peer, stamp: Stamp) -> None:
+    def send_updates(self, now: float, source: Peer, stamp: ViewStamp) -> None:
         """Send a lagging peer the changes that it lacks, or the whole view."""
         view, link = self.view, self.link(source.name)
         held_view = stamp.group, stamp.number
@@ -213,7 +213,7 @@
         if removed:
             self.enqueue(address, ViewPage(view.group, view.number, len(view.members), [], removed[:64]))
 
-    def on_foreign_group(self, now: float, source: Peer, stamp: Stamp) -> None:
+    def on_foreign_group(self, now: float, source: Peer, stamp: ViewStamp) -> None:
         """Leave the own group for another one with the same keys, if smaller or without a majority."""
         view, link = self.view, self.link(source.name)
         assert view is not None
@@ -226,6 +226,6 @@
             return
         if now - link.answered_at > ANSWER_VALIDITY_PERIODS * self.period:
             return
-        if self.cut_off or (stamp.size, stamp.group) > (len(view.members), view.group):
+        if self.disconnected or (stamp.size, stamp.group) > (len(view.members), view.group):
             self.counts["yielded"] += 1
-            self.reborn(now)
+            self.start_new_epoch(now)
--- a/barleybarrow/views.py
+++ b/barleybarrow/views.py
@@ -27,7 +27,7 @@
 # Consecutive unanswered pings; more in small groups, where few observers can be wrong at the same time.
 MISSED_PINGS_LIMIT, SMALL_GROUP_MISSED_PINGS_LIMIT = 5, 8
 SMALL_GROUP_MEMBERS = 5
-MOST_MEMBERS = 1024
+MAX_MEMBERS = 1024
 
 Name = Annotated[str, Meta(min_length=1, max_length=64)]
 Host = Annotated[str, Meta(max_length=45)]
@@ -45,15 +45,15 @@
     address: Address
     epoch: int
     state: int
-    since: float  # time of the last change of `state`
-    proved: bool  # this epoch has answered a nonce sent by this process
+    state_since: float  # time of the last change of `state`
+    verified: bool  # this epoch has answered a nonce sent by this process
 
 
 class GroupMember(Struct, array_like=True, frozen=True):
     """One member: one epoch of a named process, and its address."""
 
     name: Name
-    life: NonNegativeInt
+    epoch: NonNegativeInt
     host: Host
     port: Port
 
@@ -65,11 +65,11 @@
 class ViewChange(Struct, array_like=True, frozen=True):
     """Difference between two consecutive views."""
 
-    removed: Annotated[list[Name], Meta(max_length=MOST_MEMBERS)]
-    added: Annotated[list[GroupMember], Meta(max_length=MOST_MEMBERS)]
+    removed: Annotated[list[Name], Meta(max_length=MAX_MEMBERS)]
+    added: Annotated[list[GroupMember], Meta(max_length=MAX_MEMBERS)]
 
 
-class Stamp(Struct, array_like=True, frozen=True):
+class ViewStamp(Struct, array_like=True, frozen=True):
     """Summary of the sender's view, carried in each datagram; `group` is 0 if the sender has no view."""
 
     group: NonNegativeInt = 0
@@ -97,9 +97,9 @@
     def majority(self) -> int:
         return len(self.members) // 2 + 1
 
-    def has(self, name: str, epoch: int) -> bool:
+    def has_epoch(self, name: str, epoch: int) -> bool:
         member = self.by_name.get(name)
-        return member is not None and member.life == epoch
+        return member is not None and member.epoch == epoch
 
     def apply(self, change: ViewChange) -> "View":
         removed = set(change.removed)
--- a/benchmarks/membership.py
+++ b/benchmarks/membership.py
@@ -126,7 +126,7 @@
     until = began + (30.0 if name.endswith("30") else LASTS)
     late = sum(began + SETTLED < at < until for at in numbers.values())
     flaps = oracle.flaps(history, began + SETTLED, until)
-    cut_off, end, healed = sum(s.agreement.cut_off for s in group.swims), group.now, None
+    cut_off, end, healed = sum(s.agreement.disconnected for s in group.swims), group.now, None
     while group.now < end + 30 * PERIOD and healed is None:
         group.run(group.now + PERIOD / 4)
         healed = (group.now - end) / PERIOD if group.agreed() else None
--- a/brackenusher/cluster/config_pieces.py
+++ b/brackenusher/cluster/config_pieces.py
@@ -63,6 +63,6 @@
             elif delta.base_generation == base:
                 joined = delta
         items = len(self._newest.routes) + len(self._newest.services) + len(self._newest.tenants)
-        if joined is not None and configuration_delta.size(joined) * 2 > items:
+        if joined is not None and configuration_delta.item_count(joined) * 2 > items:
             return None
         return joined
--- a/brackenusher/cluster/key_leases.py
+++ b/brackenusher/cluster/key_leases.py
@@ -47,15 +47,15 @@
     @property
     def holds(self) -> bool:
         """Whether a request that was received by now may use its key. Looks at the clock."""
-        return not self._strict or self._lease.holds(self._now())
+        return not self._strict or self._lease.is_valid(self._now())
 
     def left_s(self) -> float:
         """For how many seconds keys hold without another confirmation; 0 also where the rule is off."""
-        return max(0.0, self._lease.span_ms - self._lease.held.age(self._now())) / 1000.0
+        return max(0.0, self._lease.duration_ms - self._lease.current.age(self._now())) / 1000.0
 
     def took(self, version: int) -> None:
         """A version is in force here."""
-        self._lease.took(version)
+        self._lease.on_applied(version)
 
     def tick(self, sources: Iterable[str]) -> None:
         """Ask one of these linked control processes, where it is time to; call it each 100 ms."""
@@ -75,7 +75,7 @@
         number = next(self._numbers)
         if not self._links.send(source, messages.VersionQuestion(number)):
             return False
-        self._asked, self._ask_at = source, now + self._lease.renewal_ms
+        self._asked, self._ask_at = source, now + self._lease.renewal_interval_ms
         self._questions[number] = now
         while len(self._questions) > MOST_QUESTIONS:
             del self._questions[next(iter(self._questions))]
@@ -85,13 +85,13 @@
         assert isinstance(message, messages.VersionAnswer)
         asked_at = self._questions.pop(message.number, None)
         if asked_at is not None:
-            self._lease.confirmed(message.version, asked_at, float(message.age_ms))
+            self._lease.on_confirmation(message.version, asked_at, float(message.age_ms))
 
     # Between peers, in the pings of membership
 
     def fill_answer(self, answer: messages.PingAck) -> None:
         """An answer is about to be sent to a peer's ping."""
-        confirmation = self._lease.to_tell(self._now()) if self._strict else None
+        confirmation = self._lease.shareable_confirmation(self._now()) if self._strict else None
         if confirmation is not None:
             fields = confirmation_fields(confirmation, self._now())
             answer.confirmed_version, answer.confirmed_age_ms = fields
@@ -99,10 +99,10 @@
     def peer_answered(self, answer: messages.PingAck, asked_at: float) -> None:
         """A peer has answered a ping that was sent at `asked_at`."""
         if self._strict and answer.confirmed_age_ms:
-            self._lease.confirmed(answer.confirmed_version, asked_at, float(answer.confirmed_age_ms))
+            self._lease.on_confirmation(answer.confirmed_version, asked_at, float(answer.confirmed_age_ms))
 
     def _log_change(self) -> None:
         holds = self.holds
         if holds != self._held_before:
             self._held_before = holds
-            log.info("keys hold: %s version=%d", "yes" if holds else "no", self._lease.held.version)
+            log.info("keys hold: %s version=%d", "yes" if holds else "no", self._lease.current.version)
--- a/brackenusher/cluster/monitor.py
+++ b/brackenusher/cluster/monitor.py
@@ -16,7 +16,14 @@
 import betterproto
 
 from barleybarrow.consensus.voter_selection import MAX_VOTERS
-from barleybarrow.replication.monitoring import Member, MemberTable, PeerMonitor, Report, ToldMembers, View
+from barleybarrow.replication.monitoring import (
+    Member,
+    MemberStatus,
+    MemberTable,
+    MergedMemberLists,
+    PeerMonitor,
+    ReachabilityReport,
+)
 from barleybarrow.replication.rendezvous import ranked
 from brackenusher.cluster import messages
 from brackenusher.cluster.base_exchange import BaseExchange
@@ -56,9 +63,9 @@
         self._loop = asyncio.get_running_loop()
         self._pings = PeerMonitor(self._own, first_number(links.own))
         self._table = MemberTable()
-        self._told = ToldMembers()
+        self._told = MergedMemberLists()
         if self._is_control:
-            self._table.linked(self._own, _member(links.own))
+            self._table.on_connected(self._own, _member(links.own))
         self._voters: list[str] = []
         self._voters_index = -1
         self._told_at = self._now() - rng.random() * TELL_PERIOD_MS
@@ -130,7 +137,7 @@
             self._hear_of_version(message.sender, message.config_version)
         elif isinstance(message, messages.PingAck):
             now = self._now()
-            self._pings.answered(message.sender, message.number, now)
+            self._pings.on_answer(message.sender, message.number, now)
             self._hear_of_version(message.sender, message.config_version)
             asked_at = self._asked.pop(message.number, None)
             if self.bases is not None and asked_at is not None:
@@ -176,37 +183,37 @@
     def _control_peers(self) -> list[str]:
         return [a for a, hello in self._links.connected().items() if hello.role == CONTROL and a != self._own]
 
-    def _report(self, report: Report, now: float) -> None:
+    def _report(self, report: ReachabilityReport, now: float) -> None:
         if self._is_control:
-            self._table.reported(self._own, report, now)
+            self._table.on_report(self._own, report, now)
         message = messages.PeerReport(address=report.address, reachable=report.reachable)
         for peer in self._control_peers():
             self._links.send(peer, message)
 
     def _take_report(self, sender: str, message: betterproto.Message) -> None:
         assert isinstance(message, messages.PeerReport)
-        self._table.reported(sender, Report(message.address, message.reachable), self._now())
+        self._table.on_report(sender, ReachabilityReport(message.address, message.reachable), self._now())
 
     def _link_changed(self, address: str, hello: messages.Hello | None) -> None:
         if not self._is_control:
             if hello is not None:
-                self._told.linked(address)
+                self._told.on_connected(address)
             return
         if hello is None:
-            self._table.unlinked(address, self._now())
+            self._table.on_disconnected(address, self._now())
             return
-        self._table.linked(address, _member(hello))
+        self._table.on_connected(address, _member(hello))
         if self._tells(address):
-            self._send_views(address, self._table.views(self._now()))
+            self._send_views(address, self._table.statuses(self._now()))
 
     def _tell_changes(self, now: float) -> None:
-        changed = self._table.changes(now)
+        changed = self._table.take_changes(now)
         if not changed:
             return
         for address in self._links.connected():
             if self._tells(address):
                 self._send_views(address, changed)
-        self._use({view.address: view for view in self._table.views(now)})
+        self._use({view.address: view for view in self._table.statuses(now)})
 
     def _tells(self, address: str) -> bool:
         """Whether it is this control process that tells a member: each is told by few."""
@@ -215,18 +222,18 @@
     def _tellers(self, address: str) -> list[str]:
         return ranked(address, self._voters)[:TELLERS]
 
-    def _send_views(self, address: str, views: list[View]) -> None:
+    def _send_views(self, address: str, views: list[MemberStatus]) -> None:
         self._links.send(address, messages.MemberViews([to_message(view) for view in views]))
 
     def _take_views(self, sender: str, message: betterproto.Message) -> None:
         assert isinstance(message, messages.MemberViews)
         if not self._is_control:
-            self._told.told(sender, [from_message(view) for view in message.members])
+            self._told.apply_update(sender, [from_message(view) for view in message.members])
             if self._voters:
-                self._told.keep_tellers(self._tellers(self._own))
+                self._told.retain_sources(self._tellers(self._own))
             self._use(self._told.members())
 
-    def _use(self, members: dict[str, View]) -> None:
+    def _use(self, members: dict[str, MemberStatus]) -> None:
         self.members = {address: to_message(view) for address, view in members.items()}
         self._pings.set_members(members)
         for handler in self.on_members:
@@ -245,7 +252,7 @@
     return Member(hello.role, hello.node_name, hello.zone, hello.incarnation)
 
 
-def to_message(view: View) -> messages.MemberView:
+def to_message(view: MemberStatus) -> messages.MemberView:
     """A view as a message; a removed member has no incarnation."""
     return messages.MemberView(
         address=view.address,
@@ -257,9 +264,9 @@
     )
 
 
-def from_message(message: messages.MemberView) -> View:
+def from_message(message: messages.MemberView) -> MemberStatus:
     """A message as a view."""
-    return View(
+    return MemberStatus(
         address=message.address,
         role=message.role,
         node_name=message.node_name,
--- a/brackenusher/control_plane/control_metrics.py
+++ b/brackenusher/control_plane/control_metrics.py
@@ -2,7 +2,7 @@
 
 from collections import Counter as CountByName
 
-from barleybarrow.replication.rendezvous import SHARDS
+from barleybarrow.replication.rendezvous import SHARD_COUNT
 from brackenusher.control_plane.config_shard import ConfigShard
 from brackenusher.control_plane.feed_source import FeedSource
 from brackenusher.control_plane.http_server import HttpServer
@@ -20,7 +20,7 @@
         return float(configuration.generation) if configuration is not None else 0.0
 
     def servers() -> dict[str, float]:
-        records = (record for part in range(SHARDS) for record in registry.feed_records(part, None))
+        records = (record for part in range(SHARD_COUNT) for record in registry.feed_records(part, None))
         states = CountByName(record.state.name.lower() for record in records)
         return {state: float(count) for state, count in states.items()}
 
--- a/brackenusher/control_plane/feed_source.py
+++ b/brackenusher/control_plane/feed_source.py
@@ -16,7 +16,7 @@
 from barleybarrow.documents import Configuration
 from barleybarrow.replication.change_log import ChangeLog
 from barleybarrow.replication.records import InstanceRecord
-from barleybarrow.replication.rendezvous import SHARDS
+from barleybarrow.replication.rendezvous import SHARD_COUNT
 from brackenusher.cluster import messages
 from brackenusher.cluster.config_pieces import ConfigPieces
 from brackenusher.cluster.links import Links
@@ -60,8 +60,8 @@
         self._config_shard = config_shard
         self._registry = registry
         epoch = links.own.incarnation & EPOCH_MASK
-        self._logs = [ChangeLog(epoch) for _ in range(SHARDS)]
-        self._flushed = [Position(epoch, 0) for _ in range(SHARDS)]  # where all subscribers are
+        self._logs = [ChangeLog(epoch) for _ in range(SHARD_COUNT)]
+        self._flushed = [Position(epoch, 0) for _ in range(SHARD_COUNT)]  # where all subscribers are
         self._dirty: set[int] = set()
         self._flush_due = False
         self._pieces = ConfigPieces()
@@ -90,7 +90,7 @@
         self._flush()  # so that all subscribers are at the same offsets
         subscriber = self.subscribers[sender] = Subscriber(message.config_version)
         offsets = {offset.shard: offset for offset in message.offsets}
-        for shard in range(SHARDS):
+        for shard in range(SHARD_COUNT):
             self._links.send(sender, self._resume(shard, offsets.get(shard)))
         self._start_confirming()
         if self._config_shard.is_leaderless:
@@ -109,8 +109,8 @@
     # The list of servers
 
     def _fill_logs(self) -> None:
-        for shard in range(SHARDS):
-            self._logs[shard].record(self._registry.registry.ids(shard))
+        for shard in range(SHARD_COUNT):
+            self._logs[shard].record(self._registry.registry.ids_in_shard(shard))
             self._flushed[shard] = Position(self._logs[shard].epoch, self._logs[shard].offset)
 
     def _registry_changed(self, shard: int, records: list[InstanceRecord]) -> None:
@@ -118,11 +118,11 @@
         if records:
             self._logs[shard].record(record.id for record in records)
         else:
-            self._logs[shard].restart(self._registry.registry.ids(shard))
+            self._logs[shard].start_epoch(self._registry.registry.ids_in_shard(shard))
         self._mark_dirty(shard)
 
     def _registry_settled(self) -> None:
-        for shard in range(SHARDS):
+        for shard in range(SHARD_COUNT):
             self._mark_dirty(shard)
 
     def _mark_dirty(self, shard: int) -> None:
--- a/brackenusher/control_plane/fleet_status.py
+++ b/brackenusher/control_plane/fleet_status.py
@@ -2,7 +2,7 @@
 
 from typing import Any, Protocol
 
-from barleybarrow.replication.rendezvous import SHARDS
+from barleybarrow.replication.rendezvous import SHARD_COUNT
 from brackenusher.cluster import messages
 from brackenusher.cluster.links import Links
 from brackenusher.cluster.status_calls import StatusCaller
@@ -100,7 +100,9 @@
         return row
 
     def _servers(self) -> list[dict[str, object]]:
-        records = [record for shard in range(SHARDS) for record in self.registry.feed_records(shard, None)]
+        records = [
+            record for shard in range(SHARD_COUNT) for record in self.registry.feed_records(shard, None)
+        ]
         records.sort(key=lambda record: (record.service, record.id))
         return [
             {
--- a/brackenusher/control_plane/registry_service.py
+++ b/brackenusher/control_plane/registry_service.py
@@ -13,9 +13,9 @@
 import betterproto
 
 from barleybarrow.replication.records import FINALITY, InstanceRecord, InstanceState, Renewal
-from barleybarrow.replication.registry import Entry, Registry
+from barleybarrow.replication.registry import Registry, RegistryEntry
 from barleybarrow.replication.rendezvous import shard_of
-from barleybarrow.replication.silence import SilenceWatch
+from barleybarrow.replication.silence import SilenceDetector
 from brackenusher.cluster import messages
 from brackenusher.cluster.links import Links
 from brackenusher.cluster.lives import first_number
@@ -69,7 +69,7 @@
         self._held: dict[str, int] = {}  # finality that a majority is known to hold, by id
         self._renewals: dict[str, int] = {}  # newest sequences that the replica groups have not been told
         self._started_at = now()
-        self._silence = SilenceWatch(settings.heartbeat_ms, self._started_at)
+        self._silence = SilenceDetector(settings.heartbeat_ms, self._started_at)
         self._settled = False
         self._renewed_at = self._checked_at = self._forgot_at = self._started_at
         self._compared_at = self._kept_at = self._started_at
@@ -106,32 +106,32 @@
             self._unconfirmed.add(record.id)
             self._publish([entry.record(self._now())])
         if not self._needs_majority(record.id, entry):
-            self._renewals[record.id] = entry.heard
+            self._renewals[record.id] = entry.last_sequence
             return self._groups.reaches_majority(shard_of(entry.details.service))
         return await self._replicate(record.id, entry)
 
     async def deregister(self, instance_id: str) -> bool:
         """Take the word that a server ends; True where it may be acknowledged."""
-        return await self.heartbeat(self.registry.gone(instance_id))
+        return await self.heartbeat(self.registry.gone_record(instance_id))
 
     # What feeds call
 
     def feed_records(self, shard: int, ids: Iterable[str] | None) -> list[InstanceRecord]:
         """Records of these ids, or of a whole shard; their sequence is that of the newest heartbeat."""
         if ids is None:
-            ids = self.registry.ids(shard)
+            ids = self.registry.ids_in_shard(shard)
         return [self._feed_record(i) for i in ids if i in self.registry.entries]
 
     def _feed_record(self, instance_id: str) -> InstanceRecord:
         entry = self.registry.entries[instance_id]
-        return replace(entry.record(self._now()), sequence=entry.heard)
+        return replace(entry.record(self._now()), sequence=entry.last_sequence)
 
     # Periodic work
 
     def tick(self) -> None:
         """Do what is due; call it every 100 ms or more often."""
         now = self._now()
-        self._silence.ticked(now)
+        self._silence.tick(now)
         self._settle(now)
         if now - self._renewed_at >= RENEWALS_MS:
             self._renewed_at = now
@@ -160,21 +160,21 @@
     def _take_address(self, record: InstanceRecord) -> None:
         """A new server at an address: who was there has ended, or its next heartbeat says otherwise."""
         now = self._now()
-        earlier = [i for i in self.registry.at_address(record.address) if i != record.id]
-        self._tell_silence([self.registry.silence(instance_id, now) for instance_id in earlier])
+        earlier = [i for i in self.registry.ready_at_address(record.address) if i != record.id]
+        self._tell_silence([self.registry.mark_silent(instance_id, now) for instance_id in earlier])
 
     # Changes to a majority
 
-    def _needs_majority(self, instance_id: str, entry: Entry) -> bool:
+    def _needs_majority(self, instance_id: str, entry: RegistryEntry) -> bool:
         if instance_id in self._unconfirmed:
             return True
         return entry.finality > 0 and self._held.get(instance_id) != entry.finality
 
-    async def _replicate(self, instance_id: str, entry: Entry) -> bool:
+    async def _replicate(self, instance_id: str, entry: RegistryEntry) -> bool:
         """Send an entry to all control processes; True once a majority of its replica group holds it."""
         record = entry.record(self._now())
         confirmation = self._confirmations.open(self._groups.group(shard_of(record.service)))
-        reached = self._spread(confirmation.number, record, entry.heard)
+        reached = self._spread(confirmation.number, record, entry.last_sequence)
         self._spawn(self._hold_here(record, confirmation))
         if not await self._confirmations.wait(confirmation, reached | {self._groups.own}):
             return False
@@ -249,8 +249,8 @@
         renewals = []
         for record in records:
             entry = self.registry.entries[record.id]
-            if record.state is InstanceState.SILENT and entry.heard > record.sequence:
-                renewals.append(Renewal(record.id, entry.heard))
+            if record.state is InstanceState.SILENT and entry.last_sequence > record.sequence:
+                renewals.append(Renewal(record.id, entry.last_sequence))
         if renewals:
             self._links.send(sender, messages.RegistryUpdate(renewals=to_renewals(renewals)))
 
@@ -272,10 +272,12 @@
     def _take_pull(self, sender: str, message: betterproto.Message) -> None:
         assert isinstance(message, messages.RegistryPull)
         now = self._now()
-        for shard, records in enumerate(self.registry.by_shard(now)):
+        for shard, records in enumerate(self.registry.records_by_shard(now)):
             for start in range(0, len(records), RECORDS_PER_MESSAGE):
                 piece = records[start : start + RECORDS_PER_MESSAGE]
-                renewals = [Renewal(record.id, self.registry.entries[record.id].heard) for record in piece]
+                renewals = [
+                    Renewal(record.id, self.registry.entries[record.id].last_sequence) for record in piece
+                ]
                 update = messages.RegistryUpdate(
                     shard=shard, records=to_messages(piece), renewals=to_renewals(renewals)
                 )
@@ -331,8 +333,8 @@
         if not self._settled:
             return
         overdue = self._silence.overdue(self._groups.owned(), now)
-        silent = self.registry.overdue(overdue.shards, overdue.heard_before)
-        self._tell_silence([self.registry.silence(instance_id, now) for instance_id in silent])
+        silent = self.registry.overdue(overdue.shards, overdue.last_heartbeat_before)
+        self._tell_silence([self.registry.mark_silent(instance_id, now) for instance_id in silent])
 
     def _tell_silence(self, silent: list[InstanceRecord]) -> None:
         if not silent:
@@ -344,7 +346,7 @@
             self._links.send(peer, update)
 
     def _forget(self, now: float) -> None:
-        shards = self.registry.forget(now)
+        shards = self.registry.expire(now)
         for instance_id in [i for i in self._held if i not in self.registry.entries]:
             del self._held[instance_id]
         self._unconfirmed.intersection_update(self.registry.entries)
--- a/brackenusher/control_plane/replica_groups.py
+++ b/brackenusher/control_plane/replica_groups.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 
 from barleybarrow.consensus.voter_selection import MAX_VOTERS
-from barleybarrow.replication.rendezvous import SHARDS, replica_group
+from barleybarrow.replication.rendezvous import SHARD_COUNT, replica_group
 from brackenusher.cluster.links import Links
 from brackenusher.settings.local import FaultTolerance
 
@@ -45,7 +45,7 @@
         in_touch = {self.own, *self.peers()}
         owners = {
             shard: next((member for member in self.group(shard) if member in in_touch), "")
-            for shard in range(SHARDS)
+            for shard in range(SHARD_COUNT)
         }
         return {shard for shard, owner in owners.items() if owner == self.own}
 
--- a/brackenusher/control_plane/version_confirmations.py
+++ b/brackenusher/control_plane/version_confirmations.py
@@ -9,7 +9,7 @@
 
 import betterproto
 
-from barleybarrow.replication.revocation_lease import UNKNOWN, Confirmation
+from barleybarrow.replication.revocation_lease import NO_CONFIRMATION, Confirmation
 from brackenusher.cluster import messages
 from brackenusher.cluster.key_leases import confirmation_fields
 from brackenusher.cluster.links import Links
@@ -23,7 +23,7 @@
     """The part of one control process. Times are milliseconds of its monotonic clock."""
 
     def __init__(self, links: Links, config_shard: ConfigShard, now: Callable[[], float]) -> None:
-        self.held = UNKNOWN
+        self.held = NO_CONFIRMATION
         self._links = links
         self._config_shard = config_shard
         self._now = now
@@ -61,6 +61,6 @@
             self._answer(sender, number)
 
     def _answer(self, sender: str, number: int) -> None:
-        if self.held is not UNKNOWN:
+        if self.held is not NO_CONFIRMATION:
             version, age_ms = confirmation_fields(self.held, self._now())
             self._links.send(sender, messages.VersionAnswer(number, version, age_ms))
--- a/brackenusher/data_plane/feed_client.py
+++ b/brackenusher/data_plane/feed_client.py
@@ -18,10 +18,10 @@
 from barleybarrow.consensus.voter_selection import MAX_VOTERS
 from barleybarrow.documents import Configuration, ConfigurationDelta
 from barleybarrow.replication import configuration_delta
-from barleybarrow.replication.configuration_fetch import ConfigurationFetch
+from barleybarrow.replication.configuration_fetch import ConfigurationFetcher
 from barleybarrow.replication.feed_view import FeedView
 from barleybarrow.replication.records import InstanceRecord
-from barleybarrow.replication.rendezvous import SHARDS
+from barleybarrow.replication.rendezvous import SHARD_COUNT
 from brackenusher.cluster import messages
 from brackenusher.cluster.links import Links
 from brackenusher.cluster.records import from_messages
@@ -70,7 +70,7 @@
         self._on_servers = on_servers
         self._now = now or (lambda: loop.time() * 1000.0)
         self._view = FeedView()
-        self._fetch = ConfigurationFetch()
+        self._fetch = ConfigurationFetcher()
         self._configuration: Configuration | None = None
         self._voters_index = -1
         self._learnt: dict[str, None] = {}  # control processes heard of, newest last
@@ -155,7 +155,7 @@
         self._peers.tick(now, wanted=self._wants_peers(now))
         if now - self._forgot_at >= FORGET_CHECK_MS:
             self._forgot_at = now
-            self._view.forget(now)
+            self._view.expire(now)
             self._deliver_soon()
 
     def _wants_peers(self, now: float) -> bool:
@@ -190,16 +190,16 @@
 
     def _forget_source(self, address: str, now: float) -> None:
         self._subscribed.pop(address, None)
-        self._fetch.lost(address)
-        self._view.drop(address, now)
+        self._fetch.on_disconnected(address)
+        self._view.remove_source(address, now)
         self._deliver_soon()
 
     def _link_changed(self, address: str, hello: messages.Hello | None) -> None:
         now = self._now()
         self._subscribed.pop(address, None)
-        self._fetch.lost(address)
+        self._fetch.on_disconnected(address)
         if hello is None:
-            self._view.disconnected(address, now)
+            self._view.on_disconnected(address, now)
             self._deliver_soon()
         elif hello.role == CONTROL and address in self._wanted:
             self._subscribe(address)
@@ -207,18 +207,18 @@
     def _subscribe(self, address: str) -> None:
         """Ask a source for all that is missing here."""
         offsets = []
-        for shard in range(SHARDS):
+        for shard in range(SHARD_COUNT):
             position = self._view.position(address, shard)
             if position is not None:
                 offsets.append(messages.ShardOffset(shard, position[0], position[1]))
         if self._links.send(address, messages.FeedSubscribe(self.version, offsets)):
             self._subscribed[address] = Subscription(self._now())
-            self._view.connected(address, self._now())
+            self._view.on_connected(address, self._now())
 
     def _ask_again(self, now: float) -> None:
         """Subscribe anew where a source has not answered in full."""
         for address, subscription in list(self._subscribed.items()):
-            unanswered = len(subscription.shards) < SHARDS
+            unanswered = len(subscription.shards) < SHARD_COUNT
             if unanswered and now - subscription.at >= ANSWER_MS:
                 log.warning(
                     "subscription not answered: source=%s shards=%d", address, len(subscription.shards)
@@ -242,11 +242,11 @@
     def _take_offer(self, sender: str, message: betterproto.Message) -> None:
         assert isinstance(message, messages.ConfigOffer)
         if sender in self._subscribed:
-            self._fetch.offered(sender, message.version, message.confirmed)
+            self._fetch.on_offer(sender, message.version, message.confirmed)
             self._ask(self._now())
 
     def _ask(self, now: float) -> None:
-        source = self._fetch.ask(now)
+        source = self._fetch.next_source(now)
         if source is not None:
             self._links.send(source, messages.ConfigFetch(have_version=self.version))
 
@@ -261,7 +261,7 @@
             return  # the next source is asked as if nothing had come: a bad one costs little
         self._configuration = configuration
         self._peers.taken(configuration)
-        self._fetch.taken(message.version)
+        self._fetch.on_applied(message.version)
         log.info("configuration in force: version=%d source=%s", message.version, sender)
         self._on_configuration(configuration)
         self._ask(self._now())
@@ -284,7 +284,7 @@
         if subscription is None:
             return
         subscription.shards.add(message.shard)
-        taken = self._view.take(
+        taken = self._view.apply_update(
             sender,
             message.shard,
             (message.epoch, message.offset),
@@ -294,7 +294,7 @@
             now=self._now(),
         )
         if not taken:
-            self._view.drop(sender, self._now())
+            self._view.remove_source(sender, self._now())
             self._subscribe(sender)
         self._deliver_soon()
 
@@ -309,7 +309,7 @@
         changed, self._view.changed_services = self._view.changed_services, set()
         now = self._now()
         for service in sorted(changed - {""}):
-            self._on_servers(service, self._view.offered(service, now))
+            self._on_servers(service, self._view.offered_records(service, now))
 
     async def _keep_ticking(self) -> None:
         while True:
--- a/brackenusher/membership/peers.py
+++ b/brackenusher/membership/peers.py
@@ -275,13 +275,13 @@
             )
             some = {"came": " ".join(came[:20]) or "-", "gone": " ".join(left[:20]) or "-"}
             say(log, logging.INFO, "view_changed", text, **facts, **some)
-            lives = " ".join(f"{m.name}@{m.life}" for m in view.members)
+            lives = " ".join(f"{m.name}@{m.epoch}" for m in view.members)
             text = "peers: at %(at).3f life %(life)d holds view %(number)d of %(group)s: %(lives)s"
             whole = {"at": now, "life": life, "lives": lives, "number": view.number, "group": view.group}
             say(log, logging.DEBUG, "view_held", text, **whole)
             self.held = names
-        if agreement.cut_off != self.cut:
-            self.cut = agreement.cut_off
+        if agreement.disconnected != self.cut:
+            self.cut = agreement.disconnected
             if self.cut:
                 heard = sum(now - link.heard_at < swim.period * 5 for link in agreement.links.values())
                 text = "peers: cut off: no majority of the %(members)d answers; %(heard)d are heard"
@@ -308,11 +308,11 @@
         for name in sorted(lives.keys() | swim.members.keys()):
             m, belongs, link = swim.members.get(name), lives.get(name), agreement.links.get(name)
             host, port = m.address if m is not None else belongs.address if belongs is not None else ("", 0)
-            life = belongs.life if belongs is not None else m.epoch if m is not None else 0
+            life = belongs.epoch if belongs is not None else m.epoch if m is not None else 0
             way = "new"
             if name == swim.name:
                 way = "both"
-            elif link is not None and agreement.down(name):
+            elif link is not None and agreement.is_down(name):
                 way = "in" if now - link.heard_at < 5 * swim.period else "none"
             elif link is not None and link.answered_at > 0:
                 way = "both"
@@ -321,7 +321,7 @@
             lines.append(Line(name, life, host, port, belongs is not None, state, way, since))
         group, number = (view.group, view.number) if view is not None else (0, 0)
         counts = dict(swim.counts + agreement.counts)
-        facts = (group, number, agreement.cut_off, swim.dazed, agreement.flaps)
+        facts = (group, number, agreement.disconnected, swim.dazed, agreement.flaps)
         return Members(nonce, swim.name, swim.epoch, *facts, lines, counts)
 
     def figures(self) -> list[tuple[str, int, str, list[tuple[str, str]]]]:
@@ -333,7 +333,7 @@
         found = {
             "members": len(agreement.view.members) if agreement.view is not None else 0,
             "view": agreement.number,
-            "cut_off": int(agreement.cut_off),
+            "cut_off": int(agreement.disconnected),
             "flaps": agreement.flaps,
             "links_one_way": len(agreement.one_way(now)),
         }
--- a/brackenusher/membership/swim.py
+++ b/brackenusher/membership/swim.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-from barleybarrow.views import ALIVE, DEAD, LEFT, MOST_MEMBERS, SUSPECT, View
+from barleybarrow.views import ALIVE, DEAD, LEFT, MAX_MEMBERS, SUSPECT, View
 from brackenusher.membership.seal import DATAGRAM, SealError, unseal
 from brackenusher.membership.swim_members import BURST, LONGEST, RATE, SwimMembers
 from brackenusher.membership.swim_messages import (
@@ -51,7 +51,7 @@
 
     def next(self) -> float:
         """When it next has something to do."""
-        ends = [self.next_probe, self.next_look, self.agreement.next_look]
+        ends = [self.next_probe, self.next_look, self.agreement.next_check]
         if self.news or self.records:
             ends.append(self.next_gossip)
         if self.probe is not None:
@@ -61,7 +61,7 @@
 
     def live(self, epoch: int) -> None:
         """Take a later life, before anything was sent."""
-        self.epoch = self.agreement.life = epoch
+        self.epoch = self.agreement.epoch = epoch
 
     def leave(self) -> list[tuple[bytes, Address]]:
         """The last word."""
@@ -81,7 +81,7 @@
         for nonce in [n for n, w in self.waiting.items() if w.until <= now]:
             w = self.waiting.pop(nonce)
             if w.name and not w.counted:
-                self.agreement.missed(now, w.name)
+                self.agreement.on_missed_ping(now, w.name)
         probe = self.probe
         if probe is not None:
             if not probe.asked and now >= probe.ask_at:
@@ -101,24 +101,24 @@
     def follow(self, now: float) -> None:
         """Carry out what the agreement wants."""
         agreement = self.agreement
-        pings, agreement.pings = agreement.pings, []
+        pings, agreement.pending_pings = agreement.pending_pings, []
         for name in pings:
             m = self.members.get(name)
             if m is not None:
                 about = m.update() if m.state != ALIVE else None
                 self.knock(now, Waiting(name, m.address, now + SOUNDING * self.period), about)
-        while agreement.turned:
-            life, before, after = agreement.turned.pop(0)
+        while agreement.view_changes:
+            life, before, after = agreement.view_changes.pop(0)
             self.views.append((life, after))
             self.turned(now, before, after)
-        out, agreement.out = agreement.out, []
+        out, agreement.outbox = agreement.outbox, []
         for address, body in out:
             self.write(address, VIEW, 0, "", False, [], [], body)
 
     def turned(self, now: float, before: View | None, after: View | None) -> None:
         """Another view is there, or this life is over."""
-        if self.epoch != self.agreement.life:
-            self.epoch, self.incarnation = self.agreement.life, 0
+        if self.epoch != self.agreement.epoch:
+            self.epoch, self.incarnation = self.agreement.epoch, 0
             for m in self.members.values():
                 m.trusts = False
             self.note(self.own())
@@ -127,15 +127,15 @@
         self.round = []  # drawn anew: who was met first would be left until the last
         for b in after.members:
             known = self.members.get(b.name)
-            if b.name != self.name and (known is None or known.epoch < b.life):
-                self.meet(now, Update(b.name, b.host, b.port, b.life, 0, ALIVE), known)
+            if b.name != self.name and (known is None or known.epoch < b.epoch):
+                self.meet(now, Update(b.name, b.host, b.port, b.epoch, 0, ALIVE), known)
         for b in before.members if before is not None else ():
             known = self.members.get(b.name)
-            if known is None or after.has(b.name, b.life):
+            if known is None or after.has_epoch(b.name, b.epoch):
                 continue
-            if known.epoch == b.life and known.state <= SUSPECT:
+            if known.epoch == b.epoch and known.state <= SUSPECT:
                 self.changed(known.name, DEAD)
-                known.state, known.since = DEAD, now
+                known.state, known.state_since = DEAD, now
                 self.news.pop(known.name, None)
 
     def slept(self, now: float, late: float) -> None:
@@ -146,7 +146,7 @@
         self.waiting.clear()
         self.next_probe = now + self.rng.uniform(0.1, 1.0) * self.period  # no burst with others that wake
         self.next_gossip = max(self.next_gossip, now)
-        self.agreement.slept(now)
+        self.agreement.on_stall(now)
 
     def begin_probe(self, now: float) -> None:
         span = self.period
@@ -205,7 +205,7 @@
         return nonce
 
     def ask_others(self, now: float, probe: Probe) -> None:
-        others = [m for m in self.alive() if m.name != probe.name and m.proved and m.trusts]
+        others = [m for m in self.alive() if m.name != probe.name and m.verified and m.trusts]
         sure = [m for m in others if m.state == ALIVE]
         if len(sure) >= INDIRECT:  # where loss makes many suspects, most of them live: better than nobody
             others = sure
@@ -216,29 +216,29 @@
         kept = self.waiting.get(probe.nonce)
         if kept is not None:
             kept.until, kept.counted = probe.ends_at, True
-        self.agreement.missed(now, probe.name)
+        self.agreement.on_missed_ping(now, probe.name)
 
     def failed(self, now: float, probe: Probe) -> None:
         """Neither it nor those asked have answered. Who is cut off itself accuses nobody."""
         self.probe = None
         self.failures += 1
         self.waiting.pop(probe.nonce, None)
-        self.agreement.probed(now, False)
+        self.agreement.on_probe_result(now, False)
         m = self.members.get(probe.name)
-        cut = self.agreement.view is not None and self.agreement.cut_off
+        cut = self.agreement.view is not None and self.agreement.disconnected
         if m is not None and m.state <= SUSPECT and not cut:
             self.take(now, Update(m.name, *m.address, m.epoch, m.incarnation, SUSPECT, self.name))
 
     def look(self, now: float) -> None:
         """Forget who has long been dead; look for one of the others, and for a seed that nobody knows."""
-        alone = not any(m.proved and m.state <= SUSPECT for m in self.members.values())
+        alone = not any(m.verified and m.state <= SUSPECT for m in self.members.values())
         outside = self.agreement.view is None
         self.next_look = now + self.period * (1 if alone or outside else LOOK_FOR)
         view, strange = self.agreement.view, now - STRANGE * self.period
         for m in list(self.members.values()):
             belongs = view is not None and m.name in view.by_name
-            vanished = m.state == SUSPECT and m.since < strange and not belongs
-            if vanished or (m.state > SUSPECT and now - m.since > FORGOTTEN):
+            vanished = m.state == SUSPECT and m.state_since < strange and not belongs
+            if vanished or (m.state > SUSPECT and now - m.state_since > FORGOTTEN):
                 if m.state == SUSPECT:
                     self.changed(m.name, DEAD)
                 del self.members[m.name]
@@ -246,7 +246,7 @@
         gone = [m for m in self.members.values() if m.state == DEAD]
         if gone:
             self.ping(now, self.rng.choice(gone), self.period)
-        known = {m.address for m in self.alive() if m.proved}
+        known = {m.address for m in self.alive() if m.verified}
         unknown = [s for s in self.seeds if s not in known]
         for seed in unknown if alone else self.rng.sample(unknown, min(1, len(unknown))):
             self.knock(now, Waiting("", seed, now + self.period), joins=alone)
@@ -278,14 +278,14 @@
         return self.flush()
 
     def credible(self, now: float, message: Message, source: Address) -> bool:
-        """Whether the sender is who it says, now and for the first time; one not proved yet is asked to."""
+        """Whether the sender is who it says, now and for the first time; one not verified yet is asked to."""
         m = self.members.get(message.sender)
-        if m is not None and m.proved and (m.epoch, m.address) == (message.epoch, source):
+        if m is not None and m.verified and (m.epoch, m.address) == (message.epoch, source):
             if m.fresh(message.serial):
                 return True
             self.counts["replayed"] += 1
             return False
-        if m is not None and m.proved and m.state == ALIVE and m.address != source:
+        if m is not None and m.verified and m.state == ALIVE and m.address != source:
             if now - m.heard_at < 3 * self.period:
                 self.counts["name"] += 1  # a name used by two: who was here first keeps it while it answers
                 return False
@@ -306,7 +306,7 @@
         """The sender's life has answered a nonce."""
         m = self.members.get(message.sender)
         if m is None:
-            if len(self.members) >= MOST_MEMBERS:
+            if len(self.members) >= MAX_MEMBERS:
                 self.counts["members"] += 1
                 return False
             m = self.members[message.sender] = Member(message.sender, source, message.epoch, 0, ALIVE, now)
@@ -317,19 +317,19 @@
                 self.changed(m.name, ALIVE)
             if m.epoch != message.epoch:
                 m.incarnation = 0
-            m.epoch, m.address, m.state, m.since = message.epoch, source, ALIVE, now
+            m.epoch, m.address, m.state, m.state_since = message.epoch, source, ALIVE, now
             m.paged_at, m.trusts = -inf, False
             self.note(m.update())
-        m.proved, m.top, m.came = True, message.serial, 1
+        m.verified, m.top, m.came = True, message.serial, 1
         return True
 
     def act(self, now: float, message: Message, source: Address) -> None:
         """What a credible message asks for and tells."""
         sender = self.members[message.sender]
         sender.heard_at = now
-        self.agreement.heard(now, sender.name)
+        self.agreement.on_heard(now, sender.name)
         if message.serial == sender.top:  # one that comes late says nothing of how things stand
-            self.agreement.compare(now, sender, message.stamp)
+            self.agreement.on_stamp(now, sender, message.stamp)
         if message.kind == VIEW and message.body is not None:
             self.agreement.receive(now, sender, message.stamp, message.body)
         for update in message.updates:
@@ -355,7 +355,7 @@
         if w.address == source and w.name in ("", sender.name):
             del self.waiting[message.nonce]
             self.dazed = False
-            self.agreement.answered(now, sender.name)
+            self.agreement.on_answer(now, sender.name)
             if w.pages:
                 self.page(now, sender)
             if w.behalf is not None:
@@ -365,7 +365,7 @@
         if probe is not None and probe.nonce == message.nonce:
             self.waiting.pop(message.nonce, None)
             self.probe = None
-            self.agreement.probed(now, True)
+            self.agreement.on_probe_result(now, True)
 
     def take(self, now: float, update: Update) -> None:
         """Take up what is said of a member."""
@@ -378,7 +378,7 @@
             return
         if update.state == SUSPECT and not self.accuses(update.by):
             return
-        belongs = self.agreement.view is not None and self.agreement.view.has(m.name, m.epoch)
+        belongs = self.agreement.view is not None and self.agreement.view.has_epoch(m.name, m.epoch)
         if update.epoch == m.epoch and DEAD in (update.state, m.state) and (belongs or m.state == DEAD):
             return  # a view decides who is gone, and a life that is over does not come back
         if update.rank <= (m.epoch, m.incarnation, m.state):
@@ -387,11 +387,11 @@
             self.counts["garbage"] += 1
             return
         if update.epoch != m.epoch:
-            m.proved = m.trusts = False
+            m.verified = m.trusts = False
         m.epoch, m.incarnation, m.address = update.epoch, update.incarnation, (update.host, update.port)
         if m.state != update.state:
             self.changed(m.name, update.state)
-            m.state, m.since = update.state, now
+            m.state, m.state_since = update.state, now
         self.note(update)
 
     def accuses(self, by: str) -> bool:
@@ -403,8 +403,8 @@
         """Contradict what is said of this member."""
         if update.epoch > self.epoch:
             if (update.host, update.port) == self.address:
-                self.agreement.life = update.epoch  # the clock went back
-                self.agreement.reborn(now)
+                self.agreement.epoch = update.epoch  # the clock went back
+                self.agreement.start_new_epoch(now)
                 self.follow(now)
             else:
                 self.counts["name"] += 1
--- a/brackenusher/membership/swim_members.py
+++ b/brackenusher/membership/swim_members.py
@@ -9,8 +9,8 @@
 import msgspec
 
 from barleybarrow.view_agreement import ViewAgreement
-from barleybarrow.view_messages import Body
-from barleybarrow.views import ALIVE, LEFT, MOST_MEMBERS, SUSPECT, View
+from barleybarrow.view_messages import AgreementMessage
+from barleybarrow.views import ALIVE, LEFT, MAX_MEMBERS, SUSPECT, View
 from brackenusher.membership.seal import DATAGRAM, overhead, seal
 from brackenusher.membership.swim_messages import (
     MOST_UPDATES,
@@ -101,7 +101,7 @@
         """Somebody new, or a new life, by hearsay: it still has to prove itself."""
         if update.state > SUSPECT:
             return
-        if known is None and len(self.members) >= MOST_MEMBERS:
+        if known is None and len(self.members) >= MAX_MEMBERS:
             self.counts["members"] += 1
         elif not usable(update) or (update.host, update.port) == self.address:
             self.counts["garbage"] += 1
@@ -179,7 +179,7 @@
         joins: bool,
         updates: list[bytes],
         records: list[bytes],
-        body: Body | None = None,
+        body: AgreementMessage | None = None,
     ) -> list[bytes]:
         """Seal a datagram; return the updates that did not fit."""
         room, count = LONGEST - overhead(self.kid) - 96 - len(self.name.encode()) - len(target.encode()), 0
--- a/brackenusher/membership/swim_messages.py
+++ b/brackenusher/membership/swim_messages.py
@@ -7,8 +7,8 @@
 
 from msgspec import Meta, Struct
 
-from barleybarrow.view_messages import Body
-from barleybarrow.views import Stamp
+from barleybarrow.view_messages import AgreementMessage
+from barleybarrow.views import ViewStamp
 
 Address = tuple[str, int]
 MOST_UPDATES = 128  # in one datagram; no more would fit
@@ -52,8 +52,8 @@
     joins: bool = False  # the sender knows nobody yet
     updates: Annotated[list[Update], Meta(max_length=MOST_UPDATES)] = []
     records: Annotated[list[bytes], Meta(max_length=MOST_UPDATES)] = []
-    stamp: Stamp = Stamp()
-    body: Body | None = None  # of VIEW
+    stamp: ViewStamp = ViewStamp()
+    body: AgreementMessage | None = None  # of VIEW
 
 
 @dataclass(slots=True)
@@ -65,8 +65,8 @@
     epoch: int
     incarnation: int
     state: int
-    since: float
-    proved: bool = False  # this life has answered a nonce of ours
+    state_since: float
+    verified: bool = False  # this life has answered a nonce of ours
     trusts: bool = False  # and we one of its: what we tell it is heard
     heard_at: float = -inf
     top: int = -1  # greatest number that came, and which of those behind it did
--- a/testbed/group.py
+++ b/testbed/group.py
@@ -218,7 +218,7 @@
         for h in self.views:
             by = self.swims[h.by].name, h.life
             v = h.view
-            members = frozenset((m.name, m.life) for m in v.members) if v is not None else frozenset()
+            members = frozenset((m.name, m.epoch) for m in v.members) if v is not None else frozenset()
             numbers = (v.group, v.number) if v is not None else (0, 0)
             found.append(oracle.Held(h.at / PERIOD, by, *numbers, members))
         return found
@@ -230,7 +230,7 @@
             if self.up[i]:
                 v, me = swim.agreement.view, (swim.name, swim.epoch)
                 alive.add(me)
-                held = (v.group, v.number, frozenset((m.name, m.life) for m in v.members)) if v else None
+                held = (v.group, v.number, frozenset((m.name, m.epoch) for m in v.members)) if v else None
                 holds[me] = held
         return oracle.settled(holds, alive)
 
--- a/tests/fleet/feed_oracle.py
+++ b/tests/fleet/feed_oracle.py
@@ -12,7 +12,7 @@
 """
 
 from barleybarrow.replication.records import InstanceState
-from tests.fleet.feed_world import CONTACT_S, DRAIN_S, ProxyProcess, World
+from tests.fleet.feed_world import CONTACT_S, DRAIN_S, FeedSimulation, ProxyProcess
 
 CHECK_INTERVAL_S, CHECKS = 0.5, 20  # interval and number of checks after an acknowledged drain
 RECENT_HEARTBEAT_S = 2.5
@@ -34,7 +34,7 @@
     return offered
 
 
-def drain_breaches(simulation: World, end: float) -> list[str]:
+def drain_breaches(simulation: FeedSimulation, end: float) -> list[str]:
     """Breaches of DRAIN."""
     breaches = []
     for ack in simulation.acknowledgements:
@@ -43,13 +43,17 @@
             check_times = [due + CHECK_INTERVAL_S * step for step in range(CHECKS)]
             check_times += [observation.at for observation in proxy.history if observation.at > due]
             for at in check_times:
-                if at <= end and in_touch(simulation, proxy, at) and offered_at(proxy, ack.instance_id, at):
+                if (
+                    at <= end
+                    and is_connected(simulation, proxy, at)
+                    and offered_at(proxy, ack.instance_id, at)
+                ):
                     breaches.append(f"DRAIN: {ack.instance_id} at {proxy.address}, {at:.2f}")
                     break
     return breaches
 
 
-def unconfirmed_breaches(simulation: World, proxy: ProxyProcess) -> list[str]:
+def unconfirmed_breaches(simulation: FeedSimulation, proxy: ProxyProcess) -> list[str]:
     """Breaches of UNCONFIRMED."""
     if proxy.first_ready is None or proxy.first_ready[0] - proxy.started_at >= READY_UNCONFIRMED_S:
         return []
@@ -60,13 +64,13 @@
     return []
 
 
-def dropped_breaches(simulation: World, proxy: ProxyProcess) -> list[str]:
+def dropped_breaches(simulation: FeedSimulation, proxy: ProxyProcess) -> list[str]:
     """Breaches of DROPPED."""
     breaches = []
     previously_ready: dict[str, set[str]] = {}
     for observation in proxy.history:
         ready = {i for i, state in observation.states.items() if state is InstanceState.READY}
-        connected = in_touch(simulation, proxy, observation.at)
+        connected = is_connected(simulation, proxy, observation.at)
         for instance_id in previously_ready.get(observation.service, set()) - ready:
             if connected and _is_alive(simulation.servers[instance_id], observation.at):
                 breaches.append(f"DROPPED: {instance_id} at {proxy.address}, {observation.at:.2f}")
@@ -74,16 +78,16 @@
     return breaches
 
 
-def _is_cut_off(simulation: World, proxy: ProxyProcess, at: float) -> bool:
+def _is_cut_off(simulation: FeedSimulation, proxy: ProxyProcess, at: float) -> bool:
     """Whether a link between the proxy and a control process was cut at a time."""
     in_force: frozenset[tuple[str, str]] = frozenset()
-    for since, cuts in simulation.cuts:
+    for since, cuts in simulation.cut_history:
         if since <= at:
             in_force = cuts
     return any(proxy.address in cut for cut in in_force)
 
 
-def is_undisturbed(simulation: World, proxy: ProxyProcess, at: float) -> bool:
+def is_undisturbed(simulation: FeedSimulation, proxy: ProxyProcess, at: float) -> bool:
     """Whether a majority of voters runs, without disruptions to them or the proxy for ContactMs."""
     running = 0
     for since, count in simulation.running_voter_history:
@@ -97,7 +101,7 @@
     )
 
 
-def in_touch(simulation: World, proxy: ProxyProcess, at: float) -> bool:
+def is_connected(simulation: FeedSimulation, proxy: ProxyProcess, at: float) -> bool:
     """Whether the proxy counts as connected, so that invariants with a time limit apply."""
     return is_undisturbed(simulation, proxy, at) and not _is_cut_off(simulation, proxy, at)
 
@@ -122,7 +126,7 @@
     return []
 
 
-def empty_breaches(simulation: World, proxy: ProxyProcess) -> list[str]:
+def empty_breaches(simulation: FeedSimulation, proxy: ProxyProcess) -> list[str]:
     """Breaches of EMPTY."""
     breaches, offered_services = [], set()
     for observation in proxy.history:
@@ -145,7 +149,7 @@
     return at < ready_until and any(at - RECENT_HEARTBEAT_S < t < at - 0.5 for t in times)
 
 
-def final_state_breaches(simulation: World) -> list[str]:
+def final_state_breaches(simulation: FeedSimulation) -> list[str]:
     """Breaches of LOST, STALE and OLD, at the end of a run without disruptions."""
     breaches = []
     newest = simulation.commits[-1].generation if simulation.commits else 0
@@ -161,14 +165,14 @@
     return breaches
 
 
-def _others_run(simulation: World, service: str) -> bool:
+def _others_run(simulation: FeedSimulation, service: str) -> bool:
     return any(
         other.running and other.state is InstanceState.READY and other.service == service
         for other in simulation.servers.values()
     )
 
 
-def all_breaches(simulation: World, end: float) -> list[str]:
+def all_breaches(simulation: FeedSimulation, end: float) -> list[str]:
     """All breaches that the histories show."""
     breaches = drain_breaches(simulation, end) + final_state_breaches(simulation)
     for proxy in simulation.proxies.values():
--- a/tests/fleet/feed_schedules.py
+++ b/tests/fleet/feed_schedules.py
@@ -5,7 +5,7 @@
 from collections.abc import Coroutine
 
 from tests.fleet.feed_oracle import all_breaches
-from tests.fleet.feed_world import World, configuration
+from tests.fleet.feed_world import FeedSimulation, make_configuration
 from tests.fleet.virtual_time import play
 
 SCHEDULE_S = 30.0
@@ -19,7 +19,7 @@
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
         controls, voters = self.rng.choice(FLEETS)
-        self.simulation = World(self.rng, control_count=controls, voter_count=voters)
+        self.simulation = FeedSimulation(self.rng, control_count=controls, voter_count=voters)
         self.generation = 1
         self.stopped_controls: list[str] = []
 
@@ -29,7 +29,7 @@
         simulation.start()
         for number in range(5):
             simulation.start_server(f"s{number % 2}")
-        simulation.commit(configuration(self.generation))
+        simulation.commit(make_configuration(self.generation))
         await asyncio.sleep(6.0)
         end = simulation.now() + SCHEDULE_S
         while simulation.now() < end:
@@ -120,11 +120,11 @@
 
     def _commit(self) -> None:
         self.generation += self.rng.randrange(1, 4)
-        self.simulation.commit(configuration(self.generation, self.rng.randrange(1, 7)))
+        self.simulation.commit(make_configuration(self.generation, self.rng.randrange(1, 7)))
 
     def _cut_controls(self) -> None:
         one, other = self.rng.sample(sorted(self.simulation.controls), 2)
-        self.simulation.trouble("core")
+        self.simulation.note_disruption("core")
         self.simulation.network.cut(one, other)
         self._record_cuts()
 
@@ -133,14 +133,14 @@
             self.rng.choice(list(self.simulation.proxies)),
             self.rng.choice(self.simulation.voters),
         )
-        self.simulation.trouble(proxy)
+        self.simulation.note_disruption(proxy)
         self.simulation.network.cut(proxy, control)
         self._record_cuts()
 
     def _reset_link(self) -> None:
         key = self.rng.choice(sorted(self.simulation.network.sessions) or [("", "")])
         for name in key:
-            self.simulation.trouble(name if name in self.simulation.proxies else "core")
+            self.simulation.note_disruption(name if name in self.simulation.proxies else "core")
         self.simulation.network.reset(*key)
 
     def _kill_random_control(self) -> None:
@@ -148,13 +148,13 @@
 
     def _kill_control(self, address: str, silent: bool) -> None:
         if address not in self.stopped_controls:
-            self.simulation.trouble("core")
+            self.simulation.note_disruption("core")
             self.simulation.kill_control(address, silent)
             self.stopped_controls.append(address)
 
     def _restart_control(self) -> None:
         if self.stopped_controls:
-            self.simulation.trouble("core")
+            self.simulation.note_disruption("core")
             address = self.stopped_controls.pop(0)
             self.simulation.start_control(address)
 
@@ -170,12 +170,12 @@
         if network.cuts:
             one, other = self.rng.choice(sorted(network.cuts))
             for name in (one, other):
-                self.simulation.trouble(name if name in self.simulation.proxies else "core")
+                self.simulation.note_disruption(name if name in self.simulation.proxies else "core")
             network.heal(one, other)
             self._record_cuts()
 
     def _record_cuts(self) -> None:
-        self.simulation.cuts.append((self.simulation.now(), frozenset(self.simulation.network.cuts)))
+        self.simulation.cut_history.append((self.simulation.now(), frozenset(self.simulation.network.cuts)))
 
     def _toggle_disk_refusal(self) -> None:
         store = self.simulation.stores[self.rng.choice(self.simulation.voters)]
@@ -189,16 +189,16 @@
         address = self.rng.choice(sorted(self.simulation.controls))
         if self.simulation.controls[address].links.alive:
             seconds = self.rng.uniform(0.3, 6.0)
-            self.simulation.trouble("core")
+            self.simulation.note_disruption("core")
             self.simulation.network.freeze(address, seconds)
-            asyncio.get_running_loop().call_later(seconds, self.simulation.trouble, "core")
+            asyncio.get_running_loop().call_later(seconds, self.simulation.note_disruption, "core")
 
     def _restart_proxy(self) -> None:
         address = self.rng.choice(list(self.simulation.proxies))
         self.simulation.network.kill(address, silent=False)
         self.simulation.spawn(self.simulation.proxies[address].client.stop())
         self.simulation.start_proxy(address)
-        self.simulation.trouble(address)
+        self.simulation.note_disruption(address)
 
     def _repair(self) -> None:
         for store in self.simulation.stores.values():
@@ -211,7 +211,7 @@
             self.simulation.network.heal(one, other)
         self._record_cuts()
         for target in ("core", *self.simulation.proxies):
-            self.simulation.trouble(target)
+            self.simulation.note_disruption(target)
 
 
 def run_schedule(seed: int) -> list[str]:
--- a/tests/fleet/feed_world.py
+++ b/tests/fleet/feed_world.py
@@ -32,7 +32,7 @@
 CONTROL_PORT, PROXY_PORT = 7000, 7001
 
 
-def settings_of(ip: str, seeds: list[str], has_disk: bool = True) -> LocalSettings:
+def make_settings(ip: str, seeds: list[str], has_disk: bool = True) -> LocalSettings:
     """Settings of a process on the machine with this address."""
     return LocalSettings(
         node_name=ip,
@@ -48,7 +48,7 @@
     )
 
 
-def configuration(generation: int, routes: int = 3) -> Configuration:
+def make_configuration(generation: int, routes: int = 3) -> Configuration:
     """A configuration that differs from that of any other generation."""
     route_names = [f"r{(generation + i) % 7}" for i in range(routes)]
     return Configuration(
@@ -111,7 +111,7 @@
 class FakeShard:
     """Fake of the configuration shard: commits arrive late, and reads need a connected majority."""
 
-    def __init__(self, simulation: "World", links: Any) -> None:
+    def __init__(self, simulation: "FeedSimulation", links: Any) -> None:
         self.simulation, self.links = simulation, links
         self.on_committed: list[Callable[[Configuration], None]] = []
         self.on_voters: list[Callable[[list[str], int], None]] = []
@@ -143,16 +143,16 @@
 
     @property
     def is_leaderless(self) -> bool:
-        return self.committed is not None and not self.majority()
+        return self.committed is not None and not self.has_majority()
 
-    def majority(self) -> bool:
+    def has_majority(self) -> bool:
         connected = {self.links.own.address, *self.links.connected()}
         return len(connected & set(self.simulation.voters)) * 2 > len(self.simulation.voters)
 
     async def confirm(self, timeout_s: float) -> bool:
         newest = self.simulation.commits[-1] if self.simulation.commits else None
         await asyncio.sleep(0.03 + self.lag_s)
-        if not self.majority() or 0.03 + self.lag_s > timeout_s:
+        if not self.has_majority() or 0.03 + self.lag_s > timeout_s:
             await asyncio.sleep(max(0.0, timeout_s - 0.03 - self.lag_s))
             return False
         self.commit(newest)
@@ -191,7 +191,7 @@
 class ProxyProcess:
     """One proxy, with the history of its configurations and server lists."""
 
-    def __init__(self, simulation: "World", address: str, links: Any, seeds: list[str]) -> None:
+    def __init__(self, simulation: "FeedSimulation", address: str, links: Any, seeds: list[str]) -> None:
         self.simulation, self.address, self.links = simulation, address, links
         self.offered: dict[str, list[InstanceRecord]] = {}
         self.history: list[Observation] = []
@@ -201,7 +201,7 @@
         self.started_at = simulation.now()
         self.first_ready: tuple[float, int] | None = None  # (time, configuration version)
         self.client = FeedClient(
-            settings_of(ip, seeds), links, self.configured, self.on_records, now=simulation.now_ms
+            make_settings(ip, seeds), links, self.on_configuration, self.on_records, now=simulation.now_ms
         )
 
     async def run(self) -> None:
@@ -211,7 +211,7 @@
             await asyncio.sleep(0.02)
         self.first_ready = (self.simulation.now(), self.client.version)
 
-    def configured(self, value: Configuration) -> None:
+    def on_configuration(self, value: Configuration) -> None:
         self.versions.append((self.simulation.now(), value.generation))
 
     def on_records(self, service: str, records: list[InstanceRecord]) -> None:
@@ -239,7 +239,7 @@
 class Server:
     """One incarnation of a server, which sends heartbeats to control processes."""
 
-    def __init__(self, simulation: "World", number: int, service: str) -> None:
+    def __init__(self, simulation: "FeedSimulation", number: int, service: str) -> None:
         self.simulation, self.service = simulation, service
         self.id = f"i{number}"
         self.address = f"10.9.0.{number % 250}:80"
@@ -317,7 +317,7 @@
 
 
 @dataclass
-class World:
+class FeedSimulation:
     """The simulated fleet and its recorded histories."""
 
     rng: random.Random
@@ -333,7 +333,7 @@
     commits: list[Configuration] = field(default_factory=list)
     acknowledgements: list[Acknowledgement] = field(default_factory=list)
     # (time, cut links from then on)
-    cuts: list[tuple[float, frozenset[tuple[str, str]]]] = field(default_factory=list)
+    cut_history: list[tuple[float, frozenset[tuple[str, str]]]] = field(default_factory=list)
     running_voter_history: list[tuple[float, int]] = field(
         default_factory=list
     )  # (time, number from then on)
@@ -370,7 +370,7 @@
         store: Any = self.stores.setdefault(address, FakeStore())
         writer: Any = FakeWriter(self.rng)
         shard: Any = FakeShard(self, links)
-        settings = settings_of(address.partition(":")[0], [])
+        settings = make_settings(address.partition(":")[0], [])
         registry = RegistryService(settings, links, store, writer, shard.voters, self.now_ms)
         feeds = FeedSource(links, shard, registry)
         tick_task = asyncio.create_task(self._run_ticks(registry, shard, links))
@@ -430,7 +430,7 @@
         self.commits.append(value)
         self.commit_times.append((self.now(), value.generation))
         for control in self.controls.values():
-            if control.links.alive and control.shard.majority():
+            if control.links.alive and control.shard.has_majority():
                 delay = self.rng.uniform(0.001, 0.05)
                 asyncio.get_running_loop().call_later(delay, self._deliver_commit, control, value)
 
@@ -449,7 +449,7 @@
         running = [v for v in self.voters if v in self.controls and self.controls[v].links.alive]
         self.running_voter_history.append((self.now(), len(running)))
 
-    def trouble(self, target: str) -> None:
+    def note_disruption(self, target: str) -> None:
         """Record a disruption of the control plane ("core") or of a proxy's links."""
         self.disruptions.append((self.now(), target))
 
@@ -457,16 +457,16 @@
         while True:
             await asyncio.sleep(max(0.05, links.frozen_until - self.now()))
             registry.tick()
-            if self.commits and shard.majority():
+            if self.commits and shard.has_majority():
                 shard.commit(self.commits[-1])  # consensus brings a reconnected process up to date
 
 
-def story(test: Callable[[Any, World], Awaitable[None]]) -> Callable[[Any], None]:
+def simulated(test: Callable[[Any, FeedSimulation], Awaitable[None]]) -> Callable[[Any], None]:
     """Decorator: run a test in a simulation of its own, in which no handler may fail."""
 
     def run(self: Any) -> None:
         async def run_test() -> None:
-            simulation = World(random.Random(1))
+            simulation = FeedSimulation(random.Random(1))
             simulation.start()
             await test(self, simulation)
             self.assertEqual(simulation.network.errors, [])
--- a/tests/fleet/lease_world.py
+++ b/tests/fleet/lease_world.py
@@ -15,8 +15,8 @@
 from brackenusher.cluster.key_leases import KeyLease
 from brackenusher.control_plane.version_confirmations import VersionConfirmations
 from brackenusher.settings.local import Bounds
-from tests.fleet.feed_oracle import in_touch
-from tests.fleet.feed_world import Control, ProxyProcess, World, configuration
+from tests.fleet.feed_oracle import is_connected
+from tests.fleet.feed_world import Control, FeedSimulation, ProxyProcess, make_configuration
 from tests.fleet.virtual_time import play
 
 REVOKE_MS = 3000.0
@@ -41,7 +41,7 @@
 
 
 @dataclass
-class LeaseWorld(World):
+class LeaseWorld(FeedSimulation):
     """A simulated fleet whose proxies hold key leases."""
 
     strict: bool = True
@@ -66,7 +66,7 @@
         proxy = super().start_proxy(address)
         bounds = Bounds(strict_revocation=self.strict, revoke_ms=REVOKE_MS)
         lease = self.leases[address] = KeyLease(bounds, proxy.links, self.clock())
-        configured = proxy.configured
+        configured = proxy.on_configuration
 
         def apply_configuration(value: Any) -> None:
             configured(value)
@@ -126,7 +126,7 @@
             return
         if lease.holds:
             self.forwarded.append(ForwardedRequest(address, sent_at, proxy.client.version))
-        elif proxy.client.ready and in_touch(self, proxy, self.now()):
+        elif proxy.client.ready and is_connected(self, proxy, self.now()):
             self.refused_in_touch.append(f"REFUSED: at {address}, {self.now():.2f}")
 
     def revoked(self) -> list[str]:
@@ -153,7 +153,7 @@
         """Run it; returns the simulation."""
         sim = self.sim
         sim.start()
-        sim.commit(configuration(self.generation))
+        sim.commit(make_configuration(self.generation))
         await asyncio.sleep(WARM_UP_DURATION_S)
         ends_at = sim.now() + FAULT_DURATION_S
         sim.spawn(sim.send_requests(ends_at + QUIET_DURATION_S))
@@ -176,7 +176,7 @@
 
     def _commit(self) -> None:
         self.generation += self.rng.randrange(1, 4)
-        self.sim.commit(configuration(self.generation))
+        self.sim.commit(make_configuration(self.generation))
 
     def _cut_links(self) -> None:
         """Cut a proxy from some or all control processes, or cut the link between any two processes."""
@@ -190,9 +190,9 @@
 
     def _cut_pair(self, a: str, b: str) -> None:
         for name in (a, b):
-            self.sim.trouble(name if name in self.sim.proxies else "core")
+            self.sim.note_disruption(name if name in self.sim.proxies else "core")
         self.sim.network.cut(a, b)
-        self.sim.cuts.append((self.sim.now(), frozenset(self.sim.network.cuts)))
+        self.sim.cut_history.append((self.sim.now(), frozenset(self.sim.network.cuts)))
 
     def _heal(self) -> None:
         if self.sim.network.cuts:
@@ -200,22 +200,22 @@
 
     def _heal_pair(self, a: str, b: str) -> None:
         for name in (a, b):
-            self.sim.trouble(name if name in self.sim.proxies else "core")
+            self.sim.note_disruption(name if name in self.sim.proxies else "core")
         self.sim.network.heal(a, b)
-        self.sim.cuts.append((self.sim.now(), frozenset(self.sim.network.cuts)))
+        self.sim.cut_history.append((self.sim.now(), frozenset(self.sim.network.cuts)))
 
     def _freeze(self) -> None:
         address = self.rng.choice(sorted([*self.sim.controls, *self.sim.proxies]))
         if self.sim.network.processes[address].alive:
             component = address if address in self.sim.proxies else "core"
             seconds = self.rng.uniform(0.3, 8.0)
-            self.sim.trouble(component)
+            self.sim.note_disruption(component)
             self.sim.network.freeze(address, seconds)
-            asyncio.get_running_loop().call_later(seconds, self.sim.trouble, component)
+            asyncio.get_running_loop().call_later(seconds, self.sim.note_disruption, component)
 
     def _kill_or_restart(self) -> None:
         """Kill a control process, or restart the one that was killed before."""
-        self.sim.trouble("core")
+        self.sim.note_disruption("core")
         if self.stopped:
             self.sim.start_control(self.stopped.pop())
         else:
@@ -229,7 +229,7 @@
         if self.stopped:
             self.sim.start_control(self.stopped.pop())
         for component in ("core", *self.sim.proxies):
-            self.sim.trouble(component)
+            self.sim.note_disruption(component)
 
 
 def play_lease_day(seed: int, strict: bool = True) -> LeaseWorld:
--- a/tests/fleet/test_feed_client.py
+++ b/tests/fleet/test_feed_client.py
@@ -10,11 +10,11 @@
 import betterproto
 import msgspec
 
-from barleybarrow.replication.rendezvous import SHARDS
+from barleybarrow.replication.rendezvous import SHARD_COUNT
 from brackenusher.cluster import messages
 from brackenusher.cluster.config_pieces import encode_piece
 from tests.fleet.fake_links import FakeNetwork
-from tests.fleet.feed_world import ProxyProcess, World, configuration
+from tests.fleet.feed_world import FeedSimulation, ProxyProcess, make_configuration
 from tests.fleet.virtual_time import play
 
 NAMES = ("10.0.0.1:7000", "10.0.0.2:7000")
@@ -23,7 +23,7 @@
 class Source:
     """A control process that says what a test wants."""
 
-    def __init__(self, network: FakeNetwork, world: World, address: str) -> None:
+    def __init__(self, network: FakeNetwork, world: FeedSimulation, address: str) -> None:
         self.links: Any = network.open(world.hello(address, "control"))
         self.received: list[betterproto.Message] = []
         self.answers: Callable[[str, betterproto.Message], None] = lambda peer, message: None
@@ -38,7 +38,7 @@
         return sum(isinstance(message, kind) for message in self.received)
 
     def send_list(self, peer: str, settled: bool = True) -> None:
-        for shard in range(SHARDS):
+        for shard in range(SHARD_COUNT):
             self.links.send(peer, messages.InstanceChanges(shard, 1, 0, True, settled, []))
 
 
@@ -46,7 +46,7 @@
     """One proxy and two sources."""
 
     def __init__(self) -> None:
-        self.world = World(random.Random(1), control_count=0, voter_count=0, proxy_count=0)
+        self.world = FeedSimulation(random.Random(1), control_count=0, voter_count=0, proxy_count=0)
         self.network = self.world.network = FakeNetwork(self.world.rng)
         self.sources = [Source(self.network, self.world, name) for name in NAMES]
         self.world.voters = list(NAMES)
@@ -99,7 +99,7 @@
         await asyncio.sleep(4.0)
         self.assertEqual(scene.proxy.client.version, 0)
         self.assertLess(scene.sources[0].count(messages.ConfigFetch), 8)
-        piece = messages.ConfigPiece(0, 9, encode_piece(configuration(9)))
+        piece = messages.ConfigPiece(0, 9, encode_piece(make_configuration(9)))
         scene.sources[1].answers = lambda peer, message: scene.sources[1].links.send(peer, piece)
         scene.sources[1].links.send(scene.proxy.address, messages.ConfigOffer(9, False))
         await asyncio.sleep(4.0)
@@ -110,9 +110,9 @@
         source, proxy = scene.sources[0], scene.proxy
         await asyncio.sleep(1.0)
         send = source.links.send
-        send(proxy.address, messages.ConfigPiece(0, 9, encode_piece(configuration(9))))
+        send(proxy.address, messages.ConfigPiece(0, 9, encode_piece(make_configuration(9))))
         await asyncio.sleep(0.1)
-        send(proxy.address, messages.ConfigPiece(0, 5, encode_piece(configuration(5))))
+        send(proxy.address, messages.ConfigPiece(0, 5, encode_piece(make_configuration(5))))
         delta = zlib.compress(msgspec.json.encode({"base_generation": 4, "generation": 12}))
         send(proxy.address, messages.ConfigPiece(4, 12, delta))
         await asyncio.sleep(0.1)
@@ -130,7 +130,7 @@
     async def test_a_proxy_without_a_core_is_ready_with_what_it_got(self, scene: Scene) -> None:
         await asyncio.sleep(1.0)
         scene.sources[0].links.send(
-            scene.proxy.address, messages.ConfigPiece(0, 9, encode_piece(configuration(9)))
+            scene.proxy.address, messages.ConfigPiece(0, 9, encode_piece(make_configuration(9)))
         )
         await asyncio.sleep(1.0)
         self.assertFalse(scene.proxy.client.ready)
--- a/tests/fleet/test_feed_parts.py
+++ b/tests/fleet/test_feed_parts.py
@@ -6,10 +6,10 @@
 from barleybarrow.documents import ClientLimits, Configuration, ConfigurationDelta, Route, Service, Tenant
 from barleybarrow.replication import configuration_delta
 from barleybarrow.replication.change_log import ChangeLog
-from barleybarrow.replication.configuration_fetch import INITIAL_TIMEOUT_MS, ConfigurationFetch
+from barleybarrow.replication.configuration_fetch import INITIAL_TIMEOUT_MS, ConfigurationFetcher
 from barleybarrow.replication.feed_view import CORRELATED_SILENCE_WINDOW_MS, FeedView
 from barleybarrow.replication.records import InstanceRecord, InstanceState
-from barleybarrow.replication.rendezvous import SHARDS, shard_of
+from barleybarrow.replication.rendezvous import SHARD_COUNT, shard_of
 from brackenusher.cluster.config_pieces import KEPT_DELTAS, ConfigPieces
 
 READY, DRAINING, GONE, SILENT = (
@@ -31,7 +31,7 @@
             for step in range(60):
                 if rng.random() < 0.05 and expected:
                     del expected[rng.choice(sorted(expected))]
-                    log.restart(expected)
+                    log.start_epoch(expected)
                 else:
                     changed = f"i{rng.randrange(12)}"
                     expected[changed] = step
@@ -115,40 +115,40 @@
     """Choice of the source to fetch a configuration from."""
 
     def test_the_next_source_is_asked_after_a_timeout(self) -> None:
-        fetch = ConfigurationFetch()
-        self.assertIsNone(fetch.ask(0.0))
-        fetch.offered("a", 5, confirmed=True)
-        self.assertEqual(fetch.ask(0.0), "a")
-        fetch.offered("b", 5, confirmed=False)
-        self.assertIsNone(fetch.ask(INITIAL_TIMEOUT_MS - 1.0))
-        self.assertEqual(fetch.ask(INITIAL_TIMEOUT_MS), "b")
+        fetch = ConfigurationFetcher()
+        self.assertIsNone(fetch.next_source(0.0))
+        fetch.on_offer("a", 5, confirmed=True)
+        self.assertEqual(fetch.next_source(0.0), "a")
+        fetch.on_offer("b", 5, confirmed=False)
+        self.assertIsNone(fetch.next_source(INITIAL_TIMEOUT_MS - 1.0))
+        self.assertEqual(fetch.next_source(INITIAL_TIMEOUT_MS), "b")
         self.assertFalse(fetch.confirmed)
-        fetch.taken(5)
+        fetch.on_applied(5)
         self.assertTrue(fetch.confirmed)
-        self.assertIsNone(fetch.ask(10_000.0))
+        self.assertIsNone(fetch.next_source(10_000.0))
 
     def test_a_disconnected_source_is_not_waited_for(self) -> None:
-        fetch = ConfigurationFetch()
-        fetch.offered("a", 5, confirmed=True)
-        fetch.offered("b", 5, confirmed=True)
-        first_source = fetch.ask(0.0)
+        fetch = ConfigurationFetcher()
+        fetch.on_offer("a", 5, confirmed=True)
+        fetch.on_offer("b", 5, confirmed=True)
+        first_source = fetch.next_source(0.0)
         assert first_source is not None
-        fetch.lost(first_source)
-        self.assertEqual({first_source, fetch.ask(1.0)}, {"a", "b"})
+        fetch.on_disconnected(first_source)
+        self.assertEqual({first_source, fetch.next_source(1.0)}, {"a", "b"})
 
     def test_a_version_older_than_a_confirmed_one_does_not_count_as_confirmed(self) -> None:
-        fetch = ConfigurationFetch()
-        fetch.offered("a", 7, confirmed=True)
-        fetch.taken(5)
+        fetch = ConfigurationFetcher()
+        fetch.on_offer("a", 7, confirmed=True)
+        fetch.on_applied(5)
         self.assertFalse(fetch.confirmed)
-        fetch.taken(9)
+        fetch.on_applied(9)
         self.assertTrue(fetch.confirmed)
 
     def test_any_version_counts_as_confirmed_if_none_was_committed(self) -> None:
-        fetch = ConfigurationFetch()
-        fetch.offered("a", 0, confirmed=True)
-        fetch.offered("a", 3, confirmed=False)
-        fetch.taken(3)
+        fetch = ConfigurationFetcher()
+        fetch.on_offer("a", 0, confirmed=True)
+        fetch.on_offer("a", 3, confirmed=False)
+        fetch.on_applied(3)
         self.assertTrue(fetch.confirmed)
 
 
@@ -165,16 +165,20 @@
             self.subscribe(source, 0.0)
 
     def subscribe(self, source: str, now: float, *records: InstanceRecord, settled: bool = True) -> None:
-        self.view.connected(source, now)
-        for shard in range(SHARDS):
+        self.view.on_connected(source, now)
+        for shard in range(SHARD_COUNT):
             shard_records = records if shard == shard_of("s") else ()
-            self.view.take(source, shard, (1, 0), shard_records, snapshot=True, settled=settled, now=now)
+            self.view.apply_update(
+                source, shard, (1, 0), shard_records, snapshot=True, settled=settled, now=now
+            )
 
     def push(self, source: str, now: float, *records: InstanceRecord) -> bool:
-        return self.view.take(source, shard_of("s"), (1, 1), records, snapshot=False, settled=True, now=now)
+        return self.view.apply_update(
+            source, shard_of("s"), (1, 1), records, snapshot=False, settled=True, now=now
+        )
 
     def ready(self, now: float = 0.0) -> list[str]:
-        return [record.id for record in self.view.offered("s", now) if record.state is READY]
+        return [record.id for record in self.view.offered_records("s", now) if record.state is READY]
 
 
 class FeedViewTest(unittest.TestCase):
@@ -198,14 +202,14 @@
         feeds.push("a", 1.0, make_record("i", DRAINING, 2))
         feeds.push("b", 1.0, make_record("i", READY, 9))
         self.assertEqual(feeds.ready(), ["j"])
-        self.assertEqual([r.state for r in feeds.view.offered("s", 1.0)], [READY, DRAINING])
+        self.assertEqual([r.state for r in feeds.view.offered_records("s", 1.0)], [READY, DRAINING])
         feeds.push("b", 1.0, make_record("i", GONE, 9))
-        self.assertEqual(len(feeds.view.offered("s", 1.0)), 1)
+        self.assertEqual(len(feeds.view.offered_records("s", 1.0)), 1)
 
     def test_the_last_known_state_holds_without_a_connected_source(self) -> None:
         feeds = FeedHarness("a")
         feeds.push("a", 0.0, make_record("i"), make_record("j", SILENT))
-        feeds.view.disconnected("a", 1.0)
+        feeds.view.on_disconnected("a", 1.0)
         self.assertEqual(feeds.ready(), ["i"])
         feeds.subscribe("a", 2.0, settled=False)
         self.assertEqual(feeds.ready(), ["i"])
@@ -229,14 +233,16 @@
         feeds = FeedHarness("a")
         shard = shard_of("s")
         self.assertFalse(
-            feeds.view.take("a", shard, (2, 4), [make_record("i")], snapshot=False, settled=True, now=0.0)
+            feeds.view.apply_update(
+                "a", shard, (2, 4), [make_record("i")], snapshot=False, settled=True, now=0.0
+            )
         )
 
     def test_gone_servers_expire(self) -> None:
         feeds = FeedHarness("a")
         feeds.push("a", 0.0, make_record("i", GONE), make_record("j"))
         feeds.subscribe("a", 1.0, make_record("j"))
-        feeds.view.forget(1e6)
+        feeds.view.expire(1e6)
         self.assertEqual(set(feeds.view.instances), {"j"})
 
 
--- a/tests/fleet/test_feed_paths.py
+++ b/tests/fleet/test_feed_paths.py
@@ -5,40 +5,42 @@
 from unittest import mock
 
 from barleybarrow.replication.records import InstanceRecord, InstanceState
-from barleybarrow.replication.registry import Entry, Registry
+from barleybarrow.replication.registry import Registry, RegistryEntry
 from brackenusher.control_plane.confirmations import Confirmation
 from brackenusher.control_plane.final_records import FinalRecords
 from brackenusher.control_plane.registry_service import RegistryService
 from tests.fleet.fake_links import pair
-from tests.fleet.feed_world import ProxyProcess, World, configuration, story
+from tests.fleet.feed_world import FeedSimulation, ProxyProcess, make_configuration, simulated
 
 
 class FeedPathsTest(unittest.TestCase):
     """Three control processes, two proxies."""
 
-    @story
-    async def test_a_new_server_is_offered_by_all_proxies(self, simulation: World) -> None:
+    @simulated
+    async def test_a_new_server_is_offered_by_all_proxies(self, simulation: FeedSimulation) -> None:
         simulation.start_server("s0")
         await asyncio.sleep(2.0)
         for proxy in simulation.proxies.values():
             self.assertTrue(proxy.offers("i0"))
 
-    @story
-    async def test_a_proxy_is_ready_once_the_configuration_is_confirmed(self, simulation: World) -> None:
+    @simulated
+    async def test_a_proxy_is_ready_once_the_configuration_is_confirmed(
+        self, simulation: FeedSimulation
+    ) -> None:
         proxy = next(iter(simulation.proxies.values()))
         await asyncio.sleep(3.5)
         self.assertFalse(proxy.client.ready)
-        simulation.commit(configuration(5))
+        simulation.commit(make_configuration(5))
         await asyncio.sleep(0.5)
         self.assertEqual(proxy.client.version, 5)
         self.assertTrue(proxy.client.ready)
-        simulation.commit(configuration(9))
+        simulation.commit(make_configuration(9))
         await asyncio.sleep(0.5)
         self.assertEqual([version for _, version in proxy.versions], [5, 9])
 
-    @story
+    @simulated
     async def test_a_drain_reaches_all_proxies_although_the_acknowledging_process_dies(
-        self, simulation: World
+        self, simulation: FeedSimulation
     ) -> None:
         server = simulation.start_server("s0")
         await asyncio.sleep(3.0)
@@ -51,8 +53,10 @@
         for proxy in simulation.proxies.values():
             self.assertFalse(proxy.offers("i0"))
 
-    @story
-    async def test_a_crashed_server_is_dropped_while_another_one_runs(self, simulation: World) -> None:
+    @simulated
+    async def test_a_crashed_server_is_dropped_while_another_one_runs(
+        self, simulation: FeedSimulation
+    ) -> None:
         simulation.start_server("s0")
         simulation.start_server("s0")
         await asyncio.sleep(4.0)
@@ -62,8 +66,10 @@
             self.assertFalse(proxy.offers("i0"))
             self.assertTrue(proxy.offers("i1"))
 
-    @story
-    async def test_a_service_whose_servers_all_fall_silent_keeps_them(self, simulation: World) -> None:
+    @simulated
+    async def test_a_service_whose_servers_all_fall_silent_keeps_them(
+        self, simulation: FeedSimulation
+    ) -> None:
         simulation.start_server("s0")
         simulation.start_server("s0")
         await asyncio.sleep(4.0)
@@ -73,8 +79,10 @@
         for proxy in simulation.proxies.values():
             self.assertTrue(proxy.offers("i0") and proxy.offers("i1"))
 
-    @story
-    async def test_drains_survive_a_restart_of_all_control_processes(self, simulation: World) -> None:
+    @simulated
+    async def test_drains_survive_a_restart_of_all_control_processes(
+        self, simulation: FeedSimulation
+    ) -> None:
         server = simulation.start_server("s0")
         await asyncio.sleep(3.0)
         server.crash()
@@ -99,7 +107,7 @@
     def test_drains_undone_by_newer_heartbeats_are_found(self) -> None:
         def newest_wins(registry: Registry, record: InstanceRecord, now: float) -> bool:
             entry = registry.entries.get(record.id)
-            if entry is not None and record.sequence > entry.heard:
+            if entry is not None and record.sequence > entry.last_sequence:
                 del registry.entries[record.id]
             return original(registry, record, now)
 
@@ -111,8 +119,8 @@
         with mock.patch.object(FinalRecords, "load", lambda final: []), self.assertRaises(AssertionError):
             self.test_drains_survive_a_restart_of_all_control_processes()
 
-    @story
-    async def test_nothing_is_acknowledged_without_a_majority(self, simulation: World) -> None:
+    @simulated
+    async def test_nothing_is_acknowledged_without_a_majority(self, simulation: FeedSimulation) -> None:
         await asyncio.sleep(1.0)
         one, others = simulation.voters[0], simulation.voters[1:]
         for other in others:
@@ -132,8 +140,10 @@
         with mock.patch.object(Confirmation, "needed", 1), self.assertRaises(AssertionError):
             self.test_nothing_is_acknowledged_without_a_majority()
 
-    @story
-    async def test_a_silent_server_is_offered_again_after_its_next_heartbeat(self, simulation: World) -> None:
+    @simulated
+    async def test_a_silent_server_is_offered_again_after_its_next_heartbeat(
+        self, simulation: FeedSimulation
+    ) -> None:
         server = simulation.start_server("s0")
         simulation.start_server("s0")
         await asyncio.sleep(3.0)
@@ -144,8 +154,8 @@
         self.assertTrue(all(proxy.offers("i0") for proxy in simulation.proxies.values()))
 
     def test_a_silence_that_heartbeats_do_not_end_is_found(self) -> None:
-        def ignore_while_silent(registry: Registry, entry: Entry, sequence: int, now: float) -> None:
-            if entry.silent_sequence < entry.heard:
+        def ignore_while_silent(registry: Registry, entry: RegistryEntry, sequence: int, now: float) -> None:
+            if entry.silent_sequence < entry.last_sequence:
                 original(registry, entry, sequence, now)
 
         original = Registry._record_heartbeat
@@ -155,8 +165,8 @@
         ):
             self.test_a_silent_server_is_offered_again_after_its_next_heartbeat()
 
-    @story
-    async def test_registries_are_exchanged_when_a_link_comes_up(self, simulation: World) -> None:
+    @simulated
+    async def test_registries_are_exchanged_when_a_link_comes_up(self, simulation: FeedSimulation) -> None:
         await asyncio.sleep(1.0)
         one, two, three = simulation.voters
         simulation.network.cut(one, three)
@@ -179,8 +189,10 @@
         with no_exchange, self.assertRaises((AssertionError, KeyError)):
             self.test_registries_are_exchanged_when_a_link_comes_up()
 
-    @story
-    async def test_drains_are_not_acknowledged_while_disks_refuse_writes(self, simulation: World) -> None:
+    @simulated
+    async def test_drains_are_not_acknowledged_while_disks_refuse_writes(
+        self, simulation: FeedSimulation
+    ) -> None:
         await asyncio.sleep(1.0)
         for store in simulation.stores.values():
             store.refuses = True
@@ -193,8 +205,10 @@
         simulation.stores[simulation.voters[2]].refuses = False
         self.assertTrue(await simulation.call(simulation.voters[0], "heartbeat", server.record()))
 
-    @story
-    async def test_a_proxy_connects_to_new_voters_and_drops_old_ones(self, simulation: World) -> None:
+    @simulated
+    async def test_a_proxy_connects_to_new_voters_and_drops_old_ones(
+        self, simulation: FeedSimulation
+    ) -> None:
         simulation.start_server("s0")
         await asyncio.sleep(3.0)
         old, new = simulation.voters[0], "10.0.0.9:7000"
@@ -210,9 +224,11 @@
             self.assertEqual(proxy.links.wanted_peers, set(simulation.voters))
             self.assertTrue(proxy.offers("i0"))
 
-    @story
-    async def test_a_proxy_whose_seeds_are_down_learns_voters_from_peers(self, simulation: World) -> None:
-        simulation.commit(configuration(3))
+    @simulated
+    async def test_a_proxy_whose_seeds_are_down_learns_voters_from_peers(
+        self, simulation: FeedSimulation
+    ) -> None:
+        simulation.commit(make_configuration(3))
         links = simulation.network.open(simulation.hello("10.1.0.9:7001", "proxy"))
         proxy = ProxyProcess(simulation, "10.1.0.9:7001", links, ["10.0.0.77"])
         simulation.spawn(proxy.run())
@@ -223,8 +239,10 @@
         self.assertTrue(proxy.client.ready)
         self.assertEqual(links.wanted_peers, set(simulation.voters))
 
-    @story
-    async def test_a_new_server_replaces_the_previous_one_at_its_address(self, simulation: World) -> None:
+    @simulated
+    async def test_a_new_server_replaces_the_previous_one_at_its_address(
+        self, simulation: FeedSimulation
+    ) -> None:
         first = simulation.start_server("s0")
         simulation.start_server("s0")
         await asyncio.sleep(3.0)
@@ -236,11 +254,11 @@
             self.assertFalse(proxy.offers(first.id))
             self.assertTrue(proxy.offers(second.id) and proxy.offers("i1"))
 
-    @story
-    async def test_idle_feeds_cause_little_traffic(self, simulation: World) -> None:
+    @simulated
+    async def test_idle_feeds_cause_little_traffic(self, simulation: FeedSimulation) -> None:
         for number in range(30):
             simulation.start_server(f"s{number % 2}")
-        simulation.commit(configuration(3))
+        simulation.commit(make_configuration(3))
         await asyncio.sleep(10.0)
         before = {address: control.links.sent_bytes for address, control in simulation.controls.items()}
         await asyncio.sleep(20.0)
@@ -248,11 +266,11 @@
         # Bytes per second between three control processes and to two proxies.
         self.assertLess(sent / 20.0, 10_000)
 
-    @story
+    @simulated
     async def test_a_proxy_keeps_serving_through_a_restart_of_the_control_plane(
-        self, simulation: World
+        self, simulation: FeedSimulation
     ) -> None:
-        simulation.commit(configuration(3))
+        simulation.commit(make_configuration(3))
         simulation.start_server("s0")
         await asyncio.sleep(4.0)
         proxy = next(iter(simulation.proxies.values()))
@@ -263,7 +281,7 @@
         for address in simulation.voters:
             simulation.start_control(address).shard.commit(simulation.commits[-1])
         await asyncio.sleep(2.0)
-        simulation.commit(configuration(8))
+        simulation.commit(make_configuration(8))
         await asyncio.sleep(2.0)
         self.assertEqual(proxy.client.version, 8)
         self.assertTrue(proxy.offers("i0"))
--- a/tests/fleet/test_feed_planted.py
+++ b/tests/fleet/test_feed_planted.py
@@ -40,7 +40,7 @@
 def mark_silent_without_timeout(self: RegistryService, now: float) -> None:
     """Injected bug: servers are marked silent without the full timeout, even by a new owner."""
     overdue = self.registry.overdue(self._groups.owned(), now - 600.0)
-    self._tell_silence([self.registry.silence(instance_id, now) for instance_id in overdue])
+    self._tell_silence([self.registry.mark_silent(instance_id, now) for instance_id in overdue])
 
 
 class InjectedBugsTest(unittest.TestCase):
--- a/tests/fleet/test_key_leases.py
+++ b/tests/fleet/test_key_leases.py
@@ -8,12 +8,12 @@
 from typing import Any
 from unittest import mock
 
-from barleybarrow.replication.revocation_lease import DRIFT, RevocationLease
+from barleybarrow.replication.revocation_lease import MAX_CLOCK_DRIFT_RATIO, RevocationLease
 from brackenusher.cluster import key_leases, messages
 from brackenusher.cluster.frames import encode_frame
 from brackenusher.cluster.key_leases import KeyLease
 from brackenusher.control_plane.version_confirmations import VersionConfirmations
-from tests.fleet.feed_world import ProxyProcess, configuration
+from tests.fleet.feed_world import ProxyProcess, make_configuration
 from tests.fleet.lease_world import REVOKE_MS, LeaseWorld, play_lease_day
 from tests.fleet.virtual_time import play
 
@@ -29,7 +29,7 @@
         async def whole() -> None:
             world = LeaseWorld(random.Random(1), proxy_count=2)
             world.start()
-            world.commit(configuration(3))
+            world.commit(make_configuration(3))
             await asyncio.sleep(3.0)
             await test(self, world)
             self.assertEqual(world.network.errors, [])
@@ -44,43 +44,43 @@
 
     def test_it_counts_from_the_question_and_the_age_that_was_told(self) -> None:
         lease = RevocationLease(5000.0)
-        lease.took(7)
-        lease.confirmed(7, asked_at=1000.0, age_ms=300.0)
-        ends = 1000.0 - 300.0 + 5000.0 / DRIFT
-        self.assertTrue(lease.holds(ends - 1.0))
-        self.assertFalse(lease.holds(ends + 1.0))
+        lease.on_applied(7)
+        lease.on_confirmation(7, requested_at=1000.0, age_ms=300.0)
+        ends = 1000.0 - 300.0 + 5000.0 / MAX_CLOCK_DRIFT_RATIO
+        self.assertTrue(lease.is_valid(ends - 1.0))
+        self.assertFalse(lease.is_valid(ends + 1.0))
 
     def test_a_newer_version_than_the_one_in_force_holds_once_it_is_taken(self) -> None:
         lease = RevocationLease(5000.0)
-        lease.took(7)
-        lease.confirmed(8, asked_at=1000.0, age_ms=0.0)
-        self.assertFalse(lease.holds(1001.0))
-        lease.took(8)
-        self.assertTrue(lease.holds(1001.0))
+        lease.on_applied(7)
+        lease.on_confirmation(8, requested_at=1000.0, age_ms=0.0)
+        self.assertFalse(lease.is_valid(1001.0))
+        lease.on_applied(8)
+        self.assertTrue(lease.is_valid(1001.0))
 
     def test_a_confirmation_of_an_older_version_holds_as_well(self) -> None:
         lease = RevocationLease(5000.0)
-        lease.took(9)
-        lease.confirmed(7, asked_at=1000.0, age_ms=0.0)
-        self.assertTrue(lease.holds(1001.0))
+        lease.on_applied(9)
+        lease.on_confirmation(7, requested_at=1000.0, age_ms=0.0)
+        self.assertTrue(lease.is_valid(1001.0))
 
     def test_an_older_confirmation_takes_nothing_back(self) -> None:
         lease = RevocationLease(5000.0)
-        lease.took(7)
-        lease.confirmed(7, asked_at=4000.0, age_ms=0.0)
-        lease.confirmed(7, asked_at=1000.0, age_ms=0.0)
-        self.assertEqual(lease.held.at, 4000.0)
+        lease.on_applied(7)
+        lease.on_confirmation(7, requested_at=4000.0, age_ms=0.0)
+        lease.on_confirmation(7, requested_at=1000.0, age_ms=0.0)
+        self.assertEqual(lease.current.as_of, 4000.0)
 
     def test_what_is_too_old_is_told_to_nobody(self) -> None:
         lease = RevocationLease(5000.0)
-        lease.took(7)
-        lease.confirmed(7, asked_at=0.0, age_ms=0.0)
-        self.assertEqual(lease.to_tell(4000.0), lease.held)
-        self.assertIsNone(lease.to_tell(4900.0))
+        lease.on_applied(7)
+        lease.on_confirmation(7, requested_at=0.0, age_ms=0.0)
+        self.assertEqual(lease.shareable_confirmation(4000.0), lease.current)
+        self.assertIsNone(lease.shareable_confirmation(4900.0))
 
     def test_it_is_renewed_several_times_in_a_lease_also_where_that_is_short(self) -> None:
-        self.assertLess(4 * RevocationLease(300.0).renewal_ms, 300.0)
-        self.assertEqual(RevocationLease(60_000.0).renewal_ms, 1000.0)
+        self.assertLess(4 * RevocationLease(300.0).renewal_interval_ms, 300.0)
+        self.assertEqual(RevocationLease(60_000.0).renewal_interval_ms, 1000.0)
 
 
 class FleetTest(unittest.TestCase):
@@ -189,10 +189,10 @@
         self.assertTrue(shown, "no day shows it")
 
     def test_a_lease_that_counts_from_the_answers_arrival(self) -> None:
-        def confirmed(self: RevocationLease, version: int, asked_at: float, age_ms: float) -> None:
+        def confirmed(self: RevocationLease, version: int, requested_at: float, age_ms: float) -> None:
             honest(self, version, arrived_at[0], age_ms)
 
-        honest, arrived_at = RevocationLease.confirmed, [0.0]
+        honest, arrived_at = RevocationLease.on_confirmation, [0.0]
         take_answer, peer_answered = KeyLease._take_answer, KeyLease.peer_answered
 
         def noting(method: Any) -> Any:
@@ -206,7 +206,7 @@
             mock.patch.object(KeyLease, "peer_answered", noting(peer_answered)),
             mock.patch.object(KeyLease, "_take_answer", noting(take_answer)),
         ):
-            self.found(RevocationLease, "confirmed", confirmed)
+            self.found(RevocationLease, "on_confirmation", confirmed)
 
     def test_a_member_that_is_behind_and_confirms_by_what_it_has(self) -> None:
         async def confirm(self: VersionConfirmations) -> None:
@@ -239,11 +239,11 @@
         self.found(key_leases, "confirmation_fields", fields)
 
     def test_a_version_that_is_not_in_force_yet_counts(self) -> None:
-        def confirmed(self: RevocationLease, version: int, asked_at: float, age_ms: float) -> None:
-            honest(self, 0, asked_at, age_ms)
+        def confirmed(self: RevocationLease, version: int, requested_at: float, age_ms: float) -> None:
+            honest(self, 0, requested_at, age_ms)
 
-        honest = RevocationLease.confirmed
-        self.found(RevocationLease, "confirmed", confirmed)
+        honest = RevocationLease.on_confirmation
+        self.found(RevocationLease, "on_confirmation", confirmed)
 
 
 if __name__ == "__main__":
--- a/tests/fleet/test_monitor.py
+++ b/tests/fleet/test_monitor.py
@@ -7,24 +7,24 @@
 from typing import Any, cast
 
 from barleybarrow.replication.monitoring import (
-    FROZEN_MS,
-    MISSES,
-    PING_PERIOD_MS,
-    REMOVED_MS,
-    REPORT_KEPT_MS,
-    TARGETS,
-    UNLINKED_MS,
+    DISCONNECTED_REMOVAL_MS,
+    DISCONNECTED_SUSPECT_MS,
+    MISSED_PINGS_LIMIT,
+    MONITORED_PEERS,
+    PING_INTERVAL_MS,
+    REPORT_TTL_MS,
+    STALL_THRESHOLD_MS,
     Member,
+    MemberStatus,
     MemberTable,
+    MergedMemberLists,
     PeerMonitor,
-    Report,
-    ToldMembers,
-    View,
+    ReachabilityReport,
 )
 from brackenusher.cluster import messages
 from brackenusher.cluster.monitor import Monitor
 from tests.fleet.fake_links import FakeNetwork
-from tests.fleet.feed_world import CONTROL_PORT, PROXY_PORT, settings_of
+from tests.fleet.feed_world import CONTROL_PORT, PROXY_PORT, make_settings
 from tests.fleet.virtual_time import play
 
 LOSS = 0.1  # of datagrams
@@ -38,31 +38,31 @@
         monitor.set_members(["me", "a"])
         now, orders = 0.0, monitor.tick(0.0)
         self.assertEqual([order.target for order in orders], ["a"])
-        monitor.answered("a", orders[0].number, 10.0)
-        self.assertEqual(monitor.take_reports(), [Report("a", True)])
-        for _ in range(MISSES + 3):
-            now += PING_PERIOD_MS
+        monitor.on_answer("a", orders[0].number, 10.0)
+        self.assertEqual(monitor.take_reports(), [ReachabilityReport("a", True)])
+        for _ in range(MISSED_PINGS_LIMIT + 3):
+            now += PING_INTERVAL_MS
             orders = monitor.tick(now)
-        self.assertEqual(monitor.take_reports(), [Report("a", False)])
-        monitor.answered("a", orders[0].number, now + 10.0)
-        self.assertEqual(monitor.take_reports(), [Report("a", True)])
+        self.assertEqual(monitor.take_reports(), [ReachabilityReport("a", False)])
+        monitor.on_answer("a", orders[0].number, now + 10.0)
+        self.assertEqual(monitor.take_reports(), [ReachabilityReport("a", True)])
 
     def test_answers_to_older_pings_count_for_nothing(self) -> None:
         monitor = PeerMonitor("me")
         monitor.set_members(["a"])
         first = monitor.tick(0.0)[0]
-        monitor.tick(PING_PERIOD_MS)
-        monitor.answered("a", first.number, PING_PERIOD_MS)
+        monitor.tick(PING_INTERVAL_MS)
+        monitor.on_answer("a", first.number, PING_INTERVAL_MS)
         self.assertEqual(monitor.take_reports(), [])
 
     def test_a_process_that_stood_still_blames_nobody(self) -> None:
         monitor = PeerMonitor("me")
         monitor.set_members(["a"])
         now = 0.0
-        for _ in range(MISSES):
+        for _ in range(MISSED_PINGS_LIMIT):
             monitor.tick(now)
-            now += PING_PERIOD_MS
-        monitor.tick(now + FROZEN_MS)
+            now += PING_INTERVAL_MS
+        monitor.tick(now + STALL_THRESHOLD_MS)
         self.assertEqual(monitor.take_reports(), [])
 
     def test_all_members_are_monitored_by_about_as_many(self) -> None:
@@ -71,12 +71,12 @@
         for name in names:
             monitor = PeerMonitor(name)
             monitor.set_members(names)
-            self.assertEqual(len(monitor.targets), TARGETS)
+            self.assertEqual(len(monitor.targets), MONITORED_PEERS)
             self.assertNotIn(name, monitor.targets)
             for target in monitor.targets:
                 monitors[target] += 1
-        self.assertEqual(sum(monitors.values()), TARGETS * len(names))
-        self.assertLess(max(monitors.values()), 5 * TARGETS)
+        self.assertEqual(sum(monitors.values()), MONITORED_PEERS * len(names))
+        self.assertLess(max(monitors.values()), 5 * MONITORED_PEERS)
 
 
 def member(incarnation: int = 1) -> Member:
@@ -88,67 +88,67 @@
 
     def test_a_majority_of_monitors_decides(self) -> None:
         table = MemberTable()
-        table.linked("a", member())
+        table.on_connected("a", member())
         for monitor, reachable in (("x", False), ("y", True), ("z", True)):
-            table.reported(monitor, Report("a", reachable), 0.0)
-        self.assertFalse(table.views(1.0)[0].suspected)
-        table.reported("y", Report("a", False), 1.0)
-        self.assertTrue(table.views(1.0)[0].suspected)
-        table.reported("y", Report("a", True), 2.0)
-        self.assertFalse(table.views(2.0)[0].suspected)
+            table.on_report(monitor, ReachabilityReport("a", reachable), 0.0)
+        self.assertFalse(table.statuses(1.0)[0].suspected)
+        table.on_report("y", ReachabilityReport("a", False), 1.0)
+        self.assertTrue(table.statuses(1.0)[0].suspected)
+        table.on_report("y", ReachabilityReport("a", True), 2.0)
+        self.assertFalse(table.statuses(2.0)[0].suspected)
 
     def test_old_reports_do_not_count(self) -> None:
         table = MemberTable()
-        table.linked("a", member())
-        table.reported("x", Report("a", False), 0.0)
-        self.assertFalse(table.views(REPORT_KEPT_MS)[0].suspected)
+        table.on_connected("a", member())
+        table.on_report("x", ReachabilityReport("a", False), 0.0)
+        self.assertFalse(table.statuses(REPORT_TTL_MS)[0].suspected)
 
     def test_a_new_start_clears_the_reports_on_the_one_before(self) -> None:
         table = MemberTable()
-        table.linked("a", member())
-        table.reported("x", Report("a", False), 0.0)
-        table.linked("a", member(2))
-        self.assertFalse(table.views(0.0)[0].suspected)
+        table.on_connected("a", member())
+        table.on_report("x", ReachabilityReport("a", False), 0.0)
+        table.on_connected("a", member(2))
+        self.assertFalse(table.statuses(0.0)[0].suspected)
 
     def test_changes_are_told_once_and_who_is_long_gone_is_removed(self) -> None:
         table = MemberTable()
-        table.linked("a", member())
-        table.linked("b", member())
-        self.assertEqual(len(table.changes(0.0)), 2)
-        self.assertEqual(table.changes(1.0), [])
-        table.unlinked("a", 0.0)
-        self.assertEqual([v.suspected for v in table.changes(UNLINKED_MS)], [True])
-        self.assertEqual([v.removed for v in table.changes(REMOVED_MS)], [True])
-        self.assertEqual(table.changes(REMOVED_MS + 1.0), [])
+        table.on_connected("a", member())
+        table.on_connected("b", member())
+        self.assertEqual(len(table.take_changes(0.0)), 2)
+        self.assertEqual(table.take_changes(1.0), [])
+        table.on_disconnected("a", 0.0)
+        self.assertEqual([v.suspected for v in table.take_changes(DISCONNECTED_SUSPECT_MS)], [True])
+        self.assertEqual([v.removed for v in table.take_changes(DISCONNECTED_REMOVAL_MS)], [True])
+        self.assertEqual(table.take_changes(DISCONNECTED_REMOVAL_MS + 1.0), [])
 
 
-def view(address: str, suspected: bool = False, removed: bool = False) -> View:
-    return View(address, "proxy", "n", "z", 1, suspected, removed)
+def view(address: str, suspected: bool = False, removed: bool = False) -> MemberStatus:
+    return MemberStatus(address, "proxy", "n", "z", 1, suspected, removed)
 
 
 class ToldMembersTest(unittest.TestCase):
     """What a member makes of the lists of two control processes."""
 
     def test_a_list_after_a_new_link_replaces_the_one_before(self) -> None:
-        told = ToldMembers()
-        told.linked("c")
-        told.told("c", [view("a"), view("b")])
-        told.told("c", [view("a", removed=True)])
+        told = MergedMemberLists()
+        told.on_connected("c")
+        told.apply_update("c", [view("a"), view("b")])
+        told.apply_update("c", [view("a", removed=True)])
         self.assertEqual(set(told.members()), {"b"})
-        told.linked("c")
-        told.told("c", [view("d")])
+        told.on_connected("c")
+        told.apply_update("c", [view("d")])
         self.assertEqual(set(told.members()), {"d"})
 
     def test_a_control_process_that_starts_takes_nobody_away(self) -> None:
-        told = ToldMembers()
-        told.told("c", [view("a"), view("b")])
-        told.linked("e")
-        told.told("e", [view("a", suspected=True)])
+        told = MergedMemberLists()
+        told.apply_update("c", [view("a"), view("b")])
+        told.on_connected("e")
+        told.apply_update("e", [view("a", suspected=True)])
         self.assertEqual(set(told.members()), {"a", "b"})
         self.assertFalse(told.members()["a"].suspected)
-        told.keep_tellers(["e", "f"])
+        told.retain_sources(["e", "f"])
         self.assertEqual(set(told.members()), {"a"})
-        told.keep_tellers(["f"])
+        told.retain_sources(["f"])
         self.assertEqual(set(told.members()), {"a"})
 
 
@@ -199,7 +199,7 @@
     def start(self, address: str, role: str, linked: bool = True) -> Monitor:
         hello = messages.Hello(address=address, role=role, incarnation=self.rng.getrandbits(40) + 1)
         links: Any = self.network.open(hello)
-        monitor = Monitor(settings_of(address.partition(":")[0], []), links, self.rng)
+        monitor = Monitor(make_settings(address.partition(":")[0], []), links, self.rng)
         monitor.connection_made(cast(asyncio.BaseTransport, DatagramEnd(self.datagrams, address)))
         self.datagrams.monitors[address] = monitor
         self.learnt[address] = set()
--- a/tests/fleet/test_process_lives.py
+++ b/tests/fleet/test_process_lives.py
@@ -20,7 +20,7 @@
 from brackenusher.cluster.frames import FrameReader, encode_frame
 from brackenusher.cluster.links import Links
 from brackenusher.cluster.lives import first_number
-from tests.fleet.feed_world import Server, World
+from tests.fleet.feed_world import FeedSimulation, Server
 from tests.fleet.test_links import free_address
 from tests.fleet.virtual_time import play
 
@@ -39,7 +39,7 @@
     return ConfigNode(options, random.Random(seed), 0.0, kept)
 
 
-def draining(world: World) -> Server:
+def draining(world: FeedSimulation) -> Server:
     """A server whose next heartbeat says that it drains, and that sends none by itself."""
     server = world.start_server("s0")
     server.crash()
@@ -69,7 +69,7 @@
 
     def test_a_confirmation_for_an_earlier_life_acknowledges_nothing(self) -> None:
         async def story() -> None:
-            world = World(random.Random(1))
+            world = FeedSimulation(random.Random(1))
             world.start()
             await asyncio.sleep(3.0)
             asking, holding, other = world.voters
--- a/tests/fleet/test_registry_merge.py
+++ b/tests/fleet/test_registry_merge.py
@@ -7,7 +7,7 @@
 from barleybarrow.replication import registry as registry_module
 from barleybarrow.replication.records import InstanceModel, InstanceRecord, InstanceState, Renewal
 from barleybarrow.replication.registry import Registry
-from barleybarrow.replication.rendezvous import SHARDS, replica_group, shard_of
+from barleybarrow.replication.rendezvous import SHARD_COUNT, replica_group, shard_of
 from brackenusher.control_plane.replica_groups import ReplicaGroups
 from brackenusher.settings.local import FaultTolerance
 
@@ -37,15 +37,15 @@
 def exchange(one: Registry, other: Registry) -> None:
     """Exchange all records in both directions, as two processes do when a link comes up."""
     for source, target in ((one, other), (other, one)):
-        for shard in source.by_shard(0.0):
+        for shard in source.records_by_shard(0.0):
             for record in shard:
                 target.merge(record, 0.0)
-                target.renew(Renewal(record.id, source.entries[record.id].heard), 0.0)
+                target.renew(Renewal(record.id, source.entries[record.id].last_sequence), 0.0)
 
 
 def summary(registry: Registry) -> dict[str, tuple[InstanceState, int, int]]:
     return {
-        instance_id: (entry.state, entry.heard, entry.details.slots)
+        instance_id: (entry.state, entry.last_sequence, entry.details.slots)
         for instance_id, entry in registry.entries.items()
     }
 
@@ -124,7 +124,7 @@
         class BySequence(Registry):
             def merge(self, record: InstanceRecord, now: float) -> bool:
                 entry = self.entries.get(record.id)
-                if entry is not None and record.sequence >= entry.heard:
+                if entry is not None and record.sequence >= entry.last_sequence:
                     del self.entries[record.id]
                 return super().merge(record, now)
 
@@ -150,7 +150,7 @@
 
     def test_a_deregistration_of_an_unknown_server_gets_its_details_later(self) -> None:
         registry = Registry()
-        self.assertTrue(registry.merge(registry.gone("i"), 0.0))
+        self.assertTrue(registry.merge(registry.gone_record("i"), 0.0))
         registry.merge(make_record(3), 0.0)
         entry = registry.entries["i"]
         self.assertEqual((entry.state, entry.details.service), (GONE, "s"))
@@ -172,7 +172,7 @@
         registry = Registry()
         registry.merge(make_record(5), 0.0)
         self.assertEqual(registry.overdue({shard_of("s")}, 1.0), ["i"])
-        self.assertIs(registry.silence("i", 10.0).state, SILENT)
+        self.assertIs(registry.mark_silent("i", 10.0).state, SILENT)
         self.assertFalse(registry.renew(Renewal("i", 5), 10.0))
         self.assertTrue(registry.renew(Renewal("i", 6), 10.0))
         self.assertIs(registry.entries["i"].state, READY)
@@ -180,14 +180,14 @@
     def test_gone_entries_expire_only_after_their_retention(self) -> None:
         registry = Registry()
         registry.merge(make_record(1, GONE), 0.0)
-        self.assertEqual(registry.forget(registry_module.FINAL_RETENTION_MS - 1.0), set())
-        self.assertEqual(registry.forget(registry_module.FINAL_RETENTION_MS + 1.0), {shard_of("s")})
+        self.assertEqual(registry.expire(registry_module.FINAL_RETENTION_MS - 1.0), set())
+        self.assertEqual(registry.expire(registry_module.FINAL_RETENTION_MS + 1.0), {shard_of("s")})
 
     def test_the_number_of_gone_entries_is_bounded(self) -> None:
         registry = Registry()
         for number in range(registry_module.MAX_ENTRIES + 100):
             registry.merge(make_record(1, GONE, instance_id=f"i{number}"), float(number))
-        registry.forget(0.0)
+        registry.expire(0.0)
         self.assertEqual(len(registry.entries), registry_module.MAX_ENTRIES)
         self.assertNotIn("i0", registry.entries)
 
@@ -197,7 +197,7 @@
 
     def test_removing_a_voter_moves_only_its_own_shards(self) -> None:
         voters = [f"10.0.0.{i}:7000" for i in range(7)]
-        for shard in range(SHARDS):
+        for shard in range(SHARD_COUNT):
             before = replica_group(shard, voters, 1)
             after = replica_group(shard, [v for v in voters if v != voters[3]], 1)
             self.assertEqual(len(before), 3)
@@ -210,7 +210,7 @@
         links.own.address = voters[0]
         for tolerance, size in ((FaultTolerance(1), 3), (FaultTolerance(1, 1), 6), (FaultTolerance(2), 5)):
             groups = ReplicaGroups(links, lambda: voters, tolerance)
-            self.assertEqual({len(groups.group(shard)) for shard in range(SHARDS)}, {size})
+            self.assertEqual({len(groups.group(shard)) for shard in range(SHARD_COUNT)}, {size})
 
 
 if __name__ == "__main__":
--- a/tests/fleet/test_registry_views.py
+++ b/tests/fleet/test_registry_views.py
@@ -12,13 +12,13 @@
 
 from barleybarrow.replication.records import InstanceState
 from brackenusher.control_plane.final_records import FinalRecords
-from tests.fleet.feed_world import World
+from tests.fleet.feed_world import FeedSimulation
 from tests.fleet.virtual_time import play
 
 CATCH_UP_S = 4.0  # CatchUpS: after it, a further disk may be lost
 
 
-async def drained_server_returns(simulation: World) -> bool:
+async def drained_server_returns(simulation: FeedSimulation) -> bool:
     """Whether a new proxy still uses a server whose drain was acknowledged by former voters.
 
     A drain is confirmed by the first two of the old voters. Then the first is lost for good, and after the
@@ -57,7 +57,7 @@
     """Run the case with this seed."""
 
     async def play_case() -> bool:
-        simulation = World(random.Random(seed), control_count=4, voter_count=3)
+        simulation = FeedSimulation(random.Random(seed), control_count=4, voter_count=3)
         simulation.start()
         return await drained_server_returns(simulation)
 
--- a/tests/fleet/test_stale_control.py
+++ b/tests/fleet/test_stale_control.py
@@ -6,7 +6,7 @@
 
 from brackenusher.cluster import messages
 from brackenusher.data_plane.feed_client import FeedClient
-from tests.fleet.feed_world import ProxyProcess, World, configuration, story
+from tests.fleet.feed_world import FeedSimulation, ProxyProcess, make_configuration, simulated
 
 PING_S = 1.0
 OLD, NEW = 8, 43
@@ -14,7 +14,7 @@
 SOON_S = 0.5
 
 
-async def ping(world: World) -> None:
+async def ping(world: FeedSimulation) -> None:
     """Stands for the monitors: each proxy hears once a second what the others have in force."""
     while True:
         await asyncio.sleep(PING_S)
@@ -24,16 +24,16 @@
                     proxy.client.hear_of_version(peer.address, peer.client.version)
 
 
-async def left_behind(world: World) -> ProxyProcess:
+async def left_behind(world: FeedSimulation) -> ProxyProcess:
     """One voter misses changes, the others go dark; a proxy that starts then reaches that one alone."""
     world.spawn(ping(world))
-    world.commit(configuration(OLD))
+    world.commit(make_configuration(OLD))
     await asyncio.sleep(3.0)
     behind, *others = world.voters
     for other in others:
         world.network.cut(behind, other)
     await asyncio.sleep(2.0)
-    world.commit(configuration(NEW))
+    world.commit(make_configuration(NEW))
     await asyncio.sleep(1.0)
     for other in others:
         world.kill_control(other, silent=True)
@@ -41,17 +41,19 @@
 
 
 class StaleTest(unittest.TestCase):
-    @story
-    async def test_a_proxy_that_restarts_takes_the_newer_version_of_its_peers(self, world: World) -> None:
+    @simulated
+    async def test_a_proxy_that_restarts_takes_the_newer_version_of_its_peers(
+        self, world: FeedSimulation
+    ) -> None:
         proxy = await left_behind(world)
         while not proxy.client.ready:
             await asyncio.sleep(0.05)
         self.assertEqual(proxy.client.version, NEW)
         self.assertFalse(proxy.client.current, "no majority has confirmed it")
 
-    @story
+    @simulated
     async def test_it_has_a_configuration_soon_and_that_of_its_peers_with_the_first_ping(
-        self, world: World
+        self, world: FeedSimulation
     ) -> None:
         proxy = await left_behind(world)
         started_at = world.now()
@@ -62,26 +64,28 @@
             await asyncio.sleep(0.01)
         self.assertLess(world.now() - started_at, LINKS_S + PING_S + SOON_S)
 
-    @story
+    @simulated
     async def test_one_that_is_in_touch_without_a_leader_takes_it_from_its_peers_as_well(
-        self, world: World
+        self, world: FeedSimulation
     ) -> None:
         world.spawn(ping(world))
-        world.commit(configuration(OLD))
+        world.commit(make_configuration(OLD))
         await asyncio.sleep(3.0)
         for control in world.controls.values():
-            control.shard.majority = lambda: False  # type: ignore[method-assign]
+            control.shard.has_majority = lambda: False  # type: ignore[method-assign]
         for peer in world.proxies.values():
-            peer.client._configuration = configuration(NEW)
+            peer.client._configuration = make_configuration(NEW)
             peer.client._fetch.version = NEW
-            peer.client._peers.taken(configuration(NEW))
+            peer.client._peers.taken(make_configuration(NEW))
         proxy = world.start_proxy("10.1.0.9:7001")
         await asyncio.sleep(LINKS_S + PING_S + SOON_S)
         self.assertEqual(proxy.client.version, NEW)
         self.assertTrue(set(world.voters) <= set(proxy.links.connected()), "control is in touch")
 
-    @story
-    async def test_one_that_knows_of_a_newer_version_is_not_ready_with_an_older(self, world: World) -> None:
+    @simulated
+    async def test_one_that_knows_of_a_newer_version_is_not_ready_with_an_older(
+        self, world: FeedSimulation
+    ) -> None:
         for peer in world.proxies.values():
             peer.links.message_handlers[messages.ConfigFetch].clear()
         proxy = await left_behind(world)
@@ -89,8 +93,8 @@
         self.assertEqual(proxy.client.version, OLD)
         self.assertFalse(proxy.client.ready)
 
-    @story
-    async def test_without_peers_it_serves_what_it_got_and_denies_nobody(self, world: World) -> None:
+    @simulated
+    async def test_without_peers_it_serves_what_it_got_and_denies_nobody(self, world: FeedSimulation) -> None:
         proxy = await left_behind(world)
         for peer in world.proxies.values():
             if peer is not proxy:
@@ -99,9 +103,11 @@
         self.assertEqual((proxy.client.version, proxy.client.ready), (OLD, True))
         self.assertFalse(proxy.client.current)
 
-    @story
-    async def test_a_proxy_that_runs_denies_nobody_once_it_is_out_of_touch(self, world: World) -> None:
-        world.commit(configuration(OLD))
+    @simulated
+    async def test_a_proxy_that_runs_denies_nobody_once_it_is_out_of_touch(
+        self, world: FeedSimulation
+    ) -> None:
+        world.commit(make_configuration(OLD))
         await asyncio.sleep(3.0)
         proxy = next(iter(world.proxies.values()))
         self.assertTrue(proxy.client.current)
@@ -114,18 +120,18 @@
         await asyncio.sleep(3.0)
         self.assertTrue(proxy.client.current)
 
-    @story
-    async def test_in_touch_no_link_to_a_peer_is_opened(self, world: World) -> None:
+    @simulated
+    async def test_in_touch_no_link_to_a_peer_is_opened(self, world: FeedSimulation) -> None:
         world.spawn(ping(world))
         for version in (OLD, NEW):
-            world.commit(configuration(version))
+            world.commit(make_configuration(version))
             await asyncio.sleep(3.0)
         for proxy in world.proxies.values():
             self.assertFalse(set(world.proxies) & proxy.links.wanted_peers)
 
-    @story
-    async def test_a_peer_that_has_nothing_newer_says_nothing(self, world: World) -> None:
-        world.commit(configuration(NEW))
+    @simulated
+    async def test_a_peer_that_has_nothing_newer_says_nothing(self, world: FeedSimulation) -> None:
+        world.commit(make_configuration(NEW))
         await asyncio.sleep(3.0)
         one, other = world.proxies.values()
         heard: list[messages.ConfigPiece] = []
--- a/tests/test_swim.py
+++ b/tests/test_swim.py
@@ -6,7 +6,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from barleybarrow.views import ALIVE, DEAD, LEFT, MOST_MEMBERS, SUSPECT
+from barleybarrow.views import ALIVE, DEAD, LEFT, MAX_MEMBERS, SUSPECT
 from brackenusher.membership import swim, swim_members, swim_messages
 from brackenusher.membership.seal import DATAGRAM, FRAME, seal
 from brackenusher.membership.swim import Swim
@@ -36,7 +36,7 @@
     a.seeds = [THERE]
     a.next_look = now
     carry(a, b, a.tick(now + 1.0), now + 1.0)
-    assert a.members["you"].proved and b.members["me"].proved
+    assert a.members["you"].verified and b.members["me"].verified
     return a, b
 
 
@@ -86,7 +86,7 @@
     group.cut = lambda a, b: (a < 3) != (b < 3)
     group.run(80_000.0)
     assert all(
-        s.agreement.cut_off and s.agreement.number == 1 for s in group.swims
+        s.agreement.disconnected and s.agreement.number == 1 for s in group.swims
     )  # neither half is the group
     group.cut = lambda a, b: False
     group.run(160_000.0)
@@ -183,9 +183,9 @@
 def test_names_and_waiting_answers_are_bounded():
     a, b = pair()
     me = a.members["you"]
-    for n in range(MOST_MEMBERS + 50):
+    for n in range(MAX_MEMBERS + 50):
         a.take(0.0, Update(f"x{n}", f"10.2.{n >> 8}.{n & 255}", 7000, 1, 0, ALIVE))
-    assert len(a.members) == MOST_MEMBERS and a.counts["members"] >= 50
+    assert len(a.members) == MAX_MEMBERS and a.counts["members"] >= 50
     for n in range(1000):
         a.ping(0.0, me, PERIOD)
         a.tell(b"%d" % n, b"r")
@@ -223,7 +223,7 @@
     both = {"k1": KEYS["k1"], "k2": b"another key here"}
     a, b = alone(keys=both), alone(name="you", at=THERE, keys=both, kid="k2", seeds=(HERE,), seed=2)
     carry(b, a, b.tick(0.0), 0.0)
-    assert a.members["you"].proved and b.members["me"].proved
+    assert a.members["you"].verified and b.members["me"].verified
     b.keys = {"k2": both["k2"]}
     assert not b.receive(10.0, a.tick(900.0)[0][0], HERE) and b.counts["key"] == 1
 
--- a/tests/test_views.py
+++ b/tests/test_views.py
@@ -14,7 +14,16 @@
 from barleybarrow.view_agreement import ViewAgreement
 from barleybarrow.view_links import Link
 from barleybarrow.view_rounds import Stage
-from barleybarrow.views import ALIVE, SUSPECT, GroupMember, Report, Stamp, View, ViewChange, decide_removals
+from barleybarrow.views import (
+    ALIVE,
+    SUSPECT,
+    GroupMember,
+    Report,
+    View,
+    ViewChange,
+    ViewStamp,
+    decide_removals,
+)
 from testbed import oracle_views as oracle
 from testbed.group import PERIOD, Group
 from testbed.schedule import Act, LinkFault, Schedule, ScheduleError, by_chance, halves, parse
@@ -96,7 +105,7 @@
     after = make_view(3).apply(
         ViewChange(["p001"], [GroupMember("p001", 2, "h", 1), GroupMember("a", 1, "h", 2)])
     )
-    assert [(m.name, m.life) for m in after.members] == [("a", 1), ("p000", 1), ("p001", 2), ("p002", 1)]
+    assert [(m.name, m.epoch) for m in after.members] == [("a", 1), ("p000", 1), ("p001", 2), ("p002", 1)]
     assert after.number == 2
 
 
@@ -150,7 +159,7 @@
     held = {(h.group, h.number): h.at for h in reversed(history) if h.members}
     assert all(at <= started_at + 15.0 for at in held.values())
     assert oracle.flaps(history, started_at, group.now / PERIOD) == 0
-    cut_off = {i for i, s in enumerate(group.swims) if s.agreement.cut_off}
+    cut_off = {i for i, s in enumerate(group.swims) if s.agreement.disconnected}
     if kind in ("deaf", "mute"):
         assert cut_off == {0}
         # Guards against a proposer that keeps asking although it receives no replies.
@@ -171,7 +180,7 @@
     rest = list(range(8))
     group.play(Schedule(size=12, periods=15.0, links=[link_cut(zone, rest), link_cut(rest, zone)]))
     assert [s.agreement.number for s in group.swims] == [number + 1] * 8 + [number] * 4
-    assert [s.agreement.cut_off for s in group.swims] == [False] * 8 + [True] * 4
+    assert [s.agreement.disconnected for s in group.swims] == [False] * 8 + [True] * 4
     assert not any(group.swims[0].agreement.reaches(f"p{i}") for i in zone)
     assert group.swims[0].agreement.reaches("p3") and group.swims[0].agreement.reaches("p0")
     converge_within(group, 10.0)
@@ -198,7 +207,7 @@
     swim = group.swims[0]
     later = group.clock(0) + 30 * PERIOD
     out = swim.tick(later)
-    assert swim.dazed and swim.agreement.cut_off and len(out) <= 20
+    assert swim.dazed and swim.agreement.disconnected and len(out) <= 20
     assert not swim.agreement.reaches("p9") and before == group.sent[0]
     assert swim.agreement.proposer.stage is Stage.IDLE
 
@@ -285,30 +294,30 @@
     # (seeds 1 to 3).
     view, machines = make_view(5), {}
     for m in view.members:
-        known = {o.name: KnownPeer(o.name, o.address, o.life) for o in view.members if o is not m}
+        known = {o.name: KnownPeer(o.name, o.address, o.epoch) for o in view.members if o is not m}
         machine = machines[m.address] = ViewAgreement(
-            m.name, m.life, m.address, (), known, 1.0, random.Random(1), 0.0
+            m.name, m.epoch, m.address, (), known, 1.0, random.Random(1), 0.0
         )
-        machine.view, machine.cut_off, machine.self_check_since = view, False, inf
+        machine.view, machine.disconnected, machine.self_check_since = view, False, inf
     first, second, *others = machines.values()
     for machine in (first, second):
         machine.peers["x"] = KnownPeer("x", ("10.9.0.1", 1), 1)
         machine.peer_stamps["x"], machine.links["x"] = (
-            (Stamp(), 1),
+            (ViewStamp(), 1),
             Link(answered_at=0.0, answering_since=0.0),
         )
     second.link(first.name).missed_pings = 3
     first.change_needed_since = 0.0
     first.start_round(0.0)
-    sender = KnownPeer(first.name, first.address, first.life)
-    for to, body in first.out:
+    sender = KnownPeer(first.name, first.address, first.epoch)
+    for to, body in first.outbox:
         machines[to].receive(0.1, sender, first.stamp(), body)
-    first.out.clear()
+    first.outbox.clear()
     assert second.round_seen_at < 0.0  # so it may propose itself, if the other is indeed unreachable
     for machine in (second, *others):
-        for to, body in machine.out:
+        for to, body in machine.outbox:
             machines[to].receive(
-                0.2, KnownPeer(machine.name, machine.address, machine.life), machine.stamp(), body
+                0.2, KnownPeer(machine.name, machine.address, machine.epoch), machine.stamp(), body
             )
     assert first.proposer.stage is Stage.ACCEPTING
 
@@ -387,13 +396,13 @@
 
 def keeps_its_epoch_after_removal(monkeypatch):
     """Injected bug: a removed member that keeps its epoch."""
-    original = ViewAgreement.reborn
+    original = ViewAgreement.start_new_epoch
 
-    def reborn(self, *args, **more):
+    def start_new_epoch(self, *args, **more):
         original(self, *args, **more)
-        self.life -= 1
+        self.epoch -= 1
 
-    monkeypatch.setattr(ViewAgreement, "reborn", reborn)
+    monkeypatch.setattr(ViewAgreement, "start_new_epoch", start_new_epoch)
 
 
 @pytest.mark.parametrize("bug", [accepts_half_as_a_majority, keeps_its_epoch_after_removal])
@@ -411,8 +420,8 @@
     address: tuple
     epoch: int
     state: int = ALIVE
-    since: float = 0.0
-    proved: bool = True
+    state_since: float = 0.0
+    verified: bool = True
 
 
 def run_dueling_proposers(seed):
@@ -421,9 +430,9 @@
     view = make_view(3 + seed % 2 * 2)
     machines = {}
     for m in view.members:
-        known = {o.name: KnownPeer(o.name, o.address, o.life) for o in view.members if o is not m}
-        machine = ViewAgreement(m.name, m.life, m.address, (), known, 1.0, random.Random(rng.random()), 0.0)
-        machine.view, machine.cut_off, machine.self_check_since = view, False, inf
+        known = {o.name: KnownPeer(o.name, o.address, o.epoch) for o in view.members if o is not m}
+        machine = ViewAgreement(m.name, m.epoch, m.address, (), known, 1.0, random.Random(rng.random()), 0.0)
+        machine.view, machine.disconnected, machine.self_check_since = view, False, inf
         machines[m.address] = machine
     on_way, history, now = [], [], 0.0
     for step in range(1500):
@@ -434,7 +443,7 @@
         if draw < 0.04 and machine.view is not None:  # it starts a round for a joiner that only it knows
             name = f"x{step}"
             machine.peers[name] = KnownPeer(name, ("10.9.0.1", step + 1), 1)
-            machine.peer_stamps[name] = Stamp(), 1
+            machine.peer_stamps[name] = ViewStamp(), 1
             machine.links[name] = Link(answered_at=now, answering_since=0.0)
             machine.change_needed_since = now
             machine.start_round(now)
@@ -446,16 +455,16 @@
                 on_way.append((to, source, stamp, body))
             if rng.random() < 0.75 and to in machines:
                 sender = machines[source]
-                machines[to].receive(now, KnownPeer(sender.name, source, sender.life), stamp, body)
+                machines[to].receive(now, KnownPeer(sender.name, source, sender.epoch), stamp, body)
                 machine = machines[to]
         for each in machines.values():
-            on_way += [(to, each.address, each.stamp(), body) for to, body in each.out]
-            each.out.clear()
-            for epoch, _, after in each.turned:
-                members = frozenset((m.name, m.life) for m in after.members) if after else frozenset()
+            on_way += [(to, each.address, each.stamp(), body) for to, body in each.outbox]
+            each.outbox.clear()
+            for epoch, _, after in each.view_changes:
+                members = frozenset((m.name, m.epoch) for m in after.members) if after else frozenset()
                 numbers = (after.group, after.number) if after else (0, 0)
                 history.append(oracle.Held(now, (each.name, epoch), *numbers, members))
-            each.turned.clear()
+            each.view_changes.clear()
         on_way = on_way[-100:]
     return [b for b in oracle.breaches(history) if b.startswith("one_sequence")], history
 
@@ -511,7 +520,7 @@
 
 def test_suspicion_alone_removes_no_member():
     group = start_group(4)
-    group.swims[0].agreement.cut_off = False
+    group.swims[0].agreement.disconnected = False
     group.cut = lambda a, b: 0 in (a, b) and 1 in (a, b)
     group.run(group.now + 20 * PERIOD)
     assert {m.state for s in group.swims for m in s.members.values()} <= {ALIVE, SUSPECT}
