--- a/barleybarrow/idempotency_records.py
+++ b/barleybarrow/idempotency_records.py
@@ -1,12 +1,12 @@
-"""Fates of keyed requests, told among proxies: where one may have run, and its answer where it is small.
+"""Idempotency records shared among proxies: where a keyed request may have run, and its response if small.
 
-A machine without I/O. It must never say that a key may go to a server while it may have run at another, nor
-after the server's memory of it may be over. Each proxy numbers what it says of a key; a later word of its own
-takes the place of the earlier, words of several stand beside each other. Best effort: what has not been heard
-yet, within DELAY of its sending and the way of one message, binds nobody.
+A state machine without I/O. It must never direct a key to a server while it may have run at another, nor
+after the server may have forgotten the key. Each proxy numbers its reports; a later report of a proxy
+replaces its earlier one for the same key, and reports of several proxies are kept side by side. Best effort:
+a report binds no other proxy until it has arrived, which takes the batching delay and one message delay.
 
-No clock is compared. A word carries its age; it cannot be older than the last question of ours that its
-sender had answered by then, as words and answers come in one order.
+Clocks are never compared. A report carries its age. It cannot have been made before the last probe of ours
+that its sender had received by then, as the sender's probe replies and reports arrive in order.
 """
 
 from collections import Counter, OrderedDict
@@ -16,58 +16,60 @@
 
 from msgspec import Meta, Struct
 
-DELAY = 20.0  # milliseconds that words wait for others
-ECHO = 500.0  # between two questions
-DRIFT = 1.05  # two monotonic clocks do not differ by more over a window
-KEPT = 2.0  # times its window that a fate is kept
-MOST_FATES = 20_000
-MOST_BYTES = 8 * 1024 * 1024  # of answers
-LONGEST_ANSWER = 2048
-LONGEST_KEY = 32  # bytes: whoever drives this gives a digest
-MOST_TOLD = 200  # words in one message
-MOST_WAITING = 5000  # words that wait to be told
-MOST_GROUP = 10  # proxies; in a larger group nothing is told, as each would have to hear of every move
-MOST_ORIGINS = 64
+DELAY = 20.0  # milliseconds that reports are batched for
+ECHO = 500.0  # milliseconds between probes
+MAX_CLOCK_RATE_RATIO = 1.05  # bound on the rates of two monotonic clocks over a window
+RETENTION_WINDOWS = 2.0  # retention time of a record, in units of its window
+MAX_RECORDS = 20_000
+MAX_TOTAL_BODY_BYTES = 8 * 1024 * 1024
+LONGEST_ANSWER = 2048  # bytes of a response body
+MAX_KEY_BYTES = 32  # the driver passes a digest of the client's key
+MAX_REPORTS_PER_MESSAGE = 200
+MAX_QUEUED_REPORTS = 5000
+MAX_GROUP_SIZE = 10  # larger groups send no reports, as every proxy would receive one for each attempt
+MAX_ORIGINS = 64  # proxies whose reports are kept per record
 
 Number = Annotated[int, Meta(ge=0, le=2**53)]
 
 
 class Answer(Struct, array_like=True, frozen=True):
-    """What the server answered."""
+    """A server's response."""
 
     body: Annotated[bytes, Meta(max_length=LONGEST_ANSWER)]
     kind: bytes | None = None
     coding: bytes | None = None
 
 
-class Said(Struct, array_like=True, frozen=True):
-    """One proxy's word of a key. Without servers and answer it has run nowhere."""
+class KeyReport(Struct, array_like=True, frozen=True):
+    """One proxy's report on a key. Without servers and response, the request has not run anywhere."""
 
-    key: Annotated[bytes, Meta(min_length=1, max_length=LONGEST_KEY)]
+    key: Annotated[bytes, Meta(min_length=1, max_length=MAX_KEY_BYTES)]
     number: Number
     age: Annotated[float, Meta(ge=0.0)]  # milliseconds since the first attempt was sent
-    window: Annotated[float, Meta(ge=0.0, le=1e7)]
+    window: Annotated[float, Meta(ge=0.0, le=1e7)]  # milliseconds that servers remember the key
     servers: Annotated[list[str], Meta(max_length=8)]
-    answer: Answer | None = None
+    response: Answer | None = None
+
 
+class Probe(Struct, array_like=True, frozen=True, tag=1):
+    """Asks for a reply, which bounds the age of the reports that follow it."""
 
-class Ask(Struct, array_like=True, frozen=True, tag=1):
     token: Number
 
 
-class Told(Struct, array_like=True, frozen=True, tag=2):
-    """Words, and the last question that was heard before them, 0 for none."""
+class KeyReports(Struct, array_like=True, frozen=True, tag=2):
+    """Reports, and the last probe that was received before them, 0 for none. Also the reply to a probe."""
 
     token: Number
-    said: Annotated[list[Said], Meta(max_length=MOST_TOLD)]
+    reports: Annotated[list[KeyReport], Meta(max_length=MAX_REPORTS_PER_MESSAGE)]
 
 
-Message = Ask | Told
+Message = Probe | KeyReports
 
 
 @dataclass(slots=True)
-class Word:
-    """One proxy's word as it is held; the end of the server's memory is on this proxy's clock."""
+class HeldReport:
+    """One proxy's report as held; `until`, on this proxy's clock, is when the servers may forget the key."""
 
     number: int
     servers: frozenset[str]
@@ -75,27 +77,32 @@
 
 
 @dataclass(slots=True)
-class Fate:
-    words: dict[str, Word] = field(default_factory=dict)  # by proxy
-    answer: Answer | None = None
-    kept_until: float = 0.0
+class IdempotencyRecord:
+    """All that is known of one key."""
+
+    reports: dict[str, HeldReport] = field(default_factory=dict)  # by proxy
+    response: Answer | None = None
+    expires_at: float = 0.0
 
 
 @dataclass(slots=True)
-class Open:
-    """A keyed request of this proxy's own that is not over."""
+class OpenRequest:
+    """A keyed request of this proxy that is not finished."""
 
     key: bytes
     window: float
-    began: float = inf  # when its first attempt was sent
-    out: dict[int, str] = field(default_factory=dict)  # attempts that are out
-    sent: int = 0  # attempts so far
-    ran: set[str] = field(default_factory=set)  # where it may have run
+    first_sent_at: float = inf  # when its first attempt was sent
+    attempts_in_flight: dict[int, str] = field(default_factory=dict)  # by attempt: its server
+    attempt_count: int = 0
+    possible_servers: set[str] = field(default_factory=set)  # where ended attempts may have run
 
 
 @dataclass(frozen=True, slots=True)
 class Verdict:
-    """What is known of a key: its answer; or the one server it may go to, until when; or that it may not."""
+    """What is known of a key: its response, or the one server it may go to until a time, or neither.
+
+    Without response and server, the request may go to no server.
+    """
 
     answer: Answer | None = None
     server: str = ""
@@ -103,167 +110,184 @@
 
 
 class IdempotencyRecords:
-    """One proxy's part. Times are milliseconds on its own monotonic clock."""
+    """One proxy's records. Times are milliseconds on its own monotonic clock."""
 
     def __init__(self, name: str, now: float) -> None:
         self.name = name
-        self.fates: OrderedDict[bytes, Fate] = OrderedDict()
-        self.open: dict[int, Open] = {}
-        self.number = 0
-        self.bytes = 0
-        self.waiting: OrderedDict[bytes, Said] = OrderedDict()
-        self.waits_from: dict[bytes, float] = {}
+        self.fates: OrderedDict[bytes, IdempotencyRecord] = OrderedDict()
+        self.open_requests: dict[int, OpenRequest] = {}
+        self.last_report_number = 0
+        self.body_bytes = 0
+        self.queued_reports: OrderedDict[bytes, KeyReport] = OrderedDict()
+        self.queued_at: dict[bytes, float] = {}
         self.tell_at = inf
-        self.ask_at = now
-        self.token = 0
-        self.asked: dict[int, float] = {}  # questions, and when each was put
-        self.heard: dict[str, int] = {}  # by proxy: the last question of its that was heard
+        self.next_probe_at = now
+        self.last_probe = 0
+        self.probe_sent_at: dict[int, float] = {}  # by probe token
+        self.last_probe_heard: dict[str, int] = {}  # by proxy: the last probe received from it
         self.reach: list[str] = []
         self.out: list[tuple[str, Message]] = []
         self.counts: Counter[str] = Counter()
 
-    # What is known
+    # Queries
 
     def ask(self, key: bytes, now: float, shared: bool) -> Verdict | None:
-        """What is known of a key that comes again; None where it may go anywhere.
+        """What is known of a repeated key; None if it may go to any server.
 
-        `shared`: all servers drop a repeat of what one of them has run, so that several are as good as one.
+        `shared`: the servers deduplicate among themselves, so the request may go to any of several servers
+        at which it may have run.
         """
-        fate = self.fates.get(key)
-        if fate is None or now >= fate.kept_until:
+        record = self.fates.get(key)
+        if record is None or now >= record.expires_at:
             return None
-        if fate.answer is not None:
-            return Verdict(answer=fate.answer)
-        servers = {server for word in fate.words.values() for server in word.servers}
+        if record.response is not None:
+            return Verdict(answer=record.response)
+        servers = {server for report in record.reports.values() for server in report.servers}
         if not servers:
             return None
-        until = min(word.until for word in fate.words.values() if word.servers)
+        until = min(report.until for report in record.reports.values() if report.servers)
         if len(servers) > 1 and not shared:
             return Verdict()
         return Verdict(server=min(servers), until=until)
 
-    # This proxy's own
+    # This proxy's requests
 
     def arrived(self, request: int, key: bytes, window: float) -> None:
-        self.open[request] = Open(key, window)
+        self.open_requests[request] = OpenRequest(key, window)
 
     def sent(self, now: float, request: int, server: str) -> None:
-        """An attempt is on its way; called before it is."""
-        r = self.open.get(request)
-        if r is None:
+        """Record an attempt; called before it is sent."""
+        open_request = self.open_requests.get(request)
+        if open_request is None:
             return
-        r.began = min(r.began, now)
-        r.out[r.sent] = server
-        r.sent += 1
-        self.say(now, r)
-
-    def ended(self, now: float, request: int, attempt: int, proven: bool) -> None:
-        """An attempt has ended; `proven`: it has not run."""
-        r = self.open.get(request)
-        if r is None or attempt not in r.out:
+        open_request.first_sent_at = min(open_request.first_sent_at, now)
+        open_request.attempts_in_flight[open_request.attempt_count] = server
+        open_request.attempt_count += 1
+        self.publish(now, open_request)
+
+    def ended(self, now: float, request: int, attempt: int, not_executed: bool) -> None:
+        """Record the end of an attempt; `not_executed`: it is known not to have run."""
+        open_request = self.open_requests.get(request)
+        if open_request is None or attempt not in open_request.attempts_in_flight:
             return
-        server = r.out.pop(attempt)
-        if not proven:
-            r.ran.add(server)
-        self.say(now, r)
-
-    def over(self, now: float, request: int, answer: Answer | None) -> None:
-        """The request has its final answer, or its client has left; what is out still may run."""
-        r = self.open.pop(request, None)
-        if r is not None and r.sent:
-            r.ran.update(r.out.values())
-            self.say(now, r, answer)
-
-    def say(self, now: float, r: Open, answer: Answer | None = None) -> None:
-        self.number += 1
-        servers = sorted({*r.ran, *r.out.values()})[:8]
-        said = Said(r.key, self.number, now - r.began, r.window, servers, answer)
-        self.hold(self.name, said, now, now - r.began)
-        if len(self.reach) >= MOST_GROUP:
+        server = open_request.attempts_in_flight.pop(attempt)
+        if not not_executed:
+            open_request.possible_servers.add(server)
+        self.publish(now, open_request)
+
+    def over(self, now: float, request: int, response: Answer | None) -> None:
+        """Record the final response, or that the client left; attempts in flight may still run."""
+        open_request = self.open_requests.pop(request, None)
+        if open_request is not None and open_request.attempt_count:
+            open_request.possible_servers.update(open_request.attempts_in_flight.values())
+            self.publish(now, open_request, response)
+
+    def publish(self, now: float, open_request: OpenRequest, response: Answer | None = None) -> None:
+        """Apply a new report on a request of this proxy, and queue it for the other proxies."""
+        self.last_report_number += 1
+        servers = sorted({*open_request.possible_servers, *open_request.attempts_in_flight.values()})[:8]
+        report = KeyReport(
+            open_request.key,
+            self.last_report_number,
+            now - open_request.first_sent_at,
+            open_request.window,
+            servers,
+            response,
+        )
+        self.apply_report(self.name, report, now, now - open_request.first_sent_at)
+        if len(self.reach) >= MAX_GROUP_SIZE:
             self.counts["group"] += 1
             return
-        if r.key not in self.waiting and len(self.waiting) >= MOST_WAITING:
-            self.waits_from.pop(self.waiting.popitem(last=False)[0], None)
+        if open_request.key not in self.queued_reports and len(self.queued_reports) >= MAX_QUEUED_REPORTS:
+            self.queued_at.pop(self.queued_reports.popitem(last=False)[0], None)
             self.counts["waiting"] += 1
-        self.waiting[r.key] = said
-        self.waits_from[r.key] = now
+        self.queued_reports[open_request.key] = report
+        self.queued_at[open_request.key] = now
         self.tell_at = min(self.tell_at, now + DELAY)
 
-    # Tables
+    # Records
 
-    def hold(self, origin: str, said: Said, now: float, age: float) -> None:
-        """Take a proxy's word; `age`: how long ago, at most, its first attempt was sent."""
-        fate = self.fates.get(said.key)
-        if fate is None or now >= fate.kept_until:
-            self.drop(said.key)
-            fate = self.fates[said.key] = Fate()
-            while len(self.fates) > MOST_FATES:
-                self.drop(next(iter(self.fates)))
+    def apply_report(self, origin: str, report: KeyReport, now: float, age: float) -> None:
+        """Merge a proxy's report; `age`: an upper bound on the time since the first attempt was sent."""
+        record = self.fates.get(report.key)
+        if record is None or now >= record.expires_at:
+            self.remove(report.key)
+            record = self.fates[report.key] = IdempotencyRecord()
+            while len(self.fates) > MAX_RECORDS:
+                self.remove(next(iter(self.fates)))
                 self.counts["fates"] += 1
-        before = fate.words.get(origin)
-        if before is not None and said.number <= before.number:
+        before = record.reports.get(origin)
+        if before is not None and report.number <= before.number:
             return
-        if before is None and len(fate.words) >= MOST_ORIGINS:
+        if before is None and len(record.reports) >= MAX_ORIGINS:
             self.counts["origins"] += 1
             return
-        fate.words[origin] = Word(said.number, frozenset(said.servers), now - age + said.window / DRIFT)
-        fate.kept_until = max(fate.kept_until, now + KEPT * said.window)
-        if said.answer is not None and fate.answer is None:
-            fate.answer = said.answer
-            self.bytes += len(said.answer.body)
-            while self.bytes > MOST_BYTES:
-                self.forget_an_answer()
-
-    def drop(self, key: bytes) -> None:
-        fate = self.fates.pop(key, None)
-        if fate is not None and fate.answer is not None:
-            self.bytes -= len(fate.answer.body)
-
-    def forget_an_answer(self) -> None:
-        """The oldest answer makes way; where its key may have run is still known."""
-        fate = next(f for f in self.fates.values() if f.answer is not None)
-        assert fate.answer is not None
-        self.bytes -= len(fate.answer.body)
-        fate.answer = None
+        record.reports[origin] = HeldReport(
+            report.number, frozenset(report.servers), now - age + report.window / MAX_CLOCK_RATE_RATIO
+        )
+        record.expires_at = max(record.expires_at, now + RETENTION_WINDOWS * report.window)
+        if report.response is not None and record.response is None:
+            record.response = report.response
+            self.body_bytes += len(report.response.body)
+            while self.body_bytes > MAX_TOTAL_BODY_BYTES:
+                self.evict_oldest_body()
+
+    def remove(self, key: bytes) -> None:
+        """Remove a key's record, if there is one."""
+        record = self.fates.pop(key, None)
+        if record is not None and record.response is not None:
+            self.body_bytes -= len(record.response.body)
+
+    def evict_oldest_body(self) -> None:
+        """Drop the oldest response; the record keeps the servers at which its key may have run."""
+        record = next(f for f in self.fates.values() if f.response is not None)
+        assert record.response is not None
+        self.body_bytes -= len(record.response.body)
+        record.response = None
         self.counts["answers"] += 1
 
-    # Others
+    # Other proxies
 
     def next(self) -> float:
-        return min(self.tell_at, self.ask_at)
+        """When `tick` has to be called next."""
+        return min(self.tell_at, self.next_probe_at)
 
     def tick(self, now: float) -> None:
         if now >= self.tell_at:
-            self.tell(now)
-        if now >= self.ask_at:
-            self.ask_at = now + ECHO
-            if len(self.reach) < MOST_GROUP:
-                self.token += 1
-                self.asked[self.token] = now
-                while len(self.asked) > 64:
-                    del self.asked[next(iter(self.asked))]
-                self.out += [(name, Ask(self.token)) for name in self.reach]
-            while self.fates and now >= next(iter(self.fates.values())).kept_until:
-                self.drop(next(iter(self.fates)))
-
-    def tell(self, now: float) -> None:
+            self.flush(now)
+        if now >= self.next_probe_at:
+            self.next_probe_at = now + ECHO
+            if len(self.reach) < MAX_GROUP_SIZE:
+                self.last_probe += 1
+                self.probe_sent_at[self.last_probe] = now
+                while len(self.probe_sent_at) > 64:
+                    del self.probe_sent_at[next(iter(self.probe_sent_at))]
+                self.out += [(name, Probe(self.last_probe)) for name in self.reach]
+            while self.fates and now >= next(iter(self.fates.values())).expires_at:
+                self.remove(next(iter(self.fates)))
+
+    def flush(self, now: float) -> None:
+        """Send the queued reports."""
         self.tell_at = inf
-        part: list[Said] = []
-        while self.waiting:
-            key, said = self.waiting.popitem(last=False)
-            age = said.age + now - self.waits_from.pop(key)
-            part.append(Said(key, said.number, age, said.window, said.servers, said.answer))
-            if len(part) == MOST_TOLD or not self.waiting:
-                self.out += [(name, Told(self.heard.get(name, 0), part)) for name in self.reach]
-                part = []
-
-    def receive(self, now: float, sender: str, m: Message) -> None:
-        if isinstance(m, Ask):
-            self.heard[sender] = m.token
-            while len(self.heard) > 4 * MOST_GROUP:
-                del self.heard[next(iter(self.heard))]
-            self.out.append((sender, Told(m.token, [])))
+        batch: list[KeyReport] = []
+        while self.queued_reports:
+            key, report = self.queued_reports.popitem(last=False)
+            age = report.age + now - self.queued_at.pop(key)
+            batch.append(KeyReport(key, report.number, age, report.window, report.servers, report.response))
+            if len(batch) == MAX_REPORTS_PER_MESSAGE or not self.queued_reports:
+                self.out += [
+                    (name, KeyReports(self.last_probe_heard.get(name, 0), batch)) for name in self.reach
+                ]
+                batch = []
+
+    def receive(self, now: float, sender: str, message: Message) -> None:
+        if isinstance(message, Probe):
+            self.last_probe_heard[sender] = message.token
+            while len(self.last_probe_heard) > 4 * MAX_GROUP_SIZE:
+                del self.last_probe_heard[next(iter(self.last_probe_heard))]
+            self.out.append((sender, KeyReports(message.token, [])))
             return
-        at = self.asked.get(m.token, -inf)  # what it says was said after that question was put
-        for said in m.said:
-            self.hold(sender, said, now, now - at + said.age)
+        # The reports were made after that probe was sent.
+        not_before = self.probe_sent_at.get(message.token, -inf)
+        for report in message.reports:
+            self.apply_report(sender, report, now, now - not_before + report.age)
--- a/barleybarrow/incarnations.py
+++ b/barleybarrow/incarnations.py
@@ -1,7 +1,8 @@
-"""How often others' stores were opened, as one proxy remembers it: whether a store that comes is the latest.
+"""Incarnation counts of peers' stores, remembered to detect a store that was replaced by an older copy.
 
-A proxy that shows a count that was shown before by another run of it has an old copy of its store, or an
-empty one. The same run may show its count many times: streams break and are opened anew.
+Each store counts how many times it was opened. A peer that presents a count already presented by another of
+its runs has an old copy of its store, or an empty one. The same run may present its count many times, as
+streams break and are reopened.
 """
 
 from dataclasses import dataclass, field
@@ -9,7 +10,7 @@
 
 @dataclass(frozen=True)
 class Life:
-    """The greatest count that one has shown, the run that showed it, and the greatest before it."""
+    """The highest count that a peer has presented, the run that presented it, and the highest before that."""
 
     lives: int = 0
     run: int = 0
@@ -18,22 +19,24 @@
 
 @dataclass
 class Incarnations:
-    """What is remembered; `kept` makes it so once it is on disk."""
+    """The latest incarnation of each peer. An update takes effect once it is on disk."""
 
-    met: dict[str, Life] = field(default_factory=dict)
+    latest: dict[str, Life] = field(default_factory=dict)
 
-    def shown(self, name: str, lives: int, run: int) -> tuple[int, Life | None]:
-        """What one is to be answered: the greatest count known from before its run. And what is to be stored.
+    def shown(self, name: str, count: int, run_id: int) -> tuple[int, Life | None]:
+        """Handle a count presented by a peer.
 
-        `run` is a number of the process, 0 where its release has none.
+        Returns the highest count known from before its run, which is the reply, and the incarnation to store
+        if it is a new one. `run` identifies the process; 0 if the peer's release has no such number.
         """
-        known = self.met.get(name, Life())
-        if run and run == known.run and lives == known.lives:
+        known = self.latest.get(name, Life())
+        if run_id and run_id == known.run and count == known.lives:
             return known.before, None
-        if lives <= known.lives:
+        if count <= known.lives:
             return known.lives, None
-        return known.lives, Life(lives, run, known.lives)
+        return known.lives, Life(count, run_id, known.lives)
 
-    def kept(self, name: str, life: Life) -> None:
-        if life.lives > self.met.get(name, Life()).lives:
-            self.met[name] = life
+    def kept(self, name: str, incarnation: Life) -> None:
+        """Take over an incarnation that is on disk."""
+        if incarnation.lives > self.latest.get(name, Life()).lives:
+            self.latest[name] = incarnation
--- a/barleybarrow/overrides.py
+++ b/barleybarrow/overrides.py
@@ -1,7 +1,7 @@
-"""Marks of staff: a server or block out of use, a tenant stopped, each with who, why and for how long.
+"""Administrators' overrides: disabled servers and blocks, and blocked tenants, with author, reason, duration.
 
-Where two marks of one thing knew nothing of each other the safer stands: out of use, stopped. Both are shown
-until somebody resolves them. Nothing here waits or does I/O.
+Of concurrent entries for one target the safer wins: disabled or blocked. They are shown as a conflict until
+an administrator resolves it. Nothing here blocks or does I/O.
 """
 
 import re
@@ -13,36 +13,36 @@
 from barleybarrow.version_vectors import Entry, State
 
 KINDS = ("server", "block", "tenant")
-NAME = re.compile(r"^[A-Za-z0-9._:@\-]{1,128}$")
-LONGEST_S = 30 * 86_400.0
-NEXT_S = 5.0  # seconds that the next keeper waits longer to clear what is over
-MOST_AT_ONCE = 16
+NAME_PATTERN = re.compile(r"^[A-Za-z0-9._:@\-]{1,128}$")
+MAX_DURATION_S = 30 * 86_400.0
+EXPIRY_STAGGER_S = 5.0  # extra delay per keeper before it clears an expired override
+MAX_EXPIRED_PER_CALL = 16
 
 
 class MarkError(ValueError):
-    """One line that names what is wrong."""
+    """An invalid override; the message is one line that names the problem."""
 
 
 class Mark(Struct, array_like=True, frozen=True):
-    """A mark as it is stored. `at` is the Unix time on its writer's clock: shown, compared with nothing."""
+    """An override as stored. `at` is the Unix time on its writer's clock, for display only."""
 
     who: Annotated[str, Meta(max_length=64)]
     why: Annotated[str, Meta(max_length=500)]
-    for_s: Annotated[float, Meta(ge=0.0, le=LONGEST_S)] = 0.0  # 0 until it is cleared
+    for_s: Annotated[float, Meta(ge=0.0, le=MAX_DURATION_S)] = 0.0  # 0: until it is cleared
     at: float = 0.0
 
 
 def key_of(kind: str, name: str) -> str:
-    """Raises MarkError."""
+    """The state key of a target. Raises MarkError."""
     if kind not in KINDS:
         raise MarkError(f"{kind}: must be one of {', '.join(KINDS)}")
-    if not NAME.match(name) or (kind == "block" and not name.isdigit()):
+    if not NAME_PATTERN.match(name) or (kind == "block" and not name.isdigit()):
         raise MarkError(f"{kind} {name!r}: is no name of one")
     return f"{kind} {name}"
 
 
 def read(entry: Entry) -> Mark | None:
-    """None for a removal, and for what this release cannot read: that counts as a mark all the same."""
+    """The override in an entry, None for a tombstone. An undecodable one is still in effect."""
     if entry.value is None:
         return None
     try:
@@ -52,59 +52,64 @@
 
 
 def in_conflict(slot: Iterable[Entry]) -> bool:
-    """Whether several words that knew nothing of each other stand, one of them a mark."""
+    """Whether there are several concurrent entries, at least one of them an override."""
     slot = list(slot)
     return len(slot) > 1 and any(e.value is not None for e in slot)
 
 
 class Effect:
-    """What the marks of a state mean, kept up with its changes: what gets nothing."""
+    """The servers, blocks and tenants that are overridden, kept up to date with the state's changes."""
 
     def __init__(self) -> None:
-        self.held: dict[str, set[str]] = {kind: set() for kind in KINDS}
-        self.servers, self.tenants = self.held["server"], self.held["tenant"]
+        self.active: dict[str, set[str]] = {kind: set() for kind in KINDS}
+        self.servers, self.tenants = self.active["server"], self.active["tenant"]
         self.blocks: set[int] = set()
         self.conflicts: set[str] = set()
 
     def follow(self, state: State, keys: Iterable[str]) -> list[tuple[str, str]]:
-        """Look at keys that have changed; kind and name of what is out of use now, or no longer."""
-        moved = []
+        """Process changed keys; returns kind and name of each target whose override was set or cleared."""
+        changes = []
         for key in keys:
             kind, _, name = key.partition(" ")
-            if kind not in self.held:
-                continue  # of a later release
+            if kind not in self.active:
+                continue  # a kind of a later release
             slot = state.slots.get(key, ())
-            marked, held = any(e.value is not None for e in slot), self.held[kind]
-            if marked != (name in held):
-                moved.append((kind, name))
-                (held.add if marked else held.discard)(name)
+            overridden, active = any(e.value is not None for e in slot), self.active[kind]
+            if overridden != (name in active):
+                changes.append((kind, name))
+                (active.add if overridden else active.discard)(name)
                 if kind == "block" and name.isdigit():
-                    (self.blocks.add if marked else self.blocks.discard)(int(name))
+                    (self.blocks.add if overridden else self.blocks.discard)(int(name))
             (self.conflicts.add if in_conflict(slot) else self.conflicts.discard)(key)
-        return moved
+        return changes
 
 
 class Lapses:
-    """When marks for a span are over: counted by each keeper from when it first held them.
+    """Expiry of overrides that have a duration, timed by each keeper from when it first held them.
 
-    A mark stands at least so long, on no other clock than a keeper's own; longer where all keepers were down.
-    The first keeper in order clears it, the others one after the other where it does not.
+    No clocks are compared: an override lasts at least for its duration on a keeper's own clock, and longer if
+    all keepers were down meanwhile. The first keeper clears it; the others follow at intervals if it does
+    not.
     """
 
     def __init__(self, rank: int) -> None:
-        self.rank = rank  # among the keepers; below zero for none
-        self.ends: dict[str, tuple[tuple[str, int], float]] = {}  # by key: the mark's dot, and its end
+        self.rank = rank  # position among the keepers; negative on other proxies
+        self.expirations: dict[str, tuple[tuple[str, int], float]] = {}  # by key: the override's dot, its end
 
     def follow(self, now: float, state: State, keys: Iterable[str]) -> None:
+        """Process changed keys."""
         if self.rank < 0:
             return
         for key in keys:
-            marks = [(e.dot, m.for_s) for e in state.slots.get(key, ()) if (m := read(e)) is not None]
-            if len(marks) != 1 or not marks[0][1]:  # one in conflict is for staff to resolve
-                self.ends.pop(key, None)
-            elif self.ends.get(key, (None, 0.0))[0] != marks[0][0]:
-                self.ends[key] = marks[0][0], now + (marks[0][1] + NEXT_S * self.rank) * 1000.0
+            overrides = [(e.dot, m.for_s) for e in state.slots.get(key, ()) if (m := read(e)) is not None]
+            if len(overrides) != 1 or not overrides[0][1]:  # a conflict is left to administrators
+                self.expirations.pop(key, None)
+            elif self.expirations.get(key, (None, 0.0))[0] != overrides[0][0]:
+                self.expirations[key] = (
+                    overrides[0][0],
+                    now + (overrides[0][1] + EXPIRY_STAGGER_S * self.rank) * 1000.0,
+                )
 
     def due(self, now: float) -> list[str]:
-        """Keys whose mark is over; asked for again each time until it is gone."""
-        return [key for key, (_, end) in self.ends.items() if end <= now][:MOST_AT_ONCE]
+        """Keys whose override has expired, returned by every call until it is cleared."""
+        return [key for key, (_, end) in self.expirations.items() if end <= now][:MAX_EXPIRED_PER_CALL]
--- a/barleybarrow/policy_gate.py
+++ b/barleybarrow/policy_gate.py
@@ -1,8 +1,9 @@
-"""One proxy under a policy that is agreed on: what it may act upon now, and whether it may admit at all.
+"""One proxy's side of the replicated policy: the rules it enforces, and whether it may admit requests at all.
 
-A machine without I/O: messages, the time and what was stored go in, what is to be stored, sent and looked
-at comes out. It puts `agreement`, the `Book` and the `Conductor` together and must never let a request in
-under rules that somebody else may already be acting against. What it rests on: docs/design/policy.md.
+A state machine without I/O: its input is messages, time and confirmations of storage; its output is what to
+store, send and probe. It combines consensus (`barleybarrow.agreement`) with the rollout of policy versions
+(`barleybarrow.rollout`). Invariant: no request is admitted under rules that another proxy may already have
+replaced by conflicting ones. The design is described in docs/design/policy.md.
 """
 
 from dataclasses import dataclass
@@ -14,48 +15,48 @@
 from barleybarrow.agreement import Agreement, Role
 from barleybarrow.agreement_messages import Appended, Entry, Message, Ready, Snapshot
 from barleybarrow.policy import PolicyError, Rules, read, stricter
-from barleybarrow.rollout import FORCE, JOINT, WITHDRAWN, Book, Command, Conductor, Join, Step, Word
-
-ASK = 200.0  # milliseconds between two questions up to where it is agreed, while that has to be known
-RENEW = 300.0  # and while a lease has to be kept
-JOIN_AGAIN = 500.0
-CONDUCT = 50.0  # milliseconds between two looks at a change that is on its way here
-INVITE = 1000.0  # between two words to who is on the roster and silent: its own file may name who voted once
-PAUSE = 1000.0  # milliseconds between two looks at the clock, after which this process stood still
-OPEN_AFTER = (
-    2000.0  # where nobody can be asked after a pause: it has agreed to nothing meanwhile, so nothing holds
-)
-LEASE = 3000.0  # milliseconds from a question until its answer no longer lets this proxy admit
-DRIFT = 1.05  # two monotonic clocks do not differ by more over a lease
-KEEP_LOG = 500  # entries, after which a voter puts a snapshot in their place
-MOST_QUESTIONS = 32
+from barleybarrow.rollout import FORCE, JOINT, WITHDRAWN, Book, Command, Conductor, Join, MemberReport, Step
+
+READ_INTERVAL_MS = 200.0  # between reads of the commit index while this proxy is not caught up
+LEASE_RENEWAL_INTERVAL_MS = 300.0  # between reads of the commit index that renew the lease
+JOIN_RETRY_INTERVAL_MS = 500.0
+ROLLOUT_CHECK_INTERVAL_MS = 50.0  # while the leader has a change in progress
+INVITE_INTERVAL_MS = 1000.0  # between invitations to the roster: a member's settings may list former voters
+STALL_THRESHOLD_MS = 1000.0  # a longer gap between clock readings means that this process was stalled
+# After a stall, a proxy without leases that reaches no leader resumes after this time: it has acknowledged no
+# change meanwhile, so none can have come into force.
+RESUME_TIMEOUT_MS = 2000.0
+LEASE = 3000.0  # milliseconds from sending a read until its reply no longer permits admission
+DRIFT = 1.05  # bound on the ratio of the rates of two monotonic clocks over a lease
+MAX_LOG_ENTRIES = 500  # a longer log is compacted into a snapshot
+MOST_QUESTIONS = 32  # limit of pending reads
 
 
 class Note(Struct, array_like=True, frozen=True):
-    """What a follower tells the leader with each answer."""
+    """A follower's report to the leader, sent with each reply to an append."""
 
-    applied: int
-    refuses: int = 0
-    why: str = ""
-    keeps: bool = False
+    applied: int  # log index
+    rejected_version: int = 0  # a proposed version that it cannot enforce; 0 for none
+    reason: str = ""
+    durable: bool = False  # it has a store and may vote
 
 
 @dataclass
 class Status:
-    """How things stand, for who asks."""
+    """The state shown to operators."""
 
     name: str
     role: str
     leader: str
     term: int
     voters: list[str]
-    electorate: list[str]  # who is to vote; empty where staff never said
+    electorate: list[str]  # voters requested by administrators; empty if never requested
     roster: list[str]
     force: int
     pending: int
     phase: str
     missing: list[str]
-    behind: dict[str, int]  # by name: how far each has applied, where this process leads
+    behind: dict[str, int]  # by member: its applied index; only on the leader
     agreed: int
     applied: int
     admits: bool
@@ -73,7 +74,7 @@
         rng: Random,
         now: float,
         fence: bool = False,
-        within: float = 30_000.0,
+        timeout_ms: float = 30_000.0,
         term: int = 0,
         vote: str = "",
         snapshot: Snapshot | None = None,
@@ -81,260 +82,276 @@
         barred: bool = False,
         keeps: bool | None = None,
     ) -> None:
-        """`keeps`: whether there is a store; left out, voters have one."""
+        """`keeps`: whether this proxy has a store; None: if it is one of the voters."""
         self.name, self.fence = name, fence
         self.keeps = name in voters if keeps is None else keeps
         barred = barred or not self.keeps
         self.agreement = Agreement(name, voters, rng, now, term, vote, snapshot, entries, barred)
-        self.book, self.conductor = Book(), Conductor(within)
+        self.book, self.conductor = Book(), Conductor(timeout_ms)
         if snapshot is not None:
             self.book.load(snapshot.index, snapshot.data)
-        self.token = rng.getrandbits(40)
-        self.asked: dict[int, float] = {}  # questions, and when each was put
-        self.proofs: list[tuple[float, int]] = []  # when what was asked, and up to where it was agreed then
+        self.last_read_token = rng.getrandbits(40)
+        self.asked: dict[int, float] = {}  # by read token
+        # Results of reads that are not applied yet: when the read was sent, and the commit index.
+        self.pending_proofs: list[tuple[float, int]] = []
         self.caught = self.woken = False
-        self.woke_at = -inf
-        self.lease_end = -inf
-        self.ask_at = self.conduct_at = self.invite_at = now
-        self.join_at = -inf
-        self.last = now
-        self.led = False
-        self.told: dict[str, Word] = {}  # by name, while it leads
-        self.look: list[str] = []  # whom the conductor wants looked at
+        self.resumed_at = -inf
+        self.lease_expires_at = -inf
+        self.next_read_at = self.next_rollout_check_at = self.next_invite_at = now
+        self.next_join_at = -inf
+        self.last_active_at = now
+        self.was_leader = False
+        self.told: dict[str, MemberReport] = {}  # by name, on the leader
+        self.look: list[str] = []  # members to probe for being down
         self.rules: Rules | None = Rules()
-        self.changed = True  # whether the rules may be others since whoever acts upon them looked
+        self.changed = True  # the rules may have changed since the driver last read them
         self.take_up()
 
-    # Whether it may admit
+    # Admission
 
     def verdict(self, now: float) -> str:
-        """Why nothing may be admitted now; empty where it may. Called for each request."""
-        if now - self.last > PAUSE:
-            self.slept(now)
+        """Why no request may be admitted now; empty if requests may be admitted. Called for each request."""
+        if now - self.last_active_at > STALL_THRESHOLD_MS:
+            self.on_stall(now)
         if self.rules is None:
             return "unreadable"
         if not self.caught:
             return "behind"
-        if self.fence and now >= self.lease_end:
+        if self.fence and now >= self.lease_expires_at:
             return "lease"
         return ""
 
-    def slept(self, now: float) -> None:
-        """This process stood still: it asks again before it admits, and before it stands for leader."""
-        self.last = now
-        self.woken, self.woke_at = self.caught or self.woken, now  # one that never caught up still has to
+    def on_stall(self, now: float) -> None:
+        """After a stall, confirm the state before admitting requests or standing for election."""
+        self.last_active_at = now
+        # A proxy that had not caught up before the stall must still do so.
+        self.woken, self.resumed_at = self.caught or self.woken, now
         self.caught = False
-        self.proofs.clear()
+        self.pending_proofs.clear()
         self.asked.clear()
-        self.ask_at = now
+        self.next_read_at = now
         self.agreement.slept(now)
 
-    # Time and messages
+    # Timers and messages
 
     def next(self) -> float:
-        return min(self.agreement.next(), self.ask_at, self.conduct_at)
+        """When `tick` has to be called next."""
+        return min(self.agreement.next(), self.next_read_at, self.next_rollout_check_at)
 
     def tick(self, now: float) -> None:
-        if now - self.last > PAUSE:
-            self.slept(now)
-        self.last = now
+        if now - self.last_active_at > STALL_THRESHOLD_MS:
+            self.on_stall(now)
+        self.last_active_at = now
         self.agreement.tick(now)
-        if now >= self.ask_at:
-            self.ask(now)
-        if now >= self.conduct_at:
+        if now >= self.next_read_at:
+            self.request_read(now)
+        if now >= self.next_rollout_check_at:
             busy = self.book.pending or self.book.electorate
-            self.conduct_at = now + (CONDUCT if busy else INVITE)
-            self.conduct(now)
+            self.next_rollout_check_at = now + (ROLLOUT_CHECK_INTERVAL_MS if busy else INVITE_INTERVAL_MS)
+            self.advance_rollout(now)
         self.settle(now)
 
     def receive(self, now: float, sender: str, message: Message) -> None:
-        if now - self.last > PAUSE:
-            self.slept(now)
+        if now - self.last_active_at > STALL_THRESHOLD_MS:
+            self.on_stall(now)
         self.agreement.receive(now, sender, message)
         if isinstance(message, Appended) and message.note:
-            self.hear(now, sender, msgpack.decode(message.note, type=Note))
+            self.on_report(now, sender, msgpack.decode(message.note, type=Note))
         self.settle(now)
 
-    def hear(self, now: float, sender: str, note: Note) -> None:
-        """Take what one has applied; an older word that was overtaken takes nothing back.
+    def on_report(self, now: float, sender: str, report: Note) -> None:
+        """Record a member's applied index; an older report that arrives late is ignored.
 
-        One that starts anew has applied less for a while: it admits nothing before it has caught up.
+        A restarted member has applied less for a while, which is safe to ignore: it admits no requests before
+        it has caught up.
         """
         before = self.told.get(sender)
-        if sender not in self.agreement.progress or (before is not None and note.applied < before.applied):
+        if sender not in self.agreement.progress or (before is not None and report.applied < before.applied):
             return
-        self.told[sender] = Word(note.applied, note.refuses, note.why, note.keeps)
+        self.told[sender] = MemberReport(
+            report.applied, report.rejected_version, report.reason, report.durable
+        )
         if self.book.pending:
-            self.conduct_at = now  # it may be the one that was waited for
+            self.next_rollout_check_at = now  # the rollout may be waiting for this report
 
     def submit(self, now: float, command: Command) -> None:
-        """Have a command appended by who leads; it may get lost, and whoever wants it asks again."""
+        """Forward a command to the leader. It may be lost; the caller has to retry."""
         self.agreement.propose(now, msgpack.encode(command))
 
-    def ask(self, now: float) -> None:
-        """Ask up to where it is agreed, where that has to be known."""
+    def request_read(self, now: float) -> None:
+        """Request the commit index from the leader, if it is needed."""
         if self.caught and not self.fence and not (self.agreement.barred and self.keeps):
-            self.ask_at = now + RENEW
+            self.next_read_at = now + LEASE_RENEWAL_INTERVAL_MS
             return
-        self.ask_at = now + (RENEW if self.caught else ASK)
+        self.next_read_at = now + (LEASE_RENEWAL_INTERVAL_MS if self.caught else READ_INTERVAL_MS)
         if len(self.asked) >= MOST_QUESTIONS:
             del self.asked[next(iter(self.asked))]
-        self.token += 1
-        self.asked[self.token] = now
-        self.agreement.read(now, self.token)
+        self.last_read_token += 1
+        self.asked[self.last_read_token] = now
+        self.agreement.read(now, self.last_read_token)
 
     def settle(self, now: float) -> None:
-        """Take up what came of questions, and open or close."""
-        self.leads(now)
+        """Process the results of reads, which renew the lease and complete the catch-up."""
+        self.check_leadership(now)
         reads, self.agreement.reads = self.agreement.reads, []
         for token, index in reads:
-            at = self.asked.pop(token, None)
-            if at is not None:
-                self.proofs.append((at, index))
+            sent_at = self.asked.pop(token, None)
+            if sent_at is not None:
+                self.pending_proofs.append((sent_at, index))
         applied = self.book.applied
-        met = [at for at, index in self.proofs if index <= applied]
-        if met:
-            latest = max(met)
-            self.proofs = [(at, index) for at, index in self.proofs if index > applied]
+        proven_times = [at for at, index in self.pending_proofs if index <= applied]
+        if proven_times:
+            latest = max(proven_times)
+            self.pending_proofs = [(at, index) for at, index in self.pending_proofs if index > applied]
             if self.agreement.barred and self.keeps:
                 self.agreement.trust()
                 self.take_up()
-            self.lease_end = max(self.lease_end, latest + LEASE)
+            self.lease_expires_at = max(self.lease_expires_at, latest + LEASE)
             if not self.caught and (self.name in self.book.roster or self.woken):
                 self.caught, self.woken = True, False
-            elif self.name not in self.book.roster and now >= self.join_at:
-                self.join_at = now + JOIN_AGAIN
+            elif self.name not in self.book.roster and now >= self.next_join_at:
+                self.next_join_at = now + JOIN_RETRY_INTERVAL_MS
                 self.submit(now, Join(self.name))
-        if self.woken and not self.caught and not self.fence and now - self.woke_at >= OPEN_AFTER:
+        if self.woken and not self.caught and not self.fence and now - self.resumed_at >= RESUME_TIMEOUT_MS:
             self.caught, self.woken = True, False
 
     def can_keep(self, now: float) -> None:
-        """All that it holds is on a disk from now on; it may vote once it has asked how things stand."""
-        self.keeps, self.ask_at = True, now
+        """The state is on disk from now on; this proxy may vote after its next successful read."""
+        self.keeps, self.next_read_at = True, now
 
-    # What was agreed on
+    # Committed entries
 
     def take(self) -> Ready | None:
-        """What is to be stored, sent and applied, in that order."""
+        """What is to be stored, sent and applied, in that order; None if nothing."""
         return self.agreement.take()
 
     def stored(self, now: float, ready: Ready) -> Snapshot | None:
-        """All of it is on disk: apply what was agreed on. A snapshot to be stored, where it is time."""
+        """Apply the committed entries after all of `ready` is on disk; returns a snapshot if one is due."""
         if ready.snapshot is not None:
             self.book.load(ready.snapshot.index, ready.snapshot.data)
         for index, entry in ready.apply:
             self.book.apply(index, entry.data if entry.kind == 1 else b"")
             if self.name not in self.book.roster and self.caught and not self.woken:
-                self.caught = False  # somebody has taken it off the roster: it joins anew before it admits
+                self.caught = False  # removed from the roster: must join again first
         if ready.snapshot is not None or ready.apply:
             self.take_up()
             if self.book.pending:
-                self.conduct_at = now
+                self.next_rollout_check_at = now
                 self.agreement.tell()
         self.agreement.stored(now, ready)
         self.settle(now)
-        if len(self.agreement.entries) > KEEP_LOG and self.book.applied == self.agreement.applied:
+        if len(self.agreement.entries) > MAX_LOG_ENTRIES and self.book.applied == self.agreement.applied:
             return self.agreement.compact(self.book.applied, self.book.save())
         return None
 
     def take_up(self) -> None:
-        """Act upon what the book says now, before the leader hears that it was applied."""
+        """Enforce the current rules, before reporting to the leader that they were applied."""
         rules = self.read_rules()
         if rules != self.rules:
             self.rules, self.changed = rules, True
-        refuses, why = self.book.objection() or (0, "")
-        keeps = self.keeps and not self.agreement.barred
-        self.agreement.note = msgpack.encode(Note(self.book.applied, refuses, why[:500], keeps))
+        rejected_version, reason = self.book.rejection() or (0, "")
+        durable = self.keeps and not self.agreement.barred
+        self.agreement.note = msgpack.encode(Note(self.book.applied, rejected_version, reason[:500], durable))
 
     def read_rules(self) -> Rules | None:
-        """None where this release cannot read what is in force."""
+        """The rules to enforce; None if this release cannot parse them."""
         try:
             rules = read(self.book.text(self.book.force))
-            v = self.book.versions.get(self.book.pending)
-            if v is not None and v.phase == JOINT:
-                rules = stricter(rules, read(v.text))
+            version = self.book.versions.get(self.book.pending)
+            if version is not None and version.phase == JOINT:
+                rules = stricter(rules, read(version.text))
         except PolicyError:
             return None
         return rules
 
-    # Where it leads
-
-    def words(self) -> dict[str, Word]:
-        own = self.book.objection() or (0, "")
-        found = {self.name: Word(self.book.applied, *own, self.keeps)}
-        return found | {name: word for name, word in self.told.items() if name in self.agreement.progress}
-
-    def leads(self, now: float) -> bool:
-        """Whether it leads; if anew, what it knew of others as a leader before counts no longer."""
-        if self.led != (self.agreement.role is Role.LEADER):
-            self.led = not self.led
-            self.conduct_at = now
-            if self.led:
-                self.conductor.lead()
+    # Leader
+
+    def member_reports(self) -> dict[str, MemberReport]:
+        """The latest reports of all current members, including this one."""
+        own_rejection = self.book.rejection() or (0, "")
+        reports = {self.name: MemberReport(self.book.applied, *own_rejection, self.keeps)}
+        return reports | {
+            name: report for name, report in self.told.items() if name in self.agreement.progress
+        }
+
+    def check_leadership(self, now: float) -> bool:
+        """Whether this process leads. A new leader discards the reports of its earlier terms."""
+        if self.was_leader != (self.agreement.role is Role.LEADER):
+            self.was_leader = not self.was_leader
+            self.next_rollout_check_at = now
+            if self.was_leader:
+                self.conductor.on_elected()
                 self.told.clear()
-        return self.led
+        return self.was_leader
 
-    def conduct(self, now: float) -> None:
+    def advance_rollout(self, now: float) -> None:
+        """On the leader, take the due steps of the rollout and of a change of voters."""
         self.look = []
-        if not self.leads(now) or self.agreement.term_of(self.agreement.commit) != self.agreement.term:
+        if (
+            not self.check_leadership(now)
+            or self.agreement.term_of(self.agreement.commit) != self.agreement.term
+        ):
             return
-        waited = LEASE * DRIFT if self.fence else inf
-        wants = self.conductor.conduct(now, self.book, self.words(), waited)
-        for step in wants.steps:
+        lease_wait_ms = LEASE * DRIFT if self.fence else inf
+        actions = self.conductor.conduct(now, self.book, self.member_reports(), lease_wait_ms)
+        for step in actions.steps:
             self.submit(now, step)
-        self.look = wants.look
+        self.look = actions.probe_targets
         if self.book.electorate:
-            self.reform(now)
-        if now >= self.invite_at:
-            self.invite_at = now + INVITE
+            self.advance_electorate(now)
+        if now >= self.next_invite_at:
+            self.next_invite_at = now + INVITE_INTERVAL_MS
             for name in self.book.roster:
                 if name != self.name:
                     self.agreement.invite(now, name)
 
-    def reform(self, now: float) -> None:
-        """Bring the voters a step nearer to those that staff named: who is to come first, then who is to go.
+    def advance_electorate(self, now: float) -> None:
+        """Take one step towards the voters that administrators requested: additions first, then removals.
 
-        One comes in once it keeps what it says and has applied what this process has; the leader goes last.
+        A member is added once it has a store and has applied as much as this process; the leader is removed
+        last.
         """
-        wanted, a, words = self.book.electorate, self.agreement, self.words()
-        if not a.may_change():
+        wanted, agreement, reports = self.book.electorate, self.agreement, self.member_reports()
+        if not agreement.may_change():
             return
-        come = [n for n in wanted if n not in a.voters]
-        able = [n for n in come if (w := words.get(n)) and w.keeps and w.applied >= self.book.applied]
-        go = sorted((n for n in a.voters if n not in wanted), key=lambda n: n == self.name)
-        if able:
-            a.change_voters(now, [*a.voters, able[0]])
-        elif go and not come:
-            a.change_voters(now, [n for n in a.voters if n != go[0]])
-
-    def found_down(self, now: float, name: str, began: float) -> None:
-        """A connection to a proxy's address, begun at a time, was refused: nobody listens there."""
-        if began >= self.conductor.phase_began:
-            self.conductor.found_down(now, name)
+        joining = [n for n in wanted if n not in agreement.voters]
+        ready = [n for n in joining if (r := reports.get(n)) and r.durable and r.applied >= self.book.applied]
+        leaving = sorted((n for n in agreement.voters if n not in wanted), key=lambda n: n == self.name)
+        if ready:
+            agreement.change_voters(now, [*agreement.voters, ready[0]])
+        elif leaving and not joining:
+            agreement.change_voters(now, [n for n in agreement.voters if n != leaving[0]])
+
+    def found_down(self, now: float, name: str, connect_started_at: float) -> None:
+        """Note that a connection to a member's address was refused: no process is listening there."""
+        if connect_started_at >= self.conductor.phase_began:
+            self.conductor.mark_down(now, name)
 
     def withdraw(self, now: float, number: int, who: str) -> None:
         self.submit(now, Step(number, WITHDRAWN, f"withdrawn by {who}"))
 
     def status(self, now: float) -> Status:
-        a, book = self.agreement, self.book
-        v = book.versions.get(book.pending)
-        leads = a.role is Role.LEADER
+        agreement, rollout_state = self.agreement, self.book
+        version = rollout_state.versions.get(rollout_state.pending)
+        is_leader = agreement.role is Role.LEADER
         return Status(
             name=self.name,
-            role=a.role.value,
-            leader=a.leader,
-            term=a.term,
-            voters=a.voters,
-            electorate=list(book.electorate),
-            roster=list(book.roster),
-            force=book.force,
-            pending=book.pending,
-            phase=v.phase if v is not None else FORCE,
-            missing=list(self.conductor.missing) if leads and v is not None else [],
-            behind={n: w.applied for n, w in self.words().items() if n in book.roster} if leads else {},
-            agreed=a.commit,
-            applied=book.applied,
+            role=agreement.role.value,
+            leader=agreement.leader,
+            term=agreement.term,
+            voters=agreement.voters,
+            electorate=list(rollout_state.electorate),
+            roster=list(rollout_state.roster),
+            force=rollout_state.force,
+            pending=rollout_state.pending,
+            phase=version.phase if version is not None else FORCE,
+            missing=list(self.conductor.missing) if is_leader and version is not None else [],
+            behind={n: r.applied for n, r in self.member_reports().items() if n in rollout_state.roster}
+            if is_leader
+            else {},
+            agreed=agreement.commit,
+            applied=rollout_state.applied,
             admits=not self.verdict(now),
             why=self.verdict(now),
-            lease_left=max(0.0, self.lease_end - now) if self.fence else inf,
+            lease_left=max(0.0, self.lease_expires_at - now) if self.fence else inf,
         )
--- a/barleybarrow/recovery.py
+++ b/barleybarrow/recovery.py
@@ -1,6 +1,6 @@
-"""What can be made of voters' stores once a majority is gone for good: values only, no I/O.
+"""Disaster recovery from the voters' stores after a majority was lost for good. No I/O.
 
-It must never pass over a store that is further along, and never leave two stores that may both go on.
+Invariants: a store whose log is further along is never passed over, and at most one store may continue.
 """
 
 from collections.abc import Iterable, Mapping, Sequence
@@ -12,60 +12,62 @@
 from barleybarrow.agreement_messages import Entry, Kind, Ready, Snapshot
 from barleybarrow.rollout import Book
 
-TERMS = 1000  # beyond all that were seen: whoever is gone may have seen a few more
+TERMS = 1000  # added to the highest term seen, as lost voters may have seen later ones
 
 
 @dataclass(frozen=True)
 class Held:
-    """What one voter's store holds."""
+    """The contents of one voter's store."""
 
     name: str
     term: int
     snapshot: Snapshot | None
     entries: Sequence[Entry]
-    named: Sequence[str] = field(default=())  # voters by the operators' file, for a log that names none
+    configured_voters: Sequence[str] = field(default=())  # from the settings, if the log names no voters
 
     @property
     def last(self) -> int:
+        """The index of the last log entry."""
         return (self.snapshot.index if self.snapshot is not None else 0) + len(self.entries)
 
     @property
     def reach(self) -> tuple[int, int]:
-        """How far it is along: greater is further (Raft, 5.4.1)."""
+        """Term and index of the last log entry; the greater one is more up-to-date (Raft, section 5.4.1)."""
         before = self.snapshot.term if self.snapshot is not None else 0
         return (self.entries[-1].term if self.entries else before), self.last
 
     @property
     def voters(self) -> list[str]:
+        """The voters according to the log."""
         for entry in reversed(self.entries):
             if entry.kind == Kind.VOTERS:
                 return msgpack.decode(entry.data, type=list[str])
-        return list(self.snapshot.voters if self.snapshot is not None else self.named)
+        return list(self.snapshot.voters if self.snapshot is not None else self.configured_voters)
 
     def book(self) -> Book:
-        """What its log makes, be all of it agreed on or not."""
-        book = Book()
+        """The rollout state after applying the whole log, including uncommitted entries."""
+        state = Book()
         if self.snapshot is not None:
-            book.load(self.snapshot.index, self.snapshot.data)
-        for index, entry in enumerate(self.entries, book.applied + 1):
-            book.apply(index, entry.data if entry.kind == Kind.DATA else b"")
-        return book
+            state.load(self.snapshot.index, self.snapshot.data)
+        for index, entry in enumerate(self.entries, state.applied + 1):
+            state.apply(index, entry.data if entry.kind == Kind.DATA else b"")
+        return state
 
 
 @dataclass(frozen=True)
 class Objection:
-    """Why an act would break a promise; where `claim` is empty, nothing makes it right."""
+    """Why a recovery would be unsafe; without a claim, it cannot be overridden."""
 
     why: str
-    claim: str = ""  # what whoever does it all the same says to know
+    claim: str = ""  # what the operator asserts by overriding the objection
 
 
 def objections(
-    mine: Held, others: Iterable[Held], without: Iterable[str], applied: Mapping[str, int]
+    mine: Held, others: Iterable[Held], without: Iterable[str], applied_indexes: Mapping[str, int]
 ) -> list[Objection]:
-    """Against one store's going on alone; `applied`: how far proxies that answer are."""
+    """Objections against continuing with one store alone; `applied_indexes`: of the proxies that respond."""
     others, gone, voters = list(others), set(without), mine.voters
-    left = [name for name in voters if name not in gone]
+    remaining = [name for name in voters if name not in gone]
     found = []
     if mine.name not in voters:
         found.append(
@@ -73,16 +75,16 @@
         )
     if mine.name in gone:
         found.append(Objection(f"{mine.name} is itself named as gone"))
-    if 2 * len(left) > len(voters):
-        found.append(Objection(f"{' '.join(left)} are a majority: `policy voters --set` loses nothing"))
+    if 2 * len(remaining) > len(voters):
+        found.append(Objection(f"{' '.join(remaining)} are a majority: `policy voters --set` loses nothing"))
     for other in others:
         if other.reach > mine.reach:
             found.append(Objection(f"{other.name}'s store is further along: recover that one"))
-    unseen = sorted(set(left) - {mine.name} - {o.name for o in others})
+    unseen = sorted(set(remaining) - {mine.name} - {o.name for o in others})
     if unseen:
         why = f"the stores of {' '.join(unseen)} were not shown (--seen)"
         found.append(Objection(why, "they hold no more than this one"))
-    ahead = sorted(name for name, index in applied.items() if index > mine.last)
+    ahead = sorted(name for name, index in applied_indexes.items() if index > mine.last)
     if ahead:
         why = f"{' '.join(ahead)} applied more than this store holds ({mine.last})"
         found.append(Objection(why, "all of them are started anew, and what they hold beyond it is lost"))
@@ -90,23 +92,25 @@
 
 
 def recovered(mine: Held, others: Iterable[Held]) -> Ready:
-    """What is to be stored so that one goes on as the only voter."""
+    """What is to be stored so that `mine` continues as the only voter."""
     term = max([mine.term, *(o.term for o in others)]) + TERMS
-    alone = Entry(term, Kind.VOTERS, msgpack.encode([mine.name]))
-    return Ready(hard=(term, mine.name), first=mine.last + 1, entries=[alone])
-
-
-def lacking(held: Iterable[Mapping[str, Any]], told: Iterable[Mapping[str, Any]]) -> list[str]:
-    """Versions that others tell of, and one store has not, or as something else; a line each."""
-    mine = {v["number"]: v for v in held}
-    found = []
-    for v in told:
-        own = mine.get(v["number"])
+    voters_entry = Entry(term, Kind.VOTERS, msgpack.encode([mine.name]))
+    return Ready(hard=(term, mine.name), first=mine.last + 1, entries=[voters_entry])
+
+
+def lacking(
+    own_versions: Iterable[Mapping[str, Any]], reported_versions: Iterable[Mapping[str, Any]]
+) -> list[str]:
+    """Versions reported by others that a store lacks or holds differently, one line each."""
+    own_by_number = {v["number"]: v for v in own_versions}
+    lines = []
+    for v in reported_versions:
+        own = own_by_number.get(v["number"])
         text = f"version {v['number']} by {v['who']}, {v['phase']}: {v['why'] or '-'}"
         if own is None:
-            found.append(text)
+            lines.append(text)
         elif own["id"] != v["id"]:
-            found.append(f"{text} (here it is another's)")
+            lines.append(f"{text} (here it is another's)")
         elif own["phase"] != v["phase"]:
-            found.append(f"{text} (here {own['phase']})")
-    return found
+            lines.append(f"{text} (here {own['phase']})")
+    return lines
--- a/barleybarrow/replica.py
+++ b/barleybarrow/replica.py
@@ -1,14 +1,15 @@
-"""One copy of the replicated state among others: who tells whom what, catch-up, acknowledged writes, audits.
+"""One replica of the shared state: anti-entropy between replicas, catch-up, acknowledged writes and audits.
 
-A machine without I/O. It must never call a write acknowledged that a majority of the keepers has not on disk,
-never say that it has caught up while something acknowledged before it asked may be missing, and never merge
-in silence what differs and must not. The state itself is `version_vectors`; why it is so:
-docs/design/replica.md.
+A state machine without I/O. Keepers are the replicas with durable storage (the `replica.keepers` setting);
+the others hold the state in memory only. Invariants: a write is acknowledged only once a majority of the
+keepers has it on disk; a replica reports that it has caught up only if it holds everything acknowledged
+before it began to catch up; and replicas that must be equal but differ are detected, never merged silently.
+The state itself is in `version_vectors`; the design is described in docs/design/replica.md.
 
-| stage | what it does | leaves it |
+| stage | behaviour | transition |
 | --- | --- | --- |
-| BEHIND | asks all keepers, takes what it lacks | it covers a majority of whole copies: CAUGHT_UP |
-| CAUGHT_UP | tells, takes, writes as a keeper | it stood still, or its store is an old one: BEHIND |
+| BEHIND | queries all keepers and pulls missing entries | covers a majority of complete replicas: CAUGHT_UP |
+| CAUGHT_UP | sends and merges updates; keepers accept writes | process stalled, or store is stale: BEHIND |
 """
 
 from collections import Counter
@@ -21,199 +22,222 @@
 from msgspec import Meta, Struct
 
 from barleybarrow.version_vectors import (
-    MOST_REMOVED,
-    RANGES,
+    MAX_TOMBSTONES,
+    RANGE_COUNT,
     Dot,
     Entry,
-    Number,
+    EventNumber,
     State,
     Taken,
     Vector,
-    join,
+    is_covered,
+    merge_vector,
     range_of,
-    within,
 )
 
-TELL = 500.0  # milliseconds between two tellings of how far one is
-TELL_BEHIND = 50.0  # and while it is not caught up or has a write on its way
-FAN = 3  # others that are told at a time, beside those that are waited for
-MOST_ALL = 10  # a group so large is told whole
-ANSWER = 100.0  # between two answers to one that is behind
-PATIENCE = 2000.0  # until a pull that gives nothing is begun elsewhere
-PUSH = 300.0  # between two pushes of the same write to a keeper
-WRITTEN = 5000.0  # until what became of a write is unknown
-AUDIT = 2000.0  # between two audits
-TIDY = 5000.0
-FULL = 30_000.0  # after which one without room for all there is tries again
-PAUSE = 2000.0  # between two looks at the clock, after which this process stood still
-MOST_PART, PART_BYTES, LOOKS = 200, 32 * 1024, 5000  # of one part
-LEAST_PART = 512  # bytes, to one that reads slowly; each entry is whole
-QUICK = PATIENCE / 8  # a part that comes so soon may be followed by a greater one
-MOST_RANGE, MOST_IN_RANGE = 512 * 1024, 4096  # bytes and entries of a range that is told whole
-SLICE = 2000  # keys looked at in one go after a whole copy has come
-MOST_MESSAGES = 2000  # that wait to be sent
-MOST_WRITES = 64  # on their way
-MOST_OTHERS = 1024
+STATUS_INTERVAL_MS = 500.0
+BUSY_STATUS_INTERVAL_MS = 50.0  # while catching up or while a write is pending
+GOSSIP_FANOUT = 3  # random peers per status round in large groups; a busy replica adds all keepers
+MAX_BROADCAST_PEERS = 10  # up to this many peers, each status round goes to all of them
+MIN_REPLY_INTERVAL_MS = 100.0  # between status replies to a peer that is behind
+PULL_TIMEOUT_MS = 2000.0  # a pull that makes no progress is abandoned and restarted from another peer
+PUSH_RETRY_INTERVAL_MS = 300.0  # between pushes of the same write to a keeper
+WRITTEN = 5000.0  # milliseconds until the outcome of an unacknowledged write is reported as unknown
+AUDIT_INTERVAL_MS = 2000.0
+PRUNE_INTERVAL_MS = 5000.0
+FULL_RETRY_BACKOFF_MS = 30_000.0  # until a replica that ran out of room pulls again
+STALL_THRESHOLD_MS = 2000.0  # a longer gap between clock readings means that this process was stalled
+MAX_CHUNK_ENTRIES, MAX_CHUNK_BYTES, MAX_CHUNK_SCAN = 200, 32 * 1024, 5000  # scan: change log items
+MIN_CHUNK_BYTES = 512  # for slow readers; an entry is never split
+FAST_CHUNK_MS = PULL_TIMEOUT_MS / 8  # a chunk that arrives within this time doubles the next chunk's size
+MAX_RANGE_BYTES, MOST_IN_RANGE = 512 * 1024, 4096  # a range must fit into one message: bytes and entries
+CLEANUP_BATCH_KEYS = 2000  # keys examined per tick after a full copy has been received
+MOST_MESSAGES = 2000  # limit of messages queued for sending
+MOST_WRITES = 64  # limit of writes awaiting acknowledgement
+MOST_OTHERS = 1024  # limit of peers whose status is kept
 
 Name = Annotated[str, Meta(min_length=1, max_length=64)]
-Run = Annotated[int, Meta(ge=0, lt=2**62)]
+RunId = Annotated[int, Meta(ge=0, lt=2**62)]
 Entries = Annotated[list[Entry], Meta(max_length=1024)]
-Prints = Annotated[list[Annotated[int, Meta(ge=0)]], Meta(max_length=RANGES)]
+Digests = Annotated[list[Annotated[int, Meta(ge=0)]], Meta(max_length=RANGE_COUNT)]
 
 
-class Tell(Struct, array_like=True, frozen=True, tag=1):
-    """How far one is. `echo` repeats what whoever is told last said of itself: so it is an answer."""
+class ReplicaStatus(Struct, array_like=True, frozen=True, tag=1):
+    """The sender's progress.
 
-    run: Run  # of the process
-    asks: Number  # how often it began to catch up
-    starts: Number  # of its store; 0 where it keeps none
-    echo: tuple[Run, Number]
-    met: tuple[Number, Run]  # greatest start of whoever is told that is known, and which run that was
-    whole: bool  # it holds all that was acknowledged to anybody through it
+    `echo` repeats the run and catch-up round that the recipient last reported, which lets the recipient tell
+    a reply to its current round from an older status.
+    """
+
+    run_id: RunId  # identifies the sender's process
+    catch_up_round: EventNumber  # how many times the sender has begun to catch up
+    store_opens: EventNumber  # how many times the sender's store was opened; 0 without a store
+    echo: tuple[RunId, EventNumber]
+    # The highest store open count known of the recipient, and the run that reported it.
+    last_open: tuple[EventNumber, RunId]
+    complete: bool  # the sender holds every write that was acknowledged with its vote
     vector: Vector
     pruned: Vector
-    print: Annotated[int, Meta(ge=0)]
-    settled: bool
+    digest: Annotated[int, Meta(ge=0)]
+    gapless: bool  # everything the sender holds is covered by its vector
+
 
+class PullRequest(Struct, array_like=True, frozen=True, tag=2):
+    """Asks for the entries not covered by `vector` among the recipient's changes after `after`.
 
-class Pull(Struct, array_like=True, frozen=True, tag=2):
-    """Tell me what this vector does not cover, of your changes after one; all there is where `whole`."""
+    With `full`, asks for a full copy.
+    """
 
-    token: Run
+    token: RunId
     vector: Vector
-    after: Number
-    whole: bool
-    most: Annotated[int, Meta(ge=LEAST_PART, le=PART_BYTES)] = PART_BYTES  # bytes of a part, but one entry
+    after: EventNumber
+    full: bool
+    # Limit of a chunk's size; a chunk carries at least one entry, even a larger one.
+    max_bytes: Annotated[int, Meta(ge=MIN_CHUNK_BYTES, le=MAX_CHUNK_BYTES)] = MAX_CHUNK_BYTES
 
 
-class Part(Struct, array_like=True, frozen=True, tag=3):
-    """Some of it; the last part carries how far who tells is. Token 0: a write as it was made."""
+class EntryChunk(Struct, array_like=True, frozen=True, tag=3):
+    """Entries in reply to a `PullRequest`; the last chunk carries the sender's vectors.
 
-    token: Run
+    Token 0 marks a push: a new write that nobody requested.
+    """
+
+    token: RunId
     entries: Entries
-    after: Number
+    after: EventNumber
     last: bool
     vector: Vector
     pruned: Vector
 
 
-class AskPrints(Struct, array_like=True, frozen=True, tag=4):
-    token: Run
+class DigestRequest(Struct, array_like=True, frozen=True, tag=4):
+    """Asks a keeper for its digests of all key ranges."""
+
+    token: RunId
 
 
-class TellPrints(Struct, array_like=True, frozen=True, tag=5):
-    token: Run
+class DigestReply(Struct, array_like=True, frozen=True, tag=5):
+    """One digest per key range, valid for `vector`."""
+
+    token: RunId
     vector: Vector
-    settled: bool
-    prints: Prints
+    gapless: bool
+    digests: Digests
 
 
 class AskRange(Struct, array_like=True, frozen=True, tag=6):
-    token: Run
-    number: Annotated[int, Meta(ge=0, lt=RANGES)]
+    """Asks for all entries of one key range."""
+
+    token: RunId
+    index: Annotated[int, Meta(ge=0, lt=RANGE_COUNT)]
 
 
 class TellRange(Struct, array_like=True, frozen=True, tag=7):
-    token: Run
-    number: Annotated[int, Meta(ge=0, lt=RANGES)]
+    """All entries of one key range, with its digest and the vector for which both are valid."""
+
+    token: RunId
+    index: Annotated[int, Meta(ge=0, lt=RANGE_COUNT)]
     vector: Vector
-    print: Annotated[int, Meta(ge=0)]
+    digest: Annotated[int, Meta(ge=0)]
     entries: Annotated[list[Entry], Meta(max_length=MOST_IN_RANGE)]
 
 
-Message = Tell | Pull | Part | AskPrints | TellPrints | AskRange | TellRange
+Message = ReplicaStatus | PullRequest | EntryChunk | DigestRequest | DigestReply | AskRange | TellRange
 
 
 class Stage(Enum):
+    """Whether this replica has caught up with a majority of the keepers."""
+
     BEHIND = "behind"
     CAUGHT_UP = "caught up"
 
 
 @dataclass
 class Kept:
-    """What a keeper's disk holds."""
+    """The durable state of a keeper."""
 
-    origin: str = ""
-    whole: bool = False
+    origin: str = ""  # identifies this store as a source of writes
+    whole: bool = False  # holds every write that was acknowledged with this keeper's vote
     entries: list[Entry] = field(default_factory=list)
     vector: Vector = field(default_factory=dict)
     pruned: Vector = field(default_factory=dict)
-    starts: int = 0  # how often the store was opened
-    met: dict[str, tuple[int, int]] = field(default_factory=dict)  # by keeper: its greatest start, which run
+    starts: int = 0  # how many times the store was opened
+    # By keeper: the highest store open count that it reported, and the run that reported it.
+    peer_opens: dict[str, tuple[int, int]] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
 class Ready:
-    """What is to be done: store the keys and facts, then send, then tell who waits."""
+    """Work for the driver, in this order: store, send the messages, report the results of writes."""
 
-    changed: list[str] = field(default_factory=list)  # keys, for who acts upon them
-    keys: dict[str, list[Entry]] = field(default_factory=dict)
-    facts: Kept | None = None  # without the entries
+    changed: list[str] = field(default_factory=list)  # changed keys, for the consumers of the state
+    keys: dict[str, list[Entry]] = field(default_factory=dict)  # entries to store, by key
+    facts: Kept | None = None  # metadata to store; its entries are left empty
     messages: list[tuple[str, Message]] = field(default_factory=list)
-    done: list[tuple[int, bool]] = field(default_factory=list)  # writes: acknowledged, or unknown
+    done: list[tuple[int, bool]] = field(default_factory=list)  # token; True: acknowledged, False: unknown
 
 
 @dataclass(slots=True)
-class Other:
-    """What is known of another copy."""
+class Peer:
+    """The last reported status of another replica, and the progress of pulls from it."""
 
     run: int = 0
-    asks: int = 0
+    catch_up_round: int = 0
     vector: Vector = field(default_factory=dict)
     pruned: Vector = field(default_factory=dict)
-    whole: bool = False
-    answers: bool = False  # it has heard of this run of ours
+    complete: bool = False
+    answers: bool = False  # it has echoed this replica's run and current catch-up round
     heard_at: float = -inf
-    told_at: float = -inf
-    pushed_at: float = -inf
-    most: int = PART_BYTES  # of a part that is asked for
-    after: int = 0  # its changes that have come
-    after_run: int = 0
+    status_sent_at: float = -inf
+    last_push_at: float = -inf
+    chunk_bytes: int = MAX_CHUNK_BYTES  # size limit of the next chunk requested
+    pull_offset: int = 0  # position in its change log up to which changes were received
+    pull_offset_run: int = 0
 
 
 @dataclass(slots=True)
-class Pulling:
-    """What is being taken from another."""
+class ActivePull:
+    """A pull in progress."""
 
     source: str
     token: int
-    whole: bool
-    at: float  # when the last of it came
-    seen: set[Dot] = field(default_factory=set)
-    room: bool = True
+    full: bool
+    last_chunk_at: float  # when the last chunk arrived, at first when the pull started
+    seen_dots: set[Dot] = field(default_factory=set)  # received so far, in a full copy
+    has_room: bool = True
 
 
 @dataclass(slots=True)
-class Leftover:
-    """What is to be gone through once a whole copy has come."""
+class FullCopyCleanup:
+    """Keys still to be examined after a full copy was received: entries absent from it are dropped."""
 
     keys: list[str]
-    seen: set[Dot]
+    seen_dots: set[Dot]
     vector: Vector
-    place: int = 0
+    position: int = 0
 
 
 @dataclass(slots=True)
-class Write:
-    """A write that waits for a majority of keepers."""
+class PendingWrite:
+    """A write that awaits acknowledgement by a majority of the keepers."""
 
     token: int
     entry: Entry
-    began: float
+    started_at: float
 
 
 @dataclass(slots=True)
 class Audit:
-    """Keepers' prints, while it is found out where copies of one vector differ."""
+    """The keepers' digests, collected to find the ranges in which replicas with equal vectors differ."""
 
     token: int
-    began: float
-    told: dict[str, TellPrints] = field(default_factory=dict)
-    wanted: dict[int, int] = field(default_factory=dict)  # by range: its print at a majority
+    started_at: float
+    replies: dict[str, DigestReply] = field(default_factory=dict)
+    majority_digests: dict[int, int] = field(default_factory=dict)  # by range index
 
 
 class Replica:
-    """One copy. Times are milliseconds on its own monotonic clock."""
+    """One replica. Times are milliseconds on its own monotonic clock."""
 
     def __init__(
         self,
@@ -221,177 +245,179 @@
         keepers: list[str],
         rng: Random,
         now: float,
-        kept: Kept | None = None,
-        room: int | None = None,
+        stored: Kept | None = None,
+        max_entries: int | None = None,
     ) -> None:
         self.name, self.keepers, self.rng = name, keepers, rng
-        self.keeps = name in keepers
-        self.state = State(room) if room else State()
-        self.most_removed = MOST_REMOVED
-        self.run = rng.getrandbits(62) | 1
+        self.is_keeper = name in keepers
+        self.state = State(max_entries) if max_entries else State()
+        self.most_removed = MAX_TOMBSTONES
+        self.run_id = rng.getrandbits(62) | 1
         self.origin, self.whole, self.asks = "", False, 1
-        self.starts, self.met = 0, dict[str, tuple[int, int]]()
-        self.facts_changed = self.keeps
-        if kept is not None:
-            self.origin, self.whole = kept.origin, kept.whole
-            self.starts, self.met = kept.starts + 1, dict(kept.met)
-            self.state.load(kept.entries, kept.vector, kept.pruned)
-        if self.keeps and not self.origin:
+        self.store_opens, self.peer_opens = 0, dict[str, tuple[int, int]]()
+        self.metadata_changed = self.is_keeper
+        if stored is not None:
+            self.origin, self.whole = stored.origin, stored.whole
+            self.store_opens, self.peer_opens = stored.starts + 1, dict(stored.peer_opens)
+            self.state.load(stored.entries, stored.vector, stored.pruned)
+        if self.is_keeper and not self.origin:
             self.new_origin()
         self.stage = Stage.BEHIND
-        self.covered: set[str] = set()  # whole keepers of whom it has all, since it asked
-        self.others: dict[str, Other] = {}
-        self.reach: list[str] = []  # names that may be told; whoever drives the machine keeps it up
-        self.pulling: Pulling | None = None
-        self.leftover: Leftover | None = None  # of a whole copy, to be gone through
-        self.urgent: list[tuple[str, Message]] = []  # questions: they rest on nothing that has to be stored
-        self.writes: dict[int, Write] = {}
+        self.covered_peers: set[str] = set()  # keepers fully covered in this catch-up round
+        self.others: dict[str, Peer] = {}
+        self.reach: list[str] = []  # names of reachable peers, maintained by the driver
+        self.active_pull: ActivePull | None = None
+        self.cleanup: FullCopyCleanup | None = None
+        self.urgent: list[tuple[str, Message]] = []  # requests, sent at once: they depend on nothing unstored
+        self.writes: dict[int, PendingWrite] = {}
         self.audit: Audit | None = None
-        self.audited_at = -inf
-        self.differs = False  # copies of one vector differ, and no majority has said yet which is right
-        self.aside: list[Entry] = []  # what was replaced lately; whoever drives logs it
+        self.last_audit_at = -inf
+        self.differs = False  # replicas with equal vectors differ and the audit has not resolved it yet
+        self.aside: list[Entry] = []  # entries replaced by an audit, for the driver to log
         self.ready = Ready()
-        self.tell_at = self.tidy_at = now
-        self.last, self.rest_until = now, -inf
+        self.next_status_at = self.next_prune_at = now
+        self.last_active_at, self.pull_backoff_until = now, -inf
         self.counts: Counter[str] = Counter()
 
     @property
     def dropped(self) -> int:
-        """What was left out for lack of room: messages, others that are known, ranges too large to tell."""
+        """The number of messages, peers and oversized ranges dropped because of limits."""
         return sum(self.counts[what] for what in ("messages", "others", "ranges"))
 
     def new_origin(self) -> None:
+        """Choose a new origin: event numbers of an earlier one may have been used already."""
         self.origin = f"{self.name}~{self.rng.getrandbits(40):010x}"
-        self.facts_changed = True
+        self.metadata_changed = True
 
-    def store_is_old(self, starts: int) -> None:
-        """Others know of a later start, or of writes that its disk has lost: it counts as an empty one."""
+    def on_stale_store(self, known_opens: int) -> None:
+        """Treat the store as empty: peers know of a later open or of writes that it does not hold."""
         self.counts["store_old"] += 1
-        self.starts = starts + 1
+        self.store_opens = known_opens + 1
         self.new_origin()
         self.whole = False
-        self.behind()
+        self.start_catch_up()
 
     @property
     def majority(self) -> int:
         return len(self.keepers) // 2 + 1
 
-    def other(self, name: str) -> Other:
-        found = self.others.get(name)
-        if found is None:
+    def other(self, name: str) -> Peer:
+        peer = self.others.get(name)
+        if peer is None:
             if len(self.others) >= MOST_OTHERS:
                 del self.others[min(self.others, key=lambda n: self.others[n].heard_at)]
                 self.counts["others"] += 1
-            found = self.others[name] = Other()
-        return found
+            peer = self.others[name] = Peer()
+        return peer
 
-    # Time
+    # Timers
 
     def next(self) -> float:
-        ends = [self.tell_at, self.tidy_at]
-        if self.leftover is not None:
-            ends.append(self.last)
-        return min(ends)
+        """When `tick` has to be called next."""
+        due_times = [self.next_status_at, self.next_prune_at]
+        if self.cleanup is not None:
+            due_times.append(self.last_active_at)
+        return min(due_times)
 
     def tick(self, now: float) -> None:
-        self.look(now)
+        self.check_for_stall(now)
         if self.stage is Stage.BEHIND and self.keepers == [self.name]:
-            self.caught_up()  # the only one there is has nobody to ask
-        if self.leftover is not None:
-            self.go_through()
-        if self.pulling is not None and now - self.pulling.at > PATIENCE:
+            self.caught_up()  # a single keeper has no peers to catch up with
+        if self.cleanup is not None:
+            self.continue_cleanup()
+        if self.active_pull is not None and now - self.active_pull.last_chunk_at > PULL_TIMEOUT_MS:
             self.counts["pulls_given_up"] += 1
-            slow = self.other(self.pulling.source)
-            slow.most = max(LEAST_PART, slow.most // 4)
-            self.pulling = None
-        for write in [w for w in self.writes.values() if now - w.began > WRITTEN]:
+            source = self.other(self.active_pull.source)
+            source.chunk_bytes = max(MIN_CHUNK_BYTES, source.chunk_bytes // 4)
+            self.active_pull = None
+        for write in [w for w in self.writes.values() if now - w.started_at > WRITTEN]:
             del self.writes[write.token]
             self.ready.done.append((write.token, False))
-        if now >= self.tell_at:
-            self.tell_some(now)
-        if now >= self.tidy_at:
-            self.tidy_at = now + TIDY
-            self.tidy(now)
-
-    def look(self, now: float) -> None:
-        if now - self.last > PAUSE:  # it stood still: what it holds may be old by now
+        if now >= self.next_status_at:
+            self.send_statuses(now)
+        if now >= self.next_prune_at:
+            self.next_prune_at = now + PRUNE_INTERVAL_MS
+            self.prune_removals(now)
+
+    def check_for_stall(self, now: float) -> None:
+        if now - self.last_active_at > STALL_THRESHOLD_MS:  # its state may be outdated by now
             self.counts["slept"] += 1
-            self.behind()
-            self.pulling = None
-            self.tell_at = now
-        self.last = now
+            self.start_catch_up()
+            self.active_pull = None
+            self.next_status_at = now
+        self.last_active_at = now
 
-    def behind(self) -> None:
-        """Ask anew: nothing that was heard before counts."""
+    def start_catch_up(self) -> None:
+        """Begin a new catch-up round; replies to earlier rounds no longer count."""
         self.stage = Stage.BEHIND
-        self.covered.clear()
+        self.covered_peers.clear()
         self.asks += 1
-        for other in self.others.values():
-            other.answers = False
+        for peer in self.others.values():
+            peer.answers = False
 
-    def tell_some(self, now: float) -> None:
+    def send_statuses(self, now: float) -> None:
         busy = self.stage is Stage.BEHIND or bool(self.writes)
-        self.tell_at = now + (TELL_BEHIND if busy else TELL)
-        to = set(self.reach)
-        if len(to) > MOST_ALL:
-            to = set(self.rng.sample(sorted(to), FAN))
+        self.next_status_at = now + (BUSY_STATUS_INTERVAL_MS if busy else STATUS_INTERVAL_MS)
+        targets = set(self.reach)
+        if len(targets) > MAX_BROADCAST_PEERS:
+            targets = set(self.rng.sample(sorted(targets), GOSSIP_FANOUT))
         if busy:
-            to.update(k for k in self.keepers if k != self.name and k in self.reach)
-        for name in sorted(to):
-            self.tell(now, name)
+            targets.update(k for k in self.keepers if k != self.name and k in self.reach)
+        for name in sorted(targets):
+            self.send_status(now, name)
         for write in self.writes.values():
-            for name in self.lacking(write):
-                other = self.other(name)
-                if now - other.pushed_at >= PUSH:
-                    other.pushed_at = now
-                    self.send(name, Part(0, [write.entry], 0, False, {}, {}))
-
-    def tell(self, now: float, name: str) -> None:
-        other, state = self.other(name), self.state
-        other.told_at = now
-        echo, met = (other.run, other.asks), self.met.get(name, (0, 0))
-        told = Tell(
-            self.run,
+            for name in self.keepers_without(write):
+                peer = self.other(name)
+                if now - peer.last_push_at >= PUSH_RETRY_INTERVAL_MS:
+                    peer.last_push_at = now
+                    self.send(name, EntryChunk(0, [write.entry], 0, False, {}, {}))
+
+    def send_status(self, now: float, name: str) -> None:
+        peer, state = self.other(name), self.state
+        peer.status_sent_at = now
+        echo, last_open = (peer.run, peer.catch_up_round), self.peer_opens.get(name, (0, 0))
+        status = ReplicaStatus(
+            self.run_id,
             self.asks,
-            self.starts,
+            self.store_opens,
             echo,
-            met,
+            last_open,
             self.whole,
             dict(state.vector),
             dict(state.pruned),
             state.print,
-            state.settled(),
+            state.is_gapless(),
         )
-        self.send(name, told)
+        self.send(name, status)
 
-    def tidy(self, now: float) -> None:
-        """Forget removals that all who were heard lately have."""
-        if not self.state.emptied or self.stage is Stage.BEHIND:
+    def prune_removals(self, now: float) -> None:
+        """Discard tombstones that all keepers and reachable peers hold."""
+        if not self.state.tombstone_keys or self.stage is Stage.BEHIND:
             return
         stable = dict(self.state.vector)
-        lately = [o for n, o in self.others.items() if n in self.reach or n in self.keepers]
-        for other in lately:
-            stable = {o: min(n, other.vector.get(o, 0)) for o, n in stable.items()}
-        self.state.prune(stable if lately else {}, self.most_removed)
-        self.facts_changed = True
-
-    def go_through(self) -> None:
-        """A whole copy has come: drop what it did not hold, some at a time."""
-        rest = self.leftover
-        assert rest is not None
-        part = rest.keys[rest.place : rest.place + SLICE]
-        rest.place += SLICE
-        self.counts["dropped"] += self.state.only(part, rest.seen, rest.vector)
-        if rest.place >= len(rest.keys):
-            self.leftover = None
-            self.state.heard(rest.vector)
-            self.facts_changed = True
+        peers = [o for n, o in self.others.items() if n in self.reach or n in self.keepers]
+        for peer in peers:
+            stable = {o: min(n, peer.vector.get(o, 0)) for o, n in stable.items()}
+        self.state.prune(stable if peers else {}, self.most_removed)
+        self.metadata_changed = True
+
+    def continue_cleanup(self) -> None:
+        """After a full copy was received, drop the entries that it did not hold, one batch at a time."""
+        cleanup = self.cleanup
+        assert cleanup is not None
+        keys = cleanup.keys[cleanup.position : cleanup.position + CLEANUP_BATCH_KEYS]
+        cleanup.position += CLEANUP_BATCH_KEYS
+        self.counts["dropped"] += self.state.drop_absent(keys, cleanup.seen_dots, cleanup.vector)
+        if cleanup.position >= len(cleanup.keys):
+            self.cleanup = None
+            self.state.heard(cleanup.vector)
+            self.metadata_changed = True
 
     # Writes
 
     def may_write(self) -> str:
-        """Why nothing may be written here now; empty where it may."""
-        if not self.keeps:
+        """Why writes are refused at present; empty if they are accepted."""
+        if not self.is_keeper:
             return f"keeps nothing: ask one of {' '.join(self.keepers)}"
         if self.stage is Stage.BEHIND:
             return "has not caught up with a majority of the keepers"
@@ -400,27 +426,28 @@
         return ""
 
     def write(self, now: float, token: int, key: str, value: bytes | None) -> bool:
-        """Write; `Ready.done` says what became of it. False where there is nothing to do, or no room."""
+        """Start a write, whose result is reported in `Ready`. False if there is nothing to do or no room."""
         entry = self.state.write(self.origin, key, value)
         if entry is None:
             return False
-        self.facts_changed = True
-        self.writes[token] = Write(token, entry, now)
+        self.metadata_changed = True
+        self.writes[token] = PendingWrite(token, entry, now)
         for name in self.reach:
-            self.other(name).pushed_at = now
-            self.send(name, Part(0, [entry], 0, False, {}, {}))
-        self.tell_at = min(self.tell_at, now + TELL_BEHIND)
-        self.count_writes()
+            self.other(name).last_push_at = now
+            self.send(name, EntryChunk(0, [entry], 0, False, {}, {}))
+        self.next_status_at = min(self.next_status_at, now + BUSY_STATUS_INTERVAL_MS)
+        self.complete_writes()
         return True
 
-    def lacking(self, write: Write) -> list[str]:
-        """Keepers that have not said that they hold it."""
+    def keepers_without(self, write: PendingWrite) -> list[str]:
+        """Keepers that have not reported that they hold the write."""
         dot = {write.entry.origin: write.entry.number}
-        return [k for k in self.keepers if k != self.name and not within(dot, self.other(k).vector)]
+        return [k for k in self.keepers if k != self.name and not is_covered(dot, self.other(k).vector)]
 
-    def count_writes(self) -> None:
+    def complete_writes(self) -> None:
+        """Acknowledge the writes that a majority of the keepers holds."""
         for write in list(self.writes.values()):
-            if len(self.keepers) - len(self.lacking(write)) >= self.majority:
+            if len(self.keepers) - len(self.keepers_without(write)) >= self.majority:
                 del self.writes[write.token]
                 self.ready.done.append((write.token, True))
 
@@ -428,211 +455,243 @@
 
     def send(self, to: str, message: Message) -> None:
         self.ready.messages.append((to, message))
-        if len(self.ready.messages) > MOST_MESSAGES:  # the disk is slow: who wants to know asks again
+        if len(self.ready.messages) > MOST_MESSAGES:  # the disk is slow; peers retry what they still need
             del self.ready.messages[: MOST_MESSAGES // 2]
             self.counts["messages"] += MOST_MESSAGES // 2
 
-    def receive(self, now: float, sender: str, m: Message) -> None:
-        """Take a message from another process, which is who it says."""
-        self.look(now)
-        if isinstance(m, Tell):
-            self.told(now, sender, m)
-        elif isinstance(m, Pull):
-            self.pulled(sender, m)
-        elif isinstance(m, Part):
-            self.part(now, sender, m)
-        elif isinstance(m, AskPrints):
+    def receive(self, now: float, sender: str, message: Message) -> None:
+        """Handle a message from an authenticated peer."""
+        self.check_for_stall(now)
+        if isinstance(message, ReplicaStatus):
+            self.on_status(now, sender, message)
+        elif isinstance(message, PullRequest):
+            self.on_pull_request(sender, message)
+        elif isinstance(message, EntryChunk):
+            self.part(now, sender, message)
+        elif isinstance(message, DigestRequest):
             state = self.state
             if self.whole:
-                answer = TellPrints(m.token, dict(state.vector), state.settled(), list(state.prints))
-                self.send(sender, answer)
-        elif isinstance(m, TellPrints):
-            self.prints(now, sender, m)
-        elif isinstance(m, AskRange):
+                digest_reply = DigestReply(
+                    message.token, dict(state.vector), state.is_gapless(), list(state.digests)
+                )
+                self.send(sender, digest_reply)
+        elif isinstance(message, DigestReply):
+            self.on_digests(now, sender, message)
+        elif isinstance(message, AskRange):
             state = self.state
-            entries = [e for key in state.ranges[m.number] for e in state.slots[key]]
-            if len(entries) > MOST_IN_RANGE or sum(e.size for e in entries) > MOST_RANGE:
-                self.counts["ranges"] += 1  # it stays as it is there, and is said to differ
+            entries = [e for key in state.range_keys[message.index] for e in state.slots[key]]
+            if len(entries) > MOST_IN_RANGE or sum(e.size for e in entries) > MAX_RANGE_BYTES:
+                self.counts["ranges"] += 1  # stays unrepaired at the requester, which reports the difference
             else:
-                told = TellRange(m.token, m.number, dict(state.vector), state.prints[m.number], entries)
-                self.send(sender, told)
+                range_reply = TellRange(
+                    message.token, message.index, dict(state.vector), state.digests[message.index], entries
+                )
+                self.send(sender, range_reply)
         else:
-            self.range(m)
-
-    def told(self, now: float, sender: str, m: Tell) -> None:
-        other, mine = self.other(sender), self.state
-        if other.run != m.run:
-            other.run, other.answers = m.run, False
-        other.asks = m.asks
-        if sender in self.keepers and m.starts > self.met.get(sender, (0, 0))[0]:
-            self.met[sender] = m.starts, m.run
-            self.facts_changed = True
-        other.heard_at, other.vector, other.pruned, other.whole = now, dict(m.vector), dict(m.pruned), m.whole
-        other.answers = other.answers or m.echo == (self.run, self.asks)
-        known = m.met[0] > self.starts or (m.met[0] == self.starts and m.met[1] not in (0, self.run))
-        if self.keeps and (known or m.vector.get(self.origin, 0) > mine.vector.get(self.origin, 0)):
-            self.store_is_old(max(m.met[0], self.starts))
-        if within(m.vector, mine.vector):
+            self.on_range(message)
+
+    def on_status(self, now: float, sender: str, status: ReplicaStatus) -> None:
+        peer, state = self.other(sender), self.state
+        if peer.run != status.run_id:
+            peer.run, peer.answers = status.run_id, False
+        peer.catch_up_round = status.catch_up_round
+        if sender in self.keepers and status.store_opens > self.peer_opens.get(sender, (0, 0))[0]:
+            self.peer_opens[sender] = status.store_opens, status.run_id
+            self.metadata_changed = True
+        peer.heard_at, peer.vector, peer.pruned, peer.complete = (
+            now,
+            dict(status.vector),
+            dict(status.pruned),
+            status.complete,
+        )
+        peer.answers = peer.answers or status.echo == (self.run_id, self.asks)
+        newer_open_known = status.last_open[0] > self.store_opens or (
+            status.last_open[0] == self.store_opens and status.last_open[1] not in (0, self.run_id)
+        )
+        if self.is_keeper and (
+            newer_open_known or status.vector.get(self.origin, 0) > state.vector.get(self.origin, 0)
+        ):
+            self.on_stale_store(max(status.last_open[0], self.store_opens))
+        if is_covered(status.vector, state.vector):
             self.follow(sender)
-            same = within(mine.vector, m.vector)
-            if not same and now - other.told_at >= ANSWER:
-                self.tell(now, sender)
-            elif same and m.settled and mine.settled() and self.leftover is None:
-                if m.print == mine.print:
+            equal = is_covered(state.vector, status.vector)
+            if not equal and now - peer.status_sent_at >= MIN_REPLY_INTERVAL_MS:
+                self.send_status(now, sender)
+            elif equal and status.gapless and state.is_gapless() and self.cleanup is None:
+                if status.digest == state.print:
                     self.differs = self.differs and sender not in self.keepers
                 else:
-                    self.look_into(now)
-            if m.echo != (self.run, self.asks) and now - other.told_at >= ANSWER:
-                self.tell(now, sender)  # so that it hears that we have heard of its run
-        elif self.pulling is None and self.leftover is None and now >= self.rest_until:
-            self.pull(now, sender)
-        self.count_writes()
+                    self.start_audit(now)
+            if status.echo != (self.run_id, self.asks) and now - peer.status_sent_at >= MIN_REPLY_INTERVAL_MS:
+                self.send_status(now, sender)  # echoes the peer's run and catch-up round
+        elif self.active_pull is None and self.cleanup is None and now >= self.pull_backoff_until:
+            self.start_pull(now, sender)
+        self.complete_writes()
 
     def follow(self, name: str) -> None:
-        """All that one has is held: whether that makes this copy one that has caught up."""
-        other = self.other(name)
-        if self.stage is Stage.CAUGHT_UP or name not in self.keepers or not other.answers:
+        """Note that this replica holds everything that a keeper holds, which may complete the catch-up."""
+        peer = self.other(name)
+        if self.stage is Stage.CAUGHT_UP or name not in self.keepers or not peer.answers:
             return
-        self.covered.add(name)
-        whole = sum(self.others[n].whole for n in self.covered) + (self.keeps and self.whole)
-        if whole >= self.majority or len(self.covered) + self.keeps == len(self.keepers):
-            self.caught_up()  # from a majority, or from all there are where the group begins
+        self.covered_peers.add(name)
+        complete = sum(self.others[n].complete for n in self.covered_peers) + (self.is_keeper and self.whole)
+        if complete >= self.majority or len(self.covered_peers) + self.is_keeper == len(self.keepers):
+            # From a majority of complete replicas, or from all keepers when the group is first started.
+            self.caught_up()
 
     def caught_up(self) -> None:
         self.stage = Stage.CAUGHT_UP
-        if self.keeps and not self.whole:
-            self.whole, self.facts_changed = True, True
-
-    # What one lacks
-
-    def pull(self, now: float, name: str) -> None:
-        other = self.other(name)
-        whole = not within(other.pruned, self.state.vector)
-        if whole or other.after_run != other.run:
-            other.after, other.after_run = 0, other.run
-        self.pulling = Pulling(name, self.rng.getrandbits(62) | 1, whole, now)
-        self.counts["whole_copies"] += whole
-        self.ask_on()
-
-    def ask_on(self) -> None:
-        p = self.pulling
-        assert p is not None
-        vector = {} if p.whole else dict(self.state.vector)
-        source = self.other(p.source)
-        self.urgent.append((p.source, Pull(p.token, vector, source.after, p.whole, source.most)))
-
-    def pulled(self, sender: str, m: Pull) -> None:
-        vector = {} if m.whole else m.vector
-        entries, after, last = self.state.since(vector, m.after, MOST_PART, m.most, LOOKS)
-        mine = (dict(self.state.vector), dict(self.state.pruned)) if last else ({}, {})
-        self.send(sender, Part(m.token, entries, after, last, *mine))
-
-    def part(self, now: float, sender: str, m: Part) -> None:
-        p = self.pulling
-        if m.token and (p is None or p.token != m.token or p.source != sender):
+        if self.is_keeper and not self.whole:
+            self.whole, self.metadata_changed = True, True
+
+    # Pulling missing entries
+
+    def start_pull(self, now: float, name: str) -> None:
+        peer = self.other(name)
+        full = not is_covered(peer.pruned, self.state.vector)
+        if full or peer.pull_offset_run != peer.run:
+            peer.pull_offset, peer.pull_offset_run = 0, peer.run
+        self.active_pull = ActivePull(name, self.rng.getrandbits(62) | 1, full, now)
+        self.counts["whole_copies"] += full
+        self.request_next_chunk()
+
+    def request_next_chunk(self) -> None:
+        pull = self.active_pull
+        assert pull is not None
+        vector = {} if pull.full else dict(self.state.vector)
+        source = self.other(pull.source)
+        self.urgent.append(
+            (pull.source, PullRequest(pull.token, vector, source.pull_offset, pull.full, source.chunk_bytes))
+        )
+
+    def on_pull_request(self, sender: str, request: PullRequest) -> None:
+        vector = {} if request.full else request.vector
+        entries, after, last = self.state.changes_since(
+            vector, request.after, MAX_CHUNK_ENTRIES, request.max_bytes, MAX_CHUNK_SCAN
+        )
+        vectors = (dict(self.state.vector), dict(self.state.pruned)) if last else ({}, {})
+        self.send(sender, EntryChunk(request.token, entries, after, last, *vectors))
+
+    def part(self, now: float, sender: str, chunk: EntryChunk) -> None:
+        pull = self.active_pull
+        if chunk.token and (pull is None or pull.token != chunk.token or pull.source != sender):
             self.counts["late_parts"] += 1
-            for entry in m.entries:  # true all the same: a slow link must not carry them in vain
-                self.merge(now, entry)
+            for entry in chunk.entries:  # still valid, and costly to resend over a slow link
+                self.merge_entry(now, entry)
             return
-        for entry in m.entries:
-            self.merge(now, entry)
-        if not m.token:
-            self.facts_changed = True
-            self.tell(now, sender)  # that it is held; sent once it is on disk
+        for entry in chunk.entries:
+            self.merge_entry(now, entry)
+        if not chunk.token:
+            self.metadata_changed = True
+            self.send_status(now, sender)  # confirms the write; sent only after it is on disk
             return
-        assert p is not None
+        assert pull is not None
         source = self.other(sender)
-        if now - p.at < QUICK:
-            source.most = min(PART_BYTES, 2 * source.most)
-        p.at, source.after = now, m.after
-        if p.whole:
-            p.seen.update(e.dot for e in m.entries)
-        if not m.last:
-            self.ask_on()
+        if now - pull.last_chunk_at < FAST_CHUNK_MS:
+            source.chunk_bytes = min(MAX_CHUNK_BYTES, 2 * source.chunk_bytes)
+        pull.last_chunk_at, source.pull_offset = now, chunk.after
+        if pull.full:
+            pull.seen_dots.update(e.dot for e in chunk.entries)
+        if not chunk.last:
+            self.request_next_chunk()
             return
-        self.pulling = None
-        self.facts_changed = True
-        if not p.room:  # not all of it could be kept: it must not be said that it is
+        self.active_pull = None
+        self.metadata_changed = True
+        if not pull.has_room:  # incomplete, so the source's vector must not be adopted
             self.counts["behind_for_room"] += 1
-            self.rest_until = now + FULL
-            self.other(sender).after = 0
-        elif p.whole:
-            self.leftover = Leftover(list(self.state.slots), p.seen, m.vector)
-            join(self.state.pruned, m.pruned)
-        elif within(m.pruned, self.state.vector):
-            self.state.heard(m.vector)
-        else:  # it has forgotten removals meanwhile
-            self.pull(now, sender)
-
-    def merge(self, now: float, entry: Entry) -> None:
-        what = self.state.take(entry)
-        self.counts[f"entries_{what.value}"] += 1
-        if what is Taken.DIFFERS:
-            self.look_into(now)
-        elif what is Taken.ROOM and self.pulling is not None:
-            self.pulling.room = False
-
-    # Where copies differ that must not
-
-    def look_into(self, now: float) -> None:
-        """Two copies of one vector differ: ask all keepers for prints by range."""
+            self.pull_backoff_until = now + FULL_RETRY_BACKOFF_MS
+            self.other(sender).pull_offset = 0
+        elif pull.full:
+            self.cleanup = FullCopyCleanup(list(self.state.slots), pull.seen_dots, chunk.vector)
+            merge_vector(self.state.pruned, chunk.pruned)
+        elif is_covered(chunk.pruned, self.state.vector):
+            self.state.heard(chunk.vector)
+        else:  # the source has discarded tombstones during the pull
+            self.start_pull(now, sender)
+
+    def merge_entry(self, now: float, entry: Entry) -> None:
+        result = self.state.take(entry)
+        self.counts[f"entries_{result.value}"] += 1
+        if result is Taken.MISMATCH:
+            self.start_audit(now)
+        elif result is Taken.ROOM and self.active_pull is not None:
+            self.active_pull.has_room = False
+
+    # Audits
+
+    def start_audit(self, now: float) -> None:
+        """Replicas with equal vectors differ: request the digests of all ranges from all keepers."""
         self.differs = True
-        if now - self.audited_at < AUDIT or self.stage is Stage.BEHIND:
+        if now - self.last_audit_at < AUDIT_INTERVAL_MS or self.stage is Stage.BEHIND:
             return
-        self.audited_at = now
+        self.last_audit_at = now
         self.counts["audits"] += 1
         self.audit = Audit(self.rng.getrandbits(62) | 1, now)
         for name in self.keepers:
             if name != self.name and name in self.reach:
-                self.urgent.append((name, AskPrints(self.audit.token)))
+                self.urgent.append((name, DigestRequest(self.audit.token)))
 
-    def prints(self, now: float, sender: str, m: TellPrints) -> None:
+    def on_digests(self, now: float, sender: str, reply: DigestReply) -> None:
         audit, state = self.audit, self.state
-        if audit is None or audit.token != m.token or sender not in self.keepers or audit.wanted:
+        if (
+            audit is None
+            or audit.token != reply.token
+            or sender not in self.keepers
+            or audit.majority_digests
+        ):
             return
-        if m.vector != state.vector or not m.settled or not state.settled() or len(m.prints) != RANGES:
+        if (
+            reply.vector != state.vector
+            or not reply.gapless
+            or not state.is_gapless()
+            or len(reply.digests) != RANGE_COUNT
+        ):
             return
-        audit.told[sender] = m
-        words = list(audit.told.values())
-        for number in range(RANGES):
-            said = Counter(w.prints[number] for w in words)
-            if self.keeps:
-                said[state.prints[number]] += 1
-            value, votes = said.most_common(1)[0]
-            if votes >= self.majority and value != state.prints[number]:
-                audit.wanted[number] = value
-                holder = next(n for n, w in audit.told.items() if w.prints[number] == value)
-                self.urgent.append((holder, AskRange(audit.token, number)))
-
-    def range(self, m: TellRange) -> None:
+        audit.replies[sender] = reply
+        replies = list(audit.replies.values())
+        for index in range(RANGE_COUNT):
+            votes = Counter(r.digests[index] for r in replies)
+            if self.is_keeper:
+                votes[state.digests[index]] += 1
+            digest, vote_count = votes.most_common(1)[0]
+            if vote_count >= self.majority and digest != state.digests[index]:
+                audit.majority_digests[index] = digest
+                holder = next(n for n, r in audit.replies.items() if r.digests[index] == digest)
+                self.urgent.append((holder, AskRange(audit.token, index)))
+
+    def on_range(self, reply: TellRange) -> None:
         audit, state = self.audit, self.state
-        if audit is None or audit.token != m.token or m.number not in audit.wanted:
+        if audit is None or audit.token != reply.token or reply.index not in audit.majority_digests:
             return
-        if m.print != audit.wanted[m.number] or m.vector != state.vector:
+        if reply.digest != audit.majority_digests[reply.index] or reply.vector != state.vector:
             return
-        found = State(self.state.room)
-        found.load(m.entries, {}, {})
-        if found.prints[m.number] != m.print or any(range_of(e.key) != m.number for e in m.entries):
+        received = State(self.state.max_entries)
+        received.load(reply.entries, {}, {})
+        if received.digests[reply.index] != reply.digest or any(
+            range_of(e.key) != reply.index for e in reply.entries
+        ):
             return
-        aside = state.replace(m.number, m.entries)
-        self.aside += aside[: 64 - len(self.aside)]
-        self.counts["set_aside"] += len(aside)
-        self.facts_changed = True
+        replaced = state.replace_range(reply.index, reply.entries)
+        self.aside += replaced[: 64 - len(self.aside)]
+        self.counts["set_aside"] += len(replaced)
+        self.metadata_changed = True
 
-    # What is to be done
+    # Output
 
     def take(self) -> Ready | None:
-        """What is to be stored, sent and told, in that order; None where there is nothing."""
+        """The work that has accumulated since the last call; None if there is none."""
         ready, state = self.ready, self.state
-        ready.changed, state.changed = list(state.changed), {}
-        if self.keeps:
+        ready.changed, state.changed_keys = list(state.changed_keys), {}
+        if self.is_keeper:
             for key in ready.changed:
                 ready.keys[key] = list(state.slots.get(key, ()))
-            if self.facts_changed or ready.keys:
+            if self.metadata_changed or ready.keys:
                 vectors = dict(state.vector), dict(state.pruned)
-                ready.facts = Kept(self.origin, self.whole, [], *vectors, self.starts, dict(self.met))
+                ready.facts = Kept(
+                    self.origin, self.whole, [], *vectors, self.store_opens, dict(self.peer_opens)
+                )
         if not (ready.changed or ready.facts or ready.messages or ready.done):
             return None
-        self.facts_changed = False
+        self.metadata_changed = False
         self.ready = Ready()
         return ready
--- a/barleybarrow/rollout.py
+++ b/barleybarrow/rollout.py
@@ -1,14 +1,14 @@
-"""How a change of policy takes hold: what is agreed on, step by step, and who brings it from step to step.
+"""Rollout of a policy version through replicated phases.
 
-`Book` is what the log of `agreement` makes of itself, the same on all who have applied as much.
-`Conductor` runs where the leader is: it never decides but by appending a step, and none before all of the
-roster have taken the one before, or are known to be down since.
+The rollout's state is the result of applying the log of `barleybarrow.agreement`, identical on all members
+that have applied the same index. Its driver runs on the leader. It acts only by appending steps to the log,
+and appends none before every member of the roster has applied the previous one or is known to be down since.
 
-| phase | rules in use | next |
+| phase | rules enforced | transitions |
 | --- | --- | --- |
-| PROPOSED | the old | all have checked it: JOINT; one refuses it, it is withdrawn, or time is up: WITHDRAWN |
-| JOINT | the stricter of old and new | all are in it: FORCE; it is withdrawn, or time is up: WITHDRAWN |
-| FORCE | the new, for good until another is in force | - |
+| PROPOSED | the old | all have checked it: JOINT; rejected by a member, withdrawn or timed out: WITHDRAWN |
+| JOINT | the stricter of old and new | all have applied it: FORCE; withdrawn or timed out: WITHDRAWN |
+| FORCE | the new, until the next version is in force | - |
 | WITHDRAWN | the old | - |
 """
 
@@ -19,14 +19,14 @@
 
 from msgspec import Meta, Struct, msgpack
 
-from barleybarrow.policy import LONGEST, PolicyError, Rules, read, stricter
+from barleybarrow.policy import MAX_DOCUMENT_BYTES, PolicyError, Rules, read, stricter
 
-MOST_KEPT = 200  # versions whose text is kept; the one in force and the pending one always are
-MOST_ROSTER = 1024
+MAX_VERSIONS = 200  # retained; those in force and pending are always retained
+MOST_ROSTER = 1024  # limit of members
 MOST_VOTERS = 7
-ASK_AGAIN = 500.0  # milliseconds between two appendings of the same step, while it is not agreed on yet
-PROOF = 500.0  # milliseconds of silence until it is looked whether one is down
-CHECKED = 500.0  # until one that is silent is no longer asked whether it objects, where leases hold it back
+STEP_RETRY_INTERVAL_MS = 500.0  # between appends of the same step until it is committed
+DOWN_CHECK_DELAY_MS = 500.0  # from the start of a phase until unresponsive members are probed
+CHECK_TIMEOUT_MS = 500.0  # with leases, how long a proposal waits for the checks of unresponsive members
 
 Name = Annotated[str, Meta(min_length=1, max_length=64)]
 Number = Annotated[int, Meta(ge=0, le=2**53)]
@@ -34,34 +34,38 @@
 
 
 class Propose(Struct, array_like=True, frozen=True, tag=1):
-    """`id` is the proposer's own: proposing it again does it once. `base` is what it was written against."""
+    """Proposes a new version. `id` is chosen by the proposer and makes retries idempotent."""
 
     id: Annotated[str, Meta(min_length=1, max_length=64)]
     who: Annotated[str, Meta(max_length=64)]
     why: Annotated[str, Meta(max_length=500)]
-    at: float  # Unix seconds on the proposer's clock: shown, and compared with nothing
-    text: Annotated[str, Meta(max_length=LONGEST)]
+    at: float  # Unix seconds on the proposer's clock, for display only
+    text: Annotated[str, Meta(max_length=MAX_DOCUMENT_BYTES)]
 
 
 class Step(Struct, array_like=True, frozen=True, tag=2):
+    """Moves a version to its next phase."""
+
     number: Number
     phase: str
     why: Annotated[str, Meta(max_length=500)] = ""
 
 
 class Join(Struct, array_like=True, frozen=True, tag=3):
-    """One more proxy whose taking up is waited for."""
+    """Adds a proxy to the roster, the members that every step waits for."""
 
     name: Name
 
 
 class Drop(Struct, array_like=True, frozen=True, tag=4):
+    """Removes a proxy from the roster."""
+
     name: Name
     who: Annotated[str, Meta(max_length=64)]
 
 
 class Electorate(Struct, array_like=True, frozen=True, tag=5):
-    """Who is to vote; whoever leads brings it about, one at a time."""
+    """Requests a set of voters, which the leader establishes one change at a time."""
 
     names: Annotated[list[Name], Meta(min_length=1, max_length=MOST_VOTERS)]
     who: Annotated[str, Meta(max_length=64)]
@@ -71,6 +75,8 @@
 
 
 class Version(Struct):
+    """A proposed policy version and its phase."""
+
     number: int
     id: str
     who: str
@@ -83,8 +89,8 @@
     joint_at: int = 0
 
 
-class Held(Struct):
-    """A book as it is kept in a snapshot."""
+class RolloutSnapshot(Struct):
+    """The rollout state as stored in a snapshot."""
 
     versions: list[Version]
     roster: list[str]
@@ -94,21 +100,21 @@
 
 
 class Book:
-    """What was agreed on so far."""
+    """The replicated state of rollouts: versions, roster and requested voters."""
 
     def __init__(self) -> None:
         self.versions: dict[int, Version] = {}
         self.by_id: dict[str, int] = {}
         self.roster: dict[str, None] = {}
-        self.force = self.pending = 0  # numbers; 0 is what the operators' files say
-        self.electorate: list[str] = []  # who is to vote by staff's last word; empty where there was none
+        self.force = self.pending = 0  # version numbers; 0: the settings in the operators' files
+        self.electorate: list[str] = []  # voters last requested by administrators; empty if never requested
         self.applied = 0
-        self.refused = 0  # commands that came too late, or twice
+        self.refused = 0  # commands that were invalid, late or repeated
 
-    # From the log
+    # Applying the log
 
     def apply(self, index: int, data: bytes) -> None:
-        """Take the next entry; one that cannot be read, or no longer fits, changes nothing on anybody."""
+        """Apply the next entry. One that is unreadable or no longer applicable is ignored on every member."""
         self.applied = index
         if not data:
             return
@@ -118,7 +124,7 @@
             self.refused += 1
             return
         if isinstance(command, Propose):
-            self.proposed(index, command)
+            self.apply_proposal(index, command)
         elif isinstance(command, Step):
             self.step(index, command)
         elif isinstance(command, Join):
@@ -134,72 +140,86 @@
         else:
             self.roster.pop(command.name, None)
 
-    def proposed(self, index: int, p: Propose) -> None:
-        if p.id in self.by_id:
+    def apply_proposal(self, index: int, proposal: Propose) -> None:
+        if proposal.id in self.by_id:
             return
         number = max(self.versions, default=0) + 1
-        v = Version(number, p.id, p.who, p.why, p.at, p.text, PROPOSED, proposed_at=index)
+        version = Version(
+            number,
+            proposal.id,
+            proposal.who,
+            proposal.why,
+            proposal.at,
+            proposal.text,
+            PROPOSED,
+            proposed_at=index,
+        )
         if self.pending:
-            v.phase, v.ended = WITHDRAWN, f"version {self.pending} was on its way"
+            version.phase, version.ended = WITHDRAWN, f"version {self.pending} was on its way"
         else:
             self.pending = number
-        self.versions[number] = v
-        self.by_id[p.id] = number
-        for old in sorted(self.versions)[:-MOST_KEPT]:
-            if old not in (self.force, self.pending):
-                self.by_id.pop(self.versions.pop(old).id, None)
-
-    def step(self, index: int, s: Step) -> None:
-        v = self.versions.get(s.number)
-        if v is None or s.number != self.pending:
+        self.versions[number] = version
+        self.by_id[proposal.id] = number
+        for number_to_drop in sorted(self.versions)[:-MAX_VERSIONS]:
+            if number_to_drop not in (self.force, self.pending):
+                self.by_id.pop(self.versions.pop(number_to_drop).id, None)
+
+    def step(self, index: int, step: Step) -> None:
+        version = self.versions.get(step.number)
+        if version is None or step.number != self.pending:
             self.refused += 1
-        elif s.phase == JOINT and v.phase == PROPOSED:
-            v.phase, v.joint_at = JOINT, index
-        elif s.phase == FORCE and v.phase == JOINT:
-            v.phase, self.force, self.pending = FORCE, v.number, 0
-        elif s.phase == WITHDRAWN and v.phase in (PROPOSED, JOINT):
-            v.phase, v.ended, self.pending = WITHDRAWN, s.why, 0
+        elif step.phase == JOINT and version.phase == PROPOSED:
+            version.phase, version.joint_at = JOINT, index
+        elif step.phase == FORCE and version.phase == JOINT:
+            version.phase, self.force, self.pending = FORCE, version.number, 0
+        elif step.phase == WITHDRAWN and version.phase in (PROPOSED, JOINT):
+            version.phase, version.ended, self.pending = WITHDRAWN, step.why, 0
         else:
             self.refused += 1
 
-    # What follows from it
+    # Queries and snapshots
 
     def text(self, number: int) -> str:
+        """The document of a version; empty for version 0."""
         return self.versions[number].text if number in self.versions else ""
 
     def rules(self) -> Rules:
-        """What a proxy that has applied so much acts upon."""
-        old = rules_of(self.text(self.force))
-        v = self.versions.get(self.pending)
-        return stricter(old, rules_of(v.text)) if v is not None and v.phase == JOINT else old
-
-    def objection(self) -> tuple[int, str] | None:
-        """Why this process could not act upon what is proposed."""
-        v = self.versions.get(self.pending)
-        if v is None or v.phase != PROPOSED:
+        """The rules enforced by a proxy in this state."""
+        current = rules_or_default(self.text(self.force))
+        version = self.versions.get(self.pending)
+        return (
+            stricter(current, rules_or_default(version.text))
+            if version is not None and version.phase == JOINT
+            else current
+        )
+
+    def rejection(self) -> tuple[int, str] | None:
+        """Number of the proposed version and why this process cannot enforce it; None if it can."""
+        version = self.versions.get(self.pending)
+        if version is None or version.phase != PROPOSED:
             return None
         try:
-            read(v.text)
+            read(version.text)
         except PolicyError as error:
-            return v.number, str(error)
+            return version.number, str(error)
         return None
 
     def save(self) -> bytes:
         versions = list(self.versions.values())
-        held = Held(versions, list(self.roster), self.force, self.pending, self.electorate)
-        return msgpack.encode(held)
+        snapshot = RolloutSnapshot(versions, list(self.roster), self.force, self.pending, self.electorate)
+        return msgpack.encode(snapshot)
 
     def load(self, index: int, data: bytes) -> None:
-        held = msgpack.decode(data, type=Held) if data else Held([], [], 0, 0)
-        self.versions = {v.number: v for v in held.versions}
-        self.by_id = {v.id: v.number for v in held.versions}
-        self.roster = dict.fromkeys(held.roster)
-        self.force, self.pending, self.applied = held.force, held.pending, index
-        self.electorate = held.electorate
+        snapshot = msgpack.decode(data, type=RolloutSnapshot) if data else RolloutSnapshot([], [], 0, 0)
+        self.versions = {v.number: v for v in snapshot.versions}
+        self.by_id = {v.id: v.number for v in snapshot.versions}
+        self.roster = dict.fromkeys(snapshot.roster)
+        self.force, self.pending, self.applied = snapshot.force, snapshot.pending, index
+        self.electorate = snapshot.electorate
 
 
-def rules_of(text: str) -> Rules:
-    """Of a document that this process could read; else it could not have been agreed to by it."""
+def rules_or_default(text: str) -> Rules:
+    """The rules of a document, defaults if it is invalid: then this process cannot have accepted it."""
     try:
         return read(text)
     except PolicyError:
@@ -207,73 +227,91 @@
 
 
 @dataclass(frozen=True)
-class Word:
-    """What one proxy has said of itself last: how far it has applied, and what it objects to."""
+class MemberReport:
+    """The last report of one member: its applied index, and the version that it rejects."""
 
     applied: int
-    refuses: int = 0
-    why: str = ""
-    keeps: bool = False  # whether what it says is on a disk, and it may vote
+    rejected_version: int = 0  # 0 for none
+    reason: str = ""
+    durable: bool = False  # it has a store and may vote
 
 
 @dataclass(frozen=True)
-class Wants:
-    """What the conductor wants done: steps to append, and whom to look at, whether it is down."""
+class RolloutActions:
+    """Steps to append, and members to probe for being down."""
 
     steps: list[Step]
-    look: list[str]
+    probe_targets: list[str]
 
 
 class Conductor:
-    """Brings the pending version to its end, while its process leads. Times are on its own clock."""
+    """Drives the pending version through its phases on the leader. Times are on its own monotonic clock."""
 
-    def __init__(self, within: float) -> None:
-        self.within = within  # milliseconds until what cannot take hold is withdrawn
+    def __init__(self, timeout_ms: float) -> None:
+        self.timeout_ms = timeout_ms  # after which a pending version is withdrawn
         self.number = 0
         self.phase = ""
-        self.began = self.phase_began = self.stepped_at = 0.0
-        self.down: dict[str, float] = {}  # when each was found to be down, last
+        self.started_at = self.phase_began = self.last_step_at = 0.0
+        self.down: dict[str, float] = {}  # by member: when it was last found to be down
         self.missing: list[str] = []
 
-    def lead(self) -> None:
-        """This process leads from now on: what it knew of others as a leader before counts no longer."""
+    def on_elected(self) -> None:
+        """This process has become leader: discard what it knew of members in earlier terms."""
         self.number, self.phase = 0, ""
         self.down.clear()
 
-    def found_down(self, now: float, name: str) -> None:
-        """Its address refused a connection that was begun in this phase: whoever starts there asks first."""
+    def mark_down(self, now: float, name: str) -> None:
+        """Count a member as down: its address refused a connection that was started in this phase.
+
+        A process that starts there later reads the current state before it admits requests.
+        """
         self.down[name] = now
 
-    def conduct(self, now: float, book: Book, words: Mapping[str, Word], waited: float) -> Wants:
-        """What is to be done; called often.
+    def conduct(
+        self, now: float, state: Book, reports: Mapping[str, MemberReport], lease_wait_ms: float
+    ) -> RolloutActions:
+        """The next actions; called often.
 
-        `waited` is how long after a phase began here nobody who is silent can hold a lease from before it.
+        `lease_wait_ms`: how long after the start of a phase an unresponsive member may still hold a lease
+        from before it.
         """
-        v = book.versions.get(book.pending)
-        if v is None:
+        version = state.versions.get(state.pending)
+        if version is None:
             self.number, self.missing = 0, []
-            return Wants([], [])
-        if v.number != self.number:
-            self.number, self.began, self.phase = v.number, now, ""
-        if v.phase != self.phase:
-            self.phase, self.phase_began, self.stepped_at = v.phase, now, -inf
-            self.down.clear()  # one that was down before may have started before this was agreed on
-        index = v.proposed_at if v.phase == PROPOSED else v.joint_at
+            return RolloutActions([], [])
+        if version.number != self.number:
+            self.number, self.started_at, self.phase = version.number, now, ""
+        if version.phase != self.phase:
+            self.phase, self.phase_began, self.last_step_at = version.phase, now, -inf
+            self.down.clear()  # a member that was down may have restarted before this phase was committed
+        index = version.proposed_at if version.phase == PROPOSED else version.joint_at
         self.missing = [
-            name for name in book.roster if words.get(name, Word(0)).applied < index and name not in self.down
+            name
+            for name in state.roster
+            if reports.get(name, MemberReport(0)).applied < index and name not in self.down
+        ]
+        rejections = [
+            (name, report)
+            for name, report in reports.items()
+            if report.rejected_version == version.number and name in state.roster
         ]
-        refuses = [(name, w) for name, w in words.items() if w.refuses == v.number and name in book.roster]
-        patience = min(waited, CHECKED) if v.phase == PROPOSED and waited < inf else waited
+        wait_ms = (
+            min(lease_wait_ms, CHECK_TIMEOUT_MS)
+            if version.phase == PROPOSED and lease_wait_ms < inf
+            else lease_wait_ms
+        )
         step = None
-        if refuses and v.phase == PROPOSED:
-            name, w = min(refuses, key=lambda item: item[0])
-            step = Step(v.number, WITHDRAWN, f"{name}: {w.why}"[:500])
-        elif not self.missing or now - self.phase_began >= patience:
-            step = Step(v.number, JOINT if v.phase == PROPOSED else FORCE)
-        elif now - self.began >= self.within:
-            step = Step(v.number, WITHDRAWN, ("not taken up in time by " + " ".join(self.missing))[:500])
-        look = self.missing if now - self.phase_began >= PROOF else []
-        if step is None or now - self.stepped_at < ASK_AGAIN:
-            return Wants([], look)
-        self.stepped_at = now
-        return Wants([step], look)
+        if rejections and version.phase == PROPOSED:
+            name, report = min(rejections, key=lambda item: item[0])
+            step = Step(version.number, WITHDRAWN, f"{name}: {report.reason}"[:500])
+        elif not self.missing or now - self.phase_began >= wait_ms:
+            step = Step(version.number, JOINT if version.phase == PROPOSED else FORCE)
+        elif now - self.started_at >= self.timeout_ms:
+            step = Step(
+                version.number, WITHDRAWN, ("not taken up in time by " + " ".join(self.missing))[:500]
+            )
+        probe_targets = self.missing if now - self.phase_began >= DOWN_CHECK_DELAY_MS else []
+        if step is None or now - self.last_step_at < STEP_RETRY_INTERVAL_MS:
+            return RolloutActions([], probe_targets)
+        self.last_step_at = now
+        return RolloutActions([step], probe_targets)
--- a/barleybarrow/shares.py
+++ b/barleybarrow/shares.py
@@ -1,11 +1,13 @@
-"""A tenant's limit over all proxies: each may use a part of it, and the parts add up to one, whatever fails.
+"""Global rate limits of tenants: each proxy may use a share, and all shares together never exceed the limit.
 
-A machine without I/O. Parts are held in escrow (bounded counters: Balegas and others, 2015) and handed out by
-one warden, who holds a lease from a majority of the keepers (PaxosLease: Trencseni and others, 2009). A part
-is for a span that each proxy counts from its own question; who gets nothing new falls back to its own part,
-one of as many as there are proxies. No request waits for any of this.
+A state machine without I/O. Shares are held in escrow (bounded counters: Balegas and others, 2015) and
+granted by a single credit server, which holds a lease from a majority of the acceptors (PaxosLease: Trencseni
+and others, 2009). A grant lasts for a fixed time from when its proxy sent the report that it answers. A proxy
+that gets no new grant falls back to an equal share, one divided by the number of proxies. No request waits
+for any of this.
 
-A process is one that asks (PROXY); a keeper that seeks the lease or holds it is the warden: `WardenLease`.
+Every process is a proxy, which reports its demand; an acceptor may also request or hold the lease, which
+`barleybarrow.limits.warden_lease` implements.
 """
 
 from collections import Counter
@@ -29,82 +31,85 @@
 )
 from barleybarrow.rate_limiter import LONGEST_KEY, Bucket, Limit, RateLimiter, RateLimiterSettings
 
-__all__ = ["Here", "Parts", "Promise", "Report", "Role", "Seek", "SharedRateLimiter", "Shares"]
-
-LEASE = 3000.0  # milliseconds that a keeper promises itself to one warden
-GRANT = 2000.0  # a part counts so long, from the question
-FALL = 2.5  # times GRANT more, until one falls back to its own part: others have given it up by then
-REPORT, REPORT_EACH = 100.0, 5.0  # between two reports, and more for each proxy
-SILENT = 3.0  # reports missed
-FORGET = 10_000.0  # one that is silent for so long, and not reached, is no longer counted
-TABLE = 100.0  # between two reckonings of who should have how much
-FLOOR = 0.03  # of the limit, for those together that do not ask for it now
-MORE = 1.25  # times its demand that one gets where there is enough
-SMOOTH = 0.5  # of a rate, of what came since the last report
-LEAST_RATE = 0.2  # requests a second worth a report
-MOST_KEYS = 50  # in one report
-MOST_RATES = 1000  # keys of which the rate is reckoned: those that are asked for most
-MOST_PROXIES = 1024
-MOST_SAID = 32
-
-Key = Annotated[str, Meta(max_length=64)]
-Part = Annotated[float, Meta(ge=0.0, le=1.0)]
-
-
-class Report(Struct, array_like=True, frozen=True, tag=4):
-    """What is asked for here, in requests a second."""
+__all__ = ["Here", "ShareGrant", "Promise", "DemandReport", "Role", "Seek", "SharedRateLimiter", "Shares"]
+
+LEASE_MS = 3000.0  # how long an acceptor's promise to a credit server lasts
+GRANT_MS = 2000.0  # how long a granted share lasts, from the proxy's report
+# From the end of a grant to the fallback share, in units of GRANT_MS. A proxy whose fallback share exceeds
+# its last grant waits for this long, by which time the other proxies have given up what it takes.
+FALLBACK_DELAY_GRANTS = 2.5
+REPORT_INTERVAL_MS, REPORT_INTERVAL_PER_PROXY_MS = 100.0, 5.0  # base value, and increment per proxy
+MAX_MISSED_REPORTS = 3.0  # a proxy is inactive after this many report intervals
+MEMBER_TTL_MS = 10_000.0  # an unreachable proxy is forgotten after this time without a report
+RECOMPUTE_INTERVAL_MS = 100.0  # between recomputations of the target shares
+IDLE_POOL_RATIO = 0.03  # part of each limit divided equally, so that proxies without demand keep some
+DEMAND_HEADROOM_RATIO = 1.25  # target share in relation to demand, if the limit suffices
+RATE_EWMA_WEIGHT = 0.5  # weight of the rate since the last report
+MIN_REPORTED_RATE_PER_S = 0.2  # lower request rates are not reported
+MAX_REPORTED_KEYS = 50  # per report
+MAX_TRACKED_KEYS = 1000  # request rates are tracked for the most requested keys only
+MAX_PROXIES = 1024
+MAX_UNCONFIRMED_REPLIES = 32  # per proxy; beyond, the oldest are merged
+
+LimitKey = Annotated[str, Meta(max_length=64)]
+Fraction = Annotated[float, Meta(ge=0.0, le=1.0)]
+
+
+class DemandReport(Struct, array_like=True, frozen=True, tag=4):
+    """A proxy's demand, in requests per second by key."""
 
     term: Token
-    number: Token
-    applied: Token  # the last serial that came in this term
-    base: Part  # what it takes for its own part
-    asks: Annotated[list[tuple[Key, float]], Meta(max_length=MOST_KEYS)]
+    report_id: Token
+    applied_sequence: Token  # the last grant that was applied in this term
+    fallback_share: Fraction  # the fallback share that the proxy uses at present
+    demand: Annotated[list[tuple[LimitKey, float]], Meta(max_length=MAX_REPORTED_KEYS)]
 
 
-class Parts(Struct, array_like=True, frozen=True, tag=5):
-    """Its answer. Keys that are not named keep what they have, until it runs out."""
+class ShareGrant(Struct, array_like=True, frozen=True, tag=5):
+    """The reply to a `DemandReport`. Shares of keys that are not listed stay until they expire."""
 
     term: Token
-    number: Token
-    serial: Token
-    base: Part
-    parts: Annotated[list[tuple[Key, Part]], Meta(max_length=20 * MOST_KEYS)]
+    report_id: Token
+    sequence: Token
+    fallback_share: Fraction
+    shares: Annotated[list[tuple[LimitKey, Fraction]], Meta(max_length=20 * MAX_REPORTED_KEYS)]
 
 
-Message = Seek | Promise | Here | Report | Parts
+Message = Seek | Promise | Here | DemandReport | ShareGrant
 
 
 @dataclass(slots=True)
-class Said:
-    """A word of the warden's to a proxy."""
+class SentReply:
+    """A reply that the credit server has sent to a proxy."""
 
-    serial: int
-    base: float
-    at: float
+    sequence: int
+    fallback_share: float
+    sent_at: float
 
 
 @dataclass(slots=True)
-class Issued:
-    """A part that was handed out."""
+class IssuedShare:
+    """A share granted to a proxy."""
 
-    serial: int
-    part: float
-    end: float
-    asked: float  # when the question was put, at the earliest
+    sequence: int
+    share: float
+    expires_at: float
+    requested_at: float  # earliest time at which the proxy can have sent the report
 
 
 @dataclass(slots=True)
-class Member:
-    """What the warden knows of a proxy."""
+class ProxyState:
+    """The credit server's record of a proxy."""
 
-    heard_at: float = -inf
-    said: list[Said] = field(default_factory=list)  # from the last that it is known to have applied
-    asks: dict[str, float] = field(default_factory=dict)
-    issued: dict[str, list["Issued"]] = field(default_factory=dict)  # by key, from the last it has applied
+    last_report_at: float = -inf
+    # Both begin with the last reply that the proxy is known to have applied; `issued` for each key.
+    unconfirmed: list[SentReply] = field(default_factory=list)
+    demand: dict[str, float] = field(default_factory=dict)
+    issued: dict[str, list["IssuedShare"]] = field(default_factory=dict)  # by key
 
 
 class Shares(WardenLease):
-    """One proxy's part. Times are milliseconds on its own monotonic clock."""
+    """One process's view of the shares. Times are milliseconds on its own monotonic clock."""
 
     def __init__(
         self,
@@ -115,249 +120,286 @@
         proxies: int,
         rate_of: Callable[[str], float],
     ) -> None:
-        super().__init__(name, keepers, rng, now, LeaseTimes(lease=LEASE))
+        super().__init__(name, keepers, rng, now, LeaseTimes(lease=LEASE_MS))
         self.rate_of = rate_of
-        self.base = self.first_base = 1.0 / max(1, proxies)
-        # as one that asks
-        self.number = 0
-        self.sent: dict[int, float] = {}
-        self.applied, self.applied_at = 0, -inf  # the last word that came, and when it was asked for
-        self.grants: dict[str, tuple[float, float]] = {}  # part, until
-        self.asked: Counter[str] = Counter()
+        self.base = self.initial_share = 1.0 / max(1, proxies)
+        # Proxy state
+        self.last_report_id = 0
+        self.report_sent_at: dict[int, float] = {}
+        self.applied_sequence, self.applied_requested_at = 0, -inf  # of the last grant applied
+        self.grants: dict[str, tuple[float, float]] = {}  # by key: share, expiry
+        self.request_counts: Counter[str] = Counter()
         self.rates: dict[str, float] = {}
-        self.report_at, self.reported_at = now, now
-        # as the warden
-        self.grants_from = inf
-        self.table_at = -inf
-        self.serial = 0
-        self.members: dict[str, Member] = {}
+        self.next_report_at, self.last_report_at = now, now
+        # Credit server state
+        self.grants_allowed_at = inf
+        self.next_recompute_at = -inf
+        self.last_sequence = 0
+        self.proxies: dict[str, ProxyState] = {}
         self.targets: dict[str, dict[str, float]] = {}
-        self.counted: dict[str, dict[str, float]] = {}  # by key and proxy: what it may be using
-        self.totals: dict[str, float] = {}  # their sums
+        self.reserved: dict[str, dict[str, float]] = {}  # by key and proxy: the share it may be using
+        self.reserved_totals: dict[str, float] = {}  # by key
 
-    # What the door asks
+    # Queries of the rate limiter
 
     def part(self, key: str, now: float) -> float:
-        """The part of a limit that may be used here now."""
-        held = self.grants.get(key)
-        if held is None:
+        """The share of a limit that this proxy may use now."""
+        grant = self.grants.get(key)
+        if grant is None:
             return self.base
-        part, until = held
+        share, until = grant
         if now < until:
-            return part
-        if now < until + FALL * GRANT:
-            return min(part, self.base)
+            return share
+        if now < until + FALLBACK_DELAY_GRANTS * GRANT_MS:
+            return min(share, self.base)
         del self.grants[key]
         return self.base
 
-    # Time
+    # Timers
 
     def next(self) -> float:
-        return min(self.report_at, self.next_of_lease())
+        """When `tick` has to be called next."""
+        return min(self.next_report_at, self.next_of_lease())
 
     def tick(self, now: float) -> None:
         self.tick_lease(now)
-        if now >= self.report_at:
-            self.report(now)
+        if now >= self.next_report_at:
+            self.send_report(now)
 
     def stepped_down(self, now: float) -> None:
-        self.members.clear()
+        self.proxies.clear()
         self.targets.clear()
-        self.totals.clear()
+        self.reserved_totals.clear()
 
     def elected(self, now: float) -> None:
-        self.applied, self.serial = 0, 0
-        self.grants_from = now + GRANT * DRIFT  # by then nothing counts that another has handed out
-        self.members.clear()
+        self.applied_sequence, self.last_sequence = 0, 0
+        self.grants_allowed_at = now + GRANT_MS * DRIFT  # grants of earlier credit servers have expired
+        self.proxies.clear()
         self.targets.clear()
-        self.totals.clear()
+        self.reserved_totals.clear()
 
     def warden_changed(self, now: float) -> None:
-        self.applied = 0
-        self.sent.clear()
-        self.report_at = now
-
-    def receive(self, now: float, sender: str, m: Message) -> None:
-        if isinstance(m, Report):
-            if self.role is Role.WARDEN and now < self.lease_end and m.term == self.term:
-                self.out.append((sender, self.answer(now, sender, m)))
-        elif isinstance(m, Parts):
+        self.applied_sequence = 0
+        self.report_sent_at.clear()
+        self.next_report_at = now
+
+    def receive(self, now: float, sender: str, message: Message) -> None:
+        if isinstance(message, DemandReport):
+            if self.role is Role.WARDEN and now < self.lease_end and message.term == self.term:
+                self.out.append((sender, self.issue_grant(now, sender, message)))
+        elif isinstance(message, ShareGrant):
             if sender == self.warden:
-                self.parts(now, m)
+                self.apply_grant(now, message)
         else:
-            self.receive_lease(now, sender, m)
-
-    # As one that asks
-
-    def report(self, now: float) -> None:
-        """Tell the warden what is asked for here."""
-        span = max(1.0, now - self.reported_at) / 1000.0
-        self.reported_at = now
-        self.report_at = now + REPORT + REPORT_EACH * (len(self.reach) + 1)
-        for key in {*self.rates, *(key for key, _ in self.asked.most_common(MOST_RATES))}:
-            rate = SMOOTH * self.asked[key] / span + (1 - SMOOTH) * self.rates.get(key, 0.0)
+            self.receive_lease(now, sender, message)
+
+    # Proxy
+
+    def send_report(self, now: float) -> None:
+        """Update the request rates and report them to the credit server."""
+        elapsed_s = max(1.0, now - self.last_report_at) / 1000.0
+        self.last_report_at = now
+        self.next_report_at = now + REPORT_INTERVAL_MS + REPORT_INTERVAL_PER_PROXY_MS * (len(self.reach) + 1)
+        for key in {*self.rates, *(key for key, _ in self.request_counts.most_common(MAX_TRACKED_KEYS))}:
+            rate = RATE_EWMA_WEIGHT * self.request_counts[key] / elapsed_s + (
+                1 - RATE_EWMA_WEIGHT
+            ) * self.rates.get(key, 0.0)
             self.rates[key] = rate
-            if rate < LEAST_RATE:
+            if rate < MIN_REPORTED_RATE_PER_S:
                 del self.rates[key]
-        self.asked.clear()
-        for key in [k for k, (_, until) in self.grants.items() if now >= until + FALL * GRANT]:
+        self.request_counts.clear()
+        for key in [
+            k for k, (_, until) in self.grants.items() if now >= until + FALLBACK_DELAY_GRANTS * GRANT_MS
+        ]:
             del self.grants[key]
         if not self.warden:
             return
-        self.number += 1
-        self.sent[self.number] = now
-        while len(self.sent) > 32:
-            del self.sent[next(iter(self.sent))]
-        top = sorted(self.rates.items(), key=lambda item: -item[1])[:MOST_KEYS]
-        asked = Report(self.term, self.number, self.applied, self.base, [(k, round(r, 2)) for k, r in top])
+        self.last_report_id += 1
+        self.report_sent_at[self.last_report_id] = now
+        while len(self.report_sent_at) > 32:
+            del self.report_sent_at[next(iter(self.report_sent_at))]
+        top = sorted(self.rates.items(), key=lambda item: -item[1])[:MAX_REPORTED_KEYS]
+        report = DemandReport(
+            self.term,
+            self.last_report_id,
+            self.applied_sequence,
+            self.base,
+            [(k, round(r, 2)) for k, r in top],
+        )
         if self.warden == self.name:
-            self.parts(now, self.answer(now, self.name, asked))
+            self.apply_grant(now, self.issue_grant(now, self.name, report))
         else:
-            self.out.append((self.warden, asked))
-
-    def parts(self, now: float, m: Parts) -> None:
-        at = self.sent.pop(m.number, None)
-        if at is None or m.term != self.term or m.serial <= self.applied or at < self.applied_at:
-            return  # not to a question of ours, or to an earlier one than the last that was answered
-        self.applied, self.applied_at, self.base = m.serial, at, m.base
-        for key, part in m.parts:
-            self.grants[key] = part, at + GRANT
-
-    # As the warden
-
-    def member(self, name: str) -> Member:
-        found = self.members.get(name)
-        if found is None:
-            if len(self.members) >= MOST_PROXIES:
-                del self.members[min(self.members, key=lambda n: self.members[n].heard_at)]
-            found = self.members[name] = Member()
-            found.said.append(Said(0, max(self.first_base, 1.0 / len(self.members)), -inf))
-        return found
-
-    def reserve(self, member: Member, key: str, now: float) -> float:
-        """The most that a proxy may be using, until what is handed out now is over."""
-        base = max(said.base for said in member.said)
-        held = member.issued.get(key, [])
-        if all(i.end <= now for i in held):
-            member.issued.pop(key, None)
-            return base
-        most = max(i.part if i.end > now else min(i.part, base) for i in held)
-        falls = held[0].asked + (1.0 + FALL) * GRANT / DRIFT  # back to its own part, if it hears no more
-        return max(most, base) if now >= falls - GRANT * DRIFT else most
-
-    def heard(self, member: Member, m: Report) -> float:
-        """It has applied a word: what it was told before counts no longer. When that word was said."""
-        applied = next((said for said in member.said if said.serial == m.applied), None)
+            self.out.append((self.warden, report))
+
+    def apply_grant(self, now: float, grant: ShareGrant) -> None:
+        requested_at = self.report_sent_at.pop(grant.report_id, None)
+        if (
+            requested_at is None
+            or grant.term != self.term
+            or grant.sequence <= self.applied_sequence
+            or requested_at < self.applied_requested_at
+        ):
+            return  # no pending report of ours, or one older than the report of the last grant
+        self.applied_sequence, self.applied_requested_at, self.base = (
+            grant.sequence,
+            requested_at,
+            grant.fallback_share,
+        )
+        for key, share in grant.shares:
+            self.grants[key] = share, requested_at + GRANT_MS
+
+    # Credit server
+
+    def proxy_state(self, name: str) -> ProxyState:
+        proxy = self.proxies.get(name)
+        if proxy is None:
+            if len(self.proxies) >= MAX_PROXIES:
+                del self.proxies[min(self.proxies, key=lambda n: self.proxies[n].last_report_at)]
+            proxy = self.proxies[name] = ProxyState()
+            proxy.unconfirmed.append(SentReply(0, max(self.initial_share, 1.0 / len(self.proxies)), -inf))
+        return proxy
+
+    def reserved_share(self, proxy: ProxyState, key: str, now: float) -> float:
+        """An upper bound on the share that a proxy uses until a grant issued now expires."""
+        fallback = max(reply.fallback_share for reply in proxy.unconfirmed)
+        issued = proxy.issued.get(key, [])
+        if all(i.expires_at <= now for i in issued):
+            proxy.issued.pop(key, None)
+            return fallback
+        largest = max(i.share if i.expires_at > now else min(i.share, fallback) for i in issued)
+        # When the proxy takes its fallback share if it receives no further grant.
+        fallback_at = issued[0].requested_at + (1.0 + FALLBACK_DELAY_GRANTS) * GRANT_MS / DRIFT
+        return max(largest, fallback) if now >= fallback_at - GRANT_MS * DRIFT else largest
+
+    def confirm_applied(self, proxy: ProxyState, report: DemandReport) -> float:
+        """Forget the replies before the one that the proxy has applied; returns when that one was sent."""
+        applied = next((r for r in proxy.unconfirmed if r.sequence == report.applied_sequence), None)
         if applied is None:
-            member.said[0].base = max(member.said[0].base, m.base)
+            proxy.unconfirmed[0].fallback_share = max(
+                proxy.unconfirmed[0].fallback_share, report.fallback_share
+            )
             return -inf
-        member.said = [said for said in member.said if said.serial >= m.applied]
-        for key, held in member.issued.items():
-            if any(i.serial == m.applied for i in held):
-                member.issued[key] = [i for i in held if i.serial >= m.applied]
-        return applied.at
-
-    def reckon(self, now: float) -> None:
-        """Who should have how much of each limit."""
-        self.table_at = now + TABLE
-        every = REPORT + REPORT_EACH * (len(self.reach) + 1)
+        proxy.unconfirmed = [r for r in proxy.unconfirmed if r.sequence >= report.applied_sequence]
+        for key, issued in proxy.issued.items():
+            if any(i.sequence == report.applied_sequence for i in issued):
+                proxy.issued[key] = [i for i in issued if i.sequence >= report.applied_sequence]
+        return applied.sent_at
+
+    def recompute_targets(self, now: float) -> None:
+        """Recompute the target share of every proxy for each requested key, and what is reserved."""
+        self.next_recompute_at = now + RECOMPUTE_INTERVAL_MS
+        report_interval = REPORT_INTERVAL_MS + REPORT_INTERVAL_PER_PROXY_MS * (len(self.reach) + 1)
         for name in {*self.reach, self.name}:
-            self.member(name)
-        for name, m in list(self.members.items()):
-            if name not in self.reach and name != self.name and now - m.heard_at > FORGET:
-                del self.members[name]
-        asked = {key for m in self.members.values() for key in m.asks}
-        for m in self.members.values():  # of keys that nobody asks for any more, nothing is kept
-            for key in [k for k in m.issued if k not in asked]:
-                self.reserve(m, key, now)
-        self.targets = {key: self.target(now, key, every) for key in sorted(asked)[: 20 * MOST_KEYS]}
-        self.counted = {
-            key: {name: self.reserve(m, key, now) for name, m in self.members.items()} for key in self.targets
+            self.proxy_state(name)
+        for name, proxy in list(self.proxies.items()):
+            if name not in self.reach and name != self.name and now - proxy.last_report_at > MEMBER_TTL_MS:
+                del self.proxies[name]
+        requested_keys = {key for p in self.proxies.values() for key in p.demand}
+        for proxy in self.proxies.values():  # drops expired shares of keys without demand
+            for key in [k for k in proxy.issued if k not in requested_keys]:
+                self.reserved_share(proxy, key, now)
+        self.targets = {
+            key: self.target_shares(now, key, report_interval)
+            for key in sorted(requested_keys)[: 20 * MAX_REPORTED_KEYS]
         }
-        self.totals = {key: sum(parts.values()) for key, parts in self.counted.items()}
-
-    def target(self, now: float, key: str, every: float) -> dict[str, float]:
-        near = {n: m for n, m in self.members.items() if now - m.heard_at <= SILENT * every + 200.0}
-        if not near:
+        self.reserved = {
+            key: {name: self.reserved_share(p, key, now) for name, p in self.proxies.items()}
+            for key in self.targets
+        }
+        self.reserved_totals = {key: sum(shares.values()) for key, shares in self.reserved.items()}
+
+    def target_shares(self, now: float, key: str, report_interval: float) -> dict[str, float]:
+        """Max-min fair division of a limit among the active proxies, by demand."""
+        active = {
+            n: p
+            for n, p in self.proxies.items()
+            if now - p.last_report_at <= MAX_MISSED_REPORTS * report_interval + 200.0
+        }
+        if not active:
             return {}
-        there = max(
-            0.0, 1.0 - sum(self.reserve(m, key, now) for n, m in self.members.items() if n not in near)
+        available = max(
+            0.0,
+            1.0 - sum(self.reserved_share(p, key, now) for n, p in self.proxies.items() if n not in active),
         )
-        floor = FLOOR * there / len(near)
+        floor = IDLE_POOL_RATIO * available / len(active)
         rate = max(self.rate_of(key), 1e-9)
-        wants = {n: max(0.0, MORE * m.asks.get(key, 0.0) / rate) for n, m in near.items()}
-        found, left = dict.fromkeys(near, floor), there * (1.0 - FLOOR)
-        total = sum(wants.values())
+        wanted = {
+            n: max(0.0, DEMAND_HEADROOM_RATIO * p.demand.get(key, 0.0) / rate) for n, p in active.items()
+        }
+        shares, remaining = dict.fromkeys(active, floor), available * (1.0 - IDLE_POOL_RATIO)
+        total = sum(wanted.values())
         if total <= 0.0:
-            return dict.fromkeys(near, there / len(near))
-        if total <= left:
-            for n, want in wants.items():
-                found[n] += want * left / total
-            return found
-        open_ = sorted(n for n, want in wants.items() if want > 0.0)
-        while open_:  # each gets what it wants, or as much as anybody
-            fair = left / len(open_)
-            sated = [n for n in open_ if wants[n] <= fair]
-            for n in sated or open_:
-                got = min(wants[n], fair)
-                found[n] += got
-                left -= got
-            open_ = [n for n in open_ if n not in sated] if sated else []
-        return found
-
-    def answer(self, now: float, sender: str, m: Report) -> Parts:
-        """Hand out what is free. What one is to have less counts as given up only once it has heard."""
-        if now >= self.table_at:
-            self.reckon(now)
-        member = self.member(sender)
-        member.heard_at, member.asks = now, dict(m.asks)
-        asked = self.heard(member, m)
-        base = 1.0 / max(1, len(self.members))
-        self.serial += 1
-        found: list[tuple[str, float]] = []
-        if now >= self.grants_from:
+            return dict.fromkeys(active, available / len(active))
+        if total <= remaining:
+            for n, want in wanted.items():
+                shares[n] += want * remaining / total
+            return shares
+        unsatisfied = sorted(n for n, want in wanted.items() if want > 0.0)
+        while unsatisfied:  # max-min fairness
+            equal_share = remaining / len(unsatisfied)
+            satisfied = [n for n in unsatisfied if wanted[n] <= equal_share]
+            for n in satisfied or unsatisfied:
+                granted = min(wanted[n], equal_share)
+                shares[n] += granted
+                remaining -= granted
+            unsatisfied = [n for n in unsatisfied if n not in satisfied] if satisfied else []
+        return shares
+
+    def issue_grant(self, now: float, sender: str, report: DemandReport) -> ShareGrant:
+        """Grant what is not reserved. A reduced share is released only once its proxy has confirmed it."""
+        if now >= self.next_recompute_at:
+            self.recompute_targets(now)
+        proxy = self.proxy_state(sender)
+        proxy.last_report_at, proxy.demand = now, dict(report.demand)
+        requested_at = self.confirm_applied(proxy, report)
+        fallback = 1.0 / max(1, len(self.proxies))
+        self.last_sequence += 1
+        shares: list[tuple[str, float]] = []
+        if now >= self.grants_allowed_at:
             for key, targets in self.targets.items():
-                before = self.reserve(member, key, now)
-                others = self.totals[key] - self.counted[key].get(sender, 0.0)
-                part = min(targets.get(sender, base), max(0.0, 1.0 - others))
-                found.append((key, part))
-                unheard = Issued(0, before, inf, -inf)  # what it has until it applies another
-                issued = member.issued.setdefault(key, [unheard])
-                issued.append(Issued(self.serial, part, now + GRANT * DRIFT, asked))
-                if len(issued) > MOST_SAID:  # it hears nothing
-                    one, other = issued[:2]
-                    one.part, one.end = max(one.part, other.part), max(one.end, other.end)
+                before = self.reserved_share(proxy, key, now)
+                reserved_by_others = self.reserved_totals[key] - self.reserved[key].get(sender, 0.0)
+                share = min(targets.get(sender, fallback), max(0.0, 1.0 - reserved_by_others))
+                shares.append((key, share))
+                unconfirmed = IssuedShare(0, before, inf, -inf)  # held until it applies another
+                issued = proxy.issued.setdefault(key, [unconfirmed])
+                issued.append(IssuedShare(self.last_sequence, share, now + GRANT_MS * DRIFT, requested_at))
+                if len(issued) > MAX_UNCONFIRMED_REPLIES:  # no confirmation arrives
+                    a, b = issued[:2]
+                    a.share, a.expires_at = max(a.share, b.share), max(a.expires_at, b.expires_at)
                     del issued[1]
-                self.counted[key][sender] = max(before, part)
-                self.totals[key] = others + max(before, part)
-        member.said.append(Said(self.serial, base, now))
-        if len(member.said) > MOST_SAID:
-            oldest, then = member.said[:2]
-            member.said[:2] = [Said(then.serial, max(oldest.base, then.base), then.at)]
-        return Parts(self.term, m.number, self.serial, base, found)
+                self.reserved[key][sender] = max(before, share)
+                self.reserved_totals[key] = reserved_by_others + max(before, share)
+        proxy.unconfirmed.append(SentReply(self.last_sequence, fallback, now))
+        if len(proxy.unconfirmed) > MAX_UNCONFIRMED_REPLIES:
+            one, two = proxy.unconfirmed[:2]
+            proxy.unconfirmed[:2] = [
+                SentReply(two.sequence, max(one.fallback_share, two.fallback_share), two.sent_at)
+            ]
+        return ShareGrant(self.term, report.report_id, self.last_sequence, fallback, shares)
 
 
 class SharedRateLimiter(RateLimiter):
-    """Rate limits of tenants that count over all proxies."""
+    """Rate limits of tenants that apply to all proxies together."""
 
     def __init__(self, settings: RateLimiterSettings) -> None:
         super().__init__(settings)
         self.shares: Shares | None = None
-        self.parts: dict[str, float] = {}
+        self.applied_shares: dict[str, float] = {}
 
     def ask(self, key: str, now: float) -> float:
         key = key[:LONGEST_KEY]
         shares, bucket = self.shares, self.buckets.get(key)
         if shares is not None and not self.settings.by_address:
-            shares.asked[key] += 1
-            part = shares.part(key, now)
-            if bucket is None or self.parts.get(key) != part:
-                whole = self.limit(key)
-                limit = Limit(whole.rate * part, max(1.0, whole.burst * part))
-                self.parts[key] = part
+            shares.request_counts[key] += 1
+            share = shares.part(key, now)
+            if bucket is None or self.applied_shares.get(key) != share:
+                total = self.limit(key)
+                limit = Limit(total.rate * share, max(1.0, total.burst * share))
+                self.applied_shares[key] = share
                 if bucket is None:
                     if len(self.buckets) >= self.settings.table:
-                        self.parts.pop(self.buckets.popitem(last=False)[0], None)
+                        self.applied_shares.pop(self.buckets.popitem(last=False)[0], None)
                     self.buckets[key] = Bucket(limit, now)
                 else:
                     bucket.refill(now)
--- a/barleybarrow/version_vectors.py
+++ b/barleybarrow/version_vectors.py
@@ -1,10 +1,11 @@
-"""A keyed state of which several hold copies: what each holds, how two merge, what one lacks of another.
-
-Values only: no I/O, no clock. Each write is one event of one origin, its dot (origin, number); an entry names
-the dots of its key that it knew of and supersedes (dotted version vectors: Preguiça and others, 2010). A copy
-says how far it has heard of each origin (its vector); what that covers and the copy does not hold is gone
-(Bieniusa and others, "An optimized conflict-free replicated set", 2012), so that nothing rises from the dead.
-Deltas are what a vector does not cover (Almeida, Shoker, Baquero 2018).
+"""A replicated key-value state: its contents, merging of entries, and deltas between replicas.
+
+Pure data structure without I/O or clock. Each write is one event of one origin, identified by its dot
+(origin, number); an entry names the dots of its key that its writer knew of and that it supersedes (dotted
+version vectors: Preguiça and others, 2010). A replica's vector says which events of each origin it has
+received; an event that is covered by the vector but not held was superseded (Bieniusa and others, "An
+optimized conflict-free replicated set", 2012), so superseded entries do not reappear. A delta is what another
+replica's vector does not cover (Almeida, Shoker, Baquero 2018).
 """
 
 import hashlib
@@ -17,27 +18,27 @@
 
 from msgspec import Meta, Struct, msgpack
 
-RANGES = 256  # of keys, each with a print of its own
-MOST_ENTRIES = 20_000
-MOST_BYTES = 16 * 1024 * 1024  # of keys and values
-MOST_ORIGINS = 512  # lives of keepers that have written
-MOST_REMOVED = 5_000  # removals that are kept for who is behind; beyond, the oldest go first
-LONGEST_KEY, LONGEST_VALUE = 160, 4096
+RANGE_COUNT = 256  # number of key ranges, each with a digest of its own
+MAX_ENTRIES = 20_000
+MAX_STATE_BYTES = 16 * 1024 * 1024  # of keys and values
+MOST_ORIGINS = 512  # limit of origins: incarnations of keepers that have written
+MAX_TOMBSTONES = 5_000  # keys kept as tombstones for replicas that are behind; the oldest are pruned first
+MAX_KEY_LENGTH, MAX_VALUE_BYTES = 160, 4096
 
 Origin = Annotated[str, Meta(min_length=1, max_length=80)]
-Number = Annotated[int, Meta(ge=0, le=2**53)]
-Vector = dict[Origin, Number]
+EventNumber = Annotated[int, Meta(ge=0, le=2**53)]
+Vector = dict[Origin, EventNumber]
 Dot = tuple[str, int]
 
 
 class Entry(Struct, array_like=True, frozen=True, gc=False):
-    """One write. Without a value it is a removal. It holds no cycles: the collector need not look at it."""
+    """One write; without a value, a tombstone. `gc=False`: an entry cannot be part of a reference cycle."""
 
-    key: Annotated[str, Meta(min_length=1, max_length=LONGEST_KEY)]
+    key: Annotated[str, Meta(min_length=1, max_length=MAX_KEY_LENGTH)]
     origin: Origin
     number: Annotated[int, Meta(ge=1, le=2**53)]
-    over: Vector  # dots of this key that it supersedes, all of an origin up to a number
-    value: Annotated[bytes, Meta(max_length=LONGEST_VALUE)] | None
+    over: Vector  # dots of this key that it supersedes: by origin, all numbers up to this one
+    value: Annotated[bytes, Meta(max_length=MAX_VALUE_BYTES)] | None
 
     @property
     def dot(self) -> Dot:
@@ -45,35 +46,36 @@
 
     @property
     def size(self) -> int:
+        """Approximate size in bytes."""
         return len(self.key) + len(self.value or b"") + 32 * len(self.over) + 64
 
 
 class Taken(Enum):
-    """What became of an entry that came."""
+    """The outcome of merging an entry."""
 
     NEWS = "news"
-    OLD = "old"  # it is held, or superseded
-    DIFFERS = "differs"  # the same dot is held with something else: one of the two is damaged
-    ROOM = "room"
+    OLD = "old"  # already held, or superseded
+    MISMATCH = "differs"  # the same dot is held with other contents: one of the two is corrupted
+    ROOM = "room"  # rejected: no room
 
 
 def covers(vector: Mapping[str, int], dot: Dot) -> bool:
     return vector.get(dot[0], 0) >= dot[1]
 
 
-def within(one: Mapping[str, int], other: Mapping[str, int]) -> bool:
-    """Whether all that one vector covers is covered by the other."""
-    return all(other.get(origin, 0) >= number for origin, number in one.items())
+def is_covered(vector: Mapping[str, int], other: Mapping[str, int]) -> bool:
+    """Whether `other` covers every event that `vector` covers."""
+    return all(other.get(origin, 0) >= number for origin, number in vector.items())
 
 
-def join(one: Vector, other: Mapping[str, int]) -> None:
-    """Have the first cover what either does."""
+def merge_vector(vector: Vector, other: Mapping[str, int]) -> None:
+    """Extend `vector` to cover what `other` covers as well."""
     for origin, number in other.items():
-        if number > one.get(origin, 0):
-            one[origin] = number
+        if number > vector.get(origin, 0):
+            vector[origin] = number
 
 
-def print_of(entry: Entry) -> int:
+def digest_of(entry: Entry) -> int:
     return int.from_bytes(hashlib.blake2b(msgpack.encode(entry), digest_size=8).digest(), "big")
 
 
@@ -82,25 +84,25 @@
 
 
 class State:
-    """One copy."""
+    """One replica's copy of the state."""
 
-    def __init__(self, room: int = MOST_ENTRIES) -> None:
-        self.room = room
-        self.slots: dict[str, tuple[Entry, ...]] = {}  # by key: entries that know nothing of each other
+    def __init__(self, max_entries: int = MAX_ENTRIES) -> None:
+        self.max_entries = max_entries
+        self.slots: dict[str, tuple[Entry, ...]] = {}  # by key: concurrent entries
         self.vector: Vector = {}
-        self.pruned: Vector = {}  # removals that are no longer held, and what they had superseded
-        self.loose: dict[str, set[int]] = {}  # by origin: held, and not covered by the vector yet
-        self.prints = [0] * RANGES  # of what is held but for removals
+        self.pruned: Vector = {}  # covers the discarded tombstones and what they superseded
+        self.uncovered: dict[str, set[int]] = {}  # by origin: held events that the vector does not cover
+        self.digests = [0] * RANGE_COUNT  # by range, of all entries but tombstones
         self.size = self.bytes = self.removed = 0
-        self.changed: dict[str, None] = {}  # keys, since whoever stores or acts upon them looked
+        self.changed_keys: dict[str, None] = {}  # since the driver last took them
         self.counts: Counter[str] = Counter()
-        self.moved = 0  # changes so far
-        self.places: dict[str, int] = {}  # by key: the number of its last change
-        self.feed: list[tuple[int, str]] = []  # changes in order; those of keys that changed again are stale
-        self.ranges: list[dict[str, None]] = [{} for _ in range(RANGES)]  # keys of each
-        self.emptied: dict[str, None] = {}  # keys that hold removals alone, the oldest first
+        self.change_count = 0
+        self.last_changes: dict[str, int] = {}  # by key: the number of its last change
+        self.change_log: list[tuple[int, str]] = []  # in order; items of keys that changed again are stale
+        self.range_keys: list[dict[str, None]] = [{} for _ in range(RANGE_COUNT)]
+        self.tombstone_keys: dict[str, None] = {}  # keys that hold only tombstones, the oldest first
 
-    # What is held
+    # Contents
 
     def entries(self) -> Iterator[Entry]:
         for slot in self.slots.values():
@@ -108,56 +110,57 @@
 
     @property
     def print(self) -> int:
-        found = 0
-        for one in self.prints:
-            found ^= one
-        return found
+        """The digest of all entries but tombstones."""
+        combined = 0
+        for digest in self.digests:
+            combined ^= digest
+        return combined
 
-    def settled(self) -> bool:
-        """Whether all that is held is covered by the vector: then two of one vector hold the same."""
-        return not self.loose
+    def is_gapless(self) -> bool:
+        """Whether the vector covers all entries held; gapless replicas with equal vectors hold the same."""
+        return not self.uncovered
 
     # Changes
 
-    def put(self, key: str, slot: Iterable[Entry]) -> None:
-        """Have a key hold just these."""
-        slot, before, at = tuple(slot), self.slots.get(key, ()), range_of(key)
+    def set_slot(self, key: str, slot: Iterable[Entry]) -> None:
+        """Replace the entries of a key."""
+        slot, before, range_index = tuple(slot), self.slots.get(key, ()), range_of(key)
         for entry in before:
             if entry not in slot:
-                self.count(entry, at, -1)
+                self.account(entry, range_index, -1)
         for entry in slot:
             if entry not in before:
-                self.count(entry, at, 1)
+                self.account(entry, range_index, 1)
         if slot:
             self.slots[key] = slot
-            self.ranges[at][key] = None
-            self.moved += 1
-            self.places[key] = self.moved
-            self.feed.append((self.moved, key))
+            self.range_keys[range_index][key] = None
+            self.change_count += 1
+            self.last_changes[key] = self.change_count
+            self.change_log.append((self.change_count, key))
         elif before:
-            del self.slots[key], self.places[key], self.ranges[at][key]
-        self.changed[key] = None
-        self.emptied.pop(key, None)
+            del self.slots[key], self.last_changes[key], self.range_keys[range_index][key]
+        self.changed_keys[key] = None
+        self.tombstone_keys.pop(key, None)
         if slot and all(e.value is None for e in slot):
-            self.emptied[key] = None
-        if len(self.feed) > 1000 + 2 * len(self.places):
-            self.feed = [(n, k) for n, k in self.feed if self.places.get(k) == n]
+            self.tombstone_keys[key] = None
+        if len(self.change_log) > 1000 + 2 * len(self.last_changes):
+            self.change_log = [(n, k) for n, k in self.change_log if self.last_changes.get(k) == n]
 
-    def count(self, entry: Entry, at: int, sign: int) -> None:
+    def account(self, entry: Entry, range_index: int, sign: int) -> None:
         self.size += sign
         self.bytes += sign * entry.size
         if entry.value is None:
             self.removed += sign
         else:
-            self.prints[at] ^= print_of(entry)
-        if sign < 0 and entry.origin in self.loose:
-            self.loosened(entry.origin, entry.number, False)
+            self.digests[range_index] ^= digest_of(entry)
+        if sign < 0 and entry.origin in self.uncovered:
+            self.mark_covered(entry.origin, entry.number, False)
         elif sign > 0 and not covers(self.vector, entry.dot):
-            self.loose.setdefault(entry.origin, set()).add(entry.number)
+            self.uncovered.setdefault(entry.origin, set()).add(entry.number)
 
-    def loosened(self, origin: str, number: int, all_up_to: bool) -> None:
-        """Take a number, or all up to it, from those that the vector does not cover."""
-        held = self.loose[origin]
+    def mark_covered(self, origin: str, number: int, all_up_to: bool) -> None:
+        """Remove a number, or all numbers up to it, from those that the vector does not cover."""
+        held = self.uncovered[origin]
         if not all_up_to:
             held.discard(number)
         elif max(held) <= number:
@@ -165,135 +168,142 @@
         else:
             held.difference_update([n for n in held if n <= number])
         if not held:
-            del self.loose[origin]
+            del self.uncovered[origin]
 
-    def fits(self, entry: Entry) -> bool:
-        """Whether there is room. What supersedes as much as it brings always has it."""
+    def has_room(self, entry: Entry) -> bool:
+        """Whether there is room for an entry; one that supersedes a held entry is always accepted."""
         held = self.slots.get(entry.key, ())
         if any(covers(entry.over, e.dot) for e in held):
             return True
         known = entry.origin in self.vector or len(self.vector) < MOST_ORIGINS
-        return known and self.size < self.room and self.bytes + entry.size <= MOST_BYTES
+        return known and self.size < self.max_entries and self.bytes + entry.size <= MAX_STATE_BYTES
 
     def take(self, entry: Entry) -> Taken:
-        """Merge one entry that came from elsewhere. Order and repetition make no difference."""
+        """Merge an entry from another replica. Commutative and idempotent."""
         slot = self.slots.get(entry.key, ())
         for held in slot:
             if held.dot == entry.dot:
-                return Taken.OLD if held == entry else Taken.DIFFERS
+                return Taken.OLD if held == entry else Taken.MISMATCH
             if covers(held.over, entry.dot):
                 return Taken.OLD
         if covers(self.vector, entry.dot):
             return Taken.OLD
-        if not self.fits(entry):
+        if not self.has_room(entry):
             self.counts["room"] += 1
             return Taken.ROOM
-        self.put(entry.key, [e for e in slot if not covers(entry.over, e.dot)] + [entry])
+        self.set_slot(entry.key, [e for e in slot if not covers(entry.over, e.dot)] + [entry])
         self.advance(entry.origin)
         return Taken.NEWS
 
     def advance(self, origin: str) -> None:
-        """What is held of an origin without a gap is covered."""
+        """Extend the vector by the held events of an origin that follow it without a gap."""
         number = self.vector.get(origin, 0)
-        held = self.loose.get(origin, ())
+        held = self.uncovered.get(origin, ())
         while number + 1 in held:
             number += 1
         if number > self.vector.get(origin, 0):
             self.vector[origin] = number
-            self.loosened(origin, number, True)
+            self.mark_covered(origin, number, True)
 
     def write(self, origin: str, key: str, value: bytes | None) -> Entry | None:
-        """A new write of this copy's own; None where there is no room, or nothing to be removed.
+        """Create a new write; None if there is no room, or nothing to remove.
 
-        It supersedes what is held, and removals of its key that are forgotten here and may be held elsewhere.
+        It supersedes the entries held and, if there are none, all discarded tombstones, which other replicas
+        may still hold for this key.
         """
         slot = self.slots.get(key, ())
         if value is None and not slot:
             return None
-        over: Vector = dict(self.pruned) if not slot else {}
+        supersedes: Vector = dict(self.pruned) if not slot else {}
         for held in slot:
-            join(over, held.over)
-            join(over, {held.origin: held.number})
-        entry = Entry(key, origin, self.vector.get(origin, 0) + 1, over, value)
-        if not self.fits(entry):
+            merge_vector(supersedes, held.over)
+            merge_vector(supersedes, {held.origin: held.number})
+        entry = Entry(key, origin, self.vector.get(origin, 0) + 1, supersedes, value)
+        if not self.has_room(entry):
             self.counts["room"] += 1
             return None
-        self.put(key, [entry])
+        self.set_slot(key, [entry])
         self.advance(origin)
         return entry
 
     def heard(self, vector: Mapping[str, int]) -> None:
-        """All that a vector covers and is not gone has come."""
-        join(self.vector, vector)
-        for origin in [o for o in self.loose if o in vector]:
-            self.loosened(origin, self.vector[origin], True)
-            if origin in self.loose:
+        """Extend the vector after everything that `vector` covers has been received or was superseded."""
+        merge_vector(self.vector, vector)
+        for origin in [o for o in self.uncovered if o in vector]:
+            self.mark_covered(origin, self.vector[origin], True)
+            if origin in self.uncovered:
                 self.advance(origin)
 
-    def only(self, keys: Iterable[str], seen: set[Dot], vector: Mapping[str, int]) -> int:
-        """Drop of some keys what a whole copy lacked though its vector covers it: there it was superseded."""
+    def drop_absent(self, keys: Iterable[str], seen_dots: set[Dot], vector: Mapping[str, int]) -> int:
+        """Drop entries that a full copy lacks although its vector covers them: they were superseded there."""
         dropped = 0
         for key in keys:
             slot = self.slots.get(key, ())
-            kept = [e for e in slot if e.dot in seen or not covers(vector, e.dot)]
+            kept = [e for e in slot if e.dot in seen_dots or not covers(vector, e.dot)]
             if len(kept) < len(slot):
                 dropped += len(slot) - len(kept)
-                self.put(key, kept)
+                self.set_slot(key, kept)
         return dropped
 
-    def replace(self, number: int, entries: Iterable[Entry]) -> list[Entry]:
-        """Have a range hold just these; what was held and is not among them comes back."""
+    def replace_range(self, index: int, entries: Iterable[Entry]) -> list[Entry]:
+        """Replace all entries of a range; returns the entries that were dropped."""
         wanted: dict[str, list[Entry]] = {}
         for entry in entries:
             wanted.setdefault(entry.key, []).append(entry)
-        aside = []
-        for key in {*self.ranges[number], *wanted}:
-            now = wanted.get(key, [])
-            aside += [e for e in self.slots.get(key, ()) if e not in now]
-            self.put(key, now)
-        return aside
+        replaced = []
+        for key in {*self.range_keys[index], *wanted}:
+            entries_now = wanted.get(key, [])
+            replaced += [e for e in self.slots.get(key, ()) if e not in entries_now]
+            self.set_slot(key, entries_now)
+        return replaced
 
-    # What another lacks
+    # Deltas
 
-    def since(
-        self, vector: Mapping[str, int], after: int, most: int, most_bytes: int, looks: int
+    def changes_since(
+        self, vector: Mapping[str, int], after: int, max_entries: int, max_bytes: int, max_scan: int
     ) -> tuple[list[Entry], int, bool]:
-        """Entries that a vector does not cover, of the changes after one; up to which; whether to the end."""
-        found, size = list[Entry](), 0
-        first = bisect_right(self.feed, after, key=lambda item: item[0])
-        for place in range(first, len(self.feed)):
-            number, key = self.feed[place]
-            if self.places.get(key) == number:
+        """Entries that a vector does not cover, among the changes after `after`.
+
+        Returns the entries, the number of the last change examined, and whether that was the last change.
+        """
+        entries, size = list[Entry](), 0
+        first = bisect_right(self.change_log, after, key=lambda item: item[0])
+        for position in range(first, len(self.change_log)):
+            number, key = self.change_log[position]
+            if self.last_changes.get(key) == number:
                 for entry in self.slots[key]:
                     if not covers(vector, entry.dot):
-                        found.append(entry)
+                        entries.append(entry)
                         size += entry.size
             after = number
-            if len(found) >= most or size >= most_bytes or place - first >= looks:
-                return found, after, place + 1 == len(self.feed)
-        return found, max(after, self.moved), True
+            if len(entries) >= max_entries or size >= max_bytes or position - first >= max_scan:
+                return entries, after, position + 1 == len(self.change_log)
+        return entries, max(after, self.change_count), True
 
-    # Removals
+    # Tombstones
 
-    def prune(self, stable: Mapping[str, int], most: int = MOST_REMOVED, looks: int = 1000) -> int:
-        """Forget removals that a vector covers, as all have them, and the oldest beyond so many.
+    def prune(
+        self, stable: Mapping[str, int], max_tombstones: int = MAX_TOMBSTONES, max_scan: int = 1000
+    ) -> int:
+        """Discard tombstones that `stable` covers, which all replicas hold, and the oldest beyond a limit.
 
-        One is kept while something that it supersedes may still come and would be taken for news.
+        A tombstone is kept while an entry that it supersedes may still arrive: that would be taken for a new
+        write.
         """
-        beyond, forgotten = len(self.emptied) - most, 0
-        for key in list(islice(self.emptied, looks)):
+        excess, pruned_count = len(self.tombstone_keys) - max_tombstones, 0
+        for key in list(islice(self.tombstone_keys, max_scan)):
             slot = self.slots[key]
-            if not all(covers(self.vector, e.dot) and within(e.over, self.vector) for e in slot):
+            if not all(covers(self.vector, e.dot) and is_covered(e.over, self.vector) for e in slot):
                 continue
-            if beyond > forgotten or all(covers(stable, e.dot) for e in slot):
+            if excess > pruned_count or all(covers(stable, e.dot) for e in slot):
                 for e in slot:
-                    join(self.pruned, e.over)
-                    join(self.pruned, {e.origin: e.number})
-                forgotten += len(slot)
-                self.put(key, [])
-        return forgotten
+                    merge_vector(self.pruned, e.over)
+                    merge_vector(self.pruned, {e.origin: e.number})
+                pruned_count += len(slot)
+                self.set_slot(key, [])
+        return pruned_count
 
-    # As it is stored
+    # Loading
 
     def load(self, entries: Iterable[Entry], vector: Vector, pruned: Vector) -> None:
         self.vector, self.pruned = dict(vector), dict(pruned)
@@ -301,5 +311,5 @@
         for entry in entries:
             by_key.setdefault(entry.key, []).append(entry)
         for key, slot in by_key.items():
-            self.put(key, slot)
-        self.changed.clear()
+            self.set_slot(key, slot)
+        self.changed_keys.clear()
