--- a/tests/test_fates.py
+++ b/tests/test_fates.py
@@ -1,4 +1,4 @@
-"""Fates of keyed requests: told among proxies, taken up at admission, bound in the module; on daemons."""
+"""Idempotency records: sharing among proxies, lookup at admission, and routing of bound requests."""
 
 import random
 import threading
@@ -12,12 +12,12 @@
 from barleybarrow.idempotency_records import (
     DELAY,
     ECHO,
-    MOST_GROUP,
+    MAX_GROUP_SIZE,
     Answer,
-    Ask,
     IdempotencyRecords,
-    Said,
-    Told,
+    KeyReport,
+    KeyReports,
+    Probe,
     Verdict,
 )
 from barleybarrow.interface import Effect, Group, Outcome
@@ -28,190 +28,195 @@
 WINDOW = 6000.0
 
 
-def pair():
-    """Two proxies that hear each other; carry hands over what waits, later by so many milliseconds."""
-    made = {name: IdempotencyRecords(name, 0.0) for name in ("a", "b")}
-    made["a"].reach, made["b"].reach = ["b"], ["a"]
-    return made
+def connected_pair():
+    """The records of two connected proxies, by name."""
+    records = {name: IdempotencyRecords(name, 0.0) for name in ("a", "b")}
+    records["a"].reach, records["b"].reach = ["b"], ["a"]
+    return records
 
 
-def carry(made, now, way=1.0):
+def deliver(records, now, delay_ms=1.0):
+    """Deliver all outgoing messages and their replies, each after the delay."""
     for _ in range(4):
-        for name, f in made.items():
-            f.tick(now)
-            out, f.out = f.out, []
+        for name, own in records.items():
+            own.tick(now)
+            out, own.out = own.out, []
             for to, m in out:
-                made[to].receive(now + way, name, m)
+                records[to].receive(now + delay_ms, name, m)
 
 
-def test_where_one_may_run_is_known_elsewhere_and_what_it_became():
-    made = pair()
-    carry(made, 0.0)
-    a, b = made["a"], made["b"]
+def test_another_proxy_learns_where_a_request_may_run_and_its_response():
+    records = connected_pair()
+    deliver(records, 0.0)
+    a, b = records["a"], records["b"]
     a.arrived(1, b"k", WINDOW)
     assert a.ask(b"k", 5.0, False) is None
     a.sent(10.0, 1, "s0")
     assert a.ask(b"k", 10.0, False).server == "s0" and b.ask(b"k", 10.0, False) is None
-    carry(made, 10.0 + DELAY)
-    told = b.ask(b"k", 40.0, False)
-    assert told.server == "s0" and told.until < 10.0 + WINDOW  # never later than the server forgets
-    assert told.until > WINDOW / 1.05 - ECHO - DELAY - 10.0
-    a.ended(50.0, 1, 0, True)  # the server has not run it
+    deliver(records, 10.0 + DELAY)
+    verdict = b.ask(b"k", 40.0, False)
+    assert verdict.server == "s0" and verdict.until < 10.0 + WINDOW  # the server still remembers the key
+    assert verdict.until > WINDOW / 1.05 - ECHO - DELAY - 10.0
+    a.ended(50.0, 1, 0, True)  # not executed
     a.sent(51.0, 1, "s1")
-    carry(made, 80.0)
+    deliver(records, 80.0)
     assert b.ask(b"k", 90.0, False).server == "s1"
     a.over(100.0, 1, Answer(b"done"))
     a.ended(101.0, 1, 0, True)
-    carry(made, 130.0)
+    deliver(records, 130.0)
     assert b.ask(b"k", 140.0, False) == Verdict(answer=Answer(b"done"))
     assert b.ask(b"k", 150.0 + 2 * WINDOW, False) is None
-    carry(made, 1000.0 + 3 * WINDOW)
-    assert not b.fates and not a.fates and not b.bytes
-
-
-def test_what_may_have_run_at_two_goes_to_none_but_where_all_drop_it():
-    made = pair()
-    carry(made, 0.0)
-    for name, server in (("a", "s0"), ("b", "s1")):  # before either had heard of the other
-        made[name].arrived(1, b"k", WINDOW)
-        made[name].sent(10.0, 1, server)
-    carry(made, 40.0)
-    for f in made.values():
+    deliver(records, 1000.0 + 3 * WINDOW)
+    assert not b.fates and not a.fates and not b.body_bytes
+
+
+def test_a_key_that_may_have_run_at_two_servers_goes_to_neither_unless_deduplicated():
+    records = connected_pair()
+    deliver(records, 0.0)
+    for name, server in (("a", "s0"), ("b", "s1")):  # before either receives the other's report
+        records[name].arrived(1, b"k", WINDOW)
+        records[name].sent(10.0, 1, server)
+    deliver(records, 40.0)
+    for f in records.values():
         assert f.ask(b"k", 50.0, False) == Verdict()
         assert f.ask(b"k", 50.0, True).server == "s0"
-    made["a"].over(60.0, 1, None)  # its client left: what is out may run still
-    carry(made, 90.0)
-    assert made["b"].ask(b"k", 100.0, False) == Verdict()
+    records["a"].over(60.0, 1, None)  # its client left: the attempt may still run
+    deliver(records, 90.0)
+    assert records["b"].ask(b"k", 100.0, False) == Verdict()
 
 
-def test_a_word_that_was_long_on_its_way_gives_no_more_time_than_the_server_does():
+def test_a_delayed_report_never_extends_the_server_window():
     rng = random.Random(3)
     for _ in range(300):
-        made = pair()
-        a, b = made["a"], made["b"]
-        asked = rng.uniform(0.0, 5000.0)
-        b.ask_at = asked
-        b.tick(asked)
-        ((_, question),) = b.out
-        heard = asked + rng.uniform(0.0, 3000.0)
-        a.receive(heard, "b", question)
-        sent = heard + rng.uniform(-2000.0, 2000.0)
+        records = connected_pair()
+        a, b = records["a"], records["b"]
+        probed_at = rng.uniform(0.0, 5000.0)
+        b.next_probe_at = probed_at
+        b.tick(probed_at)
+        ((_, probe),) = b.out
+        probe_received_at = probed_at + rng.uniform(0.0, 3000.0)
+        a.receive(probe_received_at, "b", probe)
+        attempt_sent_at = probe_received_at + rng.uniform(-2000.0, 2000.0)
         a.arrived(1, b"k", WINDOW)
-        a.sent(sent, 1, "s0")
-        said = max(sent, heard) + rng.uniform(0.0, 2000.0)
-        a.tell_at = said
+        a.sent(attempt_sent_at, 1, "s0")
+        reported_at = max(attempt_sent_at, probe_received_at) + rng.uniform(0.0, 2000.0)
+        a.tell_at = reported_at
         a.out.clear()
-        a.tick(said)
-        came = said + rng.uniform(0.0, 4000.0)
+        a.tick(reported_at)
+        report_received_at = reported_at + rng.uniform(0.0, 4000.0)
         for to, m in a.out:
-            if isinstance(m, Told):
+            if isinstance(m, KeyReports):
                 assert to == "b"
-                b.receive(came, "a", m)
-        verdict = b.ask(b"k", came, False)
-        assert verdict is None or verdict.until <= sent + WINDOW
-    b.receive(9000.0, "a", Told(99, [Said(b"x", 1, 0.0, WINDOW, ["s0"])]))
-    assert b.ask(b"x", 9000.0, False).until < 9000.0  # of a question that it never put: nowhere
-
-
-def test_tables_are_bounded_and_an_earlier_word_changes_nothing(monkeypatch):
-    monkeypatch.setattr("barleybarrow.idempotency_records.MOST_FATES", 3)
-    monkeypatch.setattr("barleybarrow.idempotency_records.MOST_BYTES", 10)
-    f = IdempotencyRecords("a", 0.0)
-    f.asked[1] = 0.0
+                b.receive(report_received_at, "a", m)
+        verdict = b.ask(b"k", report_received_at, False)
+        assert verdict is None or verdict.until <= attempt_sent_at + WINDOW
+    b.receive(9000.0, "a", KeyReports(99, [KeyReport(b"x", 1, 0.0, WINDOW, ["s0"])]))
+    assert b.ask(b"x", 9000.0, False).until < 9000.0  # refers to an unknown probe
+
+
+def test_tables_are_bounded_and_an_older_report_is_ignored(monkeypatch):
+    monkeypatch.setattr("barleybarrow.idempotency_records.MAX_RECORDS", 3)
+    monkeypatch.setattr("barleybarrow.idempotency_records.MAX_TOTAL_BODY_BYTES", 10)
+    records = IdempotencyRecords("a", 0.0)
+    records.probe_sent_at[1] = 0.0
     for n in range(5):
-        f.receive(10.0, "b", Told(1, [Said(b"%d" % n, n + 1, 0.0, WINDOW, ["s0"], Answer(b"x" * 6))]))
-    assert list(f.fates) == [b"2", b"3", b"4"] and f.counts["fates"] == 2
-    assert f.bytes == 6 and f.counts["answers"] >= 2
-    assert f.ask(b"2", 20.0, False).server == "s0" and f.ask(b"4", 20.0, False).answer
-    f.receive(20.0, "b", Told(1, [Said(b"2", 1, 0.0, WINDOW, [])]))
-    assert f.ask(b"2", 20.0, False).server == "s0"
-    f.reach = [f"n{n}" for n in range(MOST_GROUP)]  # too many: nothing is told, and it says so
-    f.arrived(1, b"k", WINDOW)
-    f.sent(30.0, 1, "s0")
-    f.tick(100.0)
-    assert not f.out and f.counts["group"] == 1
+        records.receive(
+            10.0, "b", KeyReports(1, [KeyReport(b"%d" % n, n + 1, 0.0, WINDOW, ["s0"], Answer(b"x" * 6))])
+        )
+    assert list(records.fates) == [b"2", b"3", b"4"] and records.counts["fates"] == 2
+    assert records.body_bytes == 6 and records.counts["answers"] >= 2
+    assert records.ask(b"2", 20.0, False).server == "s0" and records.ask(b"4", 20.0, False).answer
+    records.receive(20.0, "b", KeyReports(1, [KeyReport(b"2", 1, 0.0, WINDOW, [])]))
+    assert records.ask(b"2", 20.0, False).server == "s0"
+    records.reach = [
+        f"n{n}" for n in range(MAX_GROUP_SIZE)
+    ]  # too large a group: reports are not sent but counted
+    records.arrived(1, b"k", WINDOW)
+    records.sent(30.0, 1, "s0")
+    records.tick(100.0)
+    assert not records.out and records.counts["group"] == 1
     with pytest.raises(msgspec.ValidationError):
-        msgspec.msgpack.decode(msgspec.msgpack.encode([2, 0, [[b"", 1, 0.0, 1.0, []]]]), type=Ask | Told)
+        msgspec.msgpack.decode(
+            msgspec.msgpack.encode([2, 0, [[b"", 1, 0.0, 1.0, []]]]), type=Probe | KeyReports
+        )
 
 
-# by chance, in virtual time
+# random faults in virtual time
 
 
-def stormy(first, many):
+def violations(first, count):
     return [
         b
-        for seed in range(first, first + many)
+        for seed in range(first, first + count)
         for b in storm(seed, 4, by_chance(seed, 4, 3.0, 20.0)).breaches()
     ]
 
 
 @pytest.mark.parametrize("first", [100, 115])
-def test_by_chance_no_key_runs_at_a_second_server_that_was_told_of(first):
-    assert stormy(first, 15) == []
+def test_random_faults_never_send_a_reported_key_to_a_second_server(first):
+    assert violations(first, 15) == []
 
 
-def is_told_when_it_is_over(monkeypatch):
+def report_is_sent_only_at_the_end(monkeypatch):
     def sent(self, now, request, server):
-        held = self.waiting.copy(), dict(self.waits_from), self.tell_at
+        queued = self.queued_reports.copy(), dict(self.queued_at), self.tell_at
         right(self, now, request, server)
-        self.waiting, self.waits_from, self.tell_at = held
+        self.queued_reports, self.queued_at, self.tell_at = queued
 
     right = IdempotencyRecords.sent
     monkeypatch.setattr(IdempotencyRecords, "sent", sent)
 
 
-def takes_the_sender_s_word_for_its_age(monkeypatch):
-    def receive(self, now, sender, m):
-        if isinstance(m, Ask):
-            return right(self, now, sender, m)
-        for said in m.said:
-            self.hold(sender, said, now, said.age)
+def transit_time_is_not_added_to_the_age(monkeypatch):
+    def receive(self, now, sender, message):
+        if isinstance(message, Probe):
+            return right(self, now, sender, message)
+        for report in message.reports:
+            self.apply_report(sender, report, now, report.age)
 
     right = IdempotencyRecords.receive
     monkeypatch.setattr(IdempotencyRecords, "receive", receive)
 
 
-def one_of_two_will_do(monkeypatch):
+def either_of_two_servers_is_allowed(monkeypatch):
     right = IdempotencyRecords.ask
     monkeypatch.setattr(IdempotencyRecords, "ask", lambda self, key, now, shared: right(self, key, now, True))
 
 
-def a_later_word_takes_the_place_of_another_s(monkeypatch):
-    def hold(self, origin, said, now, age):
-        if said.key in self.fates and origin != self.name:
-            self.fates[said.key].words.clear()
-        right(self, origin, said, now, age)
+def reports_replace_those_of_other_proxies(monkeypatch):
+    def apply_report(self, origin, report, now, age):
+        if report.key in self.fates and origin != self.name:
+            self.fates[report.key].reports.clear()
+        right(self, origin, report, now, age)
 
-    right = IdempotencyRecords.hold
-    monkeypatch.setattr(IdempotencyRecords, "hold", hold)
+    right = IdempotencyRecords.apply_report
+    monkeypatch.setattr(IdempotencyRecords, "apply_report", apply_report)
 
 
-def what_is_given_up_counts_as_not_run(monkeypatch):
+def timed_out_attempts_count_as_not_executed(monkeypatch):
     right = IdempotencyRecords.ended
-    monkeypatch.setattr(
-        IdempotencyRecords, "ended", lambda self, now, r, a, proven: right(self, now, r, a, True)
-    )
+    monkeypatch.setattr(IdempotencyRecords, "ended", lambda self, now, r, a, _: right(self, now, r, a, True))
 
 
 @pytest.mark.parametrize(
     "bug",
     [
-        is_told_when_it_is_over,
-        takes_the_sender_s_word_for_its_age,
-        one_of_two_will_do,
-        a_later_word_takes_the_place_of_another_s,
-        what_is_given_up_counts_as_not_run,
+        report_is_sent_only_at_the_end,
+        transit_time_is_not_added_to_the_age,
+        either_of_two_servers_is_allowed,
+        reports_replace_those_of_other_proxies,
+        timed_out_attempts_count_as_not_executed,
     ],
 )
-def test_planted_bugs_are_found_by_chance(bug, monkeypatch):
+def test_random_faults_find_injected_bugs(bug, monkeypatch):
     bug(monkeypatch)
-    assert any(stormy(seed, 1) for seed in range(40))
+    assert any(violations(seed, 1) for seed in range(40))
 
 
-# the module
+# routing of bound requests
 
 
-def bound(server, until, group=Group.CELL):
+def bound_request(server, until, group=Group.CELL):
     classes = [face.RequestClass(aim=200, deadline=800, effect=Effect.KEYED, group=group, window=500)]
     proxy = Proxy((), classes=classes)
     entries = [face.Entry(name, face.State.LIVE, cell=place) for place, name in enumerate("abc")]
@@ -220,28 +225,28 @@
     return proxy, proxy.give(face.Arrived(900, 0, proxy.now + 800, bound=server, window_end=until))
 
 
-def test_what_may_have_run_elsewhere_goes_there_or_nowhere():
+def test_a_bound_request_goes_to_its_server_or_fails():
     for server in "abc":
-        proxy, actions = bound(server, 400.0)
+        proxy, actions = bound_request(server, 400.0)
         assert [a.backend for a in actions if isinstance(a, face.Send)] == [server]
         again = proxy.give(face.Finished(900, 0, Outcome.TIMEOUT, 20.0, False))
         assert not any(isinstance(a, face.Send) and a.backend != server for a in again)
     for server, until in (("gone", 400.0), ("", 400.0), ("a", -5.0)):
-        _, actions = bound(server, until)
-        assert [type(a) for a in actions] == [face.Fail]  # at once: nothing can come of it
-    _, actions = bound("gone", 400.0, Group.ALL)
+        _, actions = bound_request(server, until)
+        assert [type(a) for a in actions] == [face.Fail]  # fails at once: no server may take it
+    _, actions = bound_request("gone", 400.0, Group.ALL)
     assert isinstance(actions[0], face.Refuse)
-    proxy, actions = bound("a", 400.0)
+    proxy, actions = bound_request("a", 400.0)
     other = proxy.give(face.Arrived(901, 0, proxy.now + 800, bound="a", window_end=proxy.now + 400.0))
-    assert not any(isinstance(a, face.Send) for a in other)  # its server is busy: it waits for that one
+    assert not any(isinstance(a, face.Send) for a in other)  # its server is busy: it waits for it
     sent = proxy.give(face.Finished(900, 0, Outcome.SERVED, 20.0, True))
     assert [a.backend for a in sent if isinstance(a, face.Send)] == ["a"]
 
 
-# on daemons
+# on processes
 
 
-def test_a_move_is_answered_or_sent_to_the_same_server_through_another_proxy(tmp_path):
+def test_a_repeat_through_another_proxy_gets_the_response_or_the_same_server(tmp_path):
     with Moves(tmp_path) as group:
         for n in range(12):
             assert group.move(n % 3, f"k{n}") == (200, b"moved k%d" % n)
@@ -249,8 +254,10 @@
         time.sleep(0.3)
         for n in range(12):
             assert group.move((n + 1) % 3, f"k{n}") == (200, b"moved k%d" % n)
-        assert all(len(group.places(f"k{n}")) == 1 for n in range(12))  # the answer is known: it ran once
-        # another tenant's key, another board's, and one that is alike for 250 bytes are other moves
+        assert all(
+            len(group.places(f"k{n}")) == 1 for n in range(12)
+        )  # answered from the record: it ran once
+        # The same key of another tenant or board, or a key with the same first 250 bytes, is another request.
         for number, facts in ((1, {"owner": "b"}), (2, {"board": "m2"})):
             assert group.move(number, "k0", **facts) == (200, b"moved k0")
         long = "x" * 250
@@ -273,8 +280,8 @@
         assert group.breaches() == []
 
 
-def test_without_fates_a_repeat_may_go_anywhere(tmp_path):
-    # what the test above rests on: the same repeats run at another server where nothing is told
+def test_without_records_a_repeat_may_run_at_another_server(tmp_path):
+    # Validates the test above: without reports, the same repeats run at another server.
     with Moves(tmp_path, "replica.fates = false\n") as group:
         spread = False
         for n in range(12):
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -1,6 +1,7 @@
-"""A policy that is agreed on: documents, the log, the steps, the store; by themselves and in virtual time.
+"""Replicated policies: documents, consensus, rollout and store, each alone and in virtual time.
 
-Promises are named as in docs/design/policy.md; `testbed.consensus`, `.policy_group`, `.oracle_policy` judge.
+The invariants have the names of docs/design/policy.md and are checked by `testbed.consensus`,
+`testbed.policy_group` and `testbed.oracle_policy`.
 """
 
 import select
@@ -22,7 +23,7 @@
 from barleybarrow.policy import PolicyError, Rules, read, stricter
 from barleybarrow.policy_gate import Note, PolicyGate
 from barleybarrow.rate_limiter import Limit
-from barleybarrow.rollout import FORCE, Book, Conductor, Drop, Join, Propose, Step, Version, Word
+from barleybarrow.rollout import FORCE, Book, Conductor, Drop, Join, MemberReport, Propose, Step, Version
 from brackenusher.config.operators import PeersSettings
 from brackenusher.core.deadlines import Deadlines
 from brackenusher.group.acting import FULL_WAIT, REPEAT_WAIT, Acting
@@ -39,18 +40,18 @@
 # documents
 
 
-def test_a_document_is_read_whole():
+def test_all_sections_of_a_document_are_parsed():
     rules = read(
         '[door.tenants.a]\nrate = 2.5\n[servers]\nout = ["s1"]\nout_blocks = [3]\n'
         "[shares.tenants.b]\nopen = 4\n[repeats]\npart = 0.1\n[connections]\nage_s = 2\nrequests = 9\n"
     )
-    whole = {"a": Limit(2.5, 2)}, frozenset({"s1"}), frozenset({3}), {"b": 4}, Repeats(0.1, 10), 2000.0, 9
-    assert rules == Rules(*whole)
+    expected = {"a": Limit(2.5, 2)}, frozenset({"s1"}), frozenset({3}), {"b": 4}, Repeats(0.1, 10), 2000.0, 9
+    assert rules == Rules(*expected)
     assert read("") == Rules()
 
 
 @pytest.mark.parametrize(
-    ("text", "names"),
+    ("text", "key"),
     [
         ("[what]\n", "what"),
         ("[door]\nrate = 1\n", "door.rate"),
@@ -59,7 +60,10 @@
         ("[door.tenants.a]\nrate = true\n", "door.tenants.a.rate"),
         ("[door.tenants.a]\nrate = 1\nburst = 0.5\n", "door.tenants.a.burst"),
         ("[door.tenants.'a b']\nrate = 1\n", "door.tenants.a b"),
-        ("[door.tenants." + "x" * 65 + "]\nrate = 1\n", "door.tenants." + "x" * 65),  # the door cuts at 64
+        (
+            "[door.tenants." + "x" * 65 + "]\nrate = 1\n",
+            "door.tenants." + "x" * 65,
+        ),  # the rate limiter truncates at 64
         ("[shares.tenants.a]\n", "shares.tenants.a.open"),
         ("[shares.tenants.a]\nopen = 1.5\n", "shares.tenants.a.open"),
         ("[repeats]\nburst = 1\n", "repeats.part"),
@@ -72,8 +76,8 @@
         ("x = '" + "y" * 70_000 + "'", "the document"),
     ],
 )
-def test_a_bad_document_is_refused_with_the_key(text, names):
-    with pytest.raises(PolicyError, match=f"^{names}: ".replace(".", r"\.")):
+def test_an_invalid_document_is_rejected_with_its_key(text, key):
+    with pytest.raises(PolicyError, match=f"^{key}: ".replace(".", r"\.")):
         read(text)
 
 
@@ -110,7 +114,7 @@
 @settings(derandomize=True, max_examples=100, deadline=None)
 @given(st.lists(st.booleans(), max_size=200), st.sampled_from([0.0, 0.1, 0.5]), st.integers(1, 9))
 def test_repeats_are_paid_by_first_tries(asked, part, burst):
-    # the invariant: no more repeats were let in than the burst and what first tries have earned
+    # Never more retries than the burst plus what first attempts have earned.
     budget, first, repeats = Budget(Repeats(part, burst)), 0, 0
     for repeated in asked:
         if not repeated or not budget.empty:
@@ -121,7 +125,7 @@
     assert budget.level <= 1.0
 
 
-def test_what_is_turned_away_is_charged_nowhere_and_a_share_counts_what_is_not_answered():
+def test_rejected_requests_are_not_charged_and_a_share_counts_open_requests():
     opened = {}
     fleet = SimpleNamespace(bars=[], planner=SimpleNamespace(settings=ConnectionSettings(age=9000.0)))
     acting = Acting(SimpleNamespace(open=opened), fleet)
@@ -136,28 +140,28 @@
     opened[1] = SimpleNamespace(over=False, message=SimpleNamespace(owner=b"a"))
     assert ask() == ask() == FULL_WAIT and ask("b") == 0.0
     opened[1].over = True
-    assert ask() == 0.0 and ask() > 0.0 and ask() > 0.0  # two, as the door's bucket held: none was lost
+    assert ask() == 0.0 and ask() > 0.0 and ask() > 0.0  # two tokens in the bucket: none was lost
     assert ask("b", True) == 0.0 and ask("b", True) == REPEAT_WAIT == ask("b", True)
-    assert ask("b") == ask("b") == 0.0 and ask("b", True) == 0.0  # two first tries earned one
+    assert ask("b") == ask("b") == 0.0 and ask("b", True) == 0.0  # two first attempts earned one
     assert acting.counts == {"shares": 2, "door": 2, "repeats": 2}
     acting.act(Rules())
     assert fleet.planner.settings.age == 9000.0 and ask() == ask("b", True) == 0.0
 
 
-# the log
+# consensus
 
 
 @pytest.mark.parametrize("first", range(0, 2000, 250))
-def test_whatever_comes_in_any_order_one_log_and_one_leader(first):
+def test_random_message_orders_yield_one_log_and_one_leader_per_term(first):
     applied = 0
     for seed in range(first, first + 250):
         table = storm(seed, 3 + seed % 2 * 2)
         assert table.found == [], seed
         applied += len(table.log)
-    assert applied > 100  # guards against storms in which nothing was ever agreed on
+    assert applied > 100  # guards against runs in which nothing is committed
 
 
-def test_voters_change_in_storms_and_two_changes_at_once_are_found(monkeypatch):
+def test_voter_changes_under_random_faults_and_concurrent_changes_are_detected(monkeypatch):
     agreed = 0
     for seed in range(600):
         table = storm(seed, 3, 800, changes=0.02)
@@ -168,13 +172,13 @@
     assert any(storm(seed, 3, 800, changes=0.02).found for seed in range(10, 30))
 
 
-def test_every_way_to_some_depth_keeps_the_promises():
+def test_exhaustive_search_to_a_bounded_depth_violates_no_invariant():
     count, depth, found = search(3, 2500)
     assert found == [] and count >= 2500 and depth >= 4
 
 
-def sends_first(monkeypatch):
-    """Messages leave before what they rest on is on disk."""
+def messages_precede_storage(monkeypatch):
+    """Messages are sent before the state that they depend on is on disk."""
     right = Table.want
 
     def want(self, name):
@@ -186,7 +190,7 @@
     monkeypatch.setattr(Table, "want", want)
 
 
-def forgets_its_vote(monkeypatch):
+def vote_is_not_stored(monkeypatch):
     right = Disk.keep
 
     def keep(self, ready):
@@ -197,12 +201,12 @@
     monkeypatch.setattr(Disk, "keep", keep)
 
 
-def takes_half(monkeypatch):
+def half_is_a_majority(monkeypatch):
     monkeypatch.setattr(Agreement, "majority", property(lambda self: max(1, len(self.voters) // 2)))
 
 
-def answers_at_once(monkeypatch):
-    """A leader that answers up to where it is agreed without asking whether it still leads."""
+def reads_skip_the_leadership_check(monkeypatch):
+    """The leader serves reads without confirming that it still leads."""
 
     def question(self, now, asker, token):
         if asker == self.name:
@@ -213,7 +217,7 @@
     monkeypatch.setattr(Agreement, "question", question)
 
 
-def votes_twice(monkeypatch):
+def votes_twice_in_a_term(monkeypatch):
     right = Agreement.asked
 
     def asked(self, now, sender, m):
@@ -224,8 +228,8 @@
     monkeypatch.setattr(Agreement, "asked", asked)
 
 
-def matches_nothing(monkeypatch):
-    """A follower that takes entries whatever stands before them."""
+def previous_entry_is_not_checked(monkeypatch):
+    """A follower accepts entries whatever entry precedes them."""
 
     def match_up(self, m):
         if m.before < self.snapshot.index or m.before > self.last:
@@ -239,31 +243,31 @@
 @pytest.mark.parametrize(
     ("bug", "first"),
     [
-        (sends_first, 20),
-        (forgets_its_vote, 550),
-        (takes_half, 0),
-        (answers_at_once, 40),
-        (votes_twice, 0),
-        (matches_nothing, 580),
+        (messages_precede_storage, 20),
+        (vote_is_not_stored, 550),
+        (half_is_a_majority, 0),
+        (reads_skip_the_leadership_check, 40),
+        (votes_twice_in_a_term, 0),
+        (previous_entry_is_not_checked, 580),
     ],
 )
-def test_storms_find_bugs_planted_in_the_log(bug, first, monkeypatch):
+def test_random_faults_find_injected_log_bugs(bug, first, monkeypatch):
     bug(monkeypatch)
     assert any(storm(seed, 3 + seed % 2 * 2).found for seed in range(first, first + 30))
 
 
-def lone(entries=(), term=2, vote="", size=3, **more):
-    a = Agreement(
-        "n0", [f"n{i}" for i in range(size)], consensus.Even(), 0.0, term, vote, None, entries, **more
+def single_member(entries=(), term=2, vote="", size=3, **options):
+    agreement = Agreement(
+        "n0", [f"n{i}" for i in range(size)], consensus.Even(), 0.0, term, vote, None, entries, **options
     )
-    return a
+    return agreement
 
 
-def test_an_entry_of_an_older_term_is_not_agreed_on_by_counting_alone():
-    # guards against the case of figure 8 in the paper: it may still be overwritten
-    a = lone([Entry(1, 1, b"x")])
+def test_an_entry_of_an_older_term_is_not_committed_by_counting_replicas():
+    # The case of figure 8 in the Raft paper: such an entry may still be overwritten.
+    a = single_member([Entry(1, 1, b"x")])
     a.role, a.stored_to = Role.LEADER, 1
-    a.progress = {n: ballots_progress(1) for n in ("n1", "n2")}
+    a.progress = {n: progress_at(1) for n in ("n1", "n2")}
     a.advance(0.0)
     assert a.commit == 0
     a.append(Entry(2, 0))
@@ -275,24 +279,24 @@
     assert a.commit == 2
 
 
-def ballots_progress(match):
+def progress_at(match):
     return Progress(match + 1, match)
 
 
 def test_voters_change_one_at_a_time():
-    a = lone(size=1)
+    a = single_member(size=1)
     a.stand(0.0, True)
     a.stored(0.0, a.take())
     assert a.commit == a.last == 1
-    assert not a.change_voters(0.0, ["n0", "n1", "n2"])  # two at once
+    assert not a.change_voters(0.0, ["n0", "n1", "n2"])  # two changes at once
     assert a.change_voters(0.0, ["n0", "n1"]) and a.voters == ["n0", "n1"]
-    assert not a.change_voters(0.0, ["n0"])  # the last one is not agreed on yet
+    assert not a.change_voters(0.0, ["n0"])  # the previous change is not committed yet
     a.stored(0.0, a.take())
-    assert a.commit == 1  # counts with both now
+    assert a.commit == 1  # both voters are needed now
 
 
-def test_what_was_compacted_is_sent_whole_and_voters_are_kept():
-    a, b = lone([], size=1), Agreement("n9", ["n0"], consensus.Even(), 0.0)
+def test_a_compacted_log_is_sent_as_a_snapshot_that_includes_the_voters():
+    a, b = single_member([], size=1), Agreement("n9", ["n0"], consensus.Even(), 0.0)
     a.stand(0.0, True)
     a.stored(0.0, a.take())
     for i in range(5):
@@ -306,87 +310,91 @@
         a.receive(5000.0, "n9", m)
     for _to, m in a.take().messages:
         b.receive(5000.0, "n0", m)
-    got = b.take()
-    assert got.snapshot.data == b"state" and b.applied == 6
+    received = b.take()
+    assert received.snapshot.data == b"state" and b.applied == 6
 
 
-# the steps
+# rollout
 
 
-def at_joint():
+def rollout_in_joint_phase():
     book = Book()
 
-    def give(index, command):
+    def apply(index, command):
         book.apply(index, msgpack.encode(command))
 
     for i, name in enumerate(("n0", "n1", "n2"), 1):
-        give(i, Join(name))
-    give(4, Propose("a", "me", "", 0.0, "[door.tenants.a]\nrate = 0\n"))
-    give(5, Step(1, "joint"))
-    return book, give
+        apply(i, Join(name))
+    apply(4, Propose("a", "me", "", 0.0, "[door.tenants.a]\nrate = 0\n"))
+    apply(5, Step(1, "joint"))
+    return book, apply
 
 
-def test_a_version_ends_once_and_the_same_id_is_proposed_once():
-    book, give = at_joint()
-    give(6, Propose("a", "me", "", 0.0, ""))
-    give(7, Propose("b", "you", "", 0.0, ""))
+def test_a_version_ends_once_and_a_repeated_proposal_id_is_ignored():
+    book, apply = rollout_in_joint_phase()
+    apply(6, Propose("a", "me", "", 0.0, ""))
+    apply(7, Propose("b", "you", "", 0.0, ""))
     assert book.versions[2].ended == "version 1 was on its way" and len(book.versions) == 2
-    give(8, Step(1, "withdrawn", "by hand"))
-    give(9, Step(1, "in force"))
+    apply(8, Step(1, "withdrawn", "by hand"))
+    apply(9, Step(1, "in force"))
     assert (book.force, book.pending, book.versions[1].phase, book.refused) == (0, 0, "withdrawn", 1)
-    give(10, Drop("n2", "me"))
+    apply(10, Drop("n2", "me"))
     assert list(book.roster) == ["n0", "n1"]
-    again = Book()
-    again.load(10, book.save())
-    assert again.versions == book.versions and again.roster == book.roster and again.by_id == book.by_id
+    reloaded = Book()
+    reloaded.load(10, book.save())
+    assert (
+        reloaded.versions == book.versions and reloaded.roster == book.roster and reloaded.by_id == book.by_id
+    )
 
 
-def test_nothing_comes_into_force_before_all_have_taken_the_step_before():
-    book, _ = at_joint()
+def test_no_step_is_taken_before_all_members_have_applied_the_previous_one():
+    book, _ = rollout_in_joint_phase()
     c = Conductor(10_000.0)
-    words = {"n0": Word(5), "n1": Word(4)}
+    words = {"n0": MemberReport(5), "n1": MemberReport(4)}
     assert c.conduct(0.0, book, words, 1e9).steps == [] and c.missing == ["n1", "n2"]
-    assert c.conduct(2000.0, book, words, 1e9).look == ["n1", "n2"]
-    c.found_down(2000.0, "n2")
-    words["n1"] = Word(5)
+    assert c.conduct(2000.0, book, words, 1e9).probe_targets == ["n1", "n2"]
+    c.mark_down(2000.0, "n2")
+    words["n1"] = MemberReport(5)
     assert c.conduct(2100.0, book, words, 1e9).steps == [Step(1, "in force")]
-    assert c.conduct(2200.0, book, words, 1e9).steps == []  # not again at once
-    c.lead()
-    assert c.conduct(2300.0, book, words, 1e9).steps == []  # another leader has no proof yet that n2 is down
+    assert c.conduct(2200.0, book, words, 1e9).steps == []  # retried only after an interval
+    c.on_elected()
+    assert c.conduct(2300.0, book, words, 1e9).steps == []  # a new leader has not seen yet that n2 is down
     late = c.conduct(12_400.0, book, words, 1e9).steps
     assert late == [Step(1, "withdrawn", "not taken up in time by n2")]
 
 
-def test_a_silent_one_is_waited_for_with_its_lease_and_only_where_it_may_act_on_the_old():
+def test_an_unresponsive_member_delays_only_steps_that_its_lease_endangers():
     book = Book()
     for index, command in enumerate([Join("n0"), Join("n1"), Propose("a", "", "", 0.0, "")], 1):
         book.apply(index, msgpack.encode(command))
-    c, words = Conductor(30_000.0), {"n0": Word(3)}
+    c, words = Conductor(30_000.0), {"n0": MemberReport(3)}
     assert c.conduct(0.0, book, words, 3150.0).steps == []
     assert c.conduct(499.0, book, words, 3150.0).steps == []
     joint = c.conduct(500.0, book, words, 3150.0).steps
-    assert joint == [Step(1, "joint")]  # it admits nothing that it cannot read, so its check is not needed
+    assert joint == [
+        Step(1, "joint")
+    ]  # its check is not needed: it admits nothing under rules it cannot parse
     book.apply(4, msgpack.encode(joint[0]))
-    words["n0"] = Word(4)
+    words["n0"] = MemberReport(4)
     assert c.conduct(600.0, book, words, 3150.0).steps == []
     assert c.conduct(3700.0, book, words, 3150.0).steps == []
     assert c.conduct(3750.0, book, words, 3150.0).steps == [Step(1, FORCE)]
 
 
-def test_a_change_waits_for_no_beat():
+def test_a_change_does_not_wait_for_heartbeats():
     c = PolicyGroup(3, 3, 11)
     c.run(3000.0)
     c.first()
     lead, began, force = c.leader(), c.now, max(c.forces) + 1
     lead.submit(c.clock(int(lead.name[1:])), Propose("x", "", "", 0.0, "[door.tenants.z]\nrate = 0\n"))
     c.run(began + 1000.0)
-    assert c.forces[force] - began < 150.0  # three rounds of store and word; with beats it was 300
+    assert c.forces[force] - began < 150.0  # three rounds of storing and sending; with heartbeats it took 300
 
 
-# whole councils
+# groups of members in virtual time
 
 
-def play(seed, quiet=60.0, elections=0.0):
+def run_random_schedule(seed, quiet=60.0, elections=0.0):
     size, voters = ((3, 3), (5, 3), (5, 5), (7, 5), (9, 3))[seed % 5]
     c = PolicyGroup(size, voters, seed, fence=seed % 2 == 1, within=6000.0)
     c.run(3000.0)
@@ -397,10 +405,10 @@
 
 
 @pytest.mark.parametrize("first", range(5000, 5024, 4))
-def test_schedules_by_chance_break_no_promise_and_all_come_together(first):
+def test_random_schedules_violate_no_invariant_and_members_converge(first):
     forces = 0
     for seed in range(first, first + 4):
-        c = play(seed)
+        c = run_random_schedule(seed)
         c.run(c.now + 12_000.0)
         assert c.breaches() == [], seed
         assert c.settled() or sum(c.up[: len(c.voters)]) <= len(c.voters) // 2
@@ -408,15 +416,15 @@
     assert forces >= 4
 
 
-def leaves_joint_out(monkeypatch):
+def joint_phase_is_skipped(monkeypatch):
     monkeypatch.setattr(PolicyGate, "read_rules", lambda self: read(self.book.text(self.book.force)))
 
 
-def joins_to_the_new_alone(monkeypatch):
+def joint_phase_uses_the_new_rules(monkeypatch):
     monkeypatch.setattr(policy_gate, "stricter", lambda old, new: new)
 
 
-def admits_before_it_caught_up(monkeypatch):
+def admits_before_catching_up(monkeypatch):
     right = PolicyGate.__init__
 
     def init(self, *args, **more):
@@ -426,7 +434,7 @@
     monkeypatch.setattr(PolicyGate, "__init__", init)
 
 
-def says_more_than_it_has_taken_up(monkeypatch):
+def reports_more_than_it_applied(monkeypatch):
     right = PolicyGate.take_up
 
     def take_up(self):
@@ -436,27 +444,27 @@
     monkeypatch.setattr(PolicyGate, "take_up", take_up)
 
 
-def test_every_way_of_a_change_with_one_fault_keeps_the_promises():
+def test_exhaustive_search_of_a_rollout_with_one_fault_violates_no_invariant():
     count, depth, found = steps.search(3, 6000, faults=1, proposals=1, passes=1)
-    assert found == [] and 3000 < count < 6000 and depth >= 19  # all of them
+    assert found == [] and 3000 < count < 6000 and depth >= 19  # the complete state space
 
 
 @pytest.mark.parametrize(
     ("bug", "faults"),
     [
-        (leaves_joint_out, 0),
-        (joins_to_the_new_alone, 0),
-        (admits_before_it_caught_up, 1),
-        (says_more_than_it_has_taken_up, 0),
+        (joint_phase_is_skipped, 0),
+        (joint_phase_uses_the_new_rules, 0),
+        (admits_before_catching_up, 1),
+        (reports_more_than_it_applied, 0),
     ],
 )
-def test_the_search_finds_bugs_planted_in_the_steps(bug, faults, monkeypatch):
+def test_exhaustive_search_finds_injected_rollout_bugs(bug, faults, monkeypatch):
     bug(monkeypatch)
     _, _, found = steps.search(3, 500, faults, proposals=1, passes=1)
-    assert found and "propose n0" in found[-1]  # the way to it
+    assert found and "propose n0" in found[-1]  # the path to the violation
 
 
-def waits_less_than_a_lease(monkeypatch):
+def rollout_waits_less_than_a_lease(monkeypatch):
     right = Conductor.conduct
     monkeypatch.setattr(Conductor, "conduct", lambda s, n, b, w, _: right(s, n, b, w, 200.0))
 
@@ -464,21 +472,21 @@
 @pytest.mark.parametrize(
     "bug",
     [
-        leaves_joint_out,
-        joins_to_the_new_alone,
-        admits_before_it_caught_up,
-        says_more_than_it_has_taken_up,
-        waits_less_than_a_lease,
+        joint_phase_is_skipped,
+        joint_phase_uses_the_new_rules,
+        admits_before_catching_up,
+        reports_more_than_it_applied,
+        rollout_waits_less_than_a_lease,
     ],
 )
-def test_councils_find_bugs_planted_in_the_steps(bug, monkeypatch):
+def test_random_schedules_find_injected_rollout_bugs(bug, monkeypatch):
     bug(monkeypatch)
-    assert any(play(seed, 10.0).breaches() for seed in range(25))
+    assert any(run_random_schedule(seed, 10.0).breaches() for seed in range(25))
 
 
-def elect(seed, limit=40_000.0):
-    """Voters are named by chance as well; in the end all are back, and come together."""
-    c = play(seed, elections=25.0)
+def run_with_voter_changes(seed, limit=40_000.0):
+    """Run a random schedule with random changes of voters, then restart all members and let them converge."""
+    c = run_random_schedule(seed, elections=25.0)
     for i in range(c.size):
         if not c.up[i]:
             c.start(i)
@@ -489,18 +497,18 @@
 
 
 @pytest.mark.parametrize("first", range(60, 84, 4))
-def test_voters_named_by_chance_break_no_promise_and_all_come_together(first):
+def test_random_voter_changes_violate_no_invariant_and_members_converge(first):
     reached = 0
     for seed in range(first, first + 4):
-        c = elect(seed)
+        c = run_with_voter_changes(seed)
         assert c.breaches() == [] and c.settled(), seed
         c.run(c.now + 3000.0)
         lead = c.leader()
         reached += bool(lead.book.electorate) and set(lead.agreement.voters) == set(lead.book.electorate)
-    assert reached >= 1  # guards against changes that never come about
+    assert reached >= 1  # guards against runs in which no change is completed
 
 
-def votes_without_a_store(monkeypatch):
+def members_without_a_store_vote(monkeypatch):
     right = PolicyGate.__init__
 
     def init(self, *args, **more):
@@ -512,13 +520,13 @@
     monkeypatch.setattr(Disk, "keep", lambda self, ready: None)
 
 
-def test_councils_find_a_voter_without_a_store(monkeypatch):
-    votes_without_a_store(monkeypatch)
-    assert any(elect(seed, 2000.0).breaches() for seed in range(100, 120))
+def test_random_schedules_find_a_voter_without_a_store(monkeypatch):
+    members_without_a_store_vote(monkeypatch)
+    assert any(run_with_voter_changes(seed, 2000.0).breaches() for seed in range(100, 120))
 
 
-def test_one_whose_store_was_lost_votes_for_nobody_else_in_the_term_in_which_it_caught_up():
-    a = lone(term=3, barred=True)
+def test_a_member_that_lost_its_store_does_not_vote_in_the_term_of_its_recovery():
+    a = single_member(term=3, barred=True)
     a.receive(0.0, "n1", Append(3, 0, 0, [], 0, 1))
     a.trust()
     a.heard_at = -1e9
@@ -526,7 +534,7 @@
     assert [m.granted for to, m in a.take().messages if to == "n2"] == [False]
 
 
-def test_a_lease_counts_from_the_question():
+def test_a_lease_lasts_from_the_time_of_the_read():
     g = PolicyGate("n0", ["n0", "n1", "n2"], consensus.Even(), 0.0, fence=True)
     g.agreement.leader = "n1"
     g.book.roster["n0"] = None
@@ -534,34 +542,34 @@
     for at in (500.0, 1000.0):
         g.tick(at)
     g.receive(1200.0, "n1", ReadUpTo(min(g.asked), 0))
-    assert g.lease_end == 0.0 + policy_gate.LEASE and g.verdict(1300.0) == ""
+    assert g.lease_expires_at == 0.0 + policy_gate.LEASE and g.verdict(1300.0) == ""
     for at in (2000.0, 2900.0):
         g.tick(at)
     assert g.verdict(3001.0) == "lease"
 
 
-def test_one_that_stands_still_before_it_has_caught_up_still_has_to():
-    # seed 20916: a proxy that was stopped just after its start opened 2 s after it woke, under old rules
+def test_a_member_stalled_before_catching_up_must_still_catch_up():
+    # Seed 20916: a proxy paused just after its start admitted requests under old rules 2 s after it resumed.
     g = PolicyGate("n3", ["n0", "n1", "n2"], consensus.Even(), 0.0)
     g.tick(5000.0)
     g.tick(5500.0)
     for at in range(6000, 10_000, 500):
         g.tick(float(at))
         assert g.verdict(float(at)) == "behind"
-    c = play(20916)
+    c = run_random_schedule(20916)
     c.run(c.now + 12_000.0)
     assert c.breaches() == []
 
 
-def test_one_that_stood_still_admits_nothing_before_it_has_asked():
+def test_a_stalled_member_admits_nothing_before_a_read():
     g = PolicyGate("n5", ["n0", "n1", "n2"], consensus.Even(), 0.0, fence=True)
-    g.caught, g.lease_end = True, 9e9
-    g.last = 0.0
+    g.caught, g.lease_expires_at = True, 9e9
+    g.last_active_at = 0.0
     assert g.verdict(500.0) == "" and g.verdict(5000.0) == "behind"
 
 
-def test_one_that_cannot_read_what_is_in_force_admits_nothing():
-    # a release that does not know a section, among others that do
+def test_a_member_that_cannot_parse_the_policy_in_force_admits_nothing():
+    # A member of an older release does not know a section that the other members know.
     g = PolicyGate("n0", ["n0"], consensus.Even(), 0.0)
     g.caught = True
     g.book.versions[1] = Version(1, "a", "", "", 0.0, "[tomorrow]\n", FORCE)
@@ -570,8 +578,8 @@
     assert g.rules is None and g.verdict(1.0) == "unreadable"
 
 
-def test_a_silent_one_holds_a_change_up_or_is_fenced():
-    # wait: silence proves nothing; fence: its lease has run out before anybody else acts
+def test_an_unresponsive_member_blocks_a_change_or_is_fenced():
+    # Without leases, silence does not prove that it is down; with them, its lease expires before others act.
     for fence in (False, True):
         c = PolicyGroup(5, 3, 7, fence=fence, within=8000.0)
         c.run(3000.0)
@@ -596,7 +604,7 @@
         assert c.settled() and c.breaches() == []
 
 
-def test_a_one_sided_cut_unseats_no_leader_again_and_again():
+def test_a_one_way_cut_does_not_cause_repeated_elections():
     c = PolicyGroup(3, 3, 5)
     c.run(3000.0)
     lead = c.leader()
@@ -608,7 +616,7 @@
     assert max(m.agreement.term for m in c.members) <= 3 and c.breaches() == []
 
 
-def test_the_oracle_on_histories_made_by_hand():
+def test_the_oracle_on_hand_made_histories():
     v = [
         oracle_policy.Version(1, 0.0, frozenset("b")),
         oracle_policy.Version(2, 10.0, frozenset("a")),
@@ -629,36 +637,36 @@
 # the store
 
 
-def test_a_run_that_shows_its_count_again_has_no_old_store_and_another_run_has():
-    # a stream that broke between its opening and the answer: a voter barred itself for good
-    met = Incarnations()
+def test_a_count_repeated_by_another_run_means_a_stale_store():
+    # A stream that broke between its opening and the reply made a voter bar itself permanently.
+    incarnations = Incarnations()
     for name, lives, run, before in (
         ("n0", 1, 11, 0),
         ("n0", 1, 11, 0),
         ("n0", 1, 12, 1),  # an old copy, or an empty disk
-        ("n0", 2, 12, 1),  # it has noticed, and counts on
+        ("n0", 2, 12, 1),  # it has detected that and increments its count
         ("n0", 2, 12, 1),
         ("n0", 1, 11, 2),
         ("n1", 3, 0, 0),
-        ("n1", 3, 0, 3),  # a release that tells no run
+        ("n1", 3, 0, 3),  # a release that sends no run number
     ):
-        told, life = met.shown(name, lives, run)
-        assert told == before, (name, lives, run)
-        if life is not None:
-            met.kept(name, life)
+        reply, incarnation = incarnations.shown(name, lives, run)
+        assert reply == before, (name, lives, run)
+        if incarnation is not None:
+            incarnations.kept(name, incarnation)
 
 
-def test_what_is_sent_while_a_stream_opens_does_not_break_it():
+def test_sending_while_a_stream_is_opening_does_not_break_it():
     peers = PeersSettings(listen=("127.0.0.1", 0), keys={"k": b"k" * 16}, sign="k")
-    with socket.create_server(("127.0.0.1", 0)) as taker:
+    with socket.create_server(("127.0.0.1", 0)) as listener:
         loop = Loop(Deadlines())
-        streams = Streams(loop, Buffers(), peers, "n0", lambda name: taker.getsockname())
+        streams = Streams(loop, Buffers(), peers, "n0", lambda name: listener.getsockname())
         streams.send("n1", b"one")
-        said, _ = taker.accept()
-        with said:
-            while not select.select([said], [], [], 0)[0]:
+        connection, _ = listener.accept()
+        with connection:
+            while not select.select([connection], [], [], 0)[0]:
                 loop.turn()
-            streams.send("n1", b"two")  # wakes it, and no answer is there to be read
+            streams.send("n1", b"two")  # wakes its coroutine while no reply can be read
             loop.turn()
             assert streams.out["n1"].task is not None and not streams.counts["connect"]
             streams.out["n1"].task.stop()
@@ -668,9 +676,9 @@
     return Ready(hard=(term, "n1"), first=first, entries=[Entry(term, 1, d) for d in data])
 
 
-def test_a_store_keeps_what_was_stored_and_replaces_what_was_overruled(tmp_path):
+def test_a_store_reloads_its_contents_and_replaces_overwritten_entries(tmp_path):
     store = Store(str(tmp_path))
-    store.facts(lives=3, met={"n1": (2, 7, 1), "n2": 4})  # the second as an earlier release did
+    store.facts(lives=3, met={"n1": (2, 7, 1), "n2": 4})  # the second in the form of an earlier release
     store.keep(ready(4, 1, b"a", b"b", b"c"))
     store.keep(ready(5, 2, b"B"))
     store.compact(Snapshot(1, 4, ["n0"], b"s"))
@@ -681,30 +689,30 @@
     assert kept.snapshot == Snapshot(1, 4, ["n0"], b"s") and kept.entries == [Entry(5, 1, b"B")]
 
 
-def test_a_store_cut_anywhere_is_whole_as_it_was_before_or_found_damaged(tmp_path):
-    # every page's last bytes of the write-ahead log, and of the file: a lost tail, never a wrong entry
+def test_a_truncated_store_holds_a_prefix_or_is_found_damaged(tmp_path):
+    # Truncates the write-ahead log at many sizes: entries at its end may be lost, but none may be wrong.
     store = Store(str(tmp_path / "x") if (tmp_path / "x").mkdir() is None else "")
     store.keep(ready(1, 1, b"one"))
     store.keep(ready(1, 2, b"two" * 50))
     wal = tmp_path / "x" / (Store.NAME + "-wal")
-    whole = wal.read_bytes()
-    right = [Entry(1, 1, b"one"), Entry(1, 1, b"two" * 50)]
+    log_bytes = wal.read_bytes()
+    entries = [Entry(1, 1, b"one"), Entry(1, 1, b"two" * 50)]
     seen = set()
-    for size in [*range(0, len(whole), 311), len(whole) - 1]:
+    for size in [*range(0, len(log_bytes), 311), len(log_bytes) - 1]:
         folder = tmp_path / f"c{size}"
         folder.mkdir()
         shutil.copy(tmp_path / "x" / Store.NAME, folder / Store.NAME)
-        (folder / (Store.NAME + "-wal")).write_bytes(whole[:size])
+        (folder / (Store.NAME + "-wal")).write_bytes(log_bytes[:size])
         try:
             kept = Store(str(folder)).load()
         except DatabaseDamagedError:
             continue
-        assert kept.entries == right[: len(kept.entries)]
+        assert kept.entries == entries[: len(kept.entries)]
         seen.add(len(kept.entries))
     assert {0, 1} <= seen
 
 
-def test_a_damaged_row_is_found_and_set_aside(tmp_path):
+def test_a_damaged_row_is_detected_and_the_file_is_set_aside(tmp_path):
     store = Store(str(tmp_path))
     store.keep(ready(1, 1, b"one"))
     store.db.execute("UPDATE log SET data = x'00' WHERE place = 1")
@@ -719,27 +727,28 @@
 
 
 @pytest.mark.parametrize(
-    ("made", "numbers", "right"),
+    ("proposals", "numbers", "linearizable"),
     [
         ({"a": (0, 1), "b": (2, 3)}, {"a": 1, "b": 2}, True),
-        ({"a": (0, 1), "b": (2, 3)}, {"a": 2, "b": 1}, False),  # told of the end before the other began
-        ({"a": (0, 4), "b": (2, 3)}, {"a": 2, "b": 1}, True),  # at one time: either may be first
+        ({"a": (0, 1), "b": (2, 3)}, {"a": 2, "b": 1}, False),  # a was acknowledged before b was proposed
+        ({"a": (0, 4), "b": (2, 3)}, {"a": 2, "b": 1}, True),  # concurrent: either may be first
         ({"a": (0, 9), "b": (1, 2), "c": (3, 4)}, {"a": 2, "b": 3, "c": 1}, False),
         ({"a": (5, 6)}, {"a": 3, "x": 1, "y": 2}, True),
         ({"a": (0, 1), "b": (2, 3)}, {"a": 2, "b": 4, "x": 3}, True),
         ({"a": (0, 1), "lost": (2, 9)}, {"a": 1}, True),
     ],
 )
-def test_numbers_keep_to_when_proposals_were_made_and_told(made, numbers, right):
-    assert (linearizability.one_order(made, numbers) == []) == right
+def test_version_numbers_follow_the_real_time_order_of_proposals(proposals, numbers, linearizable):
+    assert (linearizability.one_order(proposals, numbers) == []) == linearizable
 
 
-def test_an_operation_without_an_end_may_have_had_its_effect_or_not():
+def test_an_operation_without_an_end_may_have_taken_effect_or_not():
     reads = [linearizability.Operation(3, 4, "read", 1), linearizability.Operation(5, 6, "read", 0)]
     step = lambda state, what: (1, None) if what == "write" else (state, state)  # noqa: E731
-    begun = linearizability.Operation(0, linearizability.inf, "write")
-    assert linearizability.explained([begun, reads[0]], step, 0) and linearizability.explained(
-        [begun, reads[1]], step, 0
+    pending_write = linearizability.Operation(0, linearizability.inf, "write")
+    assert linearizability.explained([pending_write, reads[0]], step, 0) and linearizability.explained(
+        [pending_write, reads[1]], step, 0
     )
-    assert linearizability.explained([begun, *reads], step, 0) is False  # what was read once is not unread
-    assert linearizability.explained([begun, *reads], step, 0, most=1) is None
+    # A read that saw the write cannot be followed by one that did not.
+    assert linearizability.explained([pending_write, *reads], step, 0) is False
+    assert linearizability.explained([pending_write, *reads], step, 0, most=1) is None
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -1,4 +1,4 @@
-"""A tenant's limit over all proxies, in virtual time: what all admit together, whatever fails."""
+"""Global rate limits in virtual time: what all proxies together admit under faults."""
 
 import random
 
@@ -6,15 +6,15 @@
 
 from barleybarrow.rate_limiter import Limit, RateLimiterSettings
 from barleybarrow.shares import (
-    GRANT,
-    LEASE,
+    GRANT_MS,
+    LEASE_MS,
+    DemandReport,
     Here,
-    Parts,
     Promise,
-    Report,
     Role,
     Seek,
     SharedRateLimiter,
+    ShareGrant,
     Shares,
 )
 from testbed.cluster import PERIOD
@@ -22,42 +22,45 @@
 from testbed.schedule import LinkFault, by_chance
 
 RATE = 200.0
-NEARLY = 1.0 + 1e-9
+ROUNDING = 1.0 + 1e-9
 
 
-def group(size, seed=1, **more):
-    p = Portions(size, 3, seed, RATE, RATE, **more)
+def simulated_group(size, seed=1, **options):
+    p = Portions(size, 3, seed, RATE, RATE, **options)
     p.run(5000.0)
     assert [s.role for s in p.shares].count(Role.WARDEN) == 1
     return p
 
 
 @pytest.mark.parametrize("size", [3, 9])
-def test_the_limit_is_one_wherever_the_demand_is(size):
-    p = group(size)
+def test_the_global_limit_holds_for_any_distribution_of_demand(size):
+    p = simulated_group(size)
     for demand in ([600.0] + [0.0] * (size - 1), [0.0] * (size - 1) + [600.0], [600.0 / size] * size):
         p.demand = demand
         p.run(p.now + 5000.0)
         assert 0.95 * RATE <= p.rate_between(p.now - 3000.0, p.now) <= 1.05 * RATE
-    p.demand = [RATE / 2] + [RATE * 0.3 / size] * (size - 1)  # enough for all: nobody is turned away
+    p.demand = [RATE / 2] + [RATE * 0.3 / size] * (size - 1)  # within the limit: nothing is rejected
     p.run(p.now + 4000.0)
     refused = p.refused
     p.run(p.now + 3000.0)
     assert p.refused - refused <= 0.02 * RATE * 3.0
-    assert p.most_between(0.0, p.now) <= NEARLY
+    assert p.most_between(0.0, p.now) <= ROUNDING
 
 
-def test_a_third_that_is_cut_off_uses_its_own_part_and_no_more_comes_of_it():
-    p = group(9)
+def test_a_disconnected_third_uses_its_fallback_shares_and_the_limit_holds():
+    p = simulated_group(9)
     p.demand = [0.0] * 6 + [600.0] * 3
     p.run(p.now + 5000.0)
-    away = [6, 7, 8]
-    links = [LinkFault(at=0, lasts=1e4, of=away, lost=1.0), LinkFault(at=0, lasts=1e4, to=away, lost=1.0)]
+    disconnected = [6, 7, 8]
+    links = [
+        LinkFault(at=0, lasts=1e4, of=disconnected, lost=1.0),
+        LinkFault(at=0, lasts=1e4, to=disconnected, lost=1.0),
+    ]
     p.faults, p.origin = links, p.now
     p.run(p.now + 8000.0)
     assert p.rate_between(p.now - 3000.0, p.now) == pytest.approx(RATE / 3, rel=0.1)
-    assert p.most_between(0.0, p.now) <= NEARLY
-    for i in away:  # the group's view takes them out: their parts are given to others after a while
+    assert p.most_between(0.0, p.now) <= ROUNDING
+    for i in disconnected:  # they leave the view: their shares go to other proxies after a while
         for s in p.shares:
             s.reach = [n for n in s.reach if n != f"n{i}"]
     p.faults = []
@@ -65,34 +68,35 @@
     assert p.rate_between(p.now - 2000.0, p.now) >= 0.95 * RATE
 
 
-def test_one_that_holds_much_dies_or_is_paused_and_comes_back():
-    for deed in ("crash", "pause"):
-        p = group(5, seed=2)
+def test_a_proxy_with_a_large_share_crashes_or_pauses_and_returns():
+    for fault in ("crash", "pause"):
+        p = simulated_group(5, seed=2)
         holder = next(i for i, s in enumerate(p.shares) if s.role is not Role.WARDEN)
         p.demand[holder] = 600.0
         p.run(p.now + 4000.0)
         assert p.shares[holder].part("t", p.clock(holder)) > 0.9
-        if deed == "crash":
+        if fault == "crash":
             p.crash(holder)
         else:
             p.paused_until[holder] = p.now + 8000.0
         p.demand[(holder + 1) % 5] = 600.0
         p.run(p.now + 7000.0)
-        assert p.rate_between(p.now - 3000.0, p.now) >= 0.75 * RATE  # all but the part that is its own
-        if deed == "crash":
+        assert p.rate_between(p.now - 3000.0, p.now) >= 0.75 * RATE  # all but the holder's fallback share
+        if fault == "crash":
             p.start(holder)
         p.run(p.now + 5000.0)
         assert p.rate_between(p.now - 2000.0, p.now) == pytest.approx(RATE, rel=0.06)
-        assert p.most_between(0.0, p.now) <= NEARLY + 0.2 * (deed == "crash")  # a new life adds its own part
+        # A new incarnation adds its fallback share.
+        assert p.most_between(0.0, p.now) <= ROUNDING + 0.2 * (fault == "crash")
 
 
-# 311: a first part that was never heard of; 1075, 1201: an answer to an old question; 1108: a give-back that
-# came late; 1233: a part that was over, used on the way back to one's own
-FOUND = [311, 1075, 1108, 1201, 1233]
+# 311: an initial share of which the credit server never learned; 1075, 1201: a grant for an old report; 1108:
+# a share given back late; 1233: an expired share, used before the change to the fallback share.
+REGRESSION_SEEDS = [311, 1075, 1108, 1201, 1233]
 
 
-@pytest.mark.parametrize("seed", [*FOUND, *range(300, 310), *range(9000, 9010)])
-def test_whatever_fails_the_parts_add_up_to_one(seed):
+@pytest.mark.parametrize("seed", [*REGRESSION_SEEDS, *range(300, 310), *range(9000, 9010)])
+def test_shares_never_exceed_the_limit_under_random_faults(seed):
     size = (3, 5, 9)[seed % 3]
     p = Portions(size, 3, seed, RATE, RATE)
     p.run(4000.0)
@@ -105,13 +109,13 @@
     p.run(p.now + 8000.0)
     wardens = sum(s.role is Role.WARDEN and p.up[i] for i, s in enumerate(p.shares))
     assert wardens == (sum(p.up[:3]) >= 2)
-    assert p.most_between(0.0, p.now) <= NEARLY or crashed
+    assert p.most_between(0.0, p.now) <= ROUNDING or crashed
     if not crashed:
         admitted, span = len(p.admitted), p.now / 1000.0
         assert admitted <= RATE * span + RATE + size
 
 
-def test_wardens_of_one_time_are_one():
+def test_there_is_at_most_one_credit_server_at_a_time():
     for seed in range(20):
         p = Portions(5, 3, seed, RATE, RATE)
         p.origin = 0.0
@@ -120,65 +124,67 @@
         most = 0
         while p.now < 150 * PERIOD:
             p.run(p.now + 50.0)
-            holds = [s.role is Role.WARDEN and p.clock(i) < s.lease_end for i, s in enumerate(p.shares)]
-            most = max(most, sum(holds))
+            leaseholders = [
+                s.role is Role.WARDEN and p.clock(i) < s.lease_end for i, s in enumerate(p.shares)
+            ]
+            most = max(most, sum(leaseholders))
         assert most == 1
 
 
-def test_a_lease_and_a_part_count_from_the_question():
+def test_leases_and_shares_last_from_the_time_of_the_request():
     s = Shares("n0", ["n0", "n1", "n2"], random.Random(1), 0.0, 3, lambda key: RATE)
     s.promised_until = 0.0
     s.role, s.reach = Role.SEEKING, ["n1", "n2"]
     s.ask_keepers(100.0)
     s.receive(2000.0, "n1", Promise(s.token, True))
-    assert s.role is Role.WARDEN and s.lease_end == 100.0 + LEASE
+    assert s.role is Role.WARDEN and s.lease_end == 100.0 + LEASE_MS
     late = Shares("n0", ["n0", "n1", "n2"], random.Random(1), 0.0, 3, lambda key: RATE)
     late.promised_until = 0.0
     late.role = Role.SEEKING
     late.ask_keepers(100.0)
-    late.receive(101.0 + LEASE, "n1", Promise(late.token, True))
-    assert late.role is Role.SEEKING  # it is over before it begins
+    late.receive(101.0 + LEASE_MS, "n1", Promise(late.token, True))
+    assert late.role is Role.SEEKING  # the lease had expired before the promise arrived
     p = Shares("n5", ["n0", "n1", "n2"], random.Random(1), 0.0, 4, lambda key: RATE)
     p.receive(0.0, "n0", Here(9))
-    p.report(50.0)
-    assert p.out[-1] == ("n0", Report(9, 1, 0, 0.25, []))
-    p.receive(1500.0, "n0", Parts(9, 1, 1, 0.25, [("t", 0.9)]))
-    assert p.part("t", 50.0 + GRANT - 1.0) == 0.9 and p.part("t", 50.0 + GRANT) == 0.25
-    p.receive(1600.0, "n1", Parts(9, 1, 2, 0.25, [("t", 1.0)]))
-    p.receive(1600.0, "n0", Parts(8, 1, 3, 0.25, [("t", 1.0)]))
-    assert p.applied == 1  # not of another, nor of another time
+    p.send_report(50.0)
+    assert p.out[-1] == ("n0", DemandReport(9, 1, 0, 0.25, []))
+    p.receive(1500.0, "n0", ShareGrant(9, 1, 1, 0.25, [("t", 0.9)]))
+    assert p.part("t", 50.0 + GRANT_MS - 1.0) == 0.9 and p.part("t", 50.0 + GRANT_MS) == 0.25
+    p.receive(1600.0, "n1", ShareGrant(9, 1, 2, 0.25, [("t", 1.0)]))
+    p.receive(1600.0, "n0", ShareGrant(8, 1, 3, 0.25, [("t", 1.0)]))
+    assert p.applied_sequence == 1  # grants of other servers and other terms are ignored
     p.receive(1700.0, "n1", Seek(7, 5))
-    assert p.out[-1][1] != Promise(5, True)  # it keeps nothing
+    assert p.out[-1][1] != Promise(5, True)  # not an acceptor
 
 
-def test_a_keeper_that_starts_promises_nobody_anything_for_as_long_as_it_may_have_before():
+def test_a_restarted_acceptor_refuses_until_earlier_promises_have_expired():
     s = Shares("n1", ["n0", "n1", "n2"], random.Random(1), 0.0, 3, lambda key: RATE)
-    s.receive(LEASE, "n0", Seek(7, 1))
+    s.receive(LEASE_MS, "n0", Seek(7, 1))
     assert s.out.pop() == ("n0", Promise(1, False))
-    s.receive(1.06 * LEASE, "n0", Seek(7, 2))
+    s.receive(1.06 * LEASE_MS, "n0", Seek(7, 2))
     assert s.out.pop() == ("n0", Promise(2, True))
-    s.receive(1.07 * LEASE, "n2", Seek(7, 3))
+    s.receive(1.07 * LEASE_MS, "n2", Seek(7, 3))
     assert s.out.pop() == ("n2", Promise(3, False))
-    s.receive(1.075 * LEASE, "n0", Seek(7, 1, True))  # of a question before the last: it changes nothing
-    s.receive(1.08 * LEASE, "n2", Seek(7, 3))
+    s.receive(1.075 * LEASE_MS, "n0", Seek(7, 1, True))  # release of an earlier request: ignored
+    s.receive(1.08 * LEASE_MS, "n2", Seek(7, 3))
     assert s.out.pop() == ("n2", Promise(3, False))
-    s.receive(1.08 * LEASE, "n0", Seek(7, 2, True))
-    s.receive(1.09 * LEASE, "n2", Seek(7, 4))
+    s.receive(1.08 * LEASE_MS, "n0", Seek(7, 2, True))
+    s.receive(1.09 * LEASE_MS, "n2", Seek(7, 4))
     assert s.out.pop() == ("n2", Promise(4, True))
 
 
-def test_a_door_takes_up_its_part_and_gains_nothing_by_the_change():
-    door = SharedRateLimiter(RateLimiterSettings(tenant=Limit(100.0, 100), table=2))
+def test_a_rate_limiter_gains_no_tokens_when_its_share_changes():
+    limiter = SharedRateLimiter(RateLimiterSettings(tenant=Limit(100.0, 100), table=2))
     shares = Shares("n0", ["n0"], random.Random(1), 0.0, 4, lambda key: 100.0)
-    door.shares = shares
-    assert sum(door.ask("t", 0.0) == 0.0 for _ in range(100)) == 25
+    limiter.shares = shares
+    assert sum(limiter.ask("t", 0.0) == 0.0 for _ in range(100)) == 25
     shares.grants["t"] = (1.0, 1e9)
-    assert sum(door.ask("t", 0.0) == 0.0 for _ in range(100)) == 0  # no more at once
-    assert sum(door.ask("t", 1000.0) == 0.0 for _ in range(200)) == 100
+    assert sum(limiter.ask("t", 0.0) == 0.0 for _ in range(100)) == 0  # no immediate tokens
+    assert sum(limiter.ask("t", 1000.0) == 0.0 for _ in range(200)) == 100
     shares.grants["t"] = (0.001, 1e9)
-    door.ask("t", 2000.0)
-    assert door.buckets["t"].limit.burst == 1.0
+    limiter.ask("t", 2000.0)
+    assert limiter.buckets["t"].limit.burst == 1.0
     for key in ("a", "b", "c"):
-        door.ask(key, 2000.0)
-    assert len(door.buckets) == 2 and len(door.parts) <= 3
-    assert shares.asked["t"] == 401
+        limiter.ask(key, 2000.0)
+    assert len(limiter.buckets) == 2 and len(limiter.applied_shares) <= 3
+    assert shares.request_counts["t"] == 401
