--- a/barleybarrow/policy.py
+++ b/barleybarrow/policy.py
@@ -42,6 +42,7 @@
 
 
 def parse_number(value: Any, key: str, minimum: float, maximum: float, integer: bool = False) -> float:
+    """The value as a number within the bounds. Raises PolicyError."""
     valid = isinstance(value, int | float) and not isinstance(value, bool) and minimum <= value <= maximum
     if not valid or (integer and int(value) != value):
         raise PolicyError(
--- a/barleybarrow/replica.py
+++ b/barleybarrow/replica.py
@@ -340,6 +340,7 @@
             self.prune_removals(now)
 
     def check_for_stall(self, now: float) -> None:
+        """After a stall of this process, begin a new catch-up round."""
         if now - self.last_active_at > STALL_THRESHOLD_MS:  # its state may be outdated by now
             self.counts["slept"] += 1
             self.start_catch_up()
@@ -356,6 +357,7 @@
             peer.answers = False
 
     def send_statuses(self, now: float) -> None:
+        """Send this replica's status to some or all peers, and push pending writes again."""
         busy = self.stage is Stage.BEHIND or bool(self.writes)
         self.next_status_at = now + (BUSY_STATUS_INTERVAL_MS if busy else STATUS_INTERVAL_MS)
         targets = set(self.reach)
@@ -547,6 +549,7 @@
     # Pulling missing entries
 
     def start_pull(self, now: float, name: str) -> None:
+        """Pull a delta, or a full copy if the peer has discarded tombstones that are not covered here."""
         peer = self.other(name)
         full = not is_covered(peer.pruned, self.state.vector)
         if full or peer.pull_offset_run != peer.run:
@@ -573,6 +576,7 @@
         self.send(sender, EntryChunk(request.token, entries, after, last, *vectors))
 
     def part(self, now: float, sender: str, chunk: EntryChunk) -> None:
+        """Merge a chunk of a pull, or a pushed write."""
         pull = self.active_pull
         if chunk.token and (pull is None or pull.token != chunk.token or pull.source != sender):
             self.counts["late_parts"] += 1
@@ -632,6 +636,7 @@
                 self.urgent.append((name, DigestRequest(self.audit.token)))
 
     def on_digests(self, now: float, sender: str, reply: DigestReply) -> None:
+        """Collect digests; request each range for which a majority of the keepers has another digest."""
         audit, state = self.audit, self.state
         if (
             audit is None
@@ -660,6 +665,7 @@
                 self.urgent.append((holder, AskRange(audit.token, index)))
 
     def on_range(self, reply: TellRange) -> None:
+        """Replace a range by the entries of the majority, if the vectors are still equal."""
         audit, state = self.audit, self.state
         if audit is None or audit.token != reply.token or reply.index not in audit.majority_digests:
             return
--- a/barleybarrow/rollout.py
+++ b/barleybarrow/rollout.py
@@ -141,6 +141,7 @@
             self.roster.pop(command.name, None)
 
     def apply_proposal(self, index: int, proposal: Propose) -> None:
+        """Add a version; it is withdrawn at once while another one is pending."""
         if proposal.id in self.by_id:
             return
         number = max(self.versions, default=0) + 1
--- a/barleybarrow/shares.py
+++ b/barleybarrow/shares.py
@@ -232,6 +232,7 @@
             self.out.append((self.warden, report))
 
     def apply_grant(self, now: float, grant: ShareGrant) -> None:
+        """Apply the grant that replies to a pending report."""
         requested_at = self.report_sent_at.pop(grant.report_id, None)
         if (
             requested_at is None
@@ -251,6 +252,7 @@
     # Credit server
 
     def proxy_state(self, name: str) -> ProxyState:
+        """The record of a proxy, created if there is none."""
         proxy = self.proxies.get(name)
         if proxy is None:
             if len(self.proxies) >= MAX_PROXIES:
--- a/barleybarrow/version_vectors.py
+++ b/barleybarrow/version_vectors.py
@@ -80,6 +80,7 @@
 
 
 def range_of(key: str) -> int:
+    """The index of the range to which a key belongs."""
     return hashlib.blake2b(key.encode(), digest_size=1).digest()[0]
 
 
@@ -147,6 +148,7 @@
             self.change_log = [(n, k) for n, k in self.change_log if self.last_changes.get(k) == n]
 
     def account(self, entry: Entry, range_index: int, sign: int) -> None:
+        """Update the totals and digests for an entry that is added (1) or removed (-1)."""
         self.size += sign
         self.bytes += sign * entry.size
         if entry.value is None:
