--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -318,77 +318,85 @@
 
 
 def rollout_in_joint_phase():
-    book = Book()
+    rollout = Book()
 
     def apply(index, command):
-        book.apply(index, msgpack.encode(command))
+        rollout.apply(index, msgpack.encode(command))
 
     for i, name in enumerate(("n0", "n1", "n2"), 1):
         apply(i, Join(name))
     apply(4, Propose("a", "me", "", 0.0, "[door.tenants.a]\nrate = 0\n"))
     apply(5, Step(1, "joint"))
-    return book, apply
+    return rollout, apply
 
 
 def test_a_version_ends_once_and_a_repeated_proposal_id_is_ignored():
-    book, apply = rollout_in_joint_phase()
+    rollout, apply = rollout_in_joint_phase()
     apply(6, Propose("a", "me", "", 0.0, ""))
     apply(7, Propose("b", "you", "", 0.0, ""))
-    assert book.versions[2].ended == "version 1 was on its way" and len(book.versions) == 2
+    assert rollout.versions[2].ended == "version 1 was on its way" and len(rollout.versions) == 2
     apply(8, Step(1, "withdrawn", "by hand"))
     apply(9, Step(1, "in force"))
-    assert (book.force, book.pending, book.versions[1].phase, book.refused) == (0, 0, "withdrawn", 1)
+    assert (rollout.force, rollout.pending, rollout.versions[1].phase, rollout.refused) == (
+        0,
+        0,
+        "withdrawn",
+        1,
+    )
     apply(10, Drop("n2", "me"))
-    assert list(book.roster) == ["n0", "n1"]
+    assert list(rollout.roster) == ["n0", "n1"]
     reloaded = Book()
-    reloaded.load(10, book.save())
+    reloaded.load(10, rollout.save())
     assert (
-        reloaded.versions == book.versions and reloaded.roster == book.roster and reloaded.by_id == book.by_id
+        reloaded.versions == rollout.versions
+        and reloaded.roster == rollout.roster
+        and reloaded.by_id == rollout.by_id
     )
 
 
 def test_no_step_is_taken_before_all_members_have_applied_the_previous_one():
-    book, _ = rollout_in_joint_phase()
+    rollout, _ = rollout_in_joint_phase()
     c = Conductor(10_000.0)
-    words = {"n0": MemberReport(5), "n1": MemberReport(4)}
-    assert c.conduct(0.0, book, words, 1e9).steps == [] and c.missing == ["n1", "n2"]
-    assert c.conduct(2000.0, book, words, 1e9).probe_targets == ["n1", "n2"]
+    reports = {"n0": MemberReport(5), "n1": MemberReport(4)}
+    assert c.conduct(0.0, rollout, reports, 1e9).steps == [] and c.missing == ["n1", "n2"]
+    assert c.conduct(2000.0, rollout, reports, 1e9).probe_targets == ["n1", "n2"]
     c.mark_down(2000.0, "n2")
-    words["n1"] = MemberReport(5)
-    assert c.conduct(2100.0, book, words, 1e9).steps == [Step(1, "in force")]
-    assert c.conduct(2200.0, book, words, 1e9).steps == []  # retried only after an interval
+    reports["n1"] = MemberReport(5)
+    assert c.conduct(2100.0, rollout, reports, 1e9).steps == [Step(1, "in force")]
+    assert c.conduct(2200.0, rollout, reports, 1e9).steps == []  # retried only after an interval
     c.on_elected()
-    assert c.conduct(2300.0, book, words, 1e9).steps == []  # a new leader has not seen yet that n2 is down
-    late = c.conduct(12_400.0, book, words, 1e9).steps
+    assert c.conduct(2300.0, rollout, reports, 1e9).steps == []  # a new leader does not know that n2 is down
+    late = c.conduct(12_400.0, rollout, reports, 1e9).steps
     assert late == [Step(1, "withdrawn", "not taken up in time by n2")]
 
 
 def test_an_unresponsive_member_delays_only_steps_that_its_lease_endangers():
-    book = Book()
+    rollout = Book()
     for index, command in enumerate([Join("n0"), Join("n1"), Propose("a", "", "", 0.0, "")], 1):
-        book.apply(index, msgpack.encode(command))
-    c, words = Conductor(30_000.0), {"n0": MemberReport(3)}
-    assert c.conduct(0.0, book, words, 3150.0).steps == []
-    assert c.conduct(499.0, book, words, 3150.0).steps == []
-    joint = c.conduct(500.0, book, words, 3150.0).steps
+        rollout.apply(index, msgpack.encode(command))
+    c, reports = Conductor(30_000.0), {"n0": MemberReport(3)}
+    assert c.conduct(0.0, rollout, reports, 3150.0).steps == []
+    assert c.conduct(499.0, rollout, reports, 3150.0).steps == []
+    joint = c.conduct(500.0, rollout, reports, 3150.0).steps
     assert joint == [
         Step(1, "joint")
     ]  # its check is not needed: it admits nothing under rules it cannot parse
-    book.apply(4, msgpack.encode(joint[0]))
-    words["n0"] = MemberReport(4)
-    assert c.conduct(600.0, book, words, 3150.0).steps == []
-    assert c.conduct(3700.0, book, words, 3150.0).steps == []
-    assert c.conduct(3750.0, book, words, 3150.0).steps == [Step(1, FORCE)]
+    rollout.apply(4, msgpack.encode(joint[0]))
+    reports["n0"] = MemberReport(4)
+    assert c.conduct(600.0, rollout, reports, 3150.0).steps == []
+    assert c.conduct(3700.0, rollout, reports, 3150.0).steps == []
+    assert c.conduct(3750.0, rollout, reports, 3150.0).steps == [Step(1, FORCE)]
 
 
 def test_a_change_does_not_wait_for_heartbeats():
     c = PolicyGroup(3, 3, 11)
     c.run(3000.0)
     c.first()
-    lead, began, force = c.leader(), c.now, max(c.forces) + 1
+    lead, submitted_at, version = c.leader(), c.now, max(c.forces) + 1
     lead.submit(c.clock(int(lead.name[1:])), Propose("x", "", "", 0.0, "[door.tenants.z]\nrate = 0\n"))
-    c.run(began + 1000.0)
-    assert c.forces[force] - began < 150.0  # three rounds of storing and sending; with heartbeats it took 300
+    c.run(submitted_at + 1000.0)
+    # Three rounds of storing and sending; when steps waited for heartbeats, it took 300 ms.
+    assert c.forces[version] - submitted_at < 150.0
 
 
 # groups of members in virtual time
@@ -406,14 +414,14 @@
 
 @pytest.mark.parametrize("first", range(5000, 5024, 4))
 def test_random_schedules_violate_no_invariant_and_members_converge(first):
-    forces = 0
+    versions_in_force = 0
     for seed in range(first, first + 4):
         c = run_random_schedule(seed)
         c.run(c.now + 12_000.0)
         assert c.breaches() == [], seed
         assert c.settled() or sum(c.up[: len(c.voters)]) <= len(c.voters) // 2
-        forces += len(c.forces)
-    assert forces >= 4
+        versions_in_force += len(c.forces)
+    assert versions_in_force >= 4
 
 
 def joint_phase_is_skipped(monkeypatch):
@@ -683,10 +691,10 @@
     store.keep(ready(5, 2, b"B"))
     store.compact(Snapshot(1, 4, ["n0"], b"s"))
     store.db.close()
-    kept = Store(str(tmp_path)).load()
-    assert (kept.term, kept.vote, kept.lives) == (5, "n1", 3)
-    assert kept.met == {"n1": Life(2, 7, 1), "n2": Life(4)}
-    assert kept.snapshot == Snapshot(1, 4, ["n0"], b"s") and kept.entries == [Entry(5, 1, b"B")]
+    loaded = Store(str(tmp_path)).load()
+    assert (loaded.term, loaded.vote, loaded.lives) == (5, "n1", 3)
+    assert loaded.met == {"n1": Life(2, 7, 1), "n2": Life(4)}
+    assert loaded.snapshot == Snapshot(1, 4, ["n0"], b"s") and loaded.entries == [Entry(5, 1, b"B")]
 
 
 def test_a_truncated_store_holds_a_prefix_or_is_found_damaged(tmp_path):
@@ -697,19 +705,19 @@
     wal = tmp_path / "x" / (Store.NAME + "-wal")
     log_bytes = wal.read_bytes()
     entries = [Entry(1, 1, b"one"), Entry(1, 1, b"two" * 50)]
-    seen = set()
+    entry_counts = set()
     for size in [*range(0, len(log_bytes), 311), len(log_bytes) - 1]:
         folder = tmp_path / f"c{size}"
         folder.mkdir()
         shutil.copy(tmp_path / "x" / Store.NAME, folder / Store.NAME)
         (folder / (Store.NAME + "-wal")).write_bytes(log_bytes[:size])
         try:
-            kept = Store(str(folder)).load()
+            loaded = Store(str(folder)).load()
         except DatabaseDamagedError:
             continue
-        assert kept.entries == entries[: len(kept.entries)]
-        seen.add(len(kept.entries))
-    assert {0, 1} <= seen
+        assert loaded.entries == entries[: len(loaded.entries)]
+        entry_counts.add(len(loaded.entries))
+    assert {0, 1} <= entry_counts
 
 
 def test_a_damaged_row_is_detected_and_the_file_is_set_aside(tmp_path):
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -107,8 +107,8 @@
     p.run(end)
     p.faults = []
     p.run(p.now + 8000.0)
-    wardens = sum(s.role is Role.WARDEN and p.up[i] for i, s in enumerate(p.shares))
-    assert wardens == (sum(p.up[:3]) >= 2)
+    credit_servers = sum(s.role is Role.WARDEN and p.up[i] for i, s in enumerate(p.shares))
+    assert credit_servers == (sum(p.up[:3]) >= 2)
     assert p.most_between(0.0, p.now) <= ROUNDING or crashed
     if not crashed:
         admitted, span = len(p.admitted), p.now / 1000.0
@@ -121,14 +121,14 @@
         p.origin = 0.0
         p.faults = [LinkFault(at=0, lasts=400, of=[0], to=[1], lost=1.0, every=5.0)]
         p.faults += [LinkFault(at=20, lasts=60, lost=0.3), LinkFault(at=90, lasts=30, of=[1], lost=1.0)]
-        most = 0
+        max_holders = 0
         while p.now < 150 * PERIOD:
             p.run(p.now + 50.0)
             leaseholders = [
                 s.role is Role.WARDEN and p.clock(i) < s.lease_end for i, s in enumerate(p.shares)
             ]
-            most = max(most, sum(leaseholders))
-        assert most == 1
+            max_holders = max(max_holders, sum(leaseholders))
+        assert max_holders == 1
 
 
 def test_leases_and_shares_last_from_the_time_of_the_request():
@@ -138,12 +138,12 @@
     s.ask_keepers(100.0)
     s.receive(2000.0, "n1", Promise(s.token, True))
     assert s.role is Role.WARDEN and s.lease_end == 100.0 + LEASE_MS
-    late = Shares("n0", ["n0", "n1", "n2"], random.Random(1), 0.0, 3, lambda key: RATE)
-    late.promised_until = 0.0
-    late.role = Role.SEEKING
-    late.ask_keepers(100.0)
-    late.receive(101.0 + LEASE_MS, "n1", Promise(late.token, True))
-    assert late.role is Role.SEEKING  # the lease had expired before the promise arrived
+    slow = Shares("n0", ["n0", "n1", "n2"], random.Random(1), 0.0, 3, lambda key: RATE)
+    slow.promised_until = 0.0
+    slow.role = Role.SEEKING
+    slow.ask_keepers(100.0)
+    slow.receive(101.0 + LEASE_MS, "n1", Promise(slow.token, True))
+    assert slow.role is Role.SEEKING  # the lease had expired before the promise arrived
     p = Shares("n5", ["n0", "n1", "n2"], random.Random(1), 0.0, 4, lambda key: RATE)
     p.receive(0.0, "n0", Here(9))
     p.send_report(50.0)
