--- a/barleybarrow/connections.py
+++ b/barleybarrow/connections.py
@@ -1,8 +1,8 @@
-"""Which connections to pool members to hold, use next, open ahead of need and retire, and when.
+"""Decides which connections to pool members to keep, reuse, open ahead of demand and close, and when.
 
-Told the time (milliseconds on one clock) and what happened; does no I/O and keeps no request waiting.
-docs/design/connections.md weighs the ways. What is held stays within `Planner.room`; the rest is a few
-numbers for each member.
+It is told the time (milliseconds on one clock) and the events; it does no I/O and queues no requests.
+docs/design/connections.md compares the alternatives. The number of connections is bounded by `Planner.room`;
+apart from them, a few numbers are kept for each member.
 """
 
 import math
@@ -12,358 +12,374 @@
 from enum import Enum
 from typing import Any
 
-IDLE_SHARE = (
-    0.6  # of the idle time in the settings: a member may close earlier than it says, and clocks differ
+# Share of the configured idle timeout: a member may close earlier than configured, and clocks differ.
+IDLE_TIMEOUT_SHARE = 0.6
+# Each connection's idle limit is shortened by a random share up to this, so that connections opened together
+# are not closed together.
+IDLE_LIMIT_SPREAD = 0.1
+# The same with preconnecting, which opens closed connections again: a wider spread paces the handshakes.
+PRECONNECT_IDLE_LIMIT_SPREAD = 0.5
+LIFETIME_SPREAD = 0.25  # the same for age and for number of requests, where closing early costs nothing
+EARLY_CLOSE_MS = (
+    100.0  # after an answer: earlier closes are a habit of the member, later ones an idle timeout
 )
-SPREAD = 0.1  # of an idle limit, by which each connection's own may be shorter: those of one moment part
-SPREAD_AHEAD = 0.5  # the same where those retired are opened again ahead of need: they come back at a pace
-AGE_SPREAD = 0.25  # the same for age and for number of requests, where nothing is lost by being early
-EARLY = 100.0  # milliseconds after an answer: closes up to then are a habit, later ones an idle limit
-EARLY_KEPT, EARLY_SPAN = 64, 30_000.0  # early closes remembered, and for how many milliseconds
-REST_MARGIN = 1.25  # of the latest early close seen: the next may be later, and has a way to go
-EARLY_LEAST, EARLY_SHARE = 4, 0.002  # fewer, or a smaller share of the answers, are no habit
-QUICK = 50.0  # milliseconds from a write to a reset: a dead connection tells at once
-AT_ONCE = 100.0  # milliseconds within which closes of one member have one cause: its process went
-AGREE = 0.2  # two closes at ages that differ by this share or less show a limit
-MARGIN = 0.8  # of an idle limit that was seen: the close must not cross a request on its way
-LEAST_LIMIT = 20.0  # milliseconds: a limit is learned no lower, below it nothing could be used again
-TRIAL, TRIAL_MOST = (
-    10_000.0,
-    640_000.0,
-)  # milliseconds until a learned limit is tried again; it doubles with each failure
-SHARED, SHARED_SPAN = (
-    9,
-    300_000.0,
-)  # limits learned lately, whose median holds for members that have shown none
-CAP_WAIT, CAP_MOST = 1_000.0, 30_000.0  # until a learned cap is tried again; it doubles with each failure
-CAP_SIGNS = 2  # refusals in a row that show a cap: one connect may fail for reasons of its own
-WINDOWS = 6  # parts of the time for which a peak of connections in use is remembered
-RATE_SPAN = 1_000.0  # milliseconds over which the pace of lends is smoothed
-SPAN_WEIGHT = 1 / 16  # of a new time in use in their mean
-DOUBT = 2.0  # standard deviations of a Poisson count that are held on top of its mean
-AHEAD_ROOM = 0.75  # of the room, beyond which nothing is opened ahead: requests come first
-SWEEP, SWEEP_AHEAD = 250.0, 50.0  # milliseconds between sweeps, without and with openings ahead
-OPENED_AT_ONCE = 6  # ahead in one sweep: some 0.3 ms of this program's work each, while requests wait
-CLOSED_AT_ONCE = (
-    16  # in one sweep, or a quarter of what is due: nobody waits for it, and what is due is not used
-)
-AGE_PACE = 1 / 16  # of the idle connections that one sweep may retire by age
-LOST_PROCESS = 3  # connections of a member broken at once: its process went, and comes back cold
+MAX_EARLY_CLOSES, EARLY_CLOSE_WINDOW_MS = 64, 30_000.0
+REUSE_DELAY_MARGIN = 1.25  # of the latest early close seen: another may be later, and has to travel
+MIN_EARLY_CLOSES, MIN_EARLY_CLOSE_SHARE = 4, 0.002  # fewer, or a smaller share of the answers, are no habit
+IMMEDIATE_RESET_MS = 50.0  # from write to reset: a connection that was already dead resets at once
+SIMULTANEOUS_CLOSE_MS = 100.0  # closes of one member within this have one cause: its process ended
+LIMIT_AGREEMENT = 0.2  # two closes at ages that differ by at most this share indicate an idle timeout
+IDLE_LIMIT_MARGIN = 0.8  # of an observed idle timeout: the close must not cross a request on its way
+MIN_IDLE_LIMIT_MS = 20.0  # no learned limit is shorter: no connection could be reused below it
+# Time until a learned limit is tried again; it doubles with each failure.
+MIN_TRIAL_INTERVAL_MS, MAX_TRIAL_INTERVAL_MS = 10_000.0, 640_000.0
+# Recently learned limits, whose median applies to members that have shown none.
+MAX_SHARED_LIMITS, SHARED_LIMIT_TTL_MS = 9, 300_000.0
+# Time until a learned connection cap is tried again; it doubles with each failure.
+MIN_CAP_BACKOFF_MS, MAX_CAP_BACKOFF_MS = 1_000.0, 30_000.0
+MIN_CAP_REFUSALS = 2  # consecutive refusals that indicate a cap: a single connect may fail for other reasons
+PEAK_WINDOWS = 6  # windows in which the peak number of connections in use is remembered
+RATE_SMOOTHING_MS = 1_000.0
+EWMA_WEIGHT = 1 / 16  # of a new sample in the mean time in use and the mean connect time
+DEMAND_STD_DEVS = 2.0  # standard deviations of a Poisson distribution that are held above its mean
+AHEAD_ROOM = 0.75  # share of the capacity beyond which nothing is preconnected: requests take precedence
+SWEEP_INTERVAL_MS, PRECONNECT_SWEEP_INTERVAL_MS = 250.0, 50.0
+MAX_PRECONNECTS_PER_SWEEP = 6  # each takes about 0.3 ms of CPU time while requests wait
+# Closes in one sweep, unless a quarter of those due is more. They can wait: a due connection is not reused.
+CLOSES_PER_SWEEP = 16
+MAX_AGE_CLOSE_SHARE = 1 / 16  # of the idle connections that one sweep may close for their age
+MIN_PROCESS_LOSS_BREAKS = 3  # simultaneous breaks that show that the member's process ended
 
 
 class Cause(Enum):
-    """Why a connection ended; the values are the words in figures."""
+    """Why a connection was closed; the values appear in the metrics."""
 
-    IDLE = "idle"  # it stood idle for its time
-    AGE = "age"  # lived for as long as operators allow
-    REQUESTS = "requests"  # carried as many requests as operators allow
+    IDLE = "idle"  # it reached its idle limit
+    AGE = "age"  # it reached the configured maximum age
+    REQUESTS = "requests"  # it carried the configured maximum number of requests
     ENDED = "ended"  # the member closed it between two requests
-    STRAY = "stray"  # bytes came that nobody had asked for
-    TOLD = "told"  # an answer said that it ends, or could not be read to its end
-    UNWRITTEN = "unwritten"  # it broke before a request was written whole: that one never ran
-    RESET = "reset"  # it broke under a request that was written whole
-    REFUSED = "refused"  # the connect was refused, or did not come up in time
+    STRAY = "stray"  # unsolicited bytes arrived
+    TOLD = "told"  # a response announced the close, or could not be read to its end
+    UNWRITTEN = "unwritten"  # it broke before the whole request was written: the request never ran
+    RESET = "reset"  # it broke after the whole request was written
+    REFUSED = "refused"  # the connect was refused or timed out
     GIVEN_UP = "given_up"  # the attempt on it timed out or was cancelled
-    LEFT = "left"  # the member drains, is gone, or has begun a new life
-    ROOM = "room"  # closed to make room for another
-    FAULT = "fault"  # a fault of the program, or its end
+    LEFT = "left"  # the member is draining, gone, or has restarted
+    ROOM = "room"  # closed to make room for another connection
+    FAULT = "fault"  # an internal error, or the end of this process
 
 
 @dataclass(frozen=True)
 class ConnectionSettings:
-    """What operators may set; milliseconds, 0 for never or off."""
-
-    learn: bool = True  # idle limits and caps
-    rescue: bool = True  # a request that provably never ran goes to another connection of the same member
-    rest: bool = False  # where members close soon after answers, others are used or opened meanwhile
-    age: float = 0.0
-    requests: int = 0
-    ahead: bool = False
-    spare: int = 1  # idle connections held beyond the forecast
+    """Settings of the operators; times in milliseconds, 0 for never or off."""
+
+    learn: bool = True  # learn the idle timeouts and connection caps of members
+    rescue: bool = True  # retry a request that provably never ran on another connection to the same member
+    rest: bool = False  # delay reuse after an answer where members close connections soon after answers
+    age: float = 0.0  # maximum age of a connection
+    requests: int = 0  # maximum number of requests on a connection
+    ahead: bool = False  # open connections ahead of demand
+    spare: int = 1  # idle connections kept beyond the forecast
     hold: float = 60_000.0  # how long a peak is remembered
-    pace: float = 10.0  # openings ahead, a second and member, by all proxies together
-    subset: int = 0  # least number of members that a proxy sees
-    subset_index: int = -1  # of this proxy, -1 for what the platform says
-    subset_proxies: int = 0  # how many there are, 0 for what the platform says
+    pace: float = 10.0  # connections opened ahead per second and member, by all proxies together
+    subset: int = 0  # minimum number of members that a proxy sees
+    subset_index: int = -1  # of this proxy; -1: as the platform's settings say
+    subset_proxies: int = 0  # number of proxies; 0: as the platform's settings say
 
 
 class State(Enum):
     OPENING = 0
     IDLE = 1
     BUSY = 2
-    DONE = 3  # its last exchange is over, and it is to be closed
+    DONE = 3  # after its last exchange, to be closed
     CLOSED = 4
 
 
 class Held:
-    """One connection, as the planner knows it."""
+    """The planner's record of one connection."""
 
-    __slots__ = "line link state ahead born since age requests luck trial stale".split()
+    __slots__ = (
+        "line link state ahead opened_at state_since age request_count jitter on_trial lost_stale".split()
+    )
 
-    def __init__(self, line: "Line", link: Any, now: float, luck: float, ahead: bool) -> None:
-        self.line, self.link, self.born, self.luck, self.ahead = line, link, now, luck, ahead
+    def __init__(self, server: "Line", link: Any, now: float, jitter: float, ahead: bool) -> None:
+        self.line, self.link, self.opened_at, self.jitter, self.ahead = server, link, now, jitter, ahead
         self.state = State.OPENING
-        self.since = now  # when its state began
-        self.age = -1.0  # how long it had been idle when it was lent; below 0 on its first request
-        self.requests = 0
-        self.trial = False  # it may outlive the learned limit
-        self.stale = False  # it was lost as one that had stood idle for too long
+        self.state_since = now
+        self.age = -1.0  # how long it had been idle when it was last acquired; negative on its first request
+        self.request_count = 0
+        self.on_trial = False  # it is kept beyond the learned limit, to try whether that has grown
+        self.lost_stale = False  # it broke because it had been idle for too long
 
 
 class Line:
-    """What is held toward one life of one member, and what was learned of it."""
+    """The connections to one incarnation of one member, and what was learned about it."""
 
     __slots__ = (
-        "name cold_until left idle held used opening limit good undo trial_at trial_wait seen broken "
-        "broken_at heard refusal refusals cap cap_until cap_wait peaks lends rate span tended ahead_at "
-        "handshake"
+        "name cold_until left idle held used opening idle_limit proven_idle before_stale_loss trial_at "
+        "trial_interval last_idle_close break_count last_break_at last_answer_at refused_at "
+        "consecutive_refusals connection_cap cap_retry_at cap_backoff in_use_peaks acquired acquire_rate "
+        "mean_use_time updated_at next_preconnect_at mean_connect_time"
     ).split()
 
     def __init__(self, name: str, now: float, cold_until: float) -> None:
         self.name, self.cold_until, self.left = name, cold_until, False
-        self.idle: list[Held] = []  # in the order of their return; a list: an empty deque takes 760 bytes
-        self.held = self.used = self.opening = 0  # all; with a request; not yet up and opened ahead
-        self.limit, self.good = math.inf, 0.0  # idle age learned as too old, and proven as young enough
-        self.undo: tuple[float, float, float] | None = None  # when a surprise came, limit and good before it
-        self.trial_at, self.trial_wait = math.inf, TRIAL
-        self.seen: tuple[float, float] | None = None  # when it closed an idle one, and at what age
-        self.broken, self.broken_at = 0, -math.inf  # connections that broke at once
-        self.heard = -math.inf  # when it answered last
-        self.cap, self.cap_until, self.cap_wait = math.inf, -math.inf, CAP_WAIT
-        self.refusal: float | None = None  # when a connect was refused, until it is known what that shows
-        self.refusals = 0  # in a row that may show a cap
-        self.peaks = [0]  # WINDOWS at most: most in use, by window; the last is the present one
-        self.lends, self.rate = 0, 0.0  # since the last sweep, and a millisecond
-        self.span = 0.0  # milliseconds that one is in use, smoothed
-        self.tended, self.ahead_at = now, now
-        self.handshake = 0.0  # milliseconds that a connect took, smoothed
+        self.idle: list[Held] = []  # least recently used first; an empty deque would take 760 bytes
+        self.held = self.used = self.opening = 0  # all; in use; still connecting and opened ahead
+        # the idle time learned as too long, and the one after which reuse was proven to work
+        self.idle_limit, self.proven_idle = math.inf, 0.0
+        # when a stale connection was lost, and both limits before that
+        self.before_stale_loss: tuple[float, float, float] | None = None
+        self.trial_at, self.trial_interval = math.inf, MIN_TRIAL_INTERVAL_MS
+        self.last_idle_close: tuple[float, float] | None = None  # when, and after what idle time
+        self.break_count, self.last_break_at = 0, -math.inf  # connections that broke at the same time
+        self.last_answer_at = -math.inf
+        self.connection_cap, self.cap_retry_at, self.cap_backoff = math.inf, -math.inf, MIN_CAP_BACKOFF_MS
+        self.refused_at: float | None = None  # a refused connect whose cause is not known yet
+        self.consecutive_refusals = 0  # those that may indicate a cap
+        self.in_use_peaks = [0]  # by window, the last one current; PEAK_WINDOWS at most
+        self.acquired, self.acquire_rate = 0, 0.0  # since the last sweep; per millisecond
+        self.mean_use_time = 0.0  # milliseconds, exponentially smoothed
+        self.updated_at, self.next_preconnect_at = now, now
+        self.mean_connect_time = 0.0  # milliseconds, exponentially smoothed
 
 
 class Planner:
-    """Decides on all connections to pool members. The driver does as it says and tells what came of it."""
+    """Decides on all connections to pool members; the driver carries out its decisions and reports events."""
 
     def __init__(
         self,
         settings: ConnectionSettings,
         room: int,
         seed: int = 0,
-        conn_idle: float = 0.0,
+        idle_timeout: float = 0.0,
         cold: float = 0.0,
         proxies: int = 1,
     ) -> None:
-        """`room`: connections that may be held; `conn_idle`, `cold`: idle and warming time, 0 for none."""
-        self.settings, self.room, self.cold = settings, room, cold
-        self.base = conn_idle * IDLE_SHARE if conn_idle else math.inf
-        self.pace = 1000.0 * max(proxies, 1) / settings.pace  # milliseconds between openings ahead
+        """`room`: maximum number of connections; `cold`: length of a cold start; times may be 0 for none."""
+        self.settings, self.room, self.cold_start = settings, room, cold
+        self.base_idle_limit = idle_timeout * IDLE_TIMEOUT_SHARE if idle_timeout else math.inf
+        self.preconnect_interval = 1000.0 * max(proxies, 1) / settings.pace  # ms
         self.rng = random.Random(seed)
         self.total = 0
-        self.active: dict[Line, None] = {}  # those that hold or lately used something, in a fixed order
-        self.shared: deque[tuple[float, float, Line]] = deque(
-            maxlen=SHARED
-        )  # when, what was learned, of whom
-        self.common = math.inf  # the limit of members that have shown none
-        # when, at what age, after how many answers, whose
-        self.early: deque[tuple[float, float, int, str]] = deque(maxlen=EARLY_KEPT)
-        self.answers, self.rest = 0, 0.0
-        self.outlived, self.outlived_before = 0.0, 0.0  # longest idle age good in this span and the last
-        self.outlived_at = -math.inf  # when this span began
-        self.swept = -math.inf
+        self.active: dict[Line, None] = {}  # those with connections or recent use, in insertion order
+        self.shared_limits: deque[tuple[float, float, Line]] = deque(
+            maxlen=MAX_SHARED_LIMITS
+        )  # time, limit, server
+        self.common_idle_limit = math.inf  # applies to members without a limit of their own
+        # time, idle time, number of answers so far, member
+        self.early_closes: deque[tuple[float, float, int, str]] = deque(maxlen=MAX_EARLY_CLOSES)
+        self.answer_count, self.reuse_delay = 0, 0.0
+        # longest idle time after which reuse worked, in the current and in the previous window
+        self.max_idle_reused, self.previous_max_idle_reused = 0.0, 0.0
+        self.reuse_window_start = -math.inf
+        self.last_sweep_at = -math.inf
         self.closes: Counter[Cause] = Counter()
         self.opened = self.opened_ahead = self.reused = self.rescued = self.full = 0
 
-    # what the driver asks
+    # interface for the driver
 
     def join(self, name: str, now: float, started: float = 0.0) -> Line:
-        """A member, or a new life of one; `started` is its start, 0 for long ago."""
-        return Line(name, now, started + self.cold if started else -math.inf)
+        """Add a member, or a new incarnation of one; `started` is its start time, 0 for long ago."""
+        return Line(name, now, started + self.cold_start if started else -math.inf)
 
-    def leave(self, line: Line) -> list[Held]:
-        """A member drains, is gone, or lives anew: nothing more is kept. Returns what is to be closed now."""
-        line.left = True
-        return list(line.idle)
+    def leave(self, server: Line) -> list[Held]:
+        """A member is draining, gone or restarted: no connection is kept. Returns those to close now."""
+        server.left = True
+        return list(server.idle)
 
-    def lend(self, line: Line, now: float, safe: bool) -> Held | None:
-        """The idle connection to use next; None where a new one is to be opened.
+    def lend(self, server: Line, now: float, safe: bool) -> Held | None:
+        """Take the idle connection to use next; None if a new one is to be opened.
 
-        `safe`: the request may be repeated whatever happens, so it may try one beyond the learned limit.
+        `safe`: the request is safe to retry, so it may try a connection beyond the learned idle limit.
         """
-        idle = line.idle
-        if not idle or line.left:
+        idle = server.idle
+        if not idle or server.left:
             return None
-        limit, rest = self.limit(line), self.resting(line)
-        latest = now - rest
+        limit, delay = self.limit(server), self.reuse_delay_of(server)
+        reusable_since = now - delay
         chosen = None
-        if self.settings.ahead and now - idle[0].since > limit / 4 and line.held <= self.need(line):
-            if self.usable(idle[0], now, limit, safe):
-                chosen = idle[0]  # what the forecast wants is kept young by use
+        if (
+            self.settings.ahead
+            and now - idle[0].state_since > limit / 4
+            and server.held <= self.target_count(server)
+        ):
+            if self.is_usable(idle[0], now, limit, safe):
+                chosen = idle[0]  # use keeps alive the connections that the forecast calls for
         if chosen is None:
-            for held in reversed(idle):
-                if held.since <= latest:
-                    if self.usable(held, now, limit, safe):
-                        chosen = held
-                    break  # those before it are older still
-            if chosen is None and not (rest and self.may_rest(line, now)):
-                chosen = next((held for held in idle if self.usable(held, now, limit, safe)), None)
+            for connection in reversed(idle):
+                if connection.state_since <= reusable_since:
+                    if self.is_usable(connection, now, limit, safe):
+                        chosen = connection
+                    break  # the ones before it have been idle for longer
+            if chosen is None and not (delay and self.may_open_instead(server, now)):
+                chosen = next(
+                    (connection for connection in idle if self.is_usable(connection, now, limit, safe)), None
+                )
         if chosen is not None:
-            self.use(chosen, now)
+            self.mark_in_use(chosen, now)
         return chosen
 
-    def may_open(self, line: Line, now: float) -> bool:
-        """Whether a new connection may be opened now: not where the member is known to be full."""
-        if not self.settings.learn or line.held < line.cap or now >= line.cap_until:
+    def may_open(self, server: Line, now: float) -> bool:
+        """Whether a new connection may be opened now: not while the member is known to be at its cap."""
+        if not self.settings.learn or server.held < server.connection_cap or now >= server.cap_retry_at:
             return True
         self.full += 1
         return False
 
     def spare(self) -> Held | None:
-        """The idle connection that may be closed to make room, if there is one."""
-        line = max(self.active, key=lambda line: len(line.idle), default=None)
-        return line.idle[0] if line is not None and line.idle else None
-
-    def opening(self, line: Line, link: Any, now: float, ahead: bool = False) -> Held:
-        """A connect has begun; there must be room."""
-        assert self.total < self.room and not line.left
-        held = Held(line, link, now, self.rng.random(), ahead)
+        """The idle connection to close if room is needed, if there is one."""
+        server = max(self.active, key=lambda server: len(server.idle), default=None)
+        return server.idle[0] if server is not None and server.idle else None
+
+    def opening(self, server: Line, link: Any, now: float, ahead: bool = False) -> Held:
+        """A connect has begun; the caller has checked that there is room."""
+        assert self.total < self.room and not server.left
+        connection = Held(server, link, now, self.rng.random(), ahead)
         self.total += 1
-        line.held += 1
+        server.held += 1
         self.opened += 1
-        self.active[line] = None
+        self.active[server] = None
         if ahead:
-            line.opening += 1
+            server.opening += 1
             self.opened_ahead += 1
-            line.ahead_at = now + self.pace * (0.5 + self.rng.random())
+            server.next_preconnect_at = now + self.preconnect_interval * (0.5 + self.rng.random())
         else:
-            self.count_use(line)
-        return held
-
-    def up(self, held: Held, now: float) -> bool:
-        """A connect is done; whether the connection stays, which one opened ahead may not."""
-        line = held.line
-        took = now - held.since
-        line.handshake += (took - line.handshake) * (SPAN_WEIGHT if line.handshake else 1.0)
-        line.refusals = 0
-        if line.held > line.cap:
-            line.cap, line.cap_wait = line.held, CAP_WAIT
-        if line.cold_until == math.inf:  # its process had gone: this is a new one
-            line.cold_until = now + self.cold
-        if not held.ahead:
-            held.state, held.since = State.BUSY, now
+            self.record_use(server)
+        return connection
+
+    def up(self, connection: Held, now: float) -> bool:
+        """A connect has succeeded. Returns whether to keep the connection: its member may have left."""
+        server = connection.line
+        elapsed = now - connection.state_since
+        server.mean_connect_time += (elapsed - server.mean_connect_time) * (
+            EWMA_WEIGHT if server.mean_connect_time else 1.0
+        )
+        server.consecutive_refusals = 0
+        if server.held > server.connection_cap:
+            server.connection_cap, server.cap_backoff = server.held, MIN_CAP_BACKOFF_MS
+        if server.cold_until == math.inf:  # its process had ended: this is a new one
+            server.cold_until = now + self.cold_start
+        if not connection.ahead:
+            connection.state, connection.state_since = State.BUSY, now
             return True
-        line.opening -= 1
-        held.state, held.since, held.ahead = State.DONE, now, False
-        if line.left:
+        server.opening -= 1
+        connection.state, connection.state_since, connection.ahead = State.DONE, now, False
+        if server.left:
             return False
-        held.state = State.IDLE
-        line.idle.append(held)
+        connection.state = State.IDLE
+        server.idle.append(connection)
         return True
 
-    def not_opened(self, line: Line, now: float) -> None:
-        """A connect was refused before there was anything to hold."""
+    def not_opened(self, server: Line, now: float) -> None:
+        """A connect was refused immediately, before `opening` was called."""
         self.closes[Cause.REFUSED] += 1
         if self.settings.learn:
-            self.refused(line, now)
-            self.broke(line, now, gone=not line.held)
-
-    def answered(self, held: Held, now: float) -> None:
-        """The first byte of an answer is here: the connection was alive."""
-        line = held.line
-        line.heard, line.broken = now, 0
-        if line.refusal is not None:
-            self.capped(line, now, held)
-        self.answers += 1
-        if held.age > line.good:
-            line.good = held.age
-            if held.age > line.limit:  # a trial that went well
-                self.learned(line, now, held.age)
-        if held.age > self.outlived:
-            self.outlived = held.age
-
-    def done(self, held: Held, now: float) -> Cause | None:
-        """An exchange has ended well; None where the connection is kept, else why it is to be closed."""
-        line, settings = held.line, self.settings
-        self.count_end(held, now)
-        held.state = State.DONE
-        if line.left:
+            self.on_refused(server, now)
+            self.on_break(server, now, gone=not server.held)
+
+    def answered(self, connection: Held, now: float) -> None:
+        """The first byte of an answer has arrived: the connection was alive."""
+        server = connection.line
+        server.last_answer_at, server.break_count = now, 0
+        if server.refused_at is not None:
+            self.on_answer_after_refusal(server, now, connection)
+        self.answer_count += 1
+        if connection.age > server.proven_idle:
+            server.proven_idle = connection.age
+            if connection.age > server.idle_limit:  # a successful trial
+                self.set_limit(server, now, connection.age)
+        if connection.age > self.max_idle_reused:
+            self.max_idle_reused = connection.age
+
+    def done(self, connection: Held, now: float) -> Cause | None:
+        """An exchange has succeeded. Returns None if the connection is kept, else why it is to be closed."""
+        server, settings = connection.line, self.settings
+        self.record_use_end(connection, now)
+        connection.state = State.DONE
+        if server.left:
             return Cause.LEFT
-        own = 1 - AGE_SPREAD * held.luck
-        if settings.requests and held.requests >= settings.requests * own:
+        lifetime_share = 1 - LIFETIME_SPREAD * connection.jitter
+        if settings.requests and connection.request_count >= settings.requests * lifetime_share:
             return Cause.REQUESTS
-        if settings.age and now - held.born >= settings.age * own:
+        if settings.age and now - connection.opened_at >= settings.age * lifetime_share:
             return Cause.AGE
-        held.state, held.since = State.IDLE, now
-        line.idle.append(held)
+        connection.state, connection.state_since = State.IDLE, now
+        server.idle.append(connection)
         return None
 
-    def closed(self, held: Held, now: float, cause: Cause) -> None:
-        """A connection has ended; each is told once, and what is told again is left aside."""
-        if held.state is State.CLOSED:
+    def closed(self, connection: Held, now: float, cause: Cause) -> None:
+        """A connection was closed. Repeated calls are ignored."""
+        if connection.state is State.CLOSED:
             return
-        line, state = held.line, held.state
-        if held.ahead:
-            line.opening -= 1
+        server, state = connection.line, connection.state
+        if connection.ahead:
+            server.opening -= 1
         elif state is State.OPENING:
-            line.used -= 1
+            server.used -= 1
         elif state is State.BUSY:
-            self.count_end(held, now)
+            self.record_use_end(connection, now)
         elif state is State.IDLE:
-            line.idle.remove(held)
-        held.state = State.CLOSED
-        line.held -= 1
+            server.idle.remove(connection)
+        connection.state = State.CLOSED
+        server.held -= 1
         self.total -= 1
         self.closes[cause] += 1
         if not self.settings.learn:
             return
         if cause is Cause.ENDED:
-            self.ended(held, now)
+            self.on_idle_close(connection, now)
         elif cause is Cause.REFUSED:
-            self.refused(line, now)
+            self.on_refused(server, now)
         if cause in (Cause.RESET, Cause.REFUSED, Cause.UNWRITTEN):
-            self.broke(line, now, held.stale, cause is Cause.REFUSED and not line.held)
-
-    def lost(self, held: Held, now: float, wrote: float, reset: bool) -> None:
-        """A request written whole at `wrote` has met a reset, or else silence, and not one byte came."""
-        line, age = held.line, held.age
-        if age <= EARLY or not self.settings.learn:
-            return  # new or nearly so: it did not stand too long
-        if now - wrote > QUICK if reset else line.heard <= wrote:
-            return  # the process may have broken it, or may answer nobody at present
-        if now - line.broken_at <= AT_ONCE:
-            return  # others broke that were not old: the process went
-        held.stale = True
-        if line.undo is None or now - line.undo[0] > AT_ONCE:
-            line.undo = now, line.limit, line.good
-        if age <= line.good:
-            line.good /= 2  # one that stood longer was good: more of these will count
+            self.on_break(server, now, connection.lost_stale, cause is Cause.REFUSED and not server.held)
+
+    def lost(self, connection: Held, now: float, wrote: float, reset: bool) -> None:
+        """A request written completely at `wrote` got no byte of an answer, but a reset or a timeout."""
+        server, age = connection.line, connection.age
+        if age <= EARLY_CLOSE_MS or not self.settings.learn:
+            return  # new, or idle only briefly: not stale
+        if now - wrote > IMMEDIATE_RESET_MS if reset else server.last_answer_at <= wrote:
+            return  # the process may have reset it, or may be answering nobody at present
+        if now - server.last_break_at <= SIMULTANEOUS_CLOSE_MS:
+            return  # others that were not stale broke too: the process ended
+        connection.lost_stale = True
+        if server.before_stale_loss is None or now - server.before_stale_loss[0] > SIMULTANEOUS_CLOSE_MS:
+            server.before_stale_loss = now, server.idle_limit, server.proven_idle
+        if age <= server.proven_idle:
+            server.proven_idle /= 2  # a longer idle time has worked: only repeated losses count
         else:
-            self.shorten(line, now, max(age / 2, line.good * MARGIN))
+            self.shorten_limit(server, now, max(age / 2, server.proven_idle * IDLE_LIMIT_MARGIN))
 
-    def promised(self, held: Held, limit: float) -> None:
-        """The member says in an answer for how long it keeps an idle connection."""
+    def promised(self, connection: Held, limit: float) -> None:
+        """An answer stated the member's idle timeout."""
         if self.settings.learn:
-            held.line.limit = max(LEAST_LIMIT, min(held.line.limit, limit * MARGIN))
+            connection.line.idle_limit = max(
+                MIN_IDLE_LIMIT_MS, min(connection.line.idle_limit, limit * IDLE_LIMIT_MARGIN)
+            )
 
     def sweep(self, now: float) -> tuple[list[tuple[Held, Cause]], list[Line]]:
-        """What is to be closed, and toward whom one each is to be opened ahead; due each `every`."""
+        """What to close, and the members to which one connection each is to be opened; due each `every`."""
         due: list[tuple[Held, Cause]] = []
-        wanted: list[Line] = []
-        self.forget(now)
-        late, self.swept = now - self.swept > 1.5 * self.every, now
-        oldest = max(1, int(AGE_PACE * sum(len(line.idle) for line in self.active)))  # that may go by age now
-        for line in list(self.active):
-            oldest = self.tend(line, now, due, oldest)
-            if self.settings.ahead and self.wants(line, now):
-                wanted.append(line)
-            if not line.held and (line.left or not self.settings.ahead or not any(line.peaks)):
-                del self.active[line]
-        most = min(OPENED_AT_ONCE, int(self.room * AHEAD_ROOM) - self.total)
-        if late or most <= 0:
-            wanted = []  # whoever is late has no time for what is not needed yet
-        elif len(wanted) > most:
-            wanted = self.rng.sample(wanted, most)
-        return due[: max(CLOSED_AT_ONCE, len(due) // 4)], wanted
+        to_preconnect: list[Line] = []
+        self.expire_samples(now)
+        overloaded, self.last_sweep_at = now - self.last_sweep_at > 1.5 * self.every, now
+        age_closes_left = max(1, int(MAX_AGE_CLOSE_SHARE * sum(len(server.idle) for server in self.active)))
+        for server in list(self.active):
+            age_closes_left = self.update_server(server, now, due, age_closes_left)
+            if self.settings.ahead and self.should_preconnect(server, now):
+                to_preconnect.append(server)
+            if not server.held and (server.left or not self.settings.ahead or not any(server.in_use_peaks)):
+                del self.active[server]
+        allowed = min(MAX_PRECONNECTS_PER_SWEEP, int(self.room * AHEAD_ROOM) - self.total)
+        if overloaded or allowed <= 0:
+            to_preconnect = []  # no work that is not needed yet
+        elif len(to_preconnect) > allowed:
+            to_preconnect = self.rng.sample(to_preconnect, allowed)
+        return due[: max(CLOSES_PER_SWEEP, len(due) // 4)], to_preconnect
 
     def summary(self) -> str:
-        """What was opened and why it was closed, in one line for the log."""
+        """One line for the log: connections opened, and closed by cause."""
         causes = ", ".join(f"{cause.value} {count}" for cause, count in sorted(self.closes.items(), key=str))
         return (
             f"{self.opened} opened, {self.opened_ahead} of them ahead, {self.reused} times used again, "
@@ -373,212 +389,252 @@
     @property
     def every(self) -> float:
         """Milliseconds from one sweep to the next."""
-        return SWEEP_AHEAD if self.settings.ahead else SWEEP
+        return PRECONNECT_SWEEP_INTERVAL_MS if self.settings.ahead else SWEEP_INTERVAL_MS
 
-    # use
+    # use of connections
 
-    def usable(self, held: Held, now: float, limit: float, safe: bool) -> bool:
-        """Whether a request may be put on an idle connection."""
-        age = now - held.since
-        return age < self.own(limit, held) or (safe and held.trial and age < 2 * limit)
+    def is_usable(self, connection: Held, now: float, limit: float, safe: bool) -> bool:
+        """Whether a request may be sent on an idle connection."""
+        age = now - connection.state_since
+        return age < self.own_idle_limit(limit, connection) or (
+            safe and connection.on_trial and age < 2 * limit
+        )
 
-    def use(self, held: Held, now: float) -> None:
-        line = held.line
-        if line.idle[-1] is held:
-            line.idle.pop()
+    def mark_in_use(self, connection: Held, now: float) -> None:
+        server = connection.line
+        if server.idle[-1] is connection:
+            server.idle.pop()
         else:
-            line.idle.remove(held)
-        held.state, held.age, held.since, held.trial = State.BUSY, now - held.since, now, False
+            server.idle.remove(connection)
+        connection.state, connection.age, connection.state_since, connection.on_trial = (
+            State.BUSY,
+            now - connection.state_since,
+            now,
+            False,
+        )
         self.reused += 1
-        self.count_use(line)
-
-    def count_use(self, line: Line) -> None:
-        line.used += 1
-        line.lends += 1
-        if line.used > line.peaks[-1]:
-            line.peaks[-1] = line.used
-
-    def count_end(self, held: Held, now: float) -> None:
-        line = held.line
-        line.used -= 1
-        held.requests += 1
-        took = now - held.since
-        line.span += (took - line.span) * (SPAN_WEIGHT if line.span else 1.0)
+        self.record_use(server)
+
+    def record_use(self, server: Line) -> None:
+        server.used += 1
+        server.acquired += 1
+        if server.used > server.in_use_peaks[-1]:
+            server.in_use_peaks[-1] = server.used
+
+    def record_use_end(self, connection: Held, now: float) -> None:
+        server = connection.line
+        server.used -= 1
+        connection.request_count += 1
+        elapsed = now - connection.state_since
+        server.mean_use_time += (elapsed - server.mean_use_time) * (
+            EWMA_WEIGHT if server.mean_use_time else 1.0
+        )
 
-    # limits
+    # idle limits and caps
 
-    def limit(self, line: Line) -> float:
-        """The idle age beyond which a connection to a member is not used, for the one with the most luck."""
-        if line.limit < math.inf:
-            return min(line.limit, self.base)
-        return min(max(self.common, line.good, MARGIN * self.longest), self.base)
+    def limit(self, server: Line) -> float:
+        """The idle time beyond which no connection to a member is used, before jitter shortens it."""
+        if server.idle_limit < math.inf:
+            return min(server.idle_limit, self.base_idle_limit)
+        return min(
+            max(self.common_idle_limit, server.proven_idle, IDLE_LIMIT_MARGIN * self.longest_idle_reused),
+            self.base_idle_limit,
+        )
 
     @property
-    def longest(self) -> float:
-        """The longest idle time after which a connection was good lately, to whomever it led."""
-        return max(self.outlived, self.outlived_before)
-
-    def least(self, limit: float) -> float:
-        """The shortest that a connection's own limit may be."""
-        return limit * (1 - (SPREAD_AHEAD if self.settings.ahead else SPREAD))
-
-    def own(self, limit: float, held: Held) -> float:
-        """The idle limit of one connection."""
-        least = self.least(limit)
-        return limit - (limit - least) * held.luck if limit < math.inf else limit
-
-    def shorten(self, line: Line, now: float, limit: float) -> None:
-        """A connection was dead at an age that was held to be good: the next trial waits twice as long."""
-        if line.limit < math.inf:
-            line.trial_wait = min(2 * line.trial_wait, TRIAL_MOST)
-        self.learned(line, now, min(limit, self.limit(line)))
-
-    def learned(self, line: Line, now: float, limit: float) -> None:
-        line.limit = max(LEAST_LIMIT, min(limit, self.base))
-        line.trial_at = now + line.trial_wait
-        self.shared.append((now, line.limit, line))
-        self.settle_common()
-
-    def settle_common(self) -> None:
-        """What two members have shown holds for those that have shown nothing."""
-        limits = sorted(limit for _, limit, _ in self.shared)
-        several = len({line for *_, line in self.shared}) > 1
-        self.common = limits[len(limits) // 2] if several else math.inf
-
-    def forget(self, now: float) -> None:
-        """Let go what was learned of all members long ago."""
-        if self.early and now - self.early[0][0] > EARLY_SPAN:
-            self.early.popleft()
-            self.settle_rest()
-        while self.shared and now - self.shared[0][0] > SHARED_SPAN:
-            self.shared.popleft()
-            self.settle_common()
-        if now - self.outlived_at > EARLY_SPAN / 2:
-            self.outlived, self.outlived_before, self.outlived_at = 0.0, self.outlived, now
-
-    def ended(self, held: Held, now: float) -> None:
-        """A member has closed an idle connection: at what age may tell how long it keeps them."""
-        line, age = held.line, now - held.since
-        if held.requests and age <= EARLY:
-            self.note_early(line, now, age)
+    def longest_idle_reused(self) -> float:
+        """The longest idle time after which reuse of a connection to any member worked recently."""
+        return max(self.max_idle_reused, self.previous_max_idle_reused)
+
+    def shortest_idle_limit(self, limit: float) -> float:
+        """The shortest idle limit that jitter can give a connection."""
+        return limit * (1 - (PRECONNECT_IDLE_LIMIT_SPREAD if self.settings.ahead else IDLE_LIMIT_SPREAD))
+
+    def own_idle_limit(self, limit: float, connection: Held) -> float:
+        """The idle limit of one connection, with its jitter."""
+        shortest = self.shortest_idle_limit(limit)
+        return limit - (limit - shortest) * connection.jitter if limit < math.inf else limit
+
+    def shorten_limit(self, server: Line, now: float, limit: float) -> None:
+        """A connection was dead after an idle time thought safe: the interval to the next trial doubles."""
+        if server.idle_limit < math.inf:
+            server.trial_interval = min(2 * server.trial_interval, MAX_TRIAL_INTERVAL_MS)
+        self.set_limit(server, now, min(limit, self.limit(server)))
+
+    def set_limit(self, server: Line, now: float, limit: float) -> None:
+        server.idle_limit = max(MIN_IDLE_LIMIT_MS, min(limit, self.base_idle_limit))
+        server.trial_at = now + server.trial_interval
+        self.shared_limits.append((now, server.idle_limit, server))
+        self.update_common_limit()
+
+    def update_common_limit(self) -> None:
+        """Once two members have shown limits, their median applies to members that have shown none."""
+        limits = sorted(limit for _, limit, _ in self.shared_limits)
+        from_several = len({server for *_, server in self.shared_limits}) > 1
+        self.common_idle_limit = limits[len(limits) // 2] if from_several else math.inf
+
+    def expire_samples(self, now: float) -> None:
+        """Drop expired samples from all members."""
+        if self.early_closes and now - self.early_closes[0][0] > EARLY_CLOSE_WINDOW_MS:
+            self.early_closes.popleft()
+            self.update_reuse_delay()
+        while self.shared_limits and now - self.shared_limits[0][0] > SHARED_LIMIT_TTL_MS:
+            self.shared_limits.popleft()
+            self.update_common_limit()
+        if now - self.reuse_window_start > EARLY_CLOSE_WINDOW_MS / 2:
+            self.max_idle_reused, self.previous_max_idle_reused, self.reuse_window_start = (
+                0.0,
+                self.max_idle_reused,
+                now,
+            )
+
+    def on_idle_close(self, connection: Held, now: float) -> None:
+        """A member has closed an idle connection: the idle time may indicate its idle timeout."""
+        server, age = connection.line, now - connection.state_since
+        if connection.request_count and age <= EARLY_CLOSE_MS:
+            self.record_early_close(server, now, age)
             return
-        seen, line.seen = line.seen, (now, age)
-        if seen is None or now - seen[0] <= AT_ONCE or line.heard <= seen[0]:
-            return  # the first one, or its process went
-        if abs(age - seen[1]) > AGREE * max(age, seen[1]):
+        previous, server.last_idle_close = server.last_idle_close, (now, age)
+        if (
+            previous is None
+            or now - previous[0] <= SIMULTANEOUS_CLOSE_MS
+            or server.last_answer_at <= previous[0]
+        ):
+            return  # the first close, or its process ended
+        if abs(age - previous[1]) > LIMIT_AGREEMENT * max(age, previous[1]):
             return
-        limit = min(age, seen[1]) * MARGIN
-        if line.limit < math.inf or limit < self.base:  # it may be longer than what was learned before
-            line.good = min(line.good, limit)
-            self.learned(line, now, limit)
-
-    def broke(self, line: Line, now: float, stale: bool = False, gone: bool = False) -> None:
-        """Several that break at once tell of a process that went, not of limits; it comes back cold."""
-        if not stale and line.undo is not None and now - line.undo[0] <= AT_ONCE:
-            since, line.limit, line.good = line.undo
-            line.undo = None
-            mine = [entry for entry in self.shared if entry[2] is line and entry[0] >= since]
-            for entry in mine:
-                self.shared.remove(entry)
-            self.settle_common()
+        limit = min(age, previous[1]) * IDLE_LIMIT_MARGIN
+        if server.idle_limit < math.inf or limit < self.base_idle_limit:  # may raise a learned limit
+            server.proven_idle = min(server.proven_idle, limit)
+            self.set_limit(server, now, limit)
+
+    def on_break(self, server: Line, now: float, stale: bool = False, gone: bool = False) -> None:
+        """Several simultaneous breaks mean that the process ended, not that limits were exceeded.
+
+        A limit learned from the first of them is undone, and the member is taken to restart cold.
+        """
+        if (
+            not stale
+            and server.before_stale_loss is not None
+            and now - server.before_stale_loss[0] <= SIMULTANEOUS_CLOSE_MS
+        ):
+            since, server.idle_limit, server.proven_idle = server.before_stale_loss
+            server.before_stale_loss = None
+            undone = [entry for entry in self.shared_limits if entry[2] is server and entry[0] >= since]
+            for entry in undone:
+                self.shared_limits.remove(entry)
+            self.update_common_limit()
         if not stale:
-            line.broken = line.broken + 1 if now - line.broken_at <= AT_ONCE else 1
-            line.broken_at = now
-        if gone or line.broken >= LOST_PROCESS:
-            line.cold_until, line.seen, line.cap, line.refusal = math.inf, None, math.inf, None
-
-    def refused(self, line: Line, now: float) -> None:
-        """A refused connect shows a cap only if the member goes on answering: one that ends refuses too."""
-        if line.refusal is None or now - line.refusal > CAP_WAIT:
-            line.refusal = now if line.held else None
-
-    def capped(self, line: Line, now: float, held: Held) -> None:
-        """The member has answered after it refused a connect: does that show a cap?"""
-        if line.refusal is None or now - line.refusal < AT_ONCE:
-            return  # what it had sent before its end may be read up to now
-        if held.born < line.refusal and now - line.refusal <= CAP_WAIT:
-            line.refusals += 1
-        if line.refusals >= CAP_SIGNS:
-            line.cap = line.held
-            line.cap_until = now + line.cap_wait
-            line.cap_wait = min(2 * line.cap_wait, CAP_MOST)
-        line.refusal = None
-
-    # rest: members that close soon after an answer
-
-    def note_early(self, line: Line, now: float, age: float) -> None:
-        self.early.append((now, age, self.answers, line.name))
-        self.settle_rest()
-
-    def settle_rest(self) -> None:
-        """How long a connection is to rest after an answer: as long as nearly all early closes take."""
-        self.rest = 0.0
-        if not self.settings.rest or len(self.early) < EARLY_LEAST:
+            server.break_count = (
+                server.break_count + 1 if now - server.last_break_at <= SIMULTANEOUS_CLOSE_MS else 1
+            )
+            server.last_break_at = now
+        if gone or server.break_count >= MIN_PROCESS_LOSS_BREAKS:
+            server.cold_until, server.last_idle_close, server.connection_cap, server.refused_at = (
+                math.inf,
+                None,
+                math.inf,
+                None,
+            )
+
+    def on_refused(self, server: Line, now: float) -> None:
+        """A refused connect indicates a cap only if the member keeps answering: an ending one refuses too."""
+        if server.refused_at is None or now - server.refused_at > MIN_CAP_BACKOFF_MS:
+            server.refused_at = now if server.held else None
+
+    def on_answer_after_refusal(self, server: Line, now: float, connection: Held) -> None:
+        """An answer after a refused connect: decide whether the member has a connection cap."""
+        if server.refused_at is None or now - server.refused_at < SIMULTANEOUS_CLOSE_MS:
+            return  # an answer sent before the process ended may still arrive
+        if connection.opened_at < server.refused_at and now - server.refused_at <= MIN_CAP_BACKOFF_MS:
+            server.consecutive_refusals += 1
+        if server.consecutive_refusals >= MIN_CAP_REFUSALS:
+            server.connection_cap = server.held
+            server.cap_retry_at = now + server.cap_backoff
+            server.cap_backoff = min(2 * server.cap_backoff, MAX_CAP_BACKOFF_MS)
+        server.refused_at = None
+
+    # reuse delay, for members that close connections soon after an answer
+
+    def record_early_close(self, server: Line, now: float, age: float) -> None:
+        self.early_closes.append((now, age, self.answer_count, server.name))
+        self.update_reuse_delay()
+
+    def update_reuse_delay(self) -> None:
+        """Set the delay of reuse after an answer: longer than the latest early close seen."""
+        self.reuse_delay = 0.0
+        if not self.settings.rest or len(self.early_closes) < MIN_EARLY_CLOSES:
             return
-        answers = self.answers - self.early[0][2] + 1
-        if len(self.early) < EARLY_SHARE * answers or len({whose for *_, whose in self.early}) < min(
-            3, len(self.active)
-        ):
+        answers = self.answer_count - self.early_closes[0][2] + 1
+        if len(self.early_closes) < MIN_EARLY_CLOSE_SHARE * answers or len(
+            {member for *_, member in self.early_closes}
+        ) < min(3, len(self.active)):
             return
-        self.rest = REST_MARGIN * max(age for _, age, *_ in self.early)
+        self.reuse_delay = REUSE_DELAY_MARGIN * max(age for _, age, *_ in self.early_closes)
 
-    def resting(self, line: Line) -> float:
-        """Milliseconds that a connection is left alone after an answer; none where all close so early."""
-        return self.rest if self.rest and self.longest > self.rest else 0.0
+    def reuse_delay_of(self, server: Line) -> float:
+        """Milliseconds after an answer in which a connection is not reused; 0 if none outlives the delay."""
+        return self.reuse_delay if self.reuse_delay and self.longest_idle_reused > self.reuse_delay else 0.0
 
-    def may_rest(self, line: Line, now: float) -> bool:
-        """Whether a new connection may be opened rather than use one that has not rested."""
+    def may_open_instead(self, server: Line, now: float) -> bool:
+        """Whether a new connection may be opened rather than reuse one before its delay is over."""
         return (
-            now >= line.cold_until
+            now >= server.cold_until
             and self.total < self.room * AHEAD_ROOM
-            and len(line.idle) <= line.used + 4
-            and (line.held < line.cap or now >= line.cap_until)
+            and len(server.idle) <= server.used + 4
+            and (server.held < server.connection_cap or now >= server.cap_retry_at)
         )
 
     # sweeping
 
-    def tend(self, line: Line, now: float, due: list[tuple[Held, Cause]], oldest: int) -> int:
-        """Note what of a line is due; returns how many more may go by age."""
-        limit, age = self.limit(line), self.settings.age
-        trial, least = now >= line.trial_at, self.least(limit)
-        for position, held in enumerate(line.idle):
-            idle = now - held.since
-            if idle < least and not age:
-                break  # those behind it are younger
-            if idle >= self.own(limit, held):
-                if trial and not position and idle < min(2 * limit, self.base):
-                    held.trial = True
+    def update_server(
+        self, server: Line, now: float, due: list[tuple[Held, Cause]], age_closes_left: int
+    ) -> int:
+        """Append to `due` what is to be closed, and update the forecast; returns the age closes left."""
+        limit, age = self.limit(server), self.settings.age
+        trial_due, shortest = now >= server.trial_at, self.shortest_idle_limit(limit)
+        for position, connection in enumerate(server.idle):
+            idle_time = now - connection.state_since
+            if idle_time < shortest and not age:
+                break  # those after it have been idle for less time
+            if idle_time >= self.own_idle_limit(limit, connection):
+                if trial_due and not position and idle_time < min(2 * limit, self.base_idle_limit):
+                    connection.on_trial = True
                     continue
-                due.append((held, Cause.IDLE))
-            elif age and oldest > 0 and now - held.born >= age * (1 - AGE_SPREAD * held.luck):
-                due.append((held, Cause.AGE))
-                oldest -= 1
-        span = now - line.tended
-        window = self.settings.hold / WINDOWS
-        if span > 0:
-            weight = min(1.0, span / RATE_SPAN)
-            line.rate += (line.lends / span - line.rate) * weight
-            line.lends = 0
-            if now // window != line.tended // window:
-                for _ in range(min(WINDOWS, int(now // window - line.tended // window))):
-                    line.peaks.append(line.used)
-                    del line.peaks[:-WINDOWS]
-            line.tended = now
-        return oldest
-
-    def need(self, line: Line) -> int:
-        """How many connections the forecast wants held toward a member."""
-        peak = max(line.peaks)
+                due.append((connection, Cause.IDLE))
+            elif (
+                age
+                and age_closes_left > 0
+                and now - connection.opened_at >= age * (1 - LIFETIME_SPREAD * connection.jitter)
+            ):
+                due.append((connection, Cause.AGE))
+                age_closes_left -= 1
+        elapsed = now - server.updated_at
+        window = self.settings.hold / PEAK_WINDOWS
+        if elapsed > 0:
+            weight = min(1.0, elapsed / RATE_SMOOTHING_MS)
+            server.acquire_rate += (server.acquired / elapsed - server.acquire_rate) * weight
+            server.acquired = 0
+            if now // window != server.updated_at // window:
+                for _ in range(min(PEAK_WINDOWS, int(now // window - server.updated_at // window))):
+                    server.in_use_peaks.append(server.used)
+                    del server.in_use_peaks[:-PEAK_WINDOWS]
+            server.updated_at = now
+        return age_closes_left
+
+    def target_count(self, server: Line) -> int:
+        """How many connections to a member the forecast calls for."""
+        peak = max(server.in_use_peaks)
         if not peak:
             return 0
-        mean = line.rate * line.span
-        return max(peak, math.ceil(mean + DOUBT * math.sqrt(mean))) + self.settings.spare
+        mean = server.acquire_rate * server.mean_use_time
+        return max(peak, math.ceil(mean + DEMAND_STD_DEVS * math.sqrt(mean))) + self.settings.spare
 
-    def wants(self, line: Line, now: float) -> bool:
-        """Whether one is to be opened ahead toward a member: one at a time, none where it may be cold."""
+    def should_preconnect(self, server: Line, now: float) -> bool:
+        """Whether to open a connection ahead of demand: one at a time, none while the member may be cold."""
         return (
-            not line.left
-            and not line.opening
-            and now >= max(line.ahead_at, line.cold_until)
-            and line.held < min(self.need(line), line.cap)
+            not server.left
+            and not server.opening
+            and now >= max(server.next_preconnect_at, server.cold_until)
+            and server.held < min(self.target_count(server), server.connection_cap)
         )
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -25,7 +25,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from barleybarrow.connections import AGE_SPREAD, AHEAD_ROOM, Cause, ConnectionSettings, Planner, State
+from barleybarrow.connections import AHEAD_ROOM, LIFETIME_SPREAD, Cause, ConnectionSettings, Planner, State
 from barleybarrow.interface import ListScope, Outcome
 from barleybarrow.settings import read_settings
 from barleybarrow.subsets import Subset
@@ -128,7 +128,7 @@
     held = bench.idle(1)[0]  # unless a connection stood longer elsewhere, and was good
     bench.now += 5_000.0
     assert bench.planner.lend(bench.line, bench.now, True) is None  # for this one it holds as well
-    bench.planner.use(held, bench.now)
+    bench.planner.mark_in_use(held, bench.now)
     bench.serve(held)
     assert bench.planner.limit(lines[2]) > 3_900.0
     bench.planner.sweep(bench.now + 300_001.0)  # and not for good
@@ -150,7 +150,7 @@
             bench.planner.closed(other, bench.now, Cause.RESET)
     assert bench.planner.limit(bench.line) == 0.6 * IDLE
     back = bench.open()
-    assert bench.now + 8_000.0 < bench.line.cold_until <= back.since + 8_800.0
+    assert bench.now + 8_000.0 < bench.line.cold_until <= back.state_since + 8_800.0
 
 
 def test_silence_counts_only_where_the_member_answers_others_meanwhile():
@@ -182,7 +182,7 @@
     bench.now += 4_000.0
     for held in pair:
         bench.planner.closed(held, bench.now, Cause.ENDED)
-    assert other.limit == math.inf
+    assert other.idle_limit == math.inf
 
 
 def test_a_learned_limit_is_tried_again_with_what_may_be_repeated_and_grows():
@@ -191,7 +191,7 @@
     held = bench.idle(1)[0]
     bench.now += 2_000.0
     bench.lose(bench.take())
-    assert bench.line.limit == 1_000.0 and held.state is State.CLOSED
+    assert bench.line.idle_limit == 1_000.0 and held.state is State.CLOSED
     bench.now += 10_000.0
     kept = bench.idle(1)[0]
     bench.wait(1_500.0)
@@ -199,7 +199,7 @@
     assert bench.planner.lend(bench.line, bench.now, False) is None
     assert bench.planner.lend(bench.line, bench.now, True) is kept
     bench.serve(kept)
-    assert bench.line.limit > 1_400.0
+    assert bench.line.idle_limit > 1_400.0
 
 
 def test_what_a_member_promises_is_held_to():
@@ -220,7 +220,7 @@
     for _ in range(1_200):
         for line in lines:  # each is used, so none falls due by idle time
             for held in list(line.idle):
-                held.since = bench.now
+                held.state_since = bench.now
         before = bench.planner.closes[Cause.AGE]
         bench.sweep()
         fullest = max(fullest, bench.planner.closes[Cause.AGE] - before)
@@ -241,8 +241,8 @@
         held = bench.open()
         while bench.serve(held, 1.0) is None:
             assert bench.planner.lend(bench.line, bench.now, True) is held
-        counts.add(held.requests)
-    assert max(counts) <= 100 and min(counts) >= 100 * (1 - AGE_SPREAD) and len(counts) > 4
+        counts.add(held.request_count)
+    assert max(counts) <= 100 and min(counts) >= 100 * (1 - LIFETIME_SPREAD) and len(counts) > 4
 
 
 def burst(bench, count, span):
@@ -292,7 +292,7 @@
     for n in range(700):  # a little over a minute
         bench.now += 100.0
         for held in list(bench.line.idle):
-            bench.planner.use(held, bench.now)
+            bench.planner.mark_in_use(held, bench.now)
             bench.serve(held, 0.0)
         if bench.planner.may_open(bench.line, bench.now):
             if n < 500:
@@ -300,7 +300,7 @@
                 refusals.append(n)
             else:
                 bench.serve(bench.open(), 0.0)
-    assert 4 <= len(refusals) <= 8 and bench.line.cap > 5 and bench.planner.full > 400
+    assert 4 <= len(refusals) <= 8 and bench.line.connection_cap > 5 and bench.planner.full > 400
 
 
 def test_a_member_that_refuses_because_its_process_ends_is_not_taken_for_a_full_one():
@@ -314,7 +314,7 @@
     assert bench.planner.may_open(bench.line, bench.now)
     bench.now += 200.0
     bench.serve(bench.open(), 5.0)  # it is back: that is a new connection
-    assert bench.planner.may_open(bench.line, bench.now) and bench.line.cap == math.inf
+    assert bench.planner.may_open(bench.line, bench.now) and bench.line.connection_cap == math.inf
 
 
 def test_a_thousand_members_that_leave_and_come_back_leave_nothing_behind():
