--- a/barleybarrow/__init__.py
+++ b/barleybarrow/__init__.py
@@ -1,4 +1,4 @@
-"""Decisions of a reverse proxy that spreads requests over HTTP servers."""
+"""The decision logic of a load-balancing HTTP reverse proxy, without I/O."""
 
 from typing import TYPE_CHECKING, Any
 
@@ -9,7 +9,7 @@
 
 
 def __getattr__(name: str) -> Any:
-    """Import `Balancer` when it is first asked for: the fleet uses other modules only (PEP 562)."""
+    """Import `Balancer` on first use (PEP 562): the fleet's processes use other modules only."""
     if name == "Balancer":
         from barleybarrow.brain import Balancer
 
--- a/barleybarrow/connections.py
+++ b/barleybarrow/connections.py
@@ -1,8 +1,8 @@
 """Decides which connections to pool members to keep, reuse, open ahead of demand and close, and when.
 
 It is told the time (milliseconds on one clock) and the events; it does no I/O and queues no requests.
-docs/design/connections.md compares the alternatives. The number of connections is bounded by `Planner.room`;
-apart from them, a few numbers are kept for each member.
+docs/design/connections.md compares the alternatives. The number of connections has a fixed bound; apart
+from them, a few numbers are kept for each member.
 """
 
 import math
@@ -20,9 +20,8 @@
 # The same with preconnecting, which opens closed connections again: a wider spread paces the handshakes.
 PRECONNECT_IDLE_LIMIT_SPREAD = 0.5
 LIFETIME_SPREAD = 0.25  # the same for age and for number of requests, where closing early costs nothing
-EARLY_CLOSE_MS = (
-    100.0  # after an answer: earlier closes are a habit of the member, later ones an idle timeout
-)
+# After an answer: earlier closes are a habit of the member, later ones its idle timeout.
+EARLY_CLOSE_MS = 100.0
 MAX_EARLY_CLOSES, EARLY_CLOSE_WINDOW_MS = 64, 30_000.0
 REUSE_DELAY_MARGIN = 1.25  # of the latest early close seen: another may be later, and has to travel
 MIN_EARLY_CLOSES, MIN_EARLY_CLOSE_SHARE = 4, 0.002  # fewer, or a smaller share of the answers, are no habit
@@ -272,7 +271,7 @@
         return True
 
     def not_opened(self, server: Line, now: float) -> None:
-        """A connect was refused immediately, before `opening` was called."""
+        """A connect was refused immediately, before there was a connection to record."""
         self.closes[Cause.REFUSED] += 1
         if self.settings.learn:
             self.on_refused(server, now)
@@ -359,7 +358,7 @@
             )
 
     def sweep(self, now: float) -> tuple[list[tuple[Held, Cause]], list[Line]]:
-        """What to close, and the members to which one connection each is to be opened; due each `every`."""
+        """What to close, and the members to which one connection each is to be opened."""
         due: list[tuple[Held, Cause]] = []
         to_preconnect: list[Line] = []
         self.expire_samples(now)
--- a/barleybarrow/descriptor_split.py
+++ b/barleybarrow/descriptor_split.py
@@ -1,11 +1,11 @@
-"""Two processes that are one proxy for a while: which of them may hold how many descriptors.
+"""Splits the file descriptors between the old and the new process of one proxy during a handover.
 
-It decides and does no I/O. The old process has half, or what it holds already where that is more; once it is
-to stop it opens nothing new, and what it gives back is the new one's at once.
+The old process gets half, or what it holds already if that is more. Once it is stopping it opens no new
+descriptors, and those that it closes go to the new process at once.
 """
 
 
 def parts(total: int, held: int, stopping: bool) -> tuple[int, int]:
-    """How many of `total` descriptors the old process and the new one may have; the old one holds `held`."""
+    """How many of `total` descriptors the old process, which holds `held`, and the new one may have."""
     old = min(total, held if stopping else max(total // 2, held))
     return old, total - old
--- a/barleybarrow/documents.py
+++ b/barleybarrow/documents.py
@@ -1,7 +1,7 @@
 """The operator's configuration as typed values, shared by the control plane and the data plane.
 
-Plain data: no checks and no I/O here. `brackenusher.settings.documents` reads and checks what an operator
-sends (keys in Pascal case) and makes a `Configuration` of it; feeds carry it as JSON with these field names.
+Plain data, without validation or I/O. `brackenusher.settings.documents` parses and validates what an operator
+sends (keys in Pascal case) into a `Configuration`; feeds carry it as JSON with these field names.
 """
 
 from dataclasses import dataclass, field
@@ -9,7 +9,7 @@
 
 
 class RouteKind(StrEnum):
-    """What may be repeated: `safe` requests may run more than once, the others at most once for each try."""
+    """Whether requests may be retried: `safe` ones may run more than once, others once for each attempt."""
 
     SAFE = "safe"
     UNSAFE = "unsafe"
@@ -17,7 +17,7 @@
 
 
 class QuotaUnit(StrEnum):
-    """What `rate_per_s` and `burst` of a tenant count."""
+    """The unit of a tenant's `rate_per_s` and `burst`."""
 
     REQUESTS = "request_rate"
     TOKENS = "token_rate"
@@ -25,7 +25,7 @@
 
 @dataclass(slots=True)
 class WeightedService:
-    """One part of a traffic split."""
+    """One service of a traffic split and its weight."""
 
     service: str
     weight: float
@@ -33,7 +33,7 @@
 
 @dataclass(slots=True)
 class Route:
-    """Which requests go to which service, and under what terms. Times are milliseconds."""
+    """Maps requests to a service, with their time-outs and retry rules. Times are in milliseconds."""
 
     name: str
     hostname: str
@@ -53,7 +53,7 @@
 
 @dataclass(slots=True)
 class EngineModel:
-    """A model that the engines of a service hold."""
+    """A model that the engines of a service have loaded."""
 
     name: str
     generation: int = 0
@@ -61,23 +61,23 @@
 
 @dataclass(slots=True)
 class Engine:
-    """What the operator tells about the engines of a service."""
+    """The operator's description of the engines of a service."""
 
     slots: int = 0
     kv_capacity_tokens: int = 0
     kv_token_bytes: int = 0
     link_mbps: float = 0.0
-    stride: int = 1  # tokens in one event of a stream
+    stride: int = 1  # tokens per event of a stream
     models: list[EngineModel] = field(default_factory=list)
 
 
 @dataclass(slots=True)
 class Service:
-    """A group of servers that answer the same requests."""
+    """A group of interchangeable servers."""
 
     name: str
     health_path: str = "/health"
-    max_connections: int = 0  # that one server accepts from all callers together; 0: not stated
+    max_connections: int = 0  # that one server accepts from all callers together; 0: unspecified
     protocol: str = "h1"
     tls: bool = False
     engine: Engine | None = None
@@ -85,7 +85,7 @@
 
 @dataclass(slots=True)
 class ClientLimits:
-    """Bounds on what a client may send and how long it may take. 0: none."""
+    """Limits on the size and duration of client requests. 0: no limit."""
 
     max_header_bytes: int = 0
     max_body_bytes: int = 0
@@ -95,7 +95,7 @@
 
 @dataclass(slots=True)
 class Tenant:
-    """Who pays: its keys and its quota over all proxies. A rate of 0 means no limit."""
+    """A tenant with its API keys and its quota over all proxies. A rate of 0 means no limit."""
 
     name: str
     api_keys: list[str] = field(default_factory=list)
@@ -108,7 +108,7 @@
 
 @dataclass(slots=True)
 class Configuration:
-    """One version of the whole configuration; versions rise by uneven steps."""
+    """One version of the whole configuration; generations increase, with gaps."""
 
     generation: int
     routes: list[Route] = field(default_factory=list)
@@ -119,7 +119,7 @@
 
 @dataclass(slots=True)
 class ConfigurationDelta:
-    """What turns one version into another: whole items by name, and names to remove."""
+    """The difference between two versions: complete items to set by name, and names to remove."""
 
     base_generation: int
     generation: int
--- a/barleybarrow/eviction.py
+++ b/barleybarrow/eviction.py
@@ -1,18 +1,18 @@
-"""Which client connection is evicted where there is no room for another.
+"""Chooses the client connection to evict when there is no room for another.
 
-It decides and does no I/O; it is told for how many milliseconds nothing has moved on the connection that
-moved longest ago, in each place where connections stand. What is owed an answer stands in none of them.
+It does no I/O. For each state, it is told for how many milliseconds the connection that has been inactive
+longest has been so. Connections that are owed an answer are in none of the states.
 
-    turn  where     after    why
-    1     SPENT     0        it has had its last answer, and its end is only waited for
-    2     SILENT    100      it has said nothing since it came
-    3     PARTIAL   700      it stopped within its request
-    4     RESTING   100      it had its answers, and asks for nothing now
-    5     SILENT    0        it has hardly come; but nothing is lost yet
-    6     PARTIAL   200      it still writes, slowly
-    7     RESTING   0        it asked a moment ago
+    order  state     inactive  why
+    1      spent     0         it has had its last answer and is only waiting for its close
+    2      silent    100       it has sent nothing since it was accepted
+    3      partial   700       it stopped within a request
+    4      resting   100       it is idle between requests
+    5      silent    0         it was only just accepted, but no request is lost yet
+    6      partial   200       it is still sending a request, slowly
+    7      resting   0         it became idle a moment ago
 
-A client that takes 2 s for a head, or sends a body at 64 kB/s, moves more often than every 700 ms.
+A client that takes 2 s to send a request head, or sends a body at 64 kB/s, is never inactive for 700 ms.
 """
 
 from collections.abc import Mapping
@@ -20,7 +20,7 @@
 
 
 class Place(Enum):
-    """Where a connection stands on which nothing is owed."""
+    """The state of a client connection that is owed no answer."""
 
     SPENT = "spent"
     SILENT = "silent"
@@ -28,7 +28,7 @@
     RESTING = "resting"
 
 
-TURNS = (
+EVICTION_ORDER = (
     (Place.SPENT, 0.0),
     (Place.SILENT, 100.0),
     (Place.PARTIAL, 700.0),
@@ -39,6 +39,8 @@
 )
 
 
-def choose(still: Mapping[Place, float]) -> Place | None:
-    """From which place a connection is to go; `still` leaves out places where there is none."""
-    return next((place for place, after in TURNS if still.get(place, -1.0) >= after), None)
+def choose(idle_ms: Mapping[Place, float]) -> Place | None:
+    """The state from which to evict a connection; `idle_ms` has no entry for states without connections."""
+    return next(
+        (state for state, min_idle_ms in EVICTION_ORDER if idle_ms.get(state, -1.0) >= min_idle_ms), None
+    )
--- a/barleybarrow/graceful_shutdown.py
+++ b/barleybarrow/graceful_shutdown.py
@@ -1,33 +1,36 @@
-"""The graceful shutdown: how long to serve on after the word to stop, what comes when, how much time is left.
+"""Graceful shutdown: its phases, their timing, and the time left for requests after the stop signal.
 
-It decides and does no I/O; it is told the time. Every time is in milliseconds on one monotonic clock. It must
-never plan an answer for later than `answered_by`, which lies before the earliest time of the kill.
+It is told the time and does no I/O. All times are in milliseconds on one monotonic clock. No answer may be
+planned for later than `answered_by`, which is before the earliest SIGKILL.
 
-Phases come in order, and none comes back:
+Phases only move forward:
 
-    SERVING    as ever, but what comes in late has its time cut, or is refused at once
-    DRAINING   each answer ends its connection, connections between requests are closed, new ones still come
-    CLOSING    all is answered; what waits at the door is taken in and refused, then the door is closed
-    ENDED      nobody is left, or only those who do not take their answers and whom the kill would cut off
+    SERVING    as usual, but the time allowed to late requests is cut, or they are refused at once
+    DRAINING   each answer closes its connection, idle connections are closed, new ones are still accepted
+    CLOSING    all requests are answered; the accept queue is emptied and refused, then the listeners close
+    ENDED      no client is left, or only clients that do not read their answers
 """
 
 from enum import IntEnum
 
-LONGEST = 3000.0  # ms: the platform counts the longest deadline as this where it is longer
-GRACE = 700.0  # ms on top of that, before which the kill does not come
-DOOR_FROM = 200.0  # ms after the word, from when on new connections may no longer come
-DOOR = 450.0  # ms after the word in which new connections come: 400 by the platform, and some for the way
-PERIOD = 100.0  # ms, the kernel's default period of a CPU limit: a share stops a program for the rest of it
-WORK = 50.0  # ms kept for the turn that is under way at the end, for the last answers, and 30 for the exit
-EACH = 0.5  # ms of CPU to give one request up, answer it and end its connection
-SPARE = 1 / 8  # of the connections, two at least, is to be free then: so many may be asked on in one turn
-FEW = 8  # with fewer connections than this none is spared: each may belong to a client of its own
-USUAL = 1 / 16  # weight of a new answer in what one usually takes
-RESTART = 500.0  # ms from the kill until a new program serves: 300 measured, and some for a busy machine
+MAX_DEADLINE_MS = 3000.0  # the platform caps the longest deadline at this for the kill
+KILL_GRACE_MS = 700.0  # the kill comes no earlier than this after the longest deadline
+MIN_ACCEPT_MS = 200.0  # after the stop signal; later new connections may no longer come
+# New connections may come for 400 ms after the stop signal, as the platform says, plus time for transit.
+MAX_ACCEPT_MS = 450.0
+CFS_PERIOD_MS = 100.0  # the kernel's default: a process that has used up its CPU share stalls until its end
+FINAL_WORK_MS = 50.0  # for the last turn of the event loop, the last answers, and 30 ms for the exit
+EACH = 0.5  # milliseconds of CPU time to abort one request, answer it and close its connection
+# Share of the connections, at least two, to keep free: so many requests may come in one turn of the loop.
+FREE_CONNECTION_SHARE = 1 / 8
+MIN_CONNECTIONS_TO_SPARE = 8  # with fewer, each connection may belong to a different client
+DURATION_EWMA_WEIGHT = 1 / 16  # of a new answer in the usual duration
+# From the kill until a new process serves: 300 ms, plus margin for a busy machine.
+RESTART_MS = 500.0
 
 
 class Phase(IntEnum):
-    """What is to be done now."""
+    """A phase of the shutdown, see above."""
 
     SERVING = 0
     DRAINING = 1
@@ -36,82 +39,100 @@
 
 
 class GracefulShutdown:
-    """The plan of one program's end, made when the word to stop comes and tightened by what is seen since.
+    """Schedule of one shutdown, made when the stop signal arrives and tightened when stalls are observed.
 
-    `told_at` is when the word came, `longest` the longest deadline of the settings, `share` the part of a
-    core that the program may use (over 0; 1 and more mean a whole one), and `least` the shortest time with
-    which a request is worth starting; what has less is refused at once. `alone`: there is no other proxy that
-    clients could turn to.
+    `requested_at` is when the stop signal was noticed, `max_deadline` the longest deadline in the settings,
+    `cpu_share` the share of a core that the process may use (over 0; 1 or more for a whole core), and
+    `min_useful_time` the shortest time with which a request is started instead of refused. `only_proxy`:
+    clients have no other proxy to turn to.
     """
 
-    def __init__(self, told_at: float, longest: float, share: float, least: float, alone: bool) -> None:
-        self.told_at, self.least, self.alone, self.usual = told_at, least, alone, 0.0
-        self.limit = told_at + min(longest, LONGEST) + GRACE  # the kill comes no sooner
-        self.stall = PERIOD * (1.0 - min(share, 1.0))  # the longest time that the program may stand still
+    def __init__(
+        self,
+        requested_at: float,
+        max_deadline: float,
+        cpu_share: float,
+        min_useful_time: float,
+        only_proxy: bool,
+    ) -> None:
+        self.told_at, self.min_useful_time, self.only_proxy, self.usual_duration = (
+            requested_at,
+            min_useful_time,
+            only_proxy,
+            0.0,
+        )
+        self.limit = requested_at + min(max_deadline, MAX_DEADLINE_MS) + KILL_GRACE_MS  # the earliest SIGKILL
+        self.stall = CFS_PERIOD_MS * (1.0 - min(cpu_share, 1.0))  # the longest expected stall of the process
         self.phase = Phase.SERVING
 
     @property
     def answered_by(self) -> float:
-        """When all is answered: there may be one stall before the word was noticed and one at the end."""
-        return self.limit - WORK - 2 * self.stall
+        """When all is answered: allows for a stall before the signal was noticed and one at the end."""
+        return self.limit - FINAL_WORK_MS - 2 * self.stall
 
     @property
     def draining_from(self) -> float:
-        """From when on nothing is worth starting."""
-        return max(self.answered_by - self.enough, self.told_at + DOOR)
+        """The time from which no request is worth starting."""
+        return max(self.answered_by - self.min_time_left, self.told_at + MAX_ACCEPT_MS)
 
     @property
-    def end(self) -> float:
-        """When the program ends though some still do not take their answers; the rest is for its exit."""
+    def ends_by(self) -> float:
+        """When the process ends even if clients do not read their answers, with time left for its exit."""
         return self.answered_by + (self.limit - self.answered_by) / 3
 
     @property
-    def enough(self) -> float:
-        """What must be left for a request to be started: with half of the usual time some are served."""
-        return max(self.least, self.usual / 2)
+    def min_time_left(self) -> float:
+        """The least time left for starting a request: half of the usual duration suffices for some."""
+        return max(self.min_useful_time, self.usual_duration / 2)
 
     def answered(self, elapsed: float) -> None:
-        """Note how long a served request took."""
-        self.usual += USUAL * (elapsed - self.usual) if self.usual else elapsed
+        """Record the duration of a served request."""
+        self.usual_duration += (
+            DURATION_EWMA_WEIGHT * (elapsed - self.usual_duration) if self.usual_duration else elapsed
+        )
 
-    def crowded(self, now: float, free: int, in_hand: int) -> bool:
-        """Whether a newcomer is refused so that clients have a free connection for the next request.
+    def crowded(self, now: float, free: int, in_flight: int) -> bool:
+        """Whether to refuse a new request so that clients keep free connections for the next ones.
 
-        They can open no other then, and a front that finds none free takes the program for gone. `free` are
-        the connections between requests, `in_hand` the requests beside the newcomer.
+        They can no longer open connections, and a front proxy that finds none free assumes that it is gone.
+        `free`: idle connections; `in_flight`: requests besides the new one.
         """
-        connections = free + in_hand + 1
-        if not self.alone or connections < FEW or now < self.told_at + DOOR_FROM:
+        connections = free + in_flight + 1
+        if (
+            not self.only_proxy
+            or connections < MIN_CONNECTIONS_TO_SPARE
+            or now < self.told_at + MIN_ACCEPT_MS
+        ):
             return False
-        return free < max(2.0, SPARE * connections)
+        return free < max(2.0, FREE_CONNECTION_SHARE * connections)
 
-    def cut(self, now: float, span: float, in_hand: int) -> float:
-        """What is left of a request's span, or 0 where it is to be refused at once.
+    def cut(self, now: float, span: float, in_flight: int) -> float:
+        """The time that a request may take of its `span`, or 0 if it is to be refused at once.
 
-        The more are in hand, the earlier the newest is over: not all can be answered in one moment.
+        The more requests are in flight, the earlier the newest must end, as answering them takes CPU time.
         """
-        left = self.answered_by - EACH * in_hand - now
+        left = self.answered_by - EACH * in_flight - now
         if span <= left:
             return span
-        return left if left >= self.enough else 0.0
+        return left if left >= self.min_time_left else 0.0
 
-    def come_back(self, now: float, most: float) -> float:
-        """After how long a refused client may find a new program, at most `most`."""
-        return min(max(self.limit - now, 0.0) + RESTART, most)
+    def come_back(self, now: float, max_wait: float) -> float:
+        """After how long a refused client may find a new process, at most `max_wait`."""
+        return min(max(self.limit - now, 0.0) + RESTART_MS, max_wait)
 
-    def step(self, now: float, late: float, clients: int, shut: bool) -> Phase:
-        """Say what is to be done now.
+    def step(self, now: float, delay: float, clients: int, listeners_closed: bool) -> Phase:
+        """Return the current phase.
 
-        Called every few milliseconds: `late` is by how much it was called too late, `clients` the number of
-        client connections, and `shut` whether the door is closed.
+        Called every few milliseconds. `delay`: how late the call was; `clients`: count of client connections;
+        `listeners_closed`: whether all listeners are closed.
         """
-        self.stall = max(self.stall, late)
-        self.phase = max(self.phase, self.due(now, clients, shut))
+        self.stall = max(self.stall, delay)
+        self.phase = max(self.phase, self.due_phase(now, clients, listeners_closed))
         return self.phase
 
-    def due(self, now: float, clients: int, shut: bool) -> Phase:
-        if now >= self.end or shut and not clients:
+    def due_phase(self, now: float, clients: int, listeners_closed: bool) -> Phase:
+        if now >= self.ends_by or listeners_closed and not clients:
             return Phase.ENDED
-        if now >= self.answered_by or now >= self.told_at + DOOR and not clients:
+        if now >= self.answered_by or now >= self.told_at + MAX_ACCEPT_MS and not clients:
             return Phase.CLOSING
         return Phase.DRAINING if now >= self.draining_from else Phase.SERVING
--- a/barleybarrow/knowledge.py
+++ b/barleybarrow/knowledge.py
@@ -1,17 +1,17 @@
-"""Shared knowledge as values: what each proxy saw at first hand, how copies merge, what it is worth later.
+"""Shared knowledge of backends as values: first-hand evidence, how copies merge, what it is worth later.
 
-It does no I/O, is told the time in milliseconds, and changes nothing that the module decided: it hands the
-module hearsay, which can only lower a backend's rank.
+It does no I/O, is told the time in milliseconds, and changes no decision of the policy: it gives the policy
+peer estimates, which can only lower a backend's rank.
 
-- Evidence is about one life of one backend and comes from one proxy, its origin, which alone makes new
-  versions of it. Copies travel with their origin's name and the age of the evidence: a copy of a copy adds
+- Evidence is about one incarnation of one backend and comes from one proxy, its origin, which alone creates
+  new versions of it. Copies carry their origin's name and the age of the evidence, so a copy of a copy adds
   nothing.
 - Merging takes the greater version, which is a join of a semilattice (Shapiro et al., "Conflict-free
   Replicated Data Types", SSS 2011): order and repetition make no difference.
-- Evidence is worth its weight times e^(-FADE t), t seconds after it was seen.
-- Speeds are relative to the median of the origin's own backends. A class mix, or a bad link, that slows all
-  that a proxy sees cancels; so does what is said of all backends alike.
-- Where several origins speak, their weighted lower median counts: less than half of the weight lowers nobody.
+- The weight of evidence decays exponentially with the time since it was seen.
+- Speeds are relative to the median of the origin's own backends. A mix of classes or a bad link that slows
+  everything an origin sees cancels out, and so does a statement about all backends alike.
+- Among several origins the weighted lower median counts: a minority of the weight lowers no backend.
 """
 
 from collections.abc import Iterable, Iterator, Mapping, Sequence
@@ -24,63 +24,63 @@
 
 from barleybarrow.interface import Outcome
 
-FADE = 0.08  # a second takes this share off: four times MEAN_DECAY_PER_S of the module, a half-life of 9 s
-OWN = 2.0  # answers of its own after which a proxy halves what it hears
-MOST_SLOWER = log(8.0)  # more is not believed: ranked behind all others a backend is already
-SOME = 256  # backends looked at in one go: some 3 ms
-LEAST = 3  # measured backends below which there is no median to compare with
-FULL_WEIGHT = 4  # answers from which on the mean weighs in full: until then it leans on its kind's anyway
-MOST_FAILING = 0.9  # a share of failures above it counts as this: tenfold cost is enough
-OLDEST = 120_000.0  # milliseconds: worth e^-9.6 then, so it is dropped
-MOST_HELD = 16_384  # pieces of evidence: eight origins' word on 2,000 backends, some 6 MB
-MOST_NAME = 128  # characters
-BEYOND = 10.0  # |slower| above it is absurd: 22,000 times the median
-MOST_COUNT = 2**53  # whole numbers beyond are not exact in every reader
-CHANGED = log(1.3)  # a change of speed worth telling: well beyond the spread after smoothing
-FAILS_OTHERWISE = 0.2  # a change in the share that fails worth telling
-NOTABLE = log(1.2)  # within the module's tie nothing has to be told again
-REFRESH = 5_000.0  # milliseconds after which what is notable and newer is told again
+FADE = 0.08  # decay per second: four times the policy's MEAN_DECAY_PER_S, a half-life of 9 s
+HALVING_ANSWERS = 2.0  # own answers of a proxy after which peer estimates count half
+MAX_BELIEVED_SLOWER = log(8.0)  # enough to rank a backend behind all others
+SOME = 256  # backends handled in one pass, which takes about 3 ms
+MIN_MEASURED_BACKENDS = 3  # with fewer there is no meaningful median
+FULL_WEIGHT_ANSWERS = 4  # with fewer, the mean still depends largely on that of the backend's kind
+MAX_FAILURE_SHARE = 0.9  # limits the cost factor of failures to ten
+OLDEST = 120_000.0  # milliseconds: older evidence is dropped, as it has decayed by e^-9.6
+MOST_HELD = 16_384  # evidence of eight origins on 2,000 backends, about 6 MB
+MAX_NAME_LENGTH = 128  # characters
+MAX_ABS_SLOWER = 10.0  # larger values are invalid: 22,000 times the median
+MAX_COUNT = 2**53  # larger integers are not exact in every decoder
+MIN_SPEED_CHANGE = log(1.3)  # smallest change worth publishing: well above the noise left after smoothing
+MIN_FAILURE_SHARE_CHANGE = 0.2  # smallest change worth publishing
+NOTABLE_SLOWER = log(1.2)  # smaller differences are ties for the policy and are not published again
+REFRESH_INTERVAL_MS = 5_000.0  # after which notable evidence is published again if it is newer
 NEVER = -1.0  # for a lag: it has not happened
 
 
 class InvalidEvidenceError(ValueError):
-    """Evidence that cannot be true."""
+    """Evidence with an impossible value."""
 
 
 @dataclass(frozen=True, slots=True)
 class Evidence:
-    """What one proxy saw of one life of one backend. Spans and clock times are in milliseconds."""
+    """What one proxy observed of one incarnation of one backend. Times are in milliseconds."""
 
     backend: str
-    born: float  # Unix time at which this life began, as discovery tells it to all; 0 for long ago
-    origin: str  # the proxy that saw it
-    epoch: int  # the life of that proxy: Unix milliseconds on its own clock when it started
-    serial: int  # the origin counts what it says
-    at: float  # on this proxy's clock: when the newest of it was seen
-    slower: float = 0.0  # log of how many times the origin's median backend it costs, failures counted in
-    weight: float = 1.0  # 0 to 1: answers behind it, of those that smoothing remembers
-    failing: float = 0.0  # 0 to 1: share of attempts that failed of late
-    limit: float = 1.0  # threshold learned: attempts of the origin at once
-    warm: float = 1.0  # 0 to 1, as the origin guessed it
-    answered: float = NEVER  # so long before `at` it last answered; NEVER where it did not
-    failed: float = NEVER  # the same for a failure
-    silent: float = NEVER  # the same for an attempt without any answer
+    born: float  # Unix time at which the incarnation started, as reported by discovery; 0 for long ago
+    origin: str  # the proxy that observed it
+    epoch: int  # incarnation of that proxy: Unix time of its start by its own clock
+    serial: int  # counts the versions that the origin has published
+    at: float  # time of the newest observation, on the clock of this proxy
+    slower: float = 0.0  # log of its cost relative to the origin's median backend, failures included
+    weight: float = 1.0  # 0 to 1: share of the smoothing window that is backed by answers
+    failing: float = 0.0  # 0 to 1: recent share of failed attempts
+    limit: float = 1.0  # learned concurrency limit of the origin
+    warm: float = 1.0  # 0 to 1: the origin's estimate
+    answered: float = NEVER  # lag of the last answer behind `at`, or NEVER
+    failed: float = NEVER  # the same for the last failure
+    silent: float = NEVER  # the same for the last attempt without an answer
 
     @property
     def key(self) -> tuple[float, str]:
         return self.born, self.origin
 
     def check(self, now: float) -> None:
-        """Raise InvalidEvidenceError where a field is out of its range, or its time has not come yet."""
+        """Raise InvalidEvidenceError if a field is out of range or its time is in the future."""
         for name, text in (("backend", self.backend), ("origin", self.origin)):
-            if not 0 < len(text) <= MOST_NAME or not text.isprintable():
+            if not 0 < len(text) <= MAX_NAME_LENGTH or not text.isprintable():
                 raise InvalidEvidenceError(name)
-        for name, value, least, most in (
+        for name, value, low, high in (
             ("born", self.born, 0.0, 1e15),
-            ("epoch", self.epoch, 0, MOST_COUNT),
-            ("serial", self.serial, 0, MOST_COUNT),
+            ("epoch", self.epoch, 0, MAX_COUNT),
+            ("serial", self.serial, 0, MAX_COUNT),
             ("at", self.at, now - 1e12, now),
-            ("slower", self.slower, -BEYOND, BEYOND),
+            ("slower", self.slower, -MAX_ABS_SLOWER, MAX_ABS_SLOWER),
             ("weight", self.weight, 0.0, 1.0),
             ("failing", self.failing, 0.0, 1.0),
             ("limit", self.limit, 0.0, 1e6),
@@ -89,53 +89,51 @@
             ("failed", self.failed, NEVER, 1e12),
             ("silent", self.silent, NEVER, 1e12),
         ):
-            if not isfinite(value) or not least <= value <= most:
+            if not isfinite(value) or not low <= value <= high:
                 raise InvalidEvidenceError(name)
 
     def worth(self, now: float) -> float:
-        """What is left of its weight."""
+        """The weight left after decay."""
         return self.weight * exp(-FADE * max(0.0, now - self.at) / 1000.0)
 
 
-def rank(e: Evidence) -> tuple[float, ...]:
-    """An order of all versions of one key; the rest after the age only keeps it free of chance."""
+def version_order(e: Evidence) -> tuple[float, ...]:
+    """A total order of the versions of one key; the fields after the age only make it deterministic."""
     content = (e.slower, e.weight, e.failing, e.limit, e.warm, e.answered, e.failed, e.silent)
     return e.epoch, e.serial, -e.at, *content
 
 
-def greater(one: Evidence, other: Evidence) -> Evidence:
-    """The version that counts. Of one version the copy that says it is older does: no copy makes it young."""
-    return max(one, other, key=rank)
+def newer_version(one: Evidence, other: Evidence) -> Evidence:
+    """The version that counts; of equal versions the older copy: copying never makes evidence younger."""
+    return max(one, other, key=version_order)
 
 
 def lowering(slower: float, weight: float, own: float, seen: int) -> float:
-    """By how much hearsay multiplies an expected latency, 1 at least and 8 at most.
+    """The factor, from 1 to 8, by which a peer estimate multiplies an expected latency.
 
-    `own` is what this proxy itself expects, `seen` the answers that stands on; both speeds are logs of
-    multiples of the fleet's usual latency, each of its own proxy's fleet. Taken is their geometric mean by
-    weight, where it is above `own`.
+    `own` is this proxy's own estimate and `seen` the number of answers behind it. Both speeds are logs of
+    multiples of the usual latency of the fleet, as seen by the respective proxy. The result is their weighted
+    geometric mean where that is above `own`.
     """
-    doubt = min(max(weight, 0.0), 1.0) * OWN / (OWN + seen)
-    return min(exp(max(0.0, doubt * (min(slower, MOST_SLOWER) - own))), exp(MOST_SLOWER))
+    trust = min(max(weight, 0.0), 1.0) * HALVING_ANSWERS / (HALVING_ANSWERS + seen)
+    return min(exp(max(0.0, trust * (min(slower, MAX_BELIEVED_SLOWER) - own))), exp(MAX_BELIEVED_SLOWER))
 
 
 class Book:
-    """All evidence that is held, by backend, and there by life and origin."""
+    """Bounded store of evidence by backend, and for each by incarnation and origin."""
 
-    def __init__(self, room: int = MOST_HELD) -> None:
+    def __init__(self, capacity: int = MOST_HELD) -> None:
         self.held: dict[str, dict[tuple[float, str], Evidence]] = {}
-        self.room, self.size = room, 0
-        self.absurd = self.dropped = 0  # rejected; not kept for want of room
-        self.changed: dict[
-            str, None
-        ] = {}  # backends of which something new was said since they were looked at
+        self.capacity, self.size = capacity, 0
+        self.absurd = self.dropped = 0  # rejected as invalid; not stored for lack of room
+        self.changed: dict[str, None] = {}  # backends with new evidence since they were last processed
 
     def all(self) -> Iterator[Evidence]:
         for of_backend in self.held.values():
             yield from of_backend.values()
 
     def merge(self, evidence: Evidence, now: float) -> bool:
-        """Take up a piece of evidence; whether it was news. What is absurd or too old is not kept."""
+        """Merge evidence; returns whether it is a new version. Invalid or expired evidence is not stored."""
         try:
             evidence.check(now)
         except InvalidEvidenceError:
@@ -143,74 +141,76 @@
             return False
         if now - evidence.at > OLDEST:
             return False
-        old = self.held.get(evidence.backend, {}).get(evidence.key)
-        if old is None:
-            if self.size >= self.room and not self.make_room(evidence):
+        current = self.held.get(evidence.backend, {}).get(evidence.key)
+        if current is None:
+            if self.size >= self.capacity and not self.evict_oldest(evidence):
                 self.dropped += 1
                 return False
             self.size += 1
             best = evidence
         else:
-            best = greater(old, evidence)
+            best = newer_version(current, evidence)
         self.held.setdefault(evidence.backend, {})[evidence.key] = best
-        news = old is None or (best.epoch, best.serial) > (old.epoch, old.serial)
-        if news:
+        is_new = current is None or (best.epoch, best.serial) > (current.epoch, current.serial)
+        if is_new:
             self.changed[evidence.backend] = None
-        return news
+        return is_new
 
-    def drop(self, evidence: Evidence) -> None:
+    def remove(self, evidence: Evidence) -> None:
         of_backend = self.held[evidence.backend]
         del of_backend[evidence.key]
         self.size -= 1
         if not of_backend:
             del self.held[evidence.backend]
 
-    def make_room(self, evidence: Evidence) -> bool:
-        """Drop an eighth, the oldest, unless this one is older than they are."""
+    def evict_oldest(self, evidence: Evidence) -> bool:
+        """Evict the oldest eighth, unless `evidence` is older than all of it."""
         oldest = nsmallest(max(1, self.size // 8), self.all(), key=lambda e: e.at)
         if evidence.at <= oldest[-1].at:
             return False
         for e in oldest:
-            self.drop(e)
+            self.remove(e)
         self.dropped += len(oldest)
         return True
 
     def prune(self, now: float) -> None:
-        """Forget what is too old to count."""
+        """Remove expired evidence."""
         for e in [e for e in self.all() if now - e.at > OLDEST]:
-            self.drop(e)
+            self.remove(e)
 
     def hearsay(
-        self, now: float, lives: Mapping[str, float], but: tuple[str, int]
+        self, now: float, born_at: Mapping[str, float], excluded_origin: tuple[str, int]
     ) -> dict[str, tuple[float, float]]:
-        """What others say of these lives (name and Unix time of birth): speed and weight by name.
+        """Peer estimates for these incarnations (Unix start time by name): speed and weight by name.
 
-        What the origin `but` (name and epoch) says is left out: a proxy does not hear itself.
+        Evidence of `excluded_origin` (name and epoch) is left out: it is this proxy's own.
         """
-        found = {}
-        for name, born in lives.items():
+        result = {}
+        for name, born in born_at.items():
             of_backend = self.held.get(name, {}).values()
-            said = [
-                (e.slower, e.worth(now)) for e in of_backend if e.born == born and (e.origin, e.epoch) != but
+            estimates = [
+                (e.slower, e.worth(now))
+                for e in of_backend
+                if e.born == born and (e.origin, e.epoch) != excluded_origin
             ]
-            if said:
-                found[name] = agreed(said)
-        return found
+            if estimates:
+                result[name] = weighted_lower_median(estimates)
+        return result
 
 
-def agreed(words: Iterable[tuple[float, float]]) -> tuple[float, float]:
-    """The weighted lower median of (speed, weight), and the weight of all, 1 at most."""
-    ordered = sorted(words)
-    total, upto = sum(weight for _, weight in ordered), 0.0
+def weighted_lower_median(estimates: Iterable[tuple[float, float]]) -> tuple[float, float]:
+    """The weighted lower median of (speed, weight) pairs, and their total weight, capped at 1."""
+    ordered = sorted(estimates)
+    total, cumulative = sum(weight for _, weight in ordered), 0.0
     for speed, weight in ordered:
-        upto += weight
-        if 2 * upto >= total:
+        cumulative += weight
+        if 2 * cumulative >= total:
             return speed, min(1.0, total)
     return 0.0, 0.0
 
 
-class Known(Protocol):
-    """What is read of the module's record of a backend."""
+class BackendStats(Protocol):
+    """The part of the policy's record of a backend that is read here."""
 
     name: str
     started: float
@@ -223,76 +223,81 @@
 
 
 class Sightings:
-    """When each backend last answered, failed, or left an attempt unanswered, in clock milliseconds."""
+    """When each backend last answered, failed, or left an attempt unanswered, in milliseconds."""
 
     def __init__(self) -> None:
-        self.times: dict[str, list[float]] = {}
-        self.fresh: dict[str, None] = {}  # those of which something was seen since they were looked at
+        self.last_seen: dict[str, list[float]] = {}
+        self.changed: dict[str, None] = {}  # backends with outcomes since they were last processed
 
     def ended(self, now: float, backend: str, outcome: Outcome) -> None:
-        """Note the end of an attempt there."""
+        """Record the end of an attempt."""
         if outcome in (Outcome.NOT_SENT, Outcome.CANCELLED):
             return
-        place = 0 if outcome is Outcome.SERVED else 2 if outcome is Outcome.TIMEOUT else 1
-        self.times.setdefault(backend, [-inf, -inf, -inf])[place] = now
-        self.fresh[backend] = None
-
-    def keep(self, names: Mapping[str, object]) -> None:
-        """Forget all other backends: their names come and go without end."""
-        self.times = {name: times for name, times in self.times.items() if name in names}
-        self.fresh = {name: None for name in self.fresh if name in names}
-
-    def some(self, most: int) -> list[str]:
-        """So many of the fresh ones, which count as looked at then."""
-        found = list(islice(self.fresh, most))
+        index = 0 if outcome is Outcome.SERVED else 2 if outcome is Outcome.TIMEOUT else 1
+        self.last_seen.setdefault(backend, [-inf, -inf, -inf])[index] = now
+        self.changed[backend] = None
+
+    def retain(self, names: Mapping[str, object]) -> None:
+        """Remove all other backends, as the set of names is unbounded over time."""
+        self.last_seen = {name: times for name, times in self.last_seen.items() if name in names}
+        self.changed = {name: None for name in self.changed if name in names}
+
+    def take_changed(self, limit: int) -> list[str]:
+        """Take up to `limit` changed backends; they then count as processed."""
+        found = list(islice(self.changed, limit))
         for name in found:
-            del self.fresh[name]
+            del self.changed[name]
         return found
 
 
-def share_failing(b: Known) -> float:
-    """Share of attempts that fail there of late, over all classes, or by breaks, or by silence."""
+def failure_share(b: BackendStats) -> float:
+    """Recent share of failed attempts: the largest of errors in all classes, breaks and time-outs."""
     shares = b.failing[:-1]
     found = max(sum(shares) / len(shares), b.failing[-1], sum(b.lost) / len(b.lost))
     return min(max(found, 0.0), 1.0)
 
 
-def cost_of(b: Known, failing: float) -> float:
-    """Log of the usual latency for each answer that comes."""
-    return b.mean - log(1 - min(failing, MOST_FAILING))
+def log_cost(b: BackendStats, failing: float) -> float:
+    """Log of the usual latency per successful answer."""
+    return b.mean - log(1 - min(failing, MAX_FAILURE_SHARE))
 
 
 def first_hand(
-    backends: Mapping[str, Known], sightings: Sightings, lives: Mapping[str, float], origin: str, epoch: int
+    backends: Mapping[str, BackendStats],
+    outcomes: Sightings,
+    born_at: Mapping[str, float],
+    origin: str,
+    epoch: int,
 ) -> list[Evidence]:
-    """What this proxy itself has seen of these lives since the last time, each with serial 0.
+    """What this proxy itself has observed of these incarnations since the last call, each with serial 0.
 
-    The module's estimates hold its own answers alone, as hearsay never enters them. SOME are looked at in one
-    go at most, and the median is that of as many, evenly drawn: a large fleet must not hold up the loop.
+    The policy's estimates contain only its own answers, never those of peers. The number of backends
+    handled in one call is bounded, and the median is taken over an evenly spaced sample of as many, so that a
+    large fleet does not block the event loop.
     """
-    sightings.keep(backends)
-    step = len(sightings.times) // SOME + 1
-    drawn = (backends[name] for name in islice(sightings.times, 0, None, step))
-    costs = [cost_of(b, share_failing(b)) for b in drawn if b.seen]
-    middle = median(costs) if len(costs) >= LEAST else None
+    outcomes.retain(backends)
+    step = len(outcomes.last_seen) // SOME + 1
+    drawn = (backends[name] for name in islice(outcomes.last_seen, 0, None, step))
+    costs = [log_cost(b, failure_share(b)) for b in drawn if b.seen]
+    median_cost = median(costs) if len(costs) >= MIN_MEASURED_BACKENDS else None
     found = []
-    for name in sightings.some(SOME):
-        b, times = backends[name], sightings.times[name]
-        if name not in lives:
+    for name in outcomes.take_changed(SOME):
+        b, times = backends[name], outcomes.last_seen[name]
+        if name not in born_at:
             continue
-        at, failing = max(times), share_failing(b)
-        slower = cost_of(b, failing) - middle if middle is not None and b.seen else 0.0
+        at, failing = max(times), failure_share(b)
+        slower = log_cost(b, failing) - median_cost if median_cost is not None and b.seen else 0.0
         lags = [at - t if t > -inf else NEVER for t in times]
         found.append(
             Evidence(
                 backend=b.name,
-                born=lives[b.name],
+                born=born_at[b.name],
                 origin=origin,
                 epoch=epoch,
                 serial=0,
                 at=at,
-                slower=min(max(slower, -BEYOND), BEYOND),
-                weight=min(1.0, b.seen / FULL_WEIGHT) if middle is not None else 0.0,
+                slower=min(max(slower, -MAX_ABS_SLOWER), MAX_ABS_SLOWER),
+                weight=min(1.0, b.seen / FULL_WEIGHT_ANSWERS) if median_cost is not None else 0.0,
                 failing=failing,
                 limit=b.limit,
                 warm=b.warmth,
@@ -305,33 +310,33 @@
 
 
 class Teller:
-    """Decides what of a proxy's own evidence is worth a new version, and numbers it."""
+    """Decides which first-hand evidence is worth publishing as a new version, and numbers it."""
 
     def __init__(self) -> None:
-        self.serial = 0
-        self.told: dict[str, tuple[float, Evidence]] = {}
-
-    def news(self, seen: Sequence[Evidence], now: float) -> list[Evidence]:
-        """The pieces worth telling, numbered."""
-        found = []
-        for e in seen:
-            last = self.told.get(e.backend)
-            if last is None or self.worth_telling(*last, e, now):
-                self.serial += 1
-                e = replace(e, serial=self.serial)
-                self.told[e.backend] = now, e
-                found.append(e)
-        return found
+        self.last_serial = 0
+        self.published: dict[str, tuple[float, Evidence]] = {}
+
+    def news(self, evidence: Sequence[Evidence], now: float) -> list[Evidence]:
+        """The evidence worth publishing, with serials."""
+        updates = []
+        for e in evidence:
+            last = self.published.get(e.backend)
+            if last is None or self.is_worth_publishing(*last, e, now):
+                self.last_serial += 1
+                e = replace(e, serial=self.last_serial)
+                self.published[e.backend] = now, e
+                updates.append(e)
+        return updates
 
     def keep(self, names: Mapping[str, object]) -> None:
-        """Forget all other backends."""
-        self.told = {name: last for name, last in self.told.items() if name in names}
+        """Remove all other backends."""
+        self.published = {name: last for name, last in self.published.items() if name in names}
 
     @staticmethod
-    def worth_telling(when: float, old: Evidence, new: Evidence, now: float) -> bool:
-        if old.born != new.born or abs(new.failing - old.failing) > FAILS_OTHERWISE:
+    def is_worth_publishing(when: float, old: Evidence, new: Evidence, now: float) -> bool:
+        if old.born != new.born or abs(new.failing - old.failing) > MIN_FAILURE_SHARE_CHANGE:
             return True
-        if abs(new.slower - old.slower) > CHANGED or old.weight < 0.5 <= new.weight:
+        if abs(new.slower - old.slower) > MIN_SPEED_CHANGE or old.weight < 0.5 <= new.weight:
             return True
-        notable = max(abs(new.slower), abs(old.slower)) > NOTABLE
-        return notable and new.at > old.at and now - when >= REFRESH
+        notable = max(abs(new.slower), abs(old.slower)) > NOTABLE_SLOWER
+        return notable and new.at > old.at and now - when >= REFRESH_INTERVAL_MS
--- a/barleybarrow/lifecycle.py
+++ b/barleybarrow/lifecycle.py
@@ -1,36 +1,36 @@
-"""The stages of the process, and what a call to drain, to resume or to end does in each.
+"""The stages of the process, and the effect of requests to drain, resume and shut down in each.
 
-It decides and does no I/O; it is told the time, in milliseconds on one monotonic clock. What comes within the
-last stage is planned by `graceful_shutdown`. A stage and a call give the next stage, or no:
+It is told the time, in milliseconds on one monotonic clock, and does no I/O. The last stage is planned by
+`graceful_shutdown`. The next stage, by stage and request ("no": refused):
 
-    stage       drain      resume   end      in time
-    STARTING    DRAINING   READY    ENDING   READY once it serves
-    READY       DRAINING   READY    ENDING
-    DRAINING    DRAINING   READY    ENDING   DRAINED once no client is connected, or SETTLED after the call
-    DRAINED     DRAINED    READY    ENDING
-    ENDING      no         no       ENDING
+    stage            drain       resume    shut down        later
+    STARTING         DRAINING    READY     SHUTTING_DOWN    READY when it serves
+    READY            DRAINING    READY     SHUTTING_DOWN
+    DRAINING         DRAINING    READY     SHUTTING_DOWN    DRAINED when complete
+    DRAINED          DRAINED     READY     SHUTTING_DOWN
+    SHUTTING_DOWN    no          no        SHUTTING_DOWN
 
-A drain has two parts. Until the door's time is over, new connections come still, and all is served as ever.
-From then on each answer is to end its connection; connections that stand between requests are closed when
-`IDLE_FROM` is over, so that most end with an answer and no request crosses a close. None is refused for it.
+A drain has two parts. For `MAX_ACCEPT_MS`, new connections still arrive and all is served as usual. From then
+on each answer closes its connection. Idle connections are closed only after `IDLE_CLOSE_DELAY_MS`, so that
+most connections end with an answer and no request crosses a close. A drain refuses no request.
 """
 
 from enum import Enum
 
-from barleybarrow.graceful_shutdown import DOOR
+from barleybarrow.graceful_shutdown import MAX_ACCEPT_MS
 
-IDLE_FROM = 1500.0  # ms after the call: then connections between requests are closed; at 4 s none may stand
-SETTLED = 4000.0  # ms after the call in which the front takes the drain for done
+IDLE_CLOSE_DELAY_MS = 1500.0  # after the drain request; all must be closed by 4 s
+DRAIN_SETTLED_MS = 4000.0  # after the drain request the front proxy considers the drain complete
 
 
 class Stage(Enum):
-    """Where the process is in its life."""
+    """A stage of the process."""
 
     STARTING = "starting"
     READY = "ready"
     DRAINING = "draining"
     DRAINED = "drained"
-    ENDING = "ending"
+    SHUTTING_DOWN = "ending"
 
     @property
     def away(self) -> bool:
@@ -39,53 +39,57 @@
 
 
 class Lifecycle:
-    """The stage of one process, its first being STARTING."""
+    """The current stage of the process, initially STARTING."""
 
     def __init__(self) -> None:
         self.stage = Stage.STARTING
         self.drained_from, self.drains = (
             0.0,
             0,
-        )  # when the last drain was asked for; drains so far
+        )  # time of the last drain request; number of drains
 
     @property
     def ready(self) -> bool:
-        """Whether clients that may choose are to come here."""
+        """Whether the process reports itself ready, so that clients choose it."""
         return self.stage is Stage.READY
 
     def serves(self) -> None:
-        """The process serves; where it was drained before, it stays so."""
+        """The process has begun to serve; an earlier drain stays in force."""
         if self.stage is Stage.STARTING:
             self.stage = Stage.READY
 
     def drain(self, now: float) -> bool:
-        """Take a call to drain; False where the end has begun. A drain that is under way goes on as it is."""
+        """Request a drain; False if shutdown has begun. A drain already under way is not restarted."""
         if self.stage in (Stage.STARTING, Stage.READY):
             self.stage, self.drained_from, self.drains = Stage.DRAINING, now, self.drains + 1
-        return self.stage is not Stage.ENDING
+        return self.stage is not Stage.SHUTTING_DOWN
 
     def resume(self) -> bool:
-        """Take a call to resume; False where the end has begun."""
-        if self.stage is not Stage.ENDING:
+        """Request an end of the drain; False if shutdown has begun."""
+        if self.stage is not Stage.SHUTTING_DOWN:
             self.stage = Stage.READY
-        return self.stage is not Stage.ENDING
+        return self.stage is not Stage.SHUTTING_DOWN
 
     def end(self) -> None:
-        """The word to stop has come."""
-        self.stage = Stage.ENDING
+        """The stop signal has arrived."""
+        self.stage = Stage.SHUTTING_DOWN
 
     def step(self, now: float, clients: int) -> Stage:
-        """Say in which stage the process is now, with so many client connections left."""
+        """Return the current stage, given the number of client connections left.
+
+        A drain is complete once no client is connected, but not before idle connections are due to be closed,
+        or `DRAIN_SETTLED_MS` after its request.
+        """
         if self.stage is Stage.DRAINING:
             span = now - self.drained_from
-            if span >= SETTLED or span >= IDLE_FROM and not clients:
+            if span >= DRAIN_SETTLED_MS or span >= IDLE_CLOSE_DELAY_MS and not clients:
                 self.stage = Stage.DRAINED
         return self.stage
 
     def answers_end(self, now: float) -> bool:
-        """Whether each answer is to end its client's connection."""
-        return self.stage.away and now >= self.drained_from + DOOR
+        """Whether each answer is to close its client's connection."""
+        return self.stage.away and now >= self.drained_from + MAX_ACCEPT_MS
 
     def idle_end(self, now: float) -> bool:
-        """Whether connections between requests are to be closed."""
-        return self.stage.away and now >= self.drained_from + IDLE_FROM
+        """Whether idle client connections are to be closed."""
+        return self.stage.away and now >= self.drained_from + IDLE_CLOSE_DELAY_MS
--- a/barleybarrow/rate_limiter.py
+++ b/barleybarrow/rate_limiter.py
@@ -1,26 +1,26 @@
-"""Door limits: one token bucket a tenant or client address; told the time, it does no I/O."""
+"""Rate limiter: one token bucket per tenant or client address. It is told the time and does no I/O."""
 
 import math
 from collections import OrderedDict
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 
-CLOSED_WAIT = 60_000.0  # milliseconds named where the rate is 0: no wait would help, so one that is long
-LONGEST_KEY = 64  # names that differ only beyond this share a bucket, so that a table's size is bounded
-NEAR = 1e-4  # of a request: what rounding may take from a bucket that is just full enough; it is owed then
+CLOSED_WAIT = 60_000.0  # milliseconds; the wait given for a rate of 0, where no wait would help
+LONGEST_KEY = 64  # longer keys are truncated, which bounds the memory of the buckets
+ROUNDING_TOLERANCE = 1e-4  # of a request: rounding may leave a bucket short by this; the difference is owed
 
 
 @dataclass(frozen=True)
 class Limit:
-    """What one bucket allows."""
+    """The rate and burst of one bucket."""
 
-    rate: float  # requests a second
-    burst: float  # requests that a full bucket holds
+    rate: float  # requests per second
+    burst: float  # requests in a full bucket
 
 
 @dataclass(frozen=True)
 class RateLimiterSettings:
-    """Which limit goes for whom."""
+    """Which limit applies to which key, and how many buckets are kept at most."""
 
     by_address: bool = False
     tenant: Limit = Limit(200.0, 400)
@@ -30,36 +30,36 @@
 
 
 class Bucket:
-    """Holds whole requests and parts of them; fills at the limit's rate."""
+    """A token bucket in units of requests; it may hold fractions of one."""
 
-    __slots__ = ("limit", "level", "at")
+    __slots__ = ("limit", "level", "refilled_at")
 
     def __init__(self, limit: Limit, now: float) -> None:
-        self.limit, self.level, self.at = limit, float(limit.burst), now
+        self.limit, self.level, self.refilled_at = limit, float(limit.burst), now
 
     def refill(self, now: float) -> None:
-        gained = self.limit.rate / 1000.0 * max(0.0, now - self.at)
-        self.level = min(self.level + gained, float(self.limit.burst))
-        self.at = now
+        added = self.limit.rate / 1000.0 * max(0.0, now - self.refilled_at)
+        self.level = min(self.level + added, float(self.limit.burst))
+        self.refilled_at = now
 
-    def take(self, now: float) -> float:
-        """Take a request out; 0, or how many milliseconds to wait until there is one."""
+    def acquire(self, now: float) -> float:
+        """Take one token; returns 0, or the milliseconds until one is available."""
         rate = self.limit.rate / 1000.0
         if not rate:
             return CLOSED_WAIT
         self.refill(now)
-        if self.level >= 1.0 - NEAR:
+        if self.level >= 1.0 - ROUNDING_TOLERANCE:
             self.level -= 1.0
             return 0.0
         return float(math.ceil((1.0 - self.level) / rate))
 
 
 class RateLimiter:
-    """All buckets; where there is no room for another, the one that was idle longest makes way."""
+    """All buckets, in a table of bounded size with eviction of the least recently used one."""
 
     def __init__(self, settings: RateLimiterSettings) -> None:
         self.settings = settings
-        self.buckets: OrderedDict[str, Bucket] = OrderedDict()  # the one that was asked last stands last
+        self.buckets: OrderedDict[str, Bucket] = OrderedDict()  # least recently used first
 
     def limit(self, key: str) -> Limit:
         if self.settings.by_address:
@@ -67,10 +67,10 @@
         return self.settings.tenants.get(key, self.settings.tenant)
 
     def ask(self, key: str, now: float) -> float:
-        """Charge a request to its bucket: 0 where it may come in, else the milliseconds to wait.
+        """Charge a request to its bucket: returns 0 if it is admitted, else the milliseconds to wait.
 
-        What is turned away is not charged, but its bucket counts as used: while somebody keeps asking, it
-        must not be forgotten that the bucket is empty.
+        A rejected request is not charged, but its bucket counts as used: an empty bucket must not be evicted
+        while requests for it keep coming.
         """
         key = key[:LONGEST_KEY]
         bucket = self.buckets.get(key)
@@ -80,4 +80,4 @@
             if len(self.buckets) >= self.settings.table:
                 self.buckets.popitem(last=False)
             bucket = self.buckets[key] = Bucket(self.limit(key), now)
-        return bucket.take(now)
+        return bucket.acquire(now)
--- a/barleybarrow/tokens.py
+++ b/barleybarrow/tokens.py
@@ -1,4 +1,4 @@
-"""Tokens: who may read, and who may submit. Told the wall-clock time; it does no I/O.
+"""Signed tokens that grant the rights to read and to submit. It is told the wall-clock time; no I/O.
 
 A token is ``<kid>.<holder>.<rights>.<expiry>.<mac>``; the MAC is HMAC-SHA256 in base64url, without padding,
 over the first four fields and the dots between them.
@@ -12,20 +12,20 @@
 from dataclasses import dataclass, field
 
 READ, SUBMIT = "read", "submit"
-MISSING, EXPIRED, FORGED, LACKING = "missing", "expired", "forged", "rights"
+MISSING, EXPIRED, FORGED, INSUFFICIENT_RIGHTS = "missing", "expired", "forged", "rights"
 KID = re.compile(r"[A-Za-z0-9_-]{1,64}\Z")
-HOLDER = re.compile(r"[!-\-/-~]{1,256}\Z")  # printable, and no dot
-RIGHTS = re.compile(rf"({READ}|{SUBMIT})(\+({READ}|{SUBMIT}))*\Z")
-SHAPE = re.compile(rb"([!-\-/-~]+)\.[!-\-/-~]+\.([!-\-/-~]+)\.([0-9]{1,15})\.([A-Za-z0-9_-]{43})\Z")
+HOLDER_PATTERN = re.compile(r"[!-\-/-~]{1,256}\Z")  # printable ASCII without dots
+RIGHTS_PATTERN = re.compile(rf"({READ}|{SUBMIT})(\+({READ}|{SUBMIT}))*\Z")
+TOKEN_PATTERN = re.compile(rb"([!-\-/-~]+)\.[!-\-/-~]+\.([!-\-/-~]+)\.([0-9]{1,15})\.([A-Za-z0-9_-]{43})\Z")
 
 
 class TokenError(ValueError):
-    """A token cannot be issued like this."""
+    """A token with these fields cannot be issued."""
 
 
 @dataclass(frozen=True)
 class TokenSettings:
-    """The keys that count, by their ids, and how far clocks may differ."""
+    """The valid keys by id, and the tolerated clock skew in seconds."""
 
     keys: Mapping[str, bytes] = field(default_factory=dict, repr=False)
     skew: float = 30.0
@@ -36,12 +36,12 @@
 
 
 def issue(settings: TokenSettings, kid: str, holder: str, rights: str, expiry: int) -> str:
-    """Make a token that counts until a time in Unix seconds."""
+    """Make a token that is valid until `expiry`, in Unix seconds."""
     if kid not in settings.keys:
         raise TokenError(f"there is no key {kid!r}")
-    if not HOLDER.match(holder):
+    if not HOLDER_PATTERN.match(holder):
         raise TokenError(f"the holder must be printable, without blank or dot, not {holder!r}")
-    if not RIGHTS.match(rights):
+    if not RIGHTS_PATTERN.match(rights):
         raise TokenError(f"the rights must be {READ}, {SUBMIT} or {READ}+{SUBMIT}, not {rights!r}")
     if not 0 <= expiry < 10**15:
         raise TokenError("the expiry is out of range")
@@ -50,10 +50,10 @@
 
 
 def verdict(settings: TokenSettings, token: bytes | None, need: str, now: float) -> str:
-    """Why a token does not give the right that is needed at a time in Unix seconds; empty where it does."""
+    """Why a token does not grant the right `need` at `now` (Unix seconds); empty if it does."""
     if not token:
         return MISSING
-    shape = SHAPE.match(token)
+    shape = TOKEN_PATTERN.match(token)
     if shape is None:
         return FORGED
     key = settings.keys.get(shape[1].decode())
@@ -61,4 +61,4 @@
         return FORGED
     if now > int(shape[3]) + settings.skew:
         return EXPIRED
-    return "" if need.encode() in shape[2].split(b"+") else LACKING
+    return "" if need.encode() in shape[2].split(b"+") else INSUFFICIENT_RIGHTS
--- a/barleybarrow/warm_state.py
+++ b/barleybarrow/warm_state.py
@@ -1,8 +1,10 @@
-"""What one module has learned, as plain values, for the module of the process that takes its place.
+"""Exports what a policy has learned as plain values, and imports it in the process that replaces this one.
 
-Nothing here decides. Both modules go by one clock, that of their machine, and by one set of settings. What
-is in flight is not passed on: it ends where it began. Budgets of cold backends begin anew at nothing, as the
-old module may still spend its own.
+Both processes use the clock of their machine and the same settings. Requests in flight are not handed over:
+they end in the old process. Budgets of cold backends restart at zero, as the old process may still spend its
+own.
+
+The names of the fields below are the attribute names of the policy's classes and the keys of the entries.
 """
 
 from math import isfinite
@@ -11,57 +13,64 @@
 from barleybarrow.brain import Balancer
 from barleybarrow.state import Estimate
 
-FAR = 1e15  # ms: stands for a time without end, before or after
-ESTIMATE = ("mean", "best", "limit", "cut_at", "seen")
-BACKEND = (*ESTIMATE, "warm_from", "busy_until", "breaks", "broke_at", "served", "aged_at")
-BY_CLASS = {"lost": 0, "failing": 1, "rests": 0, "answered_at": 0}  # with so many beside those of the classes
-CLASS = ("log", "count", "asked", "won")
-WHOLE = ("level", "answers", "rate", "breaking")
+MAX_ABS_TIME_MS = 1e15  # infinite times are written as plus or minus this
+ESTIMATE_FIELDS = ("mean", "best", "limit", "cut_at", "seen")
+BACKEND_FIELDS = (*ESTIMATE_FIELDS, "warm_from", "busy_until", "breaks", "broke_at", "served", "aged_at")
+# Lists with an element per class, and how many elements they have besides.
+PER_CLASS_LISTS = {"lost": 0, "failing": 1, "rests": 0, "answered_at": 0}
+CLASS_FIELDS = ("log", "count", "asked", "won")
+BALANCER_FIELDS = ("level", "answers", "rate", "breaking")
 
 Entry = dict[str, Any]
 
 
-def plain(value: float) -> float:
-    return min(max(value, -FAR), FAR)
+def clamp(value: float) -> float:
+    return min(max(value, -MAX_ABS_TIME_MS), MAX_ABS_TIME_MS)
 
 
-def noted(item: object, names: tuple[str, ...]) -> Entry:
-    return {name: plain(getattr(item, name)) for name in names}
+def read_fields(item: object, names: tuple[str, ...]) -> Entry:
+    return {name: clamp(getattr(item, name)) for name in names}
 
 
 def write(balancer: Balancer) -> list[Entry]:
-    """All that is worth passing on."""
+    """Export what the new process can use."""
     entries: list[Entry] = [
-        {"of": "all", **noted(balancer, WHOLE), "fleet": noted(balancer.fleet, ESTIMATE)},
-        {"of": "classes", "classes": [noted(c, CLASS) for c in balancer.classes]},
+        {
+            "of": "all",
+            **read_fields(balancer, BALANCER_FIELDS),
+            "fleet": read_fields(balancer.fleet, ESTIMATE_FIELDS),
+        },
+        {"of": "classes", "classes": [read_fields(c, CLASS_FIELDS) for c in balancer.classes]},
+    ]
+    entries += [
+        {"of": "kind", "kind": k, **read_fields(e, ESTIMATE_FIELDS)} for k, e in balancer.kinds.items()
     ]
-    entries += [{"of": "kind", "kind": k, **noted(e, ESTIMATE)} for k, e in balancer.kinds.items()]
     for b in balancer.live:
-        lists = {name: [plain(x) for x in getattr(b, name)] for name in BY_CLASS}
-        entries.append({"of": "backend", "backend": b.name, **noted(b, BACKEND), **lists})
+        lists = {name: [clamp(x) for x in getattr(b, name)] for name in PER_CLASS_LISTS}
+        entries.append({"of": "backend", "backend": b.name, **read_fields(b, BACKEND_FIELDS), **lists})
     return entries
 
 
-def number(entry: Entry, name: str) -> float:
+def read_number(entry: Entry, name: str) -> float:
     value = entry[name]
     if not isinstance(value, int | float) or isinstance(value, bool) or not isfinite(value):
-        raise ValueError(f"{name}: {value!r} is no number")
+        raise ValueError(f"{name}: {value!r} is not a finite number")
     return value
 
 
-def put(item: object, entry: Entry, names: tuple[str, ...]) -> None:
-    """Take over values, all or none."""
-    values = {name: number(entry, name) for name in names}
+def set_fields(item: object, entry: Entry, names: tuple[str, ...]) -> None:
+    """Set the attributes `names` from an entry, all or none."""
+    values = {name: read_number(entry, name) for name in names}
     for name, value in values.items():
         setattr(item, name, value)
 
 
 def take(balancer: Balancer, entries: list[Entry], now: float) -> int:
-    """Take over what another module wrote, and say how many entries could be used; others are left aside."""
-    taken = 0
+    """Import the entries of another process; returns how many were usable. Others are skipped."""
+    imported = 0
     for entry in entries:
         try:
-            taken += take_one(balancer, entry, now)
+            imported += import_entry(balancer, entry, now)
         except (KeyError, ValueError, TypeError, AttributeError):
             continue
     balancer.now = now
@@ -70,39 +79,39 @@
     balancer.update_capacity()
     for b in balancer.live:
         balancer.update_rank(b)
-    return taken
+    return imported
 
 
-def take_one(balancer: Balancer, entry: Entry, now: float) -> bool:
-    of = entry["of"]
-    if of == "all":
+def import_entry(balancer: Balancer, entry: Entry, now: float) -> bool:
+    entry_type = entry["of"]
+    if entry_type == "all":
         fleet = Estimate(0.0)
-        put(fleet, entry["fleet"], ESTIMATE)
-        put(balancer, entry, WHOLE)
+        set_fields(fleet, entry["fleet"], ESTIMATE_FIELDS)
+        set_fields(balancer, entry, BALANCER_FIELDS)
         balancer.fleet = fleet
         return True
-    if of == "classes":
+    if entry_type == "classes":
         if len(entry["classes"]) != len(balancer.classes):
             return False
         for klass, values in zip(balancer.classes, entry["classes"], strict=True):
-            put(klass, values, CLASS)
+            set_fields(klass, values, CLASS_FIELDS)
         return True
-    if of == "kind":
+    if entry_type == "kind":
         if entry["kind"] >= len(balancer.conf.kinds):
-            return False  # a kind that the settings do not name has another number here
-        put(balancer.kinds.setdefault(entry["kind"], Estimate(balancer.level)), entry, ESTIMATE)
+            return False  # numbers of kinds that the settings do not name differ between processes
+        set_fields(balancer.kinds.setdefault(entry["kind"], Estimate(balancer.level)), entry, ESTIMATE_FIELDS)
         return True
-    b = balancer.backends.get(entry["backend"]) if of == "backend" else None
+    b = balancer.backends.get(entry["backend"]) if entry_type == "backend" else None
     if b is None:
         return False
     lists = {}
-    for name, beside in BY_CLASS.items():
+    for name, extra in PER_CLASS_LISTS.items():
         values = entry[name]
-        if len(values) != len(balancer.classes) + beside:
+        if len(values) != len(balancer.classes) + extra:
             return False
-        lists[name] = [number({name: value}, name) for value in values]
-    limit, served = number(entry, "limit"), number(entry, "served")
-    put(b, entry, tuple(name for name in BACKEND if name not in ("limit", "served")))
+        lists[name] = [read_number({name: value}, name) for value in values]
+    limit, served = read_number(entry, "limit"), read_number(entry, "served")
+    set_fields(b, entry, tuple(name for name in BACKEND_FIELDS if name not in ("limit", "served")))
     for name, values in lists.items():
         setattr(b, name, values)
     balancer.pool.set_limit(b, limit)
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -20,8 +20,8 @@
     write_config,
 )
 
-from barleybarrow.graceful_shutdown import DOOR
-from barleybarrow.lifecycle import IDLE_FROM, SETTLED, Lifecycle, Stage
+from barleybarrow.graceful_shutdown import MAX_ACCEPT_MS
+from barleybarrow.lifecycle import DRAIN_SETTLED_MS, IDLE_CLOSE_DELAY_MS, Lifecycle, Stage
 from brackenusher.fronts.control.driver import MOST_CALLERS
 from brackenusher.fronts.control.machine import Call
 
@@ -64,12 +64,12 @@
     assert not life.ready and life.drain(0.0) and life.stage is Stage.DRAINING
     life.resume()
     assert life.ready and life.drain(1000.0) and life.drain(2000.0)
-    assert not life.answers_end(1000.0 + DOOR - 1) and life.answers_end(1000.0 + DOOR)
-    assert not life.idle_end(1000.0 + IDLE_FROM - 1) and life.idle_end(1000.0 + IDLE_FROM)
-    assert life.step(1000.0 + IDLE_FROM, 1) is Stage.DRAINING
-    assert life.step(1000.0 + SETTLED, 1) is Stage.DRAINED
+    assert not life.answers_end(1000.0 + MAX_ACCEPT_MS - 1) and life.answers_end(1000.0 + MAX_ACCEPT_MS)
+    assert not life.idle_end(1000.0 + IDLE_CLOSE_DELAY_MS - 1) and life.idle_end(1000.0 + IDLE_CLOSE_DELAY_MS)
+    assert life.step(1000.0 + IDLE_CLOSE_DELAY_MS, 1) is Stage.DRAINING
+    assert life.step(1000.0 + DRAIN_SETTLED_MS, 1) is Stage.DRAINED
     life.end()
-    assert not life.drain(9000.0) and not life.resume() and life.stage is Stage.ENDING
+    assert not life.drain(9000.0) and not life.resume() and life.stage is Stage.SHUTTING_DOWN
 
 
 def test_a_bad_second_address_ends_the_start_with_one_line(tmp_path):
@@ -124,7 +124,7 @@
         assert program.ask(b"GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n")[0] == 503
         status, headers, _ = program.ask(read_request(4), kept)
         assert status == 200 and "connection" not in headers
-        time.sleep(DOOR / 1000.0 + 0.1)
+        time.sleep(MAX_ACCEPT_MS / 1000.0 + 0.1)
         half.sendall(read_request(3)[40:])
         assert half.recv(65536).startswith(b"HTTP/1.1 200")
         status, headers, _ = program.ask(read_request(5), kept)
--- a/tests/test_crowds.py
+++ b/tests/test_crowds.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from barleybarrow.eviction import TURNS, Place, choose
+from barleybarrow.eviction import EVICTION_ORDER, Place, choose
 
 
 @pytest.mark.parametrize(
@@ -32,7 +32,7 @@
 def test_whoever_gives_way_waited_long_enough_for_its_turn(still):
     # guards against a table in which a later line comes before an earlier one that fits
     goes = choose(still)
-    fits = [place for place, after in TURNS if still.get(place, -1.0) >= after]
+    fits = [place for place, after in EVICTION_ORDER if still.get(place, -1.0) >= after]
     assert goes is (fits[0] if fits else None)
 
 
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -24,7 +24,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from barleybarrow.graceful_shutdown import DOOR, DOOR_FROM, EACH, GracefulShutdown, Phase
+from barleybarrow.graceful_shutdown import EACH, MAX_ACCEPT_MS, MIN_ACCEPT_MS, GracefulShutdown, Phase
 
 SPAN = 400.0  # ms, the longest deadline here: the kill comes 1,100 ms after SIGTERM
 QUICK = {
@@ -80,10 +80,10 @@
 
 def test_with_nobody_left_it_ends_once_nobody_can_come_and_the_door_is_closed():
     plan = GracefulShutdown(0.0, 1900.0, 1.0, 50.0, True)
-    assert plan.step(DOOR - 1, 0.0, 0, False) is Phase.SERVING
-    assert plan.step(DOOR, 0.0, 0, False) is Phase.CLOSING
-    assert plan.step(DOOR + 10, 0.0, 2, True) is Phase.CLOSING  # they had waited at the door
-    assert plan.step(DOOR + 20, 0.0, 0, True) is Phase.ENDED
+    assert plan.step(MAX_ACCEPT_MS - 1, 0.0, 0, False) is Phase.SERVING
+    assert plan.step(MAX_ACCEPT_MS, 0.0, 0, False) is Phase.CLOSING
+    assert plan.step(MAX_ACCEPT_MS + 10, 0.0, 2, True) is Phase.CLOSING  # they had waited at the door
+    assert plan.step(MAX_ACCEPT_MS + 20, 0.0, 0, True) is Phase.ENDED
 
 
 def test_what_takes_longer_than_what_is_left_is_not_begun():
@@ -96,9 +96,9 @@
 
 def test_connections_are_spared_only_when_no_new_ones_may_come_and_there_are_enough():
     plan = GracefulShutdown(0.0, 1900.0, 1.0, 50.0, True)
-    assert not plan.crowded(DOOR_FROM - 1, 0, 30) and plan.crowded(DOOR_FROM, 3, 28)
-    assert not plan.crowded(DOOR_FROM, 4, 27) and not plan.crowded(DOOR_FROM, 0, 6)
-    assert not GracefulShutdown(0.0, 1900.0, 1.0, 50.0, False).crowded(DOOR_FROM, 0, 30)
+    assert not plan.crowded(MIN_ACCEPT_MS - 1, 0, 30) and plan.crowded(MIN_ACCEPT_MS, 3, 28)
+    assert not plan.crowded(MIN_ACCEPT_MS, 4, 27) and not plan.crowded(MIN_ACCEPT_MS, 0, 6)
+    assert not GracefulShutdown(0.0, 1900.0, 1.0, 50.0, False).crowded(MIN_ACCEPT_MS, 0, 30)
 
 
 class Caller(threading.Thread):
--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -115,7 +115,7 @@
 
 
 def test_a_book_is_bounded_and_keeps_the_younger():
-    book = Book(room=16)
+    book = Book(capacity=16)
     for n in range(100):
         book.merge(say(backend=f"s{n}", at=NOW - 1000.0 + n), NOW)
     assert book.size <= 16 and "s99" in book.held and "s0" not in book.held
