--- a/barleybarrow/graceful_shutdown.py
+++ b/barleybarrow/graceful_shutdown.py
@@ -94,8 +94,8 @@
     def crowded(self, now: float, free: int, in_flight: int) -> bool:
         """Whether to refuse a new request so that clients keep free connections for the next ones.
 
-        They can no longer open connections, and a front proxy that finds none free assumes that it is gone.
-        `free`: idle connections; `in_flight`: requests besides the new one.
+        They can no longer open connections, and a front proxy that finds none free assumes that the process
+        is gone. `free`: idle connections; `in_flight`: requests besides the new one.
         """
         connections = free + in_flight + 1
         if (
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -1,4 +1,4 @@
-"""The second address: the machine, the stages, and the real program that is called there."""
+"""Control address: its HTTP parser, the lifecycle, and the whole program when called there."""
 
 import contextlib
 import json
@@ -26,12 +26,12 @@
 from brackenusher.fronts.control.machine import Call
 
 
-def converse(data, size):
-    """Feed a conversation in pieces; returns the answer's first line and what was called for."""
+def send_in_chunks(data, size):
+    """Feed a request in chunks; returns the status, the number of calls carried out, and whether it ended."""
     done = []
     call = Call({b"/-/do": (b"POST", lambda: done.append(1) or (200, b"done\n"))})
-    for at in range(0, len(data), size):
-        call.receive(data[at : at + size])
+    for start in range(0, len(data), size):
+        call.receive(data[start : start + size])
     return call.out.split(b"\r\n")[0].partition(b" ")[2][:3], len(done), call.ended
 
 
@@ -39,7 +39,7 @@
 CALLS = [
     (HEAD + b"\r\n", (b"200", 1, False)),
     (HEAD + b"Content-Length: 4\r\n\r\nGET ", (b"200", 1, False)),
-    (HEAD + b"\r\n" + HEAD + b"\r\n", (b"200", 1, False)),  # one call to a connection
+    (HEAD + b"\r\n" + HEAD + b"\r\n", (b"200", 1, False)),  # one call per connection
     (HEAD + b"Content-Length: 1073741824\r\n\r\nxx", (b"413", 0, False)),
     (HEAD + b"Content-Length: 8\r\n\r\nhalf", (b"", 0, False)),
     (HEAD + b"Transfer-Encoding: chunked\r\n\r\n2;x=y\r\nab\r\n0\r\n\r\n", (b"200", 1, False)),
@@ -53,34 +53,38 @@
 
 @pytest.mark.parametrize(("data", "expected"), CALLS)
 @pytest.mark.parametrize("size", [1, 7, 1 << 20])
-def test_a_call_comes_to_the_same_however_it_is_cut(data, expected, size):
-    # guards against a call read from a body, or carried out before it is whole
-    assert converse(data, size) == expected
-
-
-def test_the_stages_follow_their_table():
-    # guards against a drain that begins anew when it is asked for twice, and a way back from the end
-    life = Lifecycle()
-    assert not life.ready and life.drain(0.0) and life.stage is Stage.DRAINING
-    life.resume()
-    assert life.ready and life.drain(1000.0) and life.drain(2000.0)
-    assert not life.answers_end(1000.0 + MAX_ACCEPT_MS - 1) and life.answers_end(1000.0 + MAX_ACCEPT_MS)
-    assert not life.idle_end(1000.0 + IDLE_CLOSE_DELAY_MS - 1) and life.idle_end(1000.0 + IDLE_CLOSE_DELAY_MS)
-    assert life.step(1000.0 + IDLE_CLOSE_DELAY_MS, 1) is Stage.DRAINING
-    assert life.step(1000.0 + DRAIN_SETTLED_MS, 1) is Stage.DRAINED
-    life.end()
-    assert not life.drain(9000.0) and not life.resume() and life.stage is Stage.SHUTTING_DOWN
-
-
-def test_a_bad_second_address_ends_the_start_with_one_line(tmp_path):
+def test_call_does_not_depend_on_its_segmentation(data, expected, size):
+    # guards against a call parsed from a body, or carried out before it is complete
+    assert send_in_chunks(data, size) == expected
+
+
+def test_lifecycle_follows_its_table():
+    # guards against a repeated request that restarts a drain, and against resuming during shutdown
+    lifecycle = Lifecycle()
+    assert not lifecycle.ready and lifecycle.drain(0.0) and lifecycle.stage is Stage.DRAINING
+    lifecycle.resume()
+    assert lifecycle.ready and lifecycle.drain(1000.0) and lifecycle.drain(2000.0)
+    assert not lifecycle.answers_end(1000.0 + MAX_ACCEPT_MS - 1) and lifecycle.answers_end(
+        1000.0 + MAX_ACCEPT_MS
+    )
+    assert not lifecycle.idle_end(1000.0 + IDLE_CLOSE_DELAY_MS - 1) and lifecycle.idle_end(
+        1000.0 + IDLE_CLOSE_DELAY_MS
+    )
+    assert lifecycle.step(1000.0 + IDLE_CLOSE_DELAY_MS, 1) is Stage.DRAINING
+    assert lifecycle.step(1000.0 + DRAIN_SETTLED_MS, 1) is Stage.DRAINED
+    lifecycle.end()
+    assert not lifecycle.drain(9000.0) and not lifecycle.resume() and lifecycle.stage is Stage.SHUTTING_DOWN
+
+
+def test_invalid_control_address_fails_the_start_with_one_line(tmp_path):
     done = command("serve", GW_CONFIG=write_config(tmp_path, control="here"))
     assert done.returncode == 2 and "control" in done.stderr and done.stderr.count("\n") == 1
     done = command("check-config", GW_CONFIG=write_config(tmp_path), GW_CONTROL="here:x")
     assert done.returncode == 2 and "control" in done.stderr
 
 
-def test_the_figures_count_each_request_once_by_what_its_client_was_given(tmp_path):
-    # guards against figures that leave out what is in hand, what is refused, or classes not asked for yet
+def test_metrics_count_each_request_once_by_its_outcome(tmp_path):
+    # guards against metrics without requests in flight, refused requests, or classes without requests
     with Program(tmp_path, TurnServer(), DeafServer(), control=True) as program:
         none = {"success": 0, "busy": 0, "failure": 0}
         first = program.figures()
@@ -99,21 +103,21 @@
         assert figures["backend_calls"] >= figures["calls"]["board-read"]["success"]
 
 
-def test_it_answers_beside_callers_that_hold_on(tmp_path):
-    # guards against callers without a whole call who take the place of those that have one
+def test_stalled_callers_do_not_block_the_control_address(tmp_path):
+    # guards against incomplete calls that use up the capacity for complete ones
     with Program(tmp_path, TurnServer(), control=True) as program, contextlib.ExitStack() as stack:
         callers = []
         for _ in range(3 * MOST_CALLERS):
             callers.append(stack.enter_context(socket.create_connection(("127.0.0.1", program.control))))
             callers[-1].sendall(b"GET /-/re")
         with contextlib.suppress(ConnectionResetError):
-            assert callers[0].recv(100) == b""  # the one that came first gave way
+            assert callers[0].recv(100) == b""  # the oldest connection was evicted
         assert program.call("GET", "/-/ready")[0] == 200
         assert program.call("DELETE", "/-/ready")[0] == 405
 
 
-def test_a_drain_ends_every_connection_and_resume_serves_as_before(tmp_path):
-    # guards against a drain that cuts a request off, leaves a connection standing, or has no way back
+def test_drain_closes_every_connection_and_resume_restores_service(tmp_path):
+    # guards against a drain that aborts a request, leaves a connection open, or cannot be undone
     with Program(tmp_path, TurnServer(), control=True) as program:
         kept, idle = program.connect(), program.connect()
         assert program.ask(read_request(1), kept)[0] == program.ask(read_request(2), idle)[0] == 200
@@ -140,8 +144,8 @@
         assert json.loads(program.call("GET", "/-/metrics")[2])["calls"]["board-read"]["success"] == 7
 
 
-def test_a_list_that_changes_during_a_drain_counts_when_it_ends(tmp_path):
-    # guards against a drained process that hears nothing more, and sends to whom it had known
+def test_list_change_during_a_drain_takes_effect_after_it(tmp_path):
+    # guards against a drained process that ignores discovery and then sends to servers that are gone
     servers = TurnServer(), TurnServer()
     hosts = [host(f"s{n}", server) for n, server in enumerate(servers)]
     with Program(tmp_path, *servers, agent=DiscoveryAgent(hosts[:1]), control=True) as program:
@@ -155,8 +159,8 @@
         assert (len(servers[0].requests), len(servers[1].requests)) == (1, 2)
 
 
-def test_the_end_goes_over_a_drain_and_leaves_no_way_back(tmp_path):
-    # guards against a resume that sends clients to a process about to end
+def test_shutdown_overrides_a_drain_and_refuses_resume(tmp_path):
+    # guards against a resume that directs clients to a process that is shutting down
     with Program(tmp_path, TurnServer(), control=True) as program:
         with program.connect() as sock:
             program.ask(read_request(1), sock)
--- a/tests/test_crowds.py
+++ b/tests/test_crowds.py
@@ -1,4 +1,4 @@
-"""Crowds with little room: which connection gives way, and the real program in the midst of them."""
+"""Client connections beyond capacity: the choice of the one to evict, and the whole program under a crowd."""
 
 import contextlib
 import time
@@ -17,27 +17,27 @@
         ({}, None),
         ({Place.RESTING: 0.0}, Place.RESTING),
         ({Place.PARTIAL: 100.0}, None),
-        ({Place.PARTIAL: 300.0, Place.RESTING: 150.0}, Place.RESTING),  # still writes, against one that rests
-        ({Place.PARTIAL: 900.0, Place.RESTING: 150.0}, Place.PARTIAL),  # stopped half way
+        ({Place.PARTIAL: 300.0, Place.RESTING: 150.0}, Place.RESTING),  # slow, but the idle one goes first
+        ({Place.PARTIAL: 900.0, Place.RESTING: 150.0}, Place.PARTIAL),  # stalled within a request
         ({Place.PARTIAL: 900.0, Place.SILENT: 150.0}, Place.SILENT),
         ({Place.PARTIAL: 300.0, Place.SILENT: 10.0}, Place.SILENT),
         ({Place.SPENT: 0.0, Place.SILENT: 500.0}, Place.SPENT),
     ],
 )
-def test_who_gives_way(still, goes):
+def test_state_chosen_for_eviction(still, goes):
     assert choose(still) is goes
 
 
 @given(st.dictionaries(st.sampled_from(Place), st.floats(0, 5000)))
-def test_whoever_gives_way_waited_long_enough_for_its_turn(still):
-    # guards against a table in which a later line comes before an earlier one that fits
+def test_first_matching_entry_of_the_order_is_chosen(still):
+    # guards against a later entry of the order being applied before an earlier one that matches
     goes = choose(still)
     fits = [place for place, after in EVICTION_ORDER if still.get(place, -1.0) >= after]
     assert goes is (fits[0] if fits else None)
 
 
-def test_slow_writers_are_served_amid_crowds_that_say_nothing_or_stop_half_way(tmp_path):
-    # guards against the oldest request that is not whole giving way though it moves all the time
+def test_slow_clients_are_served_among_silent_and_stalled_connections(tmp_path):
+    # guards against evicting the oldest partial request although it makes progress
     with (
         Program(tmp_path, TurnServer(), control=True, sockets=96) as program,
         contextlib.ExitStack() as stack,
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -1,4 +1,4 @@
-"""Door limits: the buckets by themselves, the operators' file, and the program's answers on sockets."""
+"""Rate limiter: its buckets, its settings in the operators' file, and the program's answers over sockets."""
 
 import subprocess
 import sys
@@ -14,28 +14,28 @@
 from brackenusher.core.admission import name_of
 
 
-def test_who_comes_back_after_the_wait_is_let_in_and_a_refusal_is_not_charged():
-    # guards against a wait rounded down, or lost to the clock's fractions: the client would be refused again
+def test_client_is_admitted_after_the_wait_and_rejections_are_not_charged():
+    # guards against a wait rounded down or off by clock rounding, after which the client is refused again
     for rate in (0.7, 3.0, 119.9, 500.0, 1000.0, 7001.0):
-        door, now = (
+        limiter, now = (
             RateLimiter(RateLimiterSettings(tenant=Limit(rate, 2))),
             1e10 + 0.789,
-        )  # up for four months
+        )  # uptime of four months
         for _ in range(200):
-            while not (wait := door.ask("a", now)):
+            while not (wait := limiter.ask("a", now)):
                 now += 0.013
-            assert all(door.ask("a", now) == wait for _ in range(3))
+            assert all(limiter.ask("a", now) == wait for _ in range(3))
             now += wait
-            assert door.ask("a", now) == 0.0
+            assert limiter.ask("a", now) == 0.0
 
 
-def test_a_bucket_holds_its_burst_and_no_more_and_each_tenant_has_its_own():
-    door = RateLimiter(RateLimiterSettings(tenants={"a": Limit(10.0, 3)}))
-    assert [door.ask("a", 1e9) for _ in range(4)] == [0.0, 0.0, 0.0, 100.0]
-    assert sum(door.ask("oware-duel", 1e9) == 0.0 for _ in range(500)) == 400
+def test_buckets_are_per_tenant_and_hold_one_burst():
+    limiter = RateLimiter(RateLimiterSettings(tenants={"a": Limit(10.0, 3)}))
+    assert [limiter.ask("a", 1e9) for _ in range(4)] == [0.0, 0.0, 0.0, 100.0]
+    assert sum(limiter.ask("oware-duel", 1e9) == 0.0 for _ in range(500)) == 400
 
 
-def test_a_rate_of_0_refuses_even_the_first_and_says_when_to_ask_again():
+def test_rate_of_0_rejects_the_first_request_with_a_finite_wait():
     assert (
         RateLimiter(RateLimiterSettings(tenants={"a": Limit(0.0, 3)})).ask("a", 0.0)
         == CLOSED_WAIT
@@ -43,12 +43,12 @@
     )
 
 
-def test_the_table_is_bounded_and_forgets_who_was_idle_longest():
-    # guards against a flood that is refused being forgotten, and let in again, while newcomers pass
-    door = RateLimiter(RateLimiterSettings(by_address=True, address=Limit(1.0, 1), table=3))
-    assert not any(door.ask(a, 0.0) for a in "abc")
-    assert door.ask("a", 0.0) > 0 and door.ask("d" * 99, 0.0) == 0
-    assert list(door.buckets) == ["c", "a", "d" * 64]
+def test_table_is_bounded_and_evicts_the_least_recently_used():
+    # guards against evicting the bucket of a rejected flood, which would admit it again
+    limiter = RateLimiter(RateLimiterSettings(by_address=True, address=Limit(1.0, 1), table=3))
+    assert not any(limiter.ask(a, 0.0) for a in "abc")
+    assert limiter.ask("a", 0.0) > 0 and limiter.ask("d" * 99, 0.0) == 0
+    assert list(limiter.buckets) == ["c", "a", "d" * 64]
 
 
 BAD = [
@@ -67,13 +67,13 @@
 
 
 @pytest.mark.parametrize(("text", "named"), BAD)
-def test_what_is_wrong_in_the_operators_file_is_named(text, named):
+def test_invalid_entry_of_the_operators_file_is_named(text, named):
     with pytest.raises(ConfigError) as caught:
         read_operator("f", text)
     assert named in str(caught.value)
 
 
-def test_the_file_is_read_into_settings_and_the_repositorys_holds_no_secret():
+def test_operators_file_is_read_and_the_shipped_one_enables_no_secrets():
     text = "door.enabled: true\ndoor.rate.address=2.5\ndoor.rate.a 7\n! note\ndoor.burst.b = 9\n"
     door = read_operator("f", text).door
     assert (door.address, door.tenants) == (Limit(2.5, 40), {"a": Limit(7.0, 400), "b": Limit(200.0, 9)})
@@ -82,7 +82,7 @@
     assert shipped.features == ["capture", "figures"]
 
 
-def test_check_config_says_what_is_on_and_what_has_no_effect_and_ends_with_2_on_a_bad_file(tmp_path):
+def test_check_config_reports_features_and_fails_on_an_invalid_file(tmp_path):
     config, operator = write_config(tmp_path), tmp_path / "operator.properties"
     operator.write_text("door.enabled = true\ndoor.rate.kente-warz = 5\n", encoding="utf-8")
     done = command("check-config", "--operator", str(operator), GW_CONFIG=config)
@@ -95,8 +95,8 @@
     assert command("serve", "--operator", str(tmp_path / "none"), GW_CONFIG=config).returncode == 2
 
 
-def test_a_flood_gets_429_with_decimal_waits_and_reaches_no_turn_server(tmp_path):
-    # guards against one app's loop starving the others: what is over the limit goes no further than the door
+def test_flood_gets_429_with_decimal_waits_and_reaches_no_server(tmp_path):
+    # guards against one client's loop starving the others: requests over the limit must reach no server
     text = "door.enabled = true\ndoor.rate.kente-wars = 1\ndoor.burst.kente-wars = 100\n"
     with Program(tmp_path, TurnServer(), operator=text) as program, program.connect() as sock:
         began = time.monotonic()
@@ -112,7 +112,7 @@
         assert program.ask(read_request(502), sock)[0] == 200
 
 
-def test_by_address_all_owners_of_one_address_share_a_bucket(tmp_path):
+def test_by_address_all_owners_share_the_bucket_of_their_address(tmp_path):
     text = "door.enabled = true\ndoor.key = address\ndoor.rate.address = 0.001\ndoor.burst.address = 2\n"
     with Program(tmp_path, TurnServer(), operator=text) as program:
         anonymous = read_request(2).replace(b"Req-Owner: kente-wars\r\n", b"")
@@ -121,8 +121,8 @@
         assert program.ask(read_request(4, "/nowhere"))[0] == 404
 
 
-def test_without_the_file_nothing_is_limited_written_or_loaded(tmp_path):
-    # guards against a feature that shows where nobody asked for it, and against the cost of reading no file
+def test_without_the_file_nothing_is_limited_logged_or_imported(tmp_path):
+    # guards against effects of a feature that is not configured, and against the cost of an unused parser
     with Program(tmp_path, TurnServer()) as program, program.connect() as sock:
         assert {program.ask(read_request(n), sock)[0] for n in range(450)} == {200}
         twice = "Adw-Token: x\r\nAdw-Token: y\r\n"
@@ -132,6 +132,6 @@
     assert subprocess.run([sys.executable, "-c", check], cwd=ROOT, check=False).returncode == 0
 
 
-def test_a_key_at_the_door_is_no_longer_than_it_counts():
-    # guards against records that grow with an owner's name where the settings name no tenants
+def test_rate_limit_key_is_truncated():
+    # guards against capture records that grow with the name of an owner when no tenants are configured
     assert name_of(b"x" * 300) == "x" * 64 and name_of(None) == ""
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""The orderly end: the plan on a clock of its own, and the program under load with a stopwatch."""
+"""Graceful shutdown: its schedule on a simulated clock, and the whole program under load in real time."""
 
 import re
 import signal
@@ -26,7 +26,7 @@
 
 from barleybarrow.graceful_shutdown import EACH, MAX_ACCEPT_MS, MIN_ACCEPT_MS, GracefulShutdown, Phase
 
-SPAN = 400.0  # ms, the longest deadline here: the kill comes 1,100 ms after SIGTERM
+SPAN = 400.0  # milliseconds, the longest deadline here: the kill comes 1,100 ms after SIGTERM
 QUICK = {
     "classes": [{**c, "slo": 300.0, "deadline": SPAN, "window": 6000.0} for c in SETTINGS["classes"]],
     "limits": SETTINGS["limits"] | {"maxRetryAfter": 9000.0},
@@ -34,7 +34,7 @@
 KILL = (SPAN + 700.0) / 1000.0
 
 
-def test_the_kill_is_counted_from_the_longest_deadline_but_no_more_than_three_seconds():
+def test_kill_time_follows_the_longest_deadline_capped_at_three_seconds():
     assert GracefulShutdown(1000.0, 1900.0, 1.0, 50.0, True).limit == 3600.0
     assert GracefulShutdown(1000.0, 60_000.0, 1.0, 50.0, True).limit == 4700.0
 
@@ -69,7 +69,7 @@
     assert clock + last * stall < kill
 
 
-def test_a_stall_that_is_seen_brings_the_end_forward_and_phases_never_go_back():
+def test_observed_stall_advances_the_end_and_phases_never_go_back():
     plan = GracefulShutdown(0.0, 1900.0, 1.0, 50.0, True)
     assert plan.cut(2400.0, 800.0, 0) == plan.answered_by - 2400.0 and plan.cut(10.0, 800.0, 0) == 800.0
     before = plan.answered_by
@@ -78,15 +78,15 @@
     assert plan.step(2000.0, 0.0, 9, False) is Phase.DRAINING
 
 
-def test_with_nobody_left_it_ends_once_nobody_can_come_and_the_door_is_closed():
+def test_without_clients_it_ends_once_none_can_connect_and_listeners_are_closed():
     plan = GracefulShutdown(0.0, 1900.0, 1.0, 50.0, True)
     assert plan.step(MAX_ACCEPT_MS - 1, 0.0, 0, False) is Phase.SERVING
     assert plan.step(MAX_ACCEPT_MS, 0.0, 0, False) is Phase.CLOSING
-    assert plan.step(MAX_ACCEPT_MS + 10, 0.0, 2, True) is Phase.CLOSING  # they had waited at the door
+    assert plan.step(MAX_ACCEPT_MS + 10, 0.0, 2, True) is Phase.CLOSING  # they were in the accept queue
     assert plan.step(MAX_ACCEPT_MS + 20, 0.0, 0, True) is Phase.ENDED
 
 
-def test_what_takes_longer_than_what_is_left_is_not_begun():
+def test_request_that_usually_takes_too_long_is_not_started():
     plan = GracefulShutdown(0.0, 1900.0, 1.0, 50.0, True)
     for _ in range(50):
         plan.answered(400.0)
@@ -94,7 +94,7 @@
     assert plan.cut(plan.answered_by - 210.0, 800.0, 0) == pytest.approx(210.0)
 
 
-def test_connections_are_spared_only_when_no_new_ones_may_come_and_there_are_enough():
+def test_connections_are_kept_free_only_late_and_with_enough_of_them():
     plan = GracefulShutdown(0.0, 1900.0, 1.0, 50.0, True)
     assert not plan.crowded(MIN_ACCEPT_MS - 1, 0, 30) and plan.crowded(MIN_ACCEPT_MS, 3, 28)
     assert not plan.crowded(MIN_ACCEPT_MS, 4, 27) and not plan.crowded(MIN_ACCEPT_MS, 0, 6)
@@ -102,10 +102,9 @@
 
 
 class Caller(threading.Thread):
-    """A client that asks again and again, on one connection or on a new one each time, until nobody listens.
+    """A client that sends requests until connects are refused, on one connection or a new one for each.
 
-    As the platform's clients do, it sends a request once more where its connection ends before any byte of an
-    answer has come.
+    As the platform's clients do, it resends a request if its connection closes before any byte of an answer.
     """
 
     count = 0
@@ -113,7 +112,7 @@
     def __init__(self, program, began, fresh):
         super().__init__(daemon=True)
         self.program, self.began, self.fresh = program, began, fresh
-        self.answers, self.unheard, self.cut = [], [], []  # (id, status, seconds since the signal); ids
+        self.answers, self.unanswered, self.cut = [], [], []  # (id, status, seconds since the signal); ids
         self.start()
 
     def run(self):
@@ -128,7 +127,7 @@
                 self.answers.append((f"id{number}", status, time.monotonic() - self.began.at))
 
     def ask(self, sock, number):
-        """Send one request, once more on a new connection if need be."""
+        """Send one request, and again on a new connection if necessary."""
         file = None
         for _ in range(20):
             try:
@@ -141,7 +140,7 @@
                 message = read_message(file)
             except OSError:
                 message = None
-            except ValueError:  # an answer that is not whole
+            except ValueError:  # a truncated answer
                 self.cut.append(f"id{number}")
                 return None, ""
             if message:
@@ -154,16 +153,16 @@
                 return sock, status
             sock.close()
             sock = None
-            self.unheard.append(f"id{number}")
+            self.unanswered.append(f"id{number}")
         return None, ""
 
 
-class Began:
+class SignalTime:
     at = 0.0
 
 
 def wait_for_end(program, began, kill):
-    """Let the program end by itself, or kill it as the platform would; returns its exit code."""
+    """Wait for the program to end, or kill it when the platform would; returns its exit code."""
     try:
         return program.process.wait(began + kill - time.monotonic())
     except Exception:
@@ -171,9 +170,9 @@
         return program.process.wait()
 
 
-def play(tmp_path, behave):
-    """Load from all sides, then SIGTERM; returns the program's exit code and what became of the requests."""
-    began = Began()
+def shut_down_under_load(tmp_path, behave):
+    """Run load, then send SIGTERM; returns the exit code, the answers and the log of the program."""
+    began = SignalTime()
     with Program(tmp_path, *(TurnServer(behave) for _ in range(4)), settings=QUICK) as program:
         began.at = time.monotonic()
         callers = [Caller(program, began, fresh=n < 3) for n in range(7)]
@@ -187,7 +186,7 @@
         seen = {message[1]["req-id"] for server in program.servers for message in server.requests}
         log = program.log
     answers = [answer for c in callers for answer in c.answers]
-    # nothing that was begun on ended without a whole answer, and nobody was answered twice
+    # each request that reached a server got exactly one complete answer
     assert not [name for c in callers for name in c.cut]
     assert seen <= {name for name, _, _ in answers}
     assert max(Counter(name for name, _, _ in answers).values()) == 1
@@ -209,15 +208,15 @@
 
 
 @pytest.mark.parametrize(("behave", "late"), [(quick, 0.6), (slow, 0.5), (silent, 0.0)])
-def test_it_serves_on_after_sigterm_loses_nothing_and_is_gone_before_the_kill(tmp_path, behave, late):
-    for attempt in range(3):  # a machine may stand still for longer than the margin; even so nothing is lost
+def test_sigterm_loses_no_request_and_ends_before_the_kill(tmp_path, behave, late):
+    for attempt in range(3):  # the machine may stall for longer than the margin; even then nothing is lost
         folder = tmp_path / str(attempt)
         folder.mkdir()
-        code, answers, log = play(folder, behave)
+        code, answers, log = shut_down_under_load(folder, behave)
         if code == 0:
             break
     assert code == 0, log
-    # exactly what was taken or refused at the end was answered
+    # exactly the requests that were taken or refused were answered
     taken, _, refused = map(int, re.search(r"ended: (\d+)\D+(\d+)\D+(\d+)", log).groups())
     assert len(answers) == taken + refused
     served = [at for _, status, at in answers if status == 200]
@@ -225,7 +224,7 @@
     assert max(at for _, _, at in answers) < KILL
 
 
-def test_half_requests_requests_sent_ahead_and_deaf_clients_at_the_end(tmp_path):
+def test_shutdown_with_partial_pipelined_and_unread_requests(tmp_path):
     def behave(server, message):
         if "k=big" in message[0]:
             return response(200, b"x" * 60_000)
@@ -244,7 +243,7 @@
         began = time.monotonic()
         program.process.terminate()
         until(lambda: "stopping" in program.log, "the stop")
-        program.process.terminate()  # once more changes nothing
+        program.process.terminate()  # a second signal changes nothing
         half.sendall(submit_request(7)[:-3])
         for number in range(100, 160):
             deaf.sendall(read_request(number, target="/board-read?k=big"))
@@ -256,16 +255,20 @@
         answers = []
         while message := read_message(file):
             answers.append((int(message[0].split()[1]), message[1].get("connection")))
-        ends = [end for _, end in answers]  # refused just before the last call, the last one says nothing yet
+        ends = [
+            end for _, end in answers
+        ]  # if refused just before closing began, the last one does not say it yet
         assert len(answers) == 6 and ends[:5] == [None] * 5 and ends[5] in (None, "close")
-        assert answers[0][0] == 200 and answers[-1][0] == 503  # it had its time, and that was over
+        assert (
+            answers[0][0] == 200 and answers[-1][0] == 503
+        )  # the first was served in its time, the last came too late
         assert int(read_message(half.makefile("rb"))[0].split()[1]) == 408
         assert silent.recv(1) == b""
         assert wait_for_end(program, began, 20) == 0
         assert "stopping already" in program.log and re.search("[1-3] connections left", program.log)
 
 
-def test_clients_keep_free_connections_while_they_can_open_no_others(tmp_path):
+def test_clients_keep_free_connections_during_shutdown(tmp_path):
     release = threading.Event()
 
     def behave(server, message):
@@ -288,11 +291,11 @@
         assert Counter(message[0].split()[1] for message in answers) == {"200": 8, "503": 2}
         for each in (*files, *socks):
             each.close()
-        assert program.process.wait(20) == 0  # nobody is left: it need not wait for the kill
+        assert program.process.wait(20) == 0  # no client is left: it need not wait for the kill
         assert "2 refused at the end" in program.log
 
 
-def test_it_ends_before_it_is_ready_and_follows_discovery_to_the_end(tmp_path):
+def test_shutdown_before_readiness_still_follows_discovery(tmp_path):
     server = TurnServer()
     with DiscoveryAgent([host("s0", server)]) as other:
         program = Program(tmp_path, agent=DiscoveryAgent([]))
--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -1,4 +1,4 @@
-"""Shared knowledge as values, in the module, and in files and frames that may hold anything."""
+"""Shared knowledge: evidence and its merging, its effect on the policy, its encoding in files and frames."""
 
 import itertools
 import subprocess
@@ -42,11 +42,11 @@
     return replace(BASE, origin=origin, backend=backend, slower=slower, **more)
 
 
-def words(book, now=NOW, lives=None, but=("me", 1)):
-    return book.hearsay(now, lives or {"s0": 5.0}, but)
+def peer_estimates(store, now=NOW, born_at=None, excluded_origin=("me", 1)):
+    return store.hearsay(now, born_at or {"s0": 5.0}, excluded_origin)
 
 
-# values
+# evidence and the store
 
 pieces = st.builds(
     say,
@@ -73,20 +73,20 @@
     assert one.held == other.held and one.size == other.size == len(list(one.all()))
 
 
-def test_copies_in_a_loop_add_nothing_and_do_not_grow_younger():
-    # guards against two new proxies that talk each other into anything, while a third restarts between them
-    books = [Book(), Book(), Book()]
-    books[0].merge(say(), NOW)
-    first, now = words(books[0]), NOW
+def test_circulating_copies_gain_neither_weight_nor_youth():
+    # guards against evidence that gains weight or youth by circulating among proxies, one of which restarts
+    stores = [Book(), Book(), Book()]
+    stores[0].merge(say(), NOW)
+    first, now = peer_estimates(stores[0]), NOW
     for step in range(60):
         now += 500.0
-        a, b = books[step % 3], books[(step + 1) % 3]
+        a, b = stores[step % 3], stores[(step + 1) % 3]
         if step % 7 == 6:
-            books[(step + 1) % 3] = b = Book()
+            stores[(step + 1) % 3] = b = Book()
         for e in list(a.all()):
             b.merge(decode(encode(e, now), now), now)
-    for book in books:
-        slower, weight = words(book, now)["s0"]
+    for store in stores:
+        slower, weight = peer_estimates(store, now)["s0"]
         assert slower == 1.0
         assert weight == pytest.approx(first["s0"][1] * exp(-known.FADE * 30.0), rel=0.01)
 
@@ -108,68 +108,69 @@
         {"limit": 1e9},
     ],
 )
-def test_what_is_absurd_is_rejected_and_counted(change):
-    book = Book()
-    assert not book.merge(replace(BASE, **change), NOW)
-    assert (book.size, book.absurd) == (0, 1)
+def test_invalid_evidence_is_rejected_and_counted(change):
+    store = Book()
+    assert not store.merge(replace(BASE, **change), NOW)
+    assert (store.size, store.absurd) == (0, 1)
 
 
-def test_a_book_is_bounded_and_keeps_the_younger():
-    book = Book(capacity=16)
+def test_store_is_bounded_and_evicts_the_oldest():
+    store = Book(capacity=16)
     for n in range(100):
-        book.merge(say(backend=f"s{n}", at=NOW - 1000.0 + n), NOW)
-    assert book.size <= 16 and "s99" in book.held and "s0" not in book.held
-    assert book.dropped == 100 - book.size
-    book.prune(NOW + known.OLDEST)
-    assert book.size == 0 and not book.held
+        store.merge(say(backend=f"s{n}", at=NOW - 1000.0 + n), NOW)
+    assert store.size <= 16 and "s99" in store.held and "s0" not in store.held
+    assert store.dropped == 100 - store.size
+    store.prune(NOW + known.OLDEST)
+    assert store.size == 0 and not store.held
 
 
-def test_one_liar_among_five_moves_nothing_and_another_life_is_another_server():
-    # guards against one confused proxy whose word empties the pool for the others
-    book = Book()
+def test_one_outlier_among_five_origins_is_ignored_and_incarnations_are_separate():
+    # guards against one misbehaving proxy whose evidence empties the pool for the others
+    store = Book()
     for n in range(4):
-        book.merge(say(f"p{n}", slower=0.05 * n), NOW)
-    book.merge(say("liar", slower=9.0), NOW)
-    assert words(book)["s0"][0] <= 0.15
-    assert words(book, lives={"s0": 6.0}) == {}
+        store.merge(say(f"p{n}", slower=0.05 * n), NOW)
+    store.merge(say("liar", slower=9.0), NOW)
+    assert peer_estimates(store)["s0"][0] <= 0.15
+    assert peer_estimates(store, born_at={"s0": 6.0}) == {}
     own = Book()
     own.merge(say("me", epoch=1), NOW)
-    assert words(own) == {} and "s0" in words(own, but=("me", 2))  # an earlier life's word is hearsay
+    # evidence of an earlier incarnation of this proxy counts as a peer's
+    assert peer_estimates(own) == {} and "s0" in peer_estimates(own, excluded_origin=("me", 2))
 
 
-def test_hearsay_only_lowers_within_bounds_and_yields_to_answers():
+def test_peer_estimates_only_lower_within_bounds_and_yield_to_own_answers():
     assert lowering(-5.0, 1.0, 0.0, 0) == 1.0 == lowering(3.0, 0.0, 0.0, 0)
     assert lowering(1.0, 1.0, 0.0, 0) == pytest.approx(exp(1.0))
     assert lowering(50.0, 9.0, -50.0, 0) <= 8.001
     factors = [lowering(2.0, 1.0, 0.0, seen) for seen in (0, 1, 2, 4, 8, 16)]
     assert factors == sorted(factors, reverse=True) and factors[-1] < 1.3
-    assert lowering(1.0, 1.0, 1.0, 0) == 1.0  # this proxy knows as much by itself
+    assert lowering(1.0, 1.0, 1.0, 0) == 1.0  # this proxy's own estimate is the same
 
 
-def test_the_two_laws_of_decay_are_one():
-    # guards against evidence that fades otherwise on its way than in the module
+def test_evidence_decays_at_the_rate_of_the_policy():
+    # guards against a decay of evidence that differs from the policy's
     assert pytest.approx(known.FADE) == state.PEER_DECAY_FACTOR * brain.MEAN_DECAY_PER_S
 
 
-# first hand
+# first-hand evidence
 
 
-def test_a_bad_link_of_ones_own_cancels_and_what_fails_costs_more():
-    # guards against a confused proxy's scale: all its latencies are tenfold, and its word is the same
+def test_slowness_of_the_origin_cancels_and_failures_raise_the_cost():
+    # guards against the scale of an origin: with all latencies tenfold, its evidence must be the same
     found = []
     for scale in (1.0, 10.0):
         proxy = Proxy(("s0", "s1", "s2", "s3"))
-        for _ in range(60):  # four at once, so that each server has its share
+        for _ in range(60):  # four concurrent requests, so that each server gets some
             for request in [proxy.arrive() for _ in range(4)]:
                 proxy.now += 5.0
                 slow = proxy.backend(request) == "s2"
                 proxy.finish(request, elapsed=scale * (60.0 if slow else 12.0))
-        seen, lives = Sightings(), dict.fromkeys(proxy.brain.backends, 5.0)
+        outcomes, born_at = Sightings(), dict.fromkeys(proxy.brain.backends, 5.0)
         for name in proxy.brain.backends:
-            seen.ended(proxy.now - 50.0, name, Outcome.SERVED)
-        seen.ended(proxy.now, "s3", Outcome.TIMEOUT)
-        seen.ended(proxy.now, "gone", Outcome.SERVED)
-        found.append({e.backend: e for e in first_hand(proxy.brain.backends, seen, lives, "p1", 1)})
+            outcomes.ended(proxy.now - 50.0, name, Outcome.SERVED)
+        outcomes.ended(proxy.now, "s3", Outcome.TIMEOUT)
+        outcomes.ended(proxy.now, "gone", Outcome.SERVED)
+        found.append({e.backend: e for e in first_hand(proxy.brain.backends, outcomes, born_at, "p1", 1)})
     for a, b in zip(*(f.values() for f in found), strict=True):
         assert a.slower == pytest.approx(b.slower, abs=0.25)
     one = found[0]
@@ -177,19 +178,19 @@
     assert (one["s3"].silent, one["s3"].answered, one["s0"].silent) == (0.0, 50.0, known.NEVER)
 
 
-def test_only_changes_worth_telling_get_a_number():
-    teller = Teller()
-    assert [e.serial for e in teller.news([say(), say(backend="s1")], NOW)] == [1, 2]
-    assert not teller.news([say(slower=1.1, at=NOW), say(backend="s1", slower=0.9)], NOW + 1000.0)
-    assert [e.serial for e in teller.news([say(slower=1.5, at=NOW)], NOW + 1000.0)] == [3]
-    assert not teller.news([say(slower=1.5, at=NOW)], NOW + 60_000.0)  # nothing newer was seen
-    assert [e.serial for e in teller.news([say(slower=1.5, at=NOW + 5.0)], NOW + 60_000.0)] == [4]
+def test_only_significant_changes_are_published():
+    publisher = Teller()
+    assert [e.serial for e in publisher.news([say(), say(backend="s1")], NOW)] == [1, 2]
+    assert not publisher.news([say(slower=1.1, at=NOW), say(backend="s1", slower=0.9)], NOW + 1000.0)
+    assert [e.serial for e in publisher.news([say(slower=1.5, at=NOW)], NOW + 1000.0)] == [3]
+    assert not publisher.news([say(slower=1.5, at=NOW)], NOW + 60_000.0)  # no newer observation
+    assert [e.serial for e in publisher.news([say(slower=1.5, at=NOW + 5.0)], NOW + 60_000.0)] == [4]
 
 
-# the module
+# the policy
 
 
-def told(proxy, *backends, slower=2.0, weight=1.0, started=0.0):
+def give_peer_estimates(proxy, *backends, slower=2.0, weight=1.0, started=0.0):
     return proxy.give(face.Told([face.Hearsay(b, started, slower, weight) for b in backends]))
 
 
@@ -197,27 +198,28 @@
     return proxy.backend(proxy.arrive(SAFE, span))
 
 
-def test_the_module_avoids_what_it_is_told_and_loses_nobody():
+def test_policy_ranks_slow_backends_lower_but_keeps_them():
     proxy = Proxy(("s0", "s1", "s2"))
-    told(proxy, "s0", "s1")
+    give_peer_estimates(proxy, "s0", "s1")
     sent = {first_backend(proxy) for _ in range(3)}
-    assert proxy.sent[0][1] == "s2" and sent == {"s0", "s1", "s2"}  # lowered, yet taken when others are full
+    # ranked lower, but used when others are full
+    assert proxy.sent[0][1] == "s2" and sent == {"s0", "s1", "s2"}
 
 
-def test_hearsay_of_all_alike_keeps_the_pool_and_of_another_life_says_nothing():
+def test_uniform_peer_estimates_keep_the_pool_and_other_incarnations_are_ignored():
     proxy = Proxy(("s0", "s1", "s2"))
-    told(proxy, "s0", started=7.0)
-    told(proxy, "nobody")
+    give_peer_estimates(proxy, "s0", started=7.0)
+    give_peer_estimates(proxy, "nobody")
     assert proxy.brain.backends["s0"].peer_factor == 1.0
-    told(proxy, "s0", "s1", "s2")
+    give_peer_estimates(proxy, "s0", "s1", "s2")
     assert {first_backend(proxy) for _ in range(3)} == {"s0", "s1", "s2"}
     assert not proxy.answers
 
 
-def test_stale_hearsay_loses_to_time_and_to_answers_of_its_own():
-    # guards against a server that is fast again and never gets anything
+def test_peer_estimates_decay_with_time_and_with_own_answers():
+    # guards against a recovered server that never gets a request again
     proxy = Proxy(("s0", "s1"))
-    told(proxy, "s0")
+    give_peer_estimates(proxy, "s0")
     assert first_backend(proxy) == "s1" and first_backend(proxy) == "s0"
     before = proxy.brain.backends["s0"].peer_factor
     proxy.finish(2, elapsed=20.0)
@@ -227,25 +229,25 @@
     assert proxy.brain.backends["s0"].peer_factor < 1.1
 
 
-def test_word_that_a_cold_server_is_fast_does_not_warm_it():
-    # guards against a new life pushed over because its name is known as fast: the fourth rule wins
-    def shares(hearsay):
+def test_peer_estimate_does_not_speed_up_a_cold_start():
+    # guards against overloading a newly started server because its name is known as fast: cold start wins
+    def sent_backends(with_estimate):
         proxy = Proxy(cold_from=0.3, cold=8000.0, tip_multiple=2.0, tip_after=500.0)
         proxy.list(
             face.Entry("cold", State.LIVE, proxy.now), *(face.Entry(f"s{n}", State.LIVE) for n in range(3))
         )
-        if hearsay:
-            told(proxy, "cold", slower=-5.0, started=proxy.now)
+        if with_estimate:
+            give_peer_estimates(proxy, "cold", slower=-5.0, started=proxy.now)
         proxy.warm_up(60)
         return [b for _, b in proxy.sent]
 
-    assert shares(True) == shares(False)
+    assert sent_backends(True) == sent_backends(False)
 
 
-# bytes
+# encoding
 
 
-def test_evidence_keeps_through_a_frame_and_a_file_with_its_age():
+def test_evidence_survives_a_frame_and_a_file_with_its_age():
     record = encode(BASE, NOW)
     assert decode(record, 500.0) == replace(BASE, at=400.0)
     frame = pack(Told(3, "p1", 1, [record]), KEYS["k1"], "k1")
@@ -287,7 +289,7 @@
         pass
 
 
-def test_a_frame_of_4_gb_is_refused_by_its_announcement():
+def test_frame_of_4_gb_is_rejected_by_its_length_prefix():
     reader = Reader()
     with pytest.raises(FrameError, match="4294967295"):
         reader.feed(b"\xff\xff\xff\xff" + b"x" * 100_000)
@@ -303,11 +305,11 @@
         (lambda d: snapshot.encode(Snapshot(NOW + 1e9, "p1", 1, [])), "future"),
     ],
 )
-def test_a_file_that_cannot_be_used_says_why_and_is_set_aside(tmp_path, spoil, why):
+def test_unusable_file_is_reported_and_set_aside(tmp_path, spoil, why):
     path = tmp_path / "knowledge"
     snapshot.write(str(path), snapshot.encode(Snapshot(NOW, "p1", 1, [encode(BASE, NOW)])))
     assert snapshot.read(str(path), NOW).records == [encode(BASE, NOW)]
-    assert [p.name for p in tmp_path.iterdir()] == ["knowledge"]  # nothing is left aside
+    assert [p.name for p in tmp_path.iterdir()] == ["knowledge"]  # no temporary file remains
     path.write_bytes(spoil(path.read_bytes()))
     with pytest.raises(SnapshotError, match=why):
         snapshot.read(str(path), NOW)
@@ -316,7 +318,7 @@
         snapshot.read(str(path), NOW)
 
 
-def test_a_failed_write_leaves_the_old_file(tmp_path):
+def test_failed_write_keeps_the_old_file(tmp_path):
     path = tmp_path / "knowledge"
     snapshot.write(str(path), b"old")
     (tmp_path / "knowledge.new").mkdir()
@@ -345,18 +347,18 @@
         ("snapshot.every_s = 0\n", "snapshot.every_s"),
     ],
 )
-def test_a_wrong_setting_is_named(text, names):
+def test_invalid_setting_is_named(text, names):
     with pytest.raises(ConfigError, match=names.replace(".", r"\.")):
         read_operator("f", text)
 
 
-def test_keys_rotate_as_the_tokens_do_and_are_not_shown():
+def test_peer_keys_rotate_and_are_not_printed():
     found = read_operator("f", PEERS + "peers.key.b = 11\npeers.sign = b\n").peers
     assert found is not None and found.sign == "b" and set(found.keys) == {"a", "b"}
     assert "\\xff" not in repr(found)
 
 
-def test_without_the_features_nothing_of_them_is_imported():
+def test_disabled_features_are_not_imported():
     check = (
         "import sys, brackenusher.cli, brackenusher.daemon\n"
         "news = ('msgspec', 'sqlite3', 'barleybarrow.knowledge', 'barleybarrow.replica', "
@@ -368,8 +370,8 @@
     assert subprocess.run([sys.executable, "-c", check], cwd=ROOT, check=False).returncode == 0
 
 
-def test_pieces_hold_what_evidence_holds():
-    # guards against a field that is added to one of the two, and shifts what stands behind it
+def test_wire_fields_match_the_fields_of_evidence():
+    # guards against a field added to only one of the two, which would shift the fields after it
     of_piece = list(Piece.__struct_fields__)
     of_evidence = list(Evidence.__dataclass_fields__)
     assert [f if f != "age" else "at" for f in of_piece] == of_evidence
--- a/tests/test_tokens.py
+++ b/tests/test_tokens.py
@@ -1,4 +1,4 @@
-"""Tokens: the verdicts by themselves, the command that issues them, and the program's answers on sockets."""
+"""Tokens: their verification, the command that issues them, and the program's answers over sockets."""
 
 import time
 
@@ -17,7 +17,7 @@
     return issue(KEYS, kid, holder, rights, expiry).encode()
 
 
-def test_a_token_counts_until_its_expiry_and_the_skew_and_each_key_by_itself():
+def test_token_is_valid_until_expiry_plus_skew_under_each_key():
     assert made().startswith(b"k2.p77.read+submit.1767225600.") and len(made().rpartition(b".")[2]) == 43
     for token in (made(), made(kid="k1"), made("submit")):
         assert verdict(KEYS, token, "submit", NOW + 30.0) == ""
@@ -28,8 +28,8 @@
     )
 
 
-def test_whatever_is_changed_in_a_token_it_is_forged_and_no_shape_raises():
-    # guards against a field that the MAC does not cover, and against reading a field before the MAC has held
+def test_altered_or_malformed_tokens_are_rejected_as_forged():
+    # guards against a field that the MAC does not cover, and against using fields before it is verified
     token = made(expiry=NOW - 100)
     for place in range(len(token)):
         changed = token[:place] + (b"A" if token[place : place + 1] != b"A" else b"B") + token[place + 1 :]
@@ -66,12 +66,12 @@
         ("k2", "p", "read+"),
     ],
 )
-def test_what_could_not_be_read_back_is_not_issued(kid, holder, rights):
+def test_tokens_with_invalid_fields_are_not_issued(kid, holder, rights):
     with pytest.raises(TokenError):
         issue(KEYS, kid, holder, rights, NOW)
 
 
-def test_keys_have_no_default_and_are_never_shown():
+def test_keys_have_no_default_and_are_not_printed():
     on = "token.enabled = true\n"
     bad = [
         on,
@@ -93,7 +93,7 @@
     return command("token", "issue", *wanted, str(properties))
 
 
-def test_tokens_are_issued_tampered_with_expired_and_their_key_dropped(tmp_path):
+def test_program_checks_issued_expired_and_forged_tokens_and_removed_keys(tmp_path):
     both = "token.enabled = true\ntoken.key.k1 = 6f6c64206f6c64206f6c64206f6c6420\n"
     both += "token.key.k2 = 6e6577206e6577206e6577206e657720\n"
     properties = tmp_path / "issuing.properties"
@@ -127,7 +127,7 @@
         assert ask(program, tokens["k1"]) == (403, "forged") and ask(program, tokens["k2"]) == (200, None)
 
 
-def test_with_the_feature_off_tokens_are_headers_like_any_other(tmp_path):
+def test_token_headers_are_forwarded_when_the_feature_is_off(tmp_path):
     twice = "Adw-Token: x\r\nAdw-Token: y\r\n"
     with Program(tmp_path, TurnServer(), operator="token.key.k2 = 00\n") as program:
         assert [program.ask(read_request(n, extra=extra))[0] for n, extra in enumerate(("", twice))] == [
@@ -137,7 +137,7 @@
         assert program.servers[0].requests[1][1]["adw-token"] == "y"
 
 
-def test_a_short_key_is_named_by_check_config(tmp_path):
+def test_check_config_names_a_short_key(tmp_path):
     properties = tmp_path / "operator.properties"
     properties.write_text("token.enabled = true\ntoken.key.k2 = 00\n", encoding="utf-8")
     done = command("check-config", "--operator", str(properties), GW_CONFIG=write_config(tmp_path))
