--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -112,7 +112,11 @@
     def __init__(self, program, began, fresh):
         super().__init__(daemon=True)
         self.program, self.began, self.fresh = program, began, fresh
-        self.answers, self.unanswered, self.cut = [], [], []  # (id, status, seconds since the signal); ids
+        self.answers, self.unanswered, self.truncated = (
+            [],
+            [],
+            [],
+        )  # (id, status, seconds since the signal); ids
         self.start()
 
     def run(self):
@@ -141,12 +145,12 @@
             except OSError:
                 message = None
             except ValueError:  # a truncated answer
-                self.cut.append(f"id{number}")
+                self.truncated.append(f"id{number}")
                 return None, ""
             if message:
                 status, headers, body = int(message[0].split()[1]), message[1], message[2]
                 if len(body) < int(headers["content-length"]):
-                    self.cut.append(f"id{number}")
+                    self.truncated.append(f"id{number}")
                 if self.fresh or headers.get("connection") == "close":
                     sock.close()
                     sock = None
@@ -187,7 +191,7 @@
         log = program.log
     answers = [answer for c in callers for answer in c.answers]
     # each request that reached a server got exactly one complete answer
-    assert not [name for c in callers for name in c.cut]
+    assert not [name for c in callers for name in c.truncated]
     assert seen <= {name for name, _, _ in answers}
     assert max(Counter(name for name, _, _ in answers).values()) == 1
     assert "failed on" not in log
--- a/tests/test_tokens.py
+++ b/tests/test_tokens.py
@@ -93,7 +93,7 @@
     assert load_operator("deploy/operator.properties").token is None
 
 
-def run_issue_command(properties, kid="k2", rights="read", ttl="3600"):
+def run_issue(properties, kid="k2", rights="read", ttl="3600"):
     wanted = ["--kid", kid, "--holder", "p77", "--rights", rights, "--ttl", ttl]
     return command("token", "issue", *wanted, str(properties))
 
@@ -103,15 +103,12 @@
     both += "token.key.k2 = 6e6577206e6577206e6577206e657720\n"
     properties = tmp_path / "issuing.properties"
     properties.write_text(both, encoding="utf-8")
-    tokens = {kid: run_issue_command(properties, kid, "read+submit").stdout.strip() for kid in ("k1", "k2")}
+    tokens = {kid: run_issue(properties, kid, "read+submit").stdout.strip() for kid in ("k1", "k2")}
     reads, old = (
-        run_issue_command(properties).stdout.strip(),
-        run_issue_command(properties, ttl="-31").stdout.strip(),
-    )
-    assert (
-        run_issue_command(properties, "k3").returncode == 2
-        and run_issue_command(properties, "k3").stderr.count("\n") == 1
+        run_issue(properties).stdout.strip(),
+        run_issue(properties, ttl="-31").stdout.strip(),
     )
+    assert run_issue(properties, "k3").returncode == 2 and run_issue(properties, "k3").stderr.count("\n") == 1
 
     def ask(program, token, request=read_request):
         extra = "" if token is None else f"Adw-Token: {token}\r\n"
