--- a/tests/test_tokens.py
+++ b/tests/test_tokens.py
@@ -1,4 +1,4 @@
-"""Tokens: the verdicts by themselves, the command that issues them, and the program's answers on sockets."""
+"""Tokens: their verification, the command that issues them, and the program's answers over sockets."""
 
 import time
 
@@ -13,24 +13,29 @@
 NOW = 1767225600
 
 
-def made(rights="read+submit", kid="k2", expiry=NOW, holder="p77"):
+def make_token(rights="read+submit", kid="k2", expiry=NOW, holder="p77"):
     return issue(KEYS, kid, holder, rights, expiry).encode()
 
 
-def test_a_token_counts_until_its_expiry_and_the_skew_and_each_key_by_itself():
-    assert made().startswith(b"k2.p77.read+submit.1767225600.") and len(made().rpartition(b".")[2]) == 43
-    for token in (made(), made(kid="k1"), made("submit")):
+def test_token_is_valid_until_expiry_plus_skew_under_each_key():
+    assert (
+        make_token().startswith(b"k2.p77.read+submit.1767225600.")
+        and len(make_token().rpartition(b".")[2]) == 43
+    )
+    for token in (make_token(), make_token(kid="k1"), make_token("submit")):
         assert verdict(KEYS, token, "submit", NOW + 30.0) == ""
         assert verdict(KEYS, token, "submit", NOW + 30.5) == "expired"
-    assert verdict(TokenSettings({"k2": KEYS.keys["k2"]}), made(kid="k1"), "read", NOW) == "forged"
+    assert verdict(TokenSettings({"k2": KEYS.keys["k2"]}), make_token(kid="k1"), "read", NOW) == "forged"
     assert (
-        verdict(KEYS, made("read"), "submit", NOW) == verdict(KEYS, made("submit"), "read", NOW) == "rights"
+        verdict(KEYS, make_token("read"), "submit", NOW)
+        == verdict(KEYS, make_token("submit"), "read", NOW)
+        == "rights"
     )
 
 
-def test_whatever_is_changed_in_a_token_it_is_forged_and_no_shape_raises():
-    # guards against a field that the MAC does not cover, and against reading a field before the MAC has held
-    token = made(expiry=NOW - 100)
+def test_altered_or_malformed_tokens_are_rejected_as_forged():
+    # guards against a field that the MAC does not cover, and against using fields before it is verified
+    token = make_token(expiry=NOW - 100)
     for place in range(len(token)):
         changed = token[:place] + (b"A" if token[place : place + 1] != b"A" else b"B") + token[place + 1 :]
         assert verdict(KEYS, changed, "read", NOW) == "forged"
@@ -66,12 +71,12 @@
         ("k2", "p", "read+"),
     ],
 )
-def test_what_could_not_be_read_back_is_not_issued(kid, holder, rights):
+def test_tokens_with_invalid_fields_are_not_issued(kid, holder, rights):
     with pytest.raises(TokenError):
         issue(KEYS, kid, holder, rights, NOW)
 
 
-def test_keys_have_no_default_and_are_never_shown():
+def test_keys_have_no_default_and_are_not_printed():
     on = "token.enabled = true\n"
     bad = [
         on,
@@ -88,19 +93,22 @@
     assert load_operator("deploy/operator.properties").token is None
 
 
-def issued(properties, kid="k2", rights="read", ttl="3600"):
+def run_issue(properties, kid="k2", rights="read", ttl="3600"):
     wanted = ["--kid", kid, "--holder", "p77", "--rights", rights, "--ttl", ttl]
     return command("token", "issue", *wanted, str(properties))
 
 
-def test_tokens_are_issued_tampered_with_expired_and_their_key_dropped(tmp_path):
+def test_program_checks_issued_expired_and_forged_tokens_and_removed_keys(tmp_path):
     both = "token.enabled = true\ntoken.key.k1 = 6f6c64206f6c64206f6c64206f6c6420\n"
     both += "token.key.k2 = 6e6577206e6577206e6577206e657720\n"
     properties = tmp_path / "issuing.properties"
     properties.write_text(both, encoding="utf-8")
-    tokens = {kid: issued(properties, kid, "read+submit").stdout.strip() for kid in ("k1", "k2")}
-    reads, old = issued(properties).stdout.strip(), issued(properties, ttl="-31").stdout.strip()
-    assert issued(properties, "k3").returncode == 2 and issued(properties, "k3").stderr.count("\n") == 1
+    tokens = {kid: run_issue(properties, kid, "read+submit").stdout.strip() for kid in ("k1", "k2")}
+    reads, old = (
+        run_issue(properties).stdout.strip(),
+        run_issue(properties, ttl="-31").stdout.strip(),
+    )
+    assert run_issue(properties, "k3").returncode == 2 and run_issue(properties, "k3").stderr.count("\n") == 1
 
     def ask(program, token, request=read_request):
         extra = "" if token is None else f"Adw-Token: {token}\r\n"
@@ -127,7 +135,7 @@
         assert ask(program, tokens["k1"]) == (403, "forged") and ask(program, tokens["k2"]) == (200, None)
 
 
-def test_with_the_feature_off_tokens_are_headers_like_any_other(tmp_path):
+def test_token_headers_are_forwarded_when_the_feature_is_off(tmp_path):
     twice = "Adw-Token: x\r\nAdw-Token: y\r\n"
     with Program(tmp_path, TurnServer(), operator="token.key.k2 = 00\n") as program:
         assert [program.ask(read_request(n, extra=extra))[0] for n, extra in enumerate(("", twice))] == [
@@ -137,7 +145,7 @@
         assert program.servers[0].requests[1][1]["adw-token"] == "y"
 
 
-def test_a_short_key_is_named_by_check_config(tmp_path):
+def test_check_config_names_a_short_key(tmp_path):
     properties = tmp_path / "operator.properties"
     properties.write_text("token.enabled = true\ntoken.key.k2 = 00\n", encoding="utf-8")
     done = command("check-config", "--operator", str(properties), GW_CONFIG=write_config(tmp_path))
