--- a/barleybarrow/agreement_log.py
+++ b/barleybarrow/agreement_log.py
@@ -9,9 +9,9 @@
 
 from msgspec import msgpack
 
-from barleybarrow.agreement_messages import Append, Entry, Kind, Message, Ready, Snapshot
+from barleybarrow.agreement_messages import AppendEntries, Entry, EntryKind, Message, Ready, Snapshot
 
-MOST_MESSAGES = 4000
+MAX_QUEUED_MESSAGES = 4000
 
 
 class Role(Enum):
@@ -41,28 +41,28 @@
         self.snapshot = snapshot or Snapshot(0, 0, voters, b"")
         self.entries = list(entries or ())
         self.voters = self.latest_voters()
-        self.stored_to = self.last
-        self.commit = self.applied = self.snapshot.index
+        self.persisted_index = self.last_index
+        self.commit_index = self.applied_index = self.snapshot.index
         self.role = Role.FOLLOWER if name in self.voters else Role.LEARNER
         self.ready = Ready()
-        self.counts: Counter[str] = Counter()
+        self.counters: Counter[str] = Counter()
 
     @property
-    def last(self) -> int:
+    def last_index(self) -> int:
         return self.snapshot.index + len(self.entries)
 
-    def term_of(self, index: int) -> int:
+    def term_at(self, index: int) -> int:
         """Term of the entry at an index, which may be the snapshot's last; -1 if it is not in the log."""
         if index == self.snapshot.index:
             return self.snapshot.term
-        if self.snapshot.index < index <= self.last:
+        if self.snapshot.index < index <= self.last_index:
             return self.entries[index - self.snapshot.index - 1].term
         return -1
 
     def latest_voters(self) -> list[str]:
         """Voters named by the newest membership entry in the log, committed or not."""
         for entry in reversed(self.entries):
-            if entry.kind == Kind.VOTERS:
+            if entry.kind == EntryKind.VOTERS:
                 return msgpack.decode(entry.data, type=list[str])
         return list(self.snapshot.voters)
 
@@ -73,25 +73,25 @@
     @property
     def dropped(self) -> int:
         """Messages, reads and learners' responses dropped because a limit was reached."""
-        return sum(self.counts[reason] for reason in ("messages", "reads", "learners"))
+        return sum(self.counters[reason] for reason in ("messages", "reads", "learners"))
 
     def append(self, entry: Entry) -> int:
-        self.place(self.last + 1, [entry])
-        return self.last
+        self.overwrite_from(self.last_index + 1, [entry])
+        return self.last_index
 
-    def place(self, first_index: int, entries: list[Entry]) -> None:
+    def overwrite_from(self, first_index: int, entries: list[Entry]) -> None:
         """Write entries from an index on, replacing whatever follows it."""
         del self.entries[first_index - self.snapshot.index - 1 :]
         self.entries += entries
         ready = self.ready
-        if ready.entries and first_index <= ready.first + len(ready.entries):
-            del ready.entries[max(0, first_index - ready.first) :]
-            if first_index < ready.first:
-                ready.first = first_index
+        if ready.entries and first_index <= ready.first_index + len(ready.entries):
+            del ready.entries[max(0, first_index - ready.first_index) :]
+            if first_index < ready.first_index:
+                ready.first_index = first_index
         elif not ready.entries:
-            ready.first = first_index
+            ready.first_index = first_index
         ready.entries += entries
-        self.stored_to = min(self.stored_to, first_index - 1)
+        self.persisted_index = min(self.persisted_index, first_index - 1)
         self.voters = self.latest_voters()
         self.update_role()
 
@@ -102,36 +102,36 @@
         elif self.name in self.voters and self.role is Role.LEARNER:
             self.role = Role.FOLLOWER
 
-    def match_up(self, message: Append) -> int:
+    def try_append(self, message: AppendEntries) -> int:
         """Append a leader's entries: the last index that matches its log, or -1 on a mismatch."""
-        if message.before < self.snapshot.index:  # entries in the snapshot are committed, so they match
-            skip = self.snapshot.index - message.before
+        if message.prev_index < self.snapshot.index:  # entries in the snapshot are committed, so they match
+            skip = self.snapshot.index - message.prev_index
             if skip >= len(message.entries):
                 return max(self.snapshot.index, 0)
             prev_index, entries = self.snapshot.index, message.entries[skip:]
         else:
-            prev_index, entries = message.before, message.entries
-            if self.term_of(prev_index) != message.prev_term:
+            prev_index, entries = message.prev_index, message.entries
+            if self.term_at(prev_index) != message.prev_term:
                 return -1
         for i, entry in enumerate(entries):
-            if self.term_of(prev_index + 1 + i) != entry.term:
-                self.place(prev_index + 1 + i, entries[i:])
+            if self.term_at(prev_index + 1 + i) != entry.term:
+                self.overwrite_from(prev_index + 1 + i, entries[i:])
                 break
         return prev_index + len(entries)
 
     def install_snapshot(self, snapshot: Snapshot) -> int:
         """Install a leader's snapshot unless it is outdated: the last index that matches its log."""
-        if snapshot.index <= self.commit:
-            return self.commit
-        if self.term_of(snapshot.index) == snapshot.term:
+        if snapshot.index <= self.commit_index:
+            return self.commit_index
+        if self.term_at(snapshot.index) == snapshot.term:
             del self.entries[: snapshot.index - self.snapshot.index]
         else:
             self.entries = []
         self.snapshot = snapshot
         self.ready.snapshot, self.ready.entries = snapshot, list(self.entries)
-        self.ready.first = snapshot.index + 1
-        self.commit = self.applied = snapshot.index
-        self.stored_to = min(self.stored_to, self.last)
+        self.ready.first_index = snapshot.index + 1
+        self.commit_index = self.applied_index = snapshot.index
+        self.persisted_index = min(self.persisted_index, self.last_index)
         self.voters = self.latest_voters()
         self.update_role()
         return snapshot.index
@@ -141,48 +141,52 @@
 
         None if the index is not above the current snapshot's, or was not applied.
         """
-        if not self.snapshot.index < index <= self.applied:
+        if not self.snapshot.index < index <= self.applied_index:
             return None
         voters = self.voters_at(index)
-        snapshot = Snapshot(index, self.term_of(index), voters, data)
+        snapshot = Snapshot(index, self.term_at(index), voters, data)
         del self.entries[: index - self.snapshot.index]
         self.snapshot = snapshot
         return snapshot
 
     def voters_at(self, index: int) -> list[str]:
         for i in range(index - self.snapshot.index - 1, -1, -1):
-            if self.entries[i].kind == Kind.VOTERS:
+            if self.entries[i].kind == EntryKind.VOTERS:
                 return msgpack.decode(self.entries[i].data, type=list[str])
         return list(self.snapshot.voters)
 
     # Output
 
-    def hard(self, term: int, vote: str) -> None:
+    def set_hard_state(self, term: int, vote: str) -> None:
         """Set term and vote, to be persisted before any message is sent."""
         self.term, self.vote = term, vote
-        self.ready.hard = term, vote
+        self.ready.hard_state = term, vote
 
-    def whole(self) -> Ready:
+    def full_state(self) -> Ready:
         """The whole state, for an empty store."""
         first_index = self.snapshot.index + 1
         return Ready((self.term, self.vote), self.snapshot, first_index, list(self.entries))
 
-    def take(self) -> Ready | None:
+    def take_ready(self) -> Ready | None:
         """The pending writes, messages and committed entries; None if there are none."""
         ready = self.ready
-        ready.apply = []
-        while self.applied < min(self.commit, self.last):
-            self.applied += 1
-            ready.apply.append((self.applied, self.entries[self.applied - self.snapshot.index - 1]))
-        if not (ready.hard or ready.snapshot or ready.entries or ready.messages or ready.apply):
+        ready.committed_entries = []
+        while self.applied_index < min(self.commit_index, self.last_index):
+            self.applied_index += 1
+            ready.committed_entries.append(
+                (self.applied_index, self.entries[self.applied_index - self.snapshot.index - 1])
+            )
+        if not (
+            ready.hard_state or ready.snapshot or ready.entries or ready.messages or ready.committed_entries
+        ):
             return None
-        ready.last_index, ready.last_term = self.last, self.term_of(self.last)
+        ready.last_index, ready.last_term = self.last_index, self.term_at(self.last_index)
         self.ready = Ready()
         return ready
 
     def send(self, to: str, message: Message) -> None:
         """Queue a message; if too many are queued, the older half is dropped."""
         self.ready.messages.append((to, message))
-        if len(self.ready.messages) > MOST_MESSAGES:  # slow disk; Raft tolerates lost messages
-            del self.ready.messages[: MOST_MESSAGES // 2]
-            self.counts["messages"] += MOST_MESSAGES // 2
+        if len(self.ready.messages) > MAX_QUEUED_MESSAGES:  # slow disk; Raft tolerates lost messages
+            del self.ready.messages[: MAX_QUEUED_MESSAGES // 2]
+            self.counters["messages"] += MAX_QUEUED_MESSAGES // 2
--- a/barleybarrow/agreement_messages.py
+++ b/barleybarrow/agreement_messages.py
@@ -12,10 +12,10 @@
 NodeName = Annotated[str, Meta(min_length=0, max_length=64)]
 
 
-class Kind:
+class EntryKind:
     """Type of a log entry's data."""
 
-    NOTHING, DATA, VOTERS = range(3)
+    NOOP, DATA, VOTERS = range(3)
 
 
 class Entry(Struct, array_like=True, frozen=True):
@@ -33,34 +33,34 @@
     data: bytes
 
 
-class AskVote(Struct, array_like=True, frozen=True, tag=1):
+class RequestVote(Struct, array_like=True, frozen=True, tag=1):
     term: Unsigned
-    last: Unsigned
+    last_index: Unsigned
     last_term: Unsigned
-    probe: bool  # pre-vote: no term is raised and no vote is cast
+    pre_vote: bool  # pre-vote: no term is raised and no vote is cast
     leadership_transfer: bool = (
         False  # leadership transfer: granted even by voters that still hear the leader
     )
 
 
-class Vote(Struct, array_like=True, frozen=True, tag=2):
+class VoteResponse(Struct, array_like=True, frozen=True, tag=2):
     term: Unsigned
     granted: bool
-    probe: bool
+    pre_vote: bool
 
 
-class Append(Struct, array_like=True, frozen=True, tag=3):
+class AppendEntries(Struct, array_like=True, frozen=True, tag=3):
     term: Unsigned
-    before: Unsigned  # index of the entry before `entries`
+    prev_index: Unsigned  # index of the entry before `entries`
     prev_term: Unsigned
     entries: list[Entry]
-    commit: Unsigned
+    commit_index: Unsigned
     round: Unsigned  # the leader's heartbeat round, which confirms reads
 
 
-class Appended(Struct, array_like=True, frozen=True, tag=4):
+class AppendResponse(Struct, array_like=True, frozen=True, tag=4):
     term: Unsigned
-    good: bool
+    success: bool
     index: Unsigned  # last matching index; after a mismatch, a hint where the leader might retry
     round: Unsigned
     note: bytes = b""  # opaque data from the driver for the leader
@@ -79,7 +79,7 @@
     token: Unsigned
 
 
-class ReadUpTo(Struct, array_like=True, frozen=True, tag=7):
+class ReadIndexResponse(Struct, array_like=True, frozen=True, tag=7):
     token: Unsigned
     index: Unsigned
 
@@ -97,7 +97,15 @@
 
 
 Message = (
-    AskVote | Vote | Append | Appended | InstallSnapshot | ReadIndexRequest | ReadUpTo | Proposal | TimeoutNow
+    RequestVote
+    | VoteResponse
+    | AppendEntries
+    | AppendResponse
+    | InstallSnapshot
+    | ReadIndexRequest
+    | ReadIndexResponse
+    | Proposal
+    | TimeoutNow
 )
 
 
@@ -105,11 +113,11 @@
 class Ready:
     """Work for the driver, in this order: persist, send, apply, then report the persistence back."""
 
-    hard: tuple[int, str] | None = None  # term and vote
+    hard_state: tuple[int, str] | None = None  # term and vote
     snapshot: Snapshot | None = None  # replaces everything persisted before
-    first: int = 0  # index of the first of `entries`, which replace the stored ones from there on
+    first_index: int = 0  # index of the first of `entries`, which replace the stored ones from there on
     entries: list[Entry] = field(default_factory=list)
     messages: list[tuple[str, Message]] = field(default_factory=list)
-    apply: list[tuple[int, Entry]] = field(default_factory=list)
+    committed_entries: list[tuple[int, Entry]] = field(default_factory=list)
     last_index: int = 0  # last index that is on disk once this has been persisted
     last_term: int = 0
--- a/barleybarrow/agreement_reads.py
+++ b/barleybarrow/agreement_reads.py
@@ -8,11 +8,11 @@
 from typing import Any
 
 from barleybarrow.agreement_log import Role
-from barleybarrow.agreement_messages import ReadIndexRequest, ReadUpTo
+from barleybarrow.agreement_messages import ReadIndexRequest, ReadIndexResponse
 from barleybarrow.agreement_replication import Replication
 
 READ_BATCH_WINDOW_MS = 5.0  # requests within this time share a heartbeat round
-MOST_READS = 64
+MAX_PENDING_READS = 64
 
 
 @dataclass(slots=True)
@@ -31,26 +31,26 @@
     def __init__(self, *arguments: Any, **named: Any) -> None:
         super().__init__(*arguments, **named)
         self.leader = ""
-        self.questions: list[PendingRead] = []
-        self.reads: list[tuple[int, int]] = []  # (token, commit index) of answered reads
+        self.pending_reads: list[PendingRead] = []
+        self.answered_reads: list[tuple[int, int]] = []  # (token, commit index) of answered reads
 
-    def read(self, now: float, token: int) -> None:
+    def request_read(self, now: float, token: int) -> None:
         """Request the current commit index; the answer is added to the list, or never comes."""
         if self.role is Role.LEADER:
-            self.question(now, self.name, token)
+            self.enqueue_read(now, self.name, token)
         elif self.leader:
             self.send(self.leader, ReadIndexRequest(token))
 
-    def question(self, now: float, requester: str, token: int) -> None:
+    def enqueue_read(self, now: float, requester: str, token: int) -> None:
         """Queue a read until a majority confirms that this process still leads. Thesis, 6.4."""
-        if self.term_of(self.commit) != self.term:
+        if self.term_at(self.commit_index) != self.term:
             return
-        if len(self.questions) >= MOST_READS:  # the requester retries
-            self.counts["reads"] += 1
+        if len(self.pending_reads) >= MAX_PENDING_READS:  # the requester retries
+            self.counters["reads"] += 1
             return
-        self.questions.append(PendingRead(requester, token, self.commit, self.round + 1))
+        self.pending_reads.append(PendingRead(requester, token, self.commit_index, self.round + 1))
         if now - self.last_heartbeat_at >= READ_BATCH_WINDOW_MS:
-            self.beat(now)
+            self.broadcast_heartbeat(now)
             self.answer_confirmed_reads()
         else:  # batched into the next round
             self.heartbeat_due_at = min(self.heartbeat_due_at, self.last_heartbeat_at + READ_BATCH_WINDOW_MS)
@@ -59,12 +59,12 @@
         """Answer the reads whose round a majority has confirmed."""
         rounds = sorted(self.round if n == self.name else self.acked_round_of(n) for n in self.voters)
         confirmed_round = rounds[len(rounds) - self.majority]
-        for pending in [pending for pending in self.questions if pending.round <= confirmed_round]:
-            self.questions.remove(pending)
+        for pending in [pending for pending in self.pending_reads if pending.round <= confirmed_round]:
+            self.pending_reads.remove(pending)
             if pending.requester == self.name:
-                self.reads.append((pending.token, pending.index))
+                self.answered_reads.append((pending.token, pending.index))
             else:
-                self.send(pending.requester, ReadUpTo(pending.token, pending.index))
+                self.send(pending.requester, ReadIndexResponse(pending.token, pending.index))
 
     def acked_round_of(self, name: str) -> int:
         progress = self.progress.get(name)
--- a/barleybarrow/consensus/config_node.py
+++ b/barleybarrow/consensus/config_node.py
@@ -18,10 +18,10 @@
 
 from barleybarrow.agreement import Role
 from barleybarrow.agreement_messages import (
-    Appended,
+    AppendResponse,
     Entry,
+    EntryKind,
     InstallSnapshot,
-    Kind,
     Message,
     Proposal,
     Ready,
@@ -77,7 +77,7 @@
 
     name: str
     zone: str
-    counts: bool  # for the quorum: it has a disk and may vote
+    counts_for_quorum: bool  # it has a disk and may vote
     seeds: list[str]
     bootstrap: bool
     tolerated_machines: int = 1
@@ -102,7 +102,7 @@
     messages: list[tuple[str, bytes]] = field(default_factory=list)
 
     @property
-    def stores(self) -> bool:
+    def has_writes(self) -> bool:
         """Whether there is anything to persist."""
         return self.image is not None or bool(self.records)
 
@@ -118,7 +118,7 @@
         self.applied_index = 0
         self.started_at = self.last_call_at = self.last_tick_at = self.last_discovery_at = now
         self.reachable: dict[str, ControlProcess] = {}  # connected control processes, without this one
-        self.own_process = ControlProcess(options.name, options.zone, options.counts)
+        self.own_process = ControlProcess(options.name, options.zone, options.counts_for_quorum)
         self.zones: dict[str, str] = {options.name: options.zone}  # of every control process ever seen
         self.committed_voters: tuple[list[str], int] = (NO_VOTERS, 0)
         self.reported_voters: tuple[list[str], int] = (NO_VOTERS, 0)  # reported by others, with the log index
@@ -128,15 +128,15 @@
         self.incarnations: dict[str, int] = {}  # newest of every control process ever seen
         self.read_callbacks: dict[int, Callable[[], None]] = {}  # by token
         self.unapplied_reads: list[tuple[int, int]] = []  # (index, token) of answered reads not applied yet
-        self.on_applied: list[Callable[[], None]] = []
+        self.applied_handlers: list[Callable[[], None]] = []
         self.in_flight: Work | None = None
         self.image_pending = False  # the next work has to persist a full image
         self.log_bytes = 0
         self.transfer_started_at = -inf
         self.announce_at = self.rejoin_at = self.contact_at = self.voter_check_at = self.confirm_at = now
-        self.agreement = self._configure_domains(self._restore_raft(now, persisted))
+        self.raft = self._configure_domains(self._restore_raft(now, persisted))
         min_disks = options.tolerated_machines + 1
-        self.orders = OrderQueue(self.agreement, self.state, min_disks, self.read_tokens)
+        self.orders = OrderQueue(self.raft, self.state, min_disks, self.read_tokens)
 
     def _configure_domains(self, raft: PacedRaftNode) -> PacedRaftNode:
         raft.domains, raft.tolerated_domains = self.zones, self.options.tolerated_domains
@@ -145,7 +145,7 @@
     def _restore_raft(self, now: float, persisted: DurableState | None) -> PacedRaftNode:
         if persisted is None:
             self.image_pending = True  # from now on an empty store means that its content was lost
-            return PacedRaftNode(self.name, [], self.rng, now, barred=not self.options.bootstrap)
+            return PacedRaftNode(self.name, [], self.rng, now, quarantined=not self.options.bootstrap)
         snapshot = persisted.snapshot
         if snapshot.index:
             self._restore(snapshot)
@@ -161,7 +161,7 @@
             entries,
             persisted.quarantined,
         )
-        raft.stands_at = now + self.rng.uniform(*RESTART_ELECTION_TIMEOUT_MS)
+        raft.election_due_at = now + self.rng.uniform(*RESTART_ELECTION_TIMEOUT_MS)
         return raft
 
     # State for callers
@@ -169,12 +169,12 @@
     @property
     def is_leader(self) -> bool:
         """Whether this process believes that it is the leader."""
-        return self.agreement.role is Role.LEADER
+        return self.raft.role is Role.LEADER
 
     @property
     def leader(self) -> str:
         """Name of the leader, empty if unknown."""
-        return self.agreement.leader if self.agreement.term else ""
+        return self.raft.leader if self.raft.term else ""
 
     @property
     def voters(self) -> tuple[list[str], int]:
@@ -187,7 +187,7 @@
 
     def next_wakeup(self, now: float) -> float:
         """Time by which `tick` has to be called."""
-        due = min(self.agreement.next(), self.last_tick_at + MAX_TICK_INTERVAL_MS)
+        due = min(self.raft.next_wakeup(), self.last_tick_at + MAX_TICK_INTERVAL_MS)
         return max(due, now + 1.0)
 
     # Events from the driver
@@ -196,7 +196,7 @@
         """Run the timers that are due."""
         self._detect_stall(now)
         self.last_tick_at = now
-        self.agreement.tick(now)
+        self.raft.tick(now)
         self._bootstrap(now)
         self._announce_voters(now)
         self._request_rejoin_marker(now)
@@ -216,7 +216,7 @@
             return
         if isinstance(message, Proposal) and not self._is_rejoin_marker(message.data):
             return
-        self.agreement.receive(now, sender, message)
+        self.raft.receive(now, sender, message)
         self._advance_reads_and_orders(now)
 
     def link_up(self, now: float, process: ControlProcess) -> None:
@@ -224,36 +224,38 @@
         if process.name not in self.reachable:
             self.last_discovery_at = now
         if self.incarnations.get(process.name, process.incarnation) != process.incarnation:
-            self.agreement.on_peer_restart(process.name)
-            self.agreement.notes.pop(process.name, None)
+            self.raft.on_peer_restart(process.name)
+            self.raft.notes.pop(process.name, None)
         self.incarnations[process.name] = process.incarnation
         self.reachable[process.name] = process
         self.zones[process.name] = process.zone
         self.contact_at = self.announce_at = min(now, self.contact_at)
-        if self.is_leader and process.name in self.agreement.progress:
-            self.agreement.replicate_to(now, process.name, self.agreement.progress[process.name])
+        if self.is_leader and process.name in self.raft.progress:
+            self.raft.replicate_to(now, process.name, self.raft.progress[process.name])
         self._campaign_soon(now)
 
     def _campaign_soon(self, now: float) -> None:
         """Shorten the election timeout if a majority is connected and none of it has announced a leader."""
-        raft = self.agreement
+        raft = self.raft
         connected = sum(name in self.reachable for name in raft.voters)
         if not self.leader and connected + 1 >= raft.majority and self.name in raft.voters:
-            raft.stands_at = min(raft.stands_at, now + self.rng.uniform(*CONNECTED_ELECTION_TIMEOUT_MS))
+            raft.election_due_at = min(
+                raft.election_due_at, now + self.rng.uniform(*CONNECTED_ELECTION_TIMEOUT_MS)
+            )
 
     def link_down(self, now: float, name: str) -> None:
         """The connection to a control process broke."""
         self.reachable.pop(name, None)
-        self.agreement.on_link_down(now, name)
+        self.raft.on_link_down(now, name)
 
-    def hear_voters(self, voters: list[str], index: int) -> None:
+    def learn_voters(self, voters: list[str], index: int) -> None:
         """Another process reports the voters as of a log index."""
         if index > self.reported_voters[1]:
             self.reported_voters = (voters, index)
 
-    def was_taken(self, kind: str, base_version: int, body: bytes) -> bool:
+    def was_accepted(self, kind: str, base_version: int, body: bytes) -> bool:
         """Whether this exact order is known to be committed; if so, any process may acknowledge it."""
-        return order_digest(kind, base_version, body) in self.state.taken
+        return order_digest(kind, base_version, body) in self.state.accepted
 
     def submit(self, now: float, kind: str, base_version: int, body: bytes, received_at: int) -> int:
         """Submit an operator's order: returns a ticket, under which its outcome will be listed."""
@@ -261,98 +263,98 @@
         self._advance_reads_and_orders(now)
         return ticket
 
-    def checked(self, now: float, digest: bytes, error: str) -> None:
+    def on_document_checked(self, now: float, digest: bytes, error: str) -> None:
         """The driver has validated a document; `error` is empty if it is valid."""
         self.orders.on_document_checked(now, digest, error)
         self._advance_reads_and_orders(now)
 
-    def confirm(self, now: float, callback: Callable[[], None]) -> int:
+    def confirm_read(self, now: float, callback: Callable[[], None]) -> int:
         """Call `callback` once everything committed by now is applied here; it may never be called."""
         token = next(self.read_tokens)
         self.read_callbacks[token] = callback
-        self.agreement.read(now, token)
+        self.raft.request_read(now, token)
         self._advance_reads_and_orders(now)
         return token
 
-    def forget(self, token: int) -> None:
+    def cancel_read(self, token: int) -> None:
         """Cancel a confirmation that nobody waits for any more."""
         self.read_callbacks.pop(token, None)
 
-    def hand_over(self, now: float) -> list[tuple[str, bytes]]:
+    def transfer_leadership(self, now: float) -> list[tuple[str, bytes]]:
         """Transfer leadership to the most up-to-date follower: messages to send, without persisting first."""
-        successor = self.agreement.choose_successor(now) if self.is_leader else ""
+        successor = self.raft.choose_successor(now) if self.is_leader else ""
         if not successor:
             return []
         self.transfer_started_at = now
-        return [(successor, msgpack.encode(TimeoutNow(self.agreement.term)))]
+        return [(successor, msgpack.encode(TimeoutNow(self.raft.term)))]
 
     @property
-    def may_be_replaced(self) -> bool:
+    def has_replacement(self) -> bool:
         """Whether this process is a voter and a connected standby could take its place."""
-        voters = self.agreement.voters
+        voters = self.raft.voters
         standbys = [p for p in self.reachable.values() if p.counts_for_quorum and p.name not in voters]
         return self.name in voters and bool(standbys)
 
     @property
-    def is_held_by_others(self) -> bool:
+    def is_replicated_elsewhere(self) -> bool:
         """Whether the whole local log is on the disks of one more other voter than may be lost at once."""
-        raft = self.agreement
+        raft = self.raft
         other_indexes = [raft.persisted_index_of(name) for name in raft.voters if name != self.name]
         needed = min(self.options.tolerated + 1, len(other_indexes))
-        return sum(index >= raft.last for index in other_indexes) >= needed
+        return sum(index >= raft.last_index for index in other_indexes) >= needed
 
-    def leave(self, now: float) -> None:
+    def request_replacement(self, now: float) -> None:
         """Planned shutdown: ask the leader to replace this voter if a standby is available."""
-        self.agreement.note = NOTE_LEAVING
-        self.agreement.tell()
+        self.raft.note = NOTE_LEAVING
+        self.raft.send_note()
         self._advance_reads_and_orders(now)
 
     # Persist, send, apply
 
-    def take(self) -> Work | None:
+    def take_ready(self) -> Work | None:
         """The next work; None if there is none or the previous one is not completed."""
         if self.in_flight is not None:
             return None
-        ready = self.agreement.take()
+        ready = self.raft.take_ready()
         if ready is None and not self.image_pending:
             return None
         work = Work(ready or Ready())
         if self.image_pending or work.ready.snapshot is not None:
-            work.image = encode_image(self.agreement)
+            work.image = encode_image(self.raft)
             self.image_pending, self.log_bytes = False, 0
-        elif work.ready.hard is not None or work.ready.entries:
-            record = encode_record(self.agreement, work.ready)
+        elif work.ready.hard_state is not None or work.ready.entries:
+            record = encode_record(self.raft, work.ready)
             work.records = [record]
             self.log_bytes += len(record)
         work.messages = [(to, msgpack.encode(message)) for to, message in work.ready.messages]
         self.in_flight = work
         return work
 
-    def stored(self, now: float) -> None:
+    def on_stored(self, now: float) -> None:
         """The current work is persisted and its messages are sent: apply committed entries."""
         work, self.in_flight = self.in_flight, None
         assert work is not None
         if work.ready.snapshot is not None and work.ready.snapshot.index > self.applied_index:
             self._restore(work.ready.snapshot)
-        for index, entry in work.ready.apply:
+        for index, entry in work.ready.committed_entries:
             self._apply(index, entry)
-        self.agreement.stored(now, work.ready)
+        self.raft.on_stored(now, work.ready)
         self._compact()
         self._advance_reads_and_orders(now)
 
     def _apply(self, index: int, entry: Entry) -> None:
         self.applied_index = index
-        if entry.kind == Kind.VOTERS:
+        if entry.kind == EntryKind.VOTERS:
             self.committed_voters = (msgpack.decode(entry.data, type=list[str]), index)
-        if entry.kind != Kind.DATA:
+        if entry.kind != EntryKind.DATA:
             return
         command = msgpack.decode(entry.data, type=Command)
         if isinstance(command, Order):
             outcome = self.state.apply(command)
             self._notify_applied()
             self.orders.on_order_applied(index, command, outcome)
-        elif command == RejoinMarker(self.name, self.nonce) and self.agreement.barred:
-            self.agreement.trust()
+        elif command == RejoinMarker(self.name, self.nonce) and self.raft.quarantined:
+            self.raft.end_quarantine()
             self.image_pending = True
 
     def _restore(self, snapshot: Snapshot) -> None:
@@ -362,21 +364,21 @@
         self._notify_applied()
 
     def _notify_applied(self) -> None:
-        for handler in self.on_applied:
+        for handler in self.applied_handlers:
             handler()
 
     def _compact(self) -> None:
-        raft = self.agreement
+        raft = self.raft
         max_bytes = max(MAX_LOG_BYTES, MAX_LOG_TO_SNAPSHOT_RATIO * len(raft.snapshot.data))
         oversized = self.log_bytes > max_bytes or len(raft.entries) > self.max_log_entries
-        if not oversized or self.applied_index != raft.applied:
+        if not oversized or self.applied_index != raft.applied_index:
             return
         if raft.compact(self.applied_index, self.state.snapshot()) is not None:
             self.image_pending = True
 
     def _advance_reads_and_orders(self, now: float) -> None:
         """Process answered reads, run callbacks whose index is applied, and advance the orders."""
-        reads, self.agreement.reads = self.agreement.reads, []
+        reads, self.raft.answered_reads = self.raft.answered_reads, []
         for token, index in reads:
             if not self.orders.on_read_confirmed(token):
                 self.unapplied_reads.append((index, token))
@@ -393,7 +395,7 @@
 
     def _detect_stall(self, now: float) -> None:
         if now - self.last_call_at > STALL_THRESHOLD_MS:
-            self.agreement.slept(now)
+            self.raft.on_stall(now)
         self.last_call_at = now
 
     @staticmethod
@@ -407,13 +409,13 @@
 
     def _bootstrap(self, now: float) -> None:
         """On the first seed of a first start: choose the voters once enough processes are connected."""
-        raft = self.agreement
+        raft = self.raft
         is_first_seed = bool(self.options.seeds) and self.options.seeds[0] == self.name
-        is_empty = raft.last == 0 and raft.term == 0 and not raft.voters
+        is_empty = raft.last_index == 0 and raft.term == 0 and not raft.voters
         if (
             not is_first_seed
             or not is_empty
-            or raft.barred
+            or raft.quarantined
             or self.in_flight is not None
             or self.image_pending
         ):
@@ -426,8 +428,8 @@
         voters = choose_voters(candidates, self.options.seeds, target)
         snapshot = Snapshot(1, 0, voters, b"")
         raft = PacedRaftNode(self.name, voters, self.rng, now, snapshot=snapshot)
-        self.agreement = self._configure_domains(raft)
-        self.orders.raft = self.agreement
+        self.raft = self._configure_domains(raft)
+        self.orders.raft = self.raft
         self._restore(snapshot)
         self.image_pending, self.announce_at = True, now
 
@@ -444,17 +446,17 @@
 
     def _announce_voters(self, now: float) -> None:
         """Until there is a first leader: send the voter list to its members; the first one campaigns."""
-        raft = self.agreement
-        if raft.last != 1 or raft.snapshot.term or now < self.announce_at:
+        raft = self.raft
+        if raft.last_index != 1 or raft.snapshot.term or now < self.announce_at:
             return
-        if (raft.term and raft.leader) or raft.barred:
+        if (raft.term and raft.leader) or raft.quarantined:
             return
         self.announce_at = now + ANNOUNCE_INTERVAL_MS
         for name in raft.voters:
             if name != self.name:
                 raft.send(name, InstallSnapshot(0, raft.snapshot, 0))
         if raft.term == 0 and raft.voters[0] == self.name:
-            raft.stand(now, probe=False, leadership_transfer=True)
+            raft.campaign(now, pre_vote=False, leadership_transfer=True)
 
     # Recovery and membership changes
 
@@ -465,8 +467,8 @@
 
     def _request_rejoin_marker(self, now: float) -> None:
         """Ask the leader to commit the entry that ends this process's quarantine."""
-        raft = self.agreement
-        if not raft.barred or not self.leader or now < self.rejoin_at or not self._may_vote():
+        raft = self.raft
+        if not raft.quarantined or not self.leader or now < self.rejoin_at or not self._may_vote():
             return
         self.rejoin_at = now + REJOIN_REQUEST_INTERVAL_MS
         raft.propose(now, msgpack.encode(RejoinMarker(self.name, self.nonce)))
@@ -478,18 +480,18 @@
         if self.is_leader:
             self.contact_at = now + CONTACT_INTERVAL_MS
             for name in self.reachable:
-                self.agreement.invite(now, name)
-        elif self.agreement.role is Role.LEARNER and not self.leader:
+                self.raft.add_follower(now, name)
+        elif self.raft.role is Role.LEARNER and not self.leader:
             self.contact_at = now + LEADER_QUERY_INTERVAL_MS
-            query = Appended(self.agreement.term, False, self.agreement.last, 0, b"", False)
+            query = AppendResponse(self.raft.term, False, self.raft.last_index, 0, b"", False)
             for name in self.voters[0]:
                 if name in self.reachable:
-                    self.agreement.send(name, query)
+                    self.raft.send(name, query)
 
     def _maintain_voters(self, now: float) -> None:
         """As leader, keep the target number of voters and replace lost or leaving ones."""
-        raft = self.agreement
-        if not self.is_leader or now < self.voter_check_at or not raft.may_change():
+        raft = self.raft
+        if not self.is_leader or now < self.voter_check_at or not raft.may_change_voters():
             return
         self.voter_check_at = now + VOTER_CHECK_INTERVAL_MS
         remaining = {name: p for name, p in raft.progress.items() if raft.notes.get(name) != NOTE_LEAVING}
@@ -497,7 +499,7 @@
         fresh = {
             name
             for name, p in remaining.items()
-            if p.match >= raft.commit and now - p.last_heard_at < STANDBY_FRESH_MS
+            if p.match_index >= raft.commit_index and now - p.last_heard_at < STANDBY_FRESH_MS
         }
         candidates = eligible_processes(self.known_processes())
         standbys = [p for p in candidates if p.name in fresh and p.name not in raft.voters]
--- a/barleybarrow/consensus/configuration_state.py
+++ b/barleybarrow/consensus/configuration_state.py
@@ -33,11 +33,11 @@
 class OrderStatus(IntEnum):
     """Outcome of an order, as an HTTP status."""
 
-    TAKEN = 200
+    ACCEPTED = 200
     INVALID = 400
     CONFLICT = 412
     TOO_LARGE = 413
-    UNCLEAR = 503  # the order may have been accepted, or may be later
+    INDETERMINATE = 503  # the order may have been accepted, or may be later
 
 
 @dataclass(frozen=True, slots=True)
@@ -48,7 +48,7 @@
     error: str = ""
 
 
-NO_ANSWER = OrderOutcome(OrderStatus.UNCLEAR, "no clear answer: send the order again unchanged")
+OUTCOME_UNKNOWN = OrderOutcome(OrderStatus.INDETERMINATE, "no clear answer: send the order again unchanged")
 
 
 class Order(Struct, array_like=True, frozen=True, tag=1):
@@ -173,13 +173,13 @@
     def __init__(self) -> None:
         self.version = 0
         self.document: Document | None = None
-        self.taken: dict[bytes, AcceptedOrder] = {}  # by digest, oldest first
+        self.accepted: dict[bytes, AcceptedOrder] = {}  # by digest, oldest first
         self.evicted_version = 0  # version created by the newest evicted order; 0 if none was evicted
 
     def version_refusal(self, kind: str, base_version: int, document: Document) -> OrderOutcome | None:
         """The refusal of an order whose versions do not fit the state; None if they do."""
         if base_version < self.evicted_version:  # it may be an order that was accepted and evicted since
-            return OrderOutcome(OrderStatus.UNCLEAR, f"base the change on version {self.version}")
+            return OrderOutcome(OrderStatus.INDETERMINATE, f"base the change on version {self.version}")
         if base_version != self.version:
             conflict = f"version {self.version} is current, not {base_version}: base the change on that one"
             return OrderOutcome(OrderStatus.CONFLICT, conflict)
@@ -204,8 +204,8 @@
 
     def apply(self, order: Order) -> OrderOutcome:
         """Apply the next order of the log: accepted or refused, with the same outcome on all replicas."""
-        if order.digest in self.taken:
-            return OrderOutcome(OrderStatus.TAKEN)
+        if order.digest in self.accepted:
+            return OrderOutcome(OrderStatus.ACCEPTED)
         try:
             body = read_body(order)
             refusal = self.version_refusal(order.kind, order.base_version, body)
@@ -215,26 +215,28 @@
         except OrderError as error:
             return OrderOutcome(OrderStatus.INVALID, str(error))
         self.document, self.version = document, generation_of(document)
-        self.taken[order.digest] = AcceptedOrder(self.version, order.digest, order.received_at)
-        while len(self.taken) > MAX_ACCEPTED_ORDERS:
-            oldest = self.taken.pop(next(iter(self.taken)))
+        self.accepted[order.digest] = AcceptedOrder(self.version, order.digest, order.received_at)
+        while len(self.accepted) > MAX_ACCEPTED_ORDERS:
+            oldest = self.accepted.pop(next(iter(self.accepted)))
             self.evicted_version = oldest.version
-        return OrderOutcome(OrderStatus.TAKEN)
+        return OrderOutcome(OrderStatus.ACCEPTED)
 
-    def history(self) -> list[AcceptedOrder]:
+    def accepted_orders(self) -> list[AcceptedOrder]:
         """The remembered accepted orders, oldest first."""
-        return list(self.taken.values())
+        return list(self.accepted.values())
 
     def snapshot(self) -> bytes:
         """Serialize the state."""
         document = (
             b"" if self.document is None else zlib.compress(json.encode(self.document), COMPRESSION_LEVEL)
         )
-        return msgpack.encode(StateImage(self.version, document, self.history(), self.evicted_version))
+        return msgpack.encode(
+            StateImage(self.version, document, self.accepted_orders(), self.evicted_version)
+        )
 
     def restore(self, data: bytes) -> None:
         """Load a serialized state; empty bytes stand for the state before the first order."""
         image = msgpack.decode(data, type=StateImage) if data else StateImage(0, b"", [])
         self.version, self.evicted_version = image.version, image.evicted_version
         self.document = json.decode(zlib.decompress(image.document)) if image.document else None
-        self.taken = {order.digest: order for order in image.accepted}
+        self.accepted = {order.digest: order for order in image.accepted}
--- a/barleybarrow/consensus/durable_state.py
+++ b/barleybarrow/consensus/durable_state.py
@@ -4,7 +4,7 @@
 
 from msgspec import DecodeError, Struct, msgpack
 
-from barleybarrow.agreement import Agreement
+from barleybarrow.agreement import RaftNode
 from barleybarrow.agreement_messages import Entry, Ready, Snapshot
 
 FORMAT_VERSION = 1
@@ -45,18 +45,18 @@
     """The stored bytes are corrupt, or in the format of another release."""
 
 
-def encode_image(raft: Agreement) -> bytes:
+def encode_image(raft: RaftNode) -> bytes:
     """Encode the full Raft state."""
     state = raft
     return msgpack.encode(
-        StoredImage(FORMAT_VERSION, state.term, state.vote, state.barred, state.snapshot, state.entries)
+        StoredImage(FORMAT_VERSION, state.term, state.vote, state.quarantined, state.snapshot, state.entries)
     )
 
 
-def encode_record(raft: Agreement, ready: Ready) -> bytes:
+def encode_record(raft: RaftNode, ready: Ready) -> bytes:
     """Encode the hard state and entries of a `Ready` that has no snapshot."""
-    term, vote = ready.hard or (raft.term, raft.vote)
-    return msgpack.encode(StoredRecord(term, vote, ready.first, ready.entries))
+    term, vote = ready.hard_state or (raft.term, raft.vote)
+    return msgpack.encode(StoredRecord(term, vote, ready.first_index, ready.entries))
 
 
 def decode_state(image: bytes, records: list[bytes]) -> DurableState:
--- a/barleybarrow/consensus/order_queue.py
+++ b/barleybarrow/consensus/order_queue.py
@@ -20,9 +20,9 @@
 
 from msgspec import msgpack
 
-from barleybarrow.agreement import Agreement, Role
+from barleybarrow.agreement import RaftNode, Role
 from barleybarrow.consensus.configuration_state import (
-    NO_ANSWER,
+    OUTCOME_UNKNOWN,
     ConfigurationState,
     Document,
     Order,
@@ -34,7 +34,9 @@
 )
 
 MAX_PENDING_ORDERS = 64  # in progress at once; operators send at most eight
-TOO_MANY_ORDERS = OrderOutcome(OrderStatus.UNCLEAR, "too many orders are under way: send the order again")
+TOO_MANY_ORDERS = OrderOutcome(
+    OrderStatus.INDETERMINATE, "too many orders are under way: send the order again"
+)
 
 
 class OrderPhase(Enum):
@@ -73,13 +75,13 @@
     `min_disks`: how many voters must have an order on disk before it is acknowledged.
     """
 
-    raft: Agreement
+    raft: RaftNode
     state: ConfigurationState
     min_disks: int
     read_tokens: Iterator[int]
-    jobs: dict[bytes, PendingOrder] = field(default_factory=dict)
+    pending_orders: dict[bytes, PendingOrder] = field(default_factory=dict)
     outcomes: list[tuple[int, OrderOutcome]] = field(default_factory=list)
-    checks: list[CheckRequest] = field(default_factory=list)
+    check_requests: list[CheckRequest] = field(default_factory=list)
     digest_by_token: dict[int, bytes] = field(default_factory=dict)  # order digest by read token
     ticket_numbers: Iterator[int] = field(default_factory=lambda: count(1))
 
@@ -87,16 +89,16 @@
         """Submit an order: returns a ticket, under which `outcomes` will list the result."""
         ticket = next(self.ticket_numbers)
         order = make_order(kind, base_version, body, received_at)
-        if order.digest in self.state.taken:
-            self.outcomes.append((ticket, OrderOutcome(OrderStatus.TAKEN)))
+        if order.digest in self.state.accepted:
+            self.outcomes.append((ticket, OrderOutcome(OrderStatus.ACCEPTED)))
         elif self.raft.role is not Role.LEADER:
-            self.outcomes.append((ticket, NO_ANSWER))
-        elif order.digest in self.jobs:
-            self.jobs[order.digest].tickets.append(ticket)
-        elif len(self.jobs) >= MAX_PENDING_ORDERS:
+            self.outcomes.append((ticket, OUTCOME_UNKNOWN))
+        elif order.digest in self.pending_orders:
+            self.pending_orders[order.digest].tickets.append(ticket)
+        elif len(self.pending_orders) >= MAX_PENDING_ORDERS:
             self.outcomes.append((ticket, TOO_MANY_ORDERS))
         else:
-            self.jobs[order.digest] = PendingOrder(order, [ticket])
+            self.pending_orders[order.digest] = PendingOrder(order, [ticket])
         return ticket
 
     def advance(self, now: float) -> None:
@@ -104,24 +106,24 @@
         if self.raft.role is not Role.LEADER:
             self.abandon()
             return
-        for pending in list(self.jobs.values()):
+        for pending in list(self.pending_orders.values()):
             if pending.phase is OrderPhase.PROPOSED:
                 self._acknowledge(pending)
         if not self._caught_up():
             return
-        for pending in list(self.jobs.values()):
+        for pending in list(self.pending_orders.values()):
             if pending.phase is OrderPhase.QUEUED:
                 self._start(now, pending)
 
     def abandon(self) -> None:
         """Leadership is lost: the outcome of all orders in progress is unknown."""
-        for pending in list(self.jobs.values()):
-            self._finish(pending, NO_ANSWER)
+        for pending in list(self.pending_orders.values()):
+            self._finish(pending, OUTCOME_UNKNOWN)
         self.digest_by_token.clear()
 
     def on_document_checked(self, now: float, digest: bytes, error: str) -> None:
         """The driver has validated a document; `error` is empty if it is valid."""
-        pending = self.jobs.get(digest)
+        pending = self.pending_orders.get(digest)
         if pending is None or pending.phase is not OrderPhase.CHECKING:
             return
         if error:
@@ -131,15 +133,15 @@
         if pending.index:
             pending.phase = OrderPhase.PROPOSED
         else:
-            self._finish(pending, NO_ANSWER)
+            self._finish(pending, OUTCOME_UNKNOWN)
 
     def on_order_applied(self, index: int, order: Order, outcome: OrderOutcome) -> None:
         """An order from the log was applied."""
-        pending = self.jobs.get(order.digest)
+        pending = self.pending_orders.get(order.digest)
         if pending is not None and pending.phase is OrderPhase.PROPOSED and pending.index == index:
             pending.outcome = outcome
             self._acknowledge(pending)
-        elif pending is not None and outcome.status == OrderStatus.TAKEN:
+        elif pending is not None and outcome.status == OrderStatus.ACCEPTED:
             self._finish(pending, outcome)
 
     def on_read_confirmed(self, token: int) -> bool:
@@ -147,7 +149,7 @@
         digest = self.digest_by_token.pop(token, None)
         if digest is None:
             return False
-        pending = self.jobs.get(digest)
+        pending = self.pending_orders.get(digest)
         if pending is not None and pending.phase is OrderPhase.CONFIRMING and pending.refusal is not None:
             self._finish(pending, pending.refusal)
         return True
@@ -156,24 +158,25 @@
         """Retry confirmations that were not answered."""
         for token, digest in list(self.digest_by_token.items()):
             del self.digest_by_token[token]
-            pending = self.jobs.get(digest)
+            pending = self.pending_orders.get(digest)
             if pending is not None and pending.phase is OrderPhase.CONFIRMING:
                 pending.phase = OrderPhase.QUEUED
 
     def _caught_up(self) -> bool:
         """Whether everything that previous leaders may have committed is applied."""
         raft = self.raft
-        return raft.term_of(raft.commit) == raft.term and raft.applied == raft.commit
+        return raft.term_at(raft.commit_index) == raft.term and raft.applied_index == raft.commit_index
 
     def _order_in_progress(self) -> bool:
         return any(
-            pending.phase in (OrderPhase.CHECKING, OrderPhase.PROPOSED) for pending in self.jobs.values()
+            pending.phase in (OrderPhase.CHECKING, OrderPhase.PROPOSED)
+            for pending in self.pending_orders.values()
         )
 
     def _start(self, now: float, pending: PendingOrder) -> None:
         order = pending.order
-        if order.digest in self.state.taken:
-            self._finish(pending, OrderOutcome(OrderStatus.TAKEN))
+        if order.digest in self.state.accepted:
+            self._finish(pending, OrderOutcome(OrderStatus.ACCEPTED))
             return
         if self._order_in_progress():
             return
@@ -190,25 +193,25 @@
             self._finish(pending, refusal)
             return
         pending.phase = OrderPhase.CHECKING
-        self.checks.append(CheckRequest(order.digest, document))
+        self.check_requests.append(CheckRequest(order.digest, document))
 
     def _confirm_refusal(self, now: float, pending: PendingOrder, refusal: OrderOutcome) -> None:
         pending.phase, pending.refusal = OrderPhase.CONFIRMING, refusal
         token = next(self.read_tokens)
         self.digest_by_token[token] = pending.order.digest
-        self.raft.read(now, token)
+        self.raft.request_read(now, token)
 
     def _acknowledge(self, pending: PendingOrder) -> None:
         if pending.outcome is None:
             return
         raft = self.raft
         persisted_count = sum(
-            (raft.stored_to if name == raft.name else raft.match(name)) >= pending.index
+            (raft.persisted_index if name == raft.name else raft.match_index_of(name)) >= pending.index
             for name in raft.voters
         )
         if persisted_count >= min(self.min_disks, len(raft.voters)):
             self._finish(pending, pending.outcome)
 
     def _finish(self, pending: PendingOrder, outcome: OrderOutcome) -> None:
-        self.jobs.pop(pending.order.digest, None)
+        self.pending_orders.pop(pending.order.digest, None)
         self.outcomes += [(ticket, outcome) for ticket in pending.tickets]
--- a/barleybarrow/consensus/paced_agreement.py
+++ b/barleybarrow/consensus/paced_agreement.py
@@ -11,8 +11,8 @@
 from math import inf
 from typing import Any
 
-from barleybarrow.agreement import Agreement, Role
-from barleybarrow.agreement_messages import Appended, AskVote, Vote
+from barleybarrow.agreement import RaftNode, Role
+from barleybarrow.agreement_messages import AppendResponse, RequestVote, VoteResponse
 from barleybarrow.consensus.failure_domains import domain_quorum_index
 
 PRE_VOTE_RETRY_MS = (200.0, 450.0)  # a round trip takes up to 100 ms
@@ -22,7 +22,7 @@
 REFUSAL_RETRY_INTERVAL_MS = 90.0  # below the heartbeat interval of 100 ms, so that each heartbeat retries
 
 
-class PacedRaftNode(Agreement):
+class PacedRaftNode(RaftNode):
     """Retries elections early and answers a repeated refusal at most once per heartbeat."""
 
     def __init__(self, *arguments: Any, **named: Any) -> None:
@@ -37,45 +37,49 @@
         """Run the timers that are due; a pre-vote is retried early."""
         super().tick(now)
         if self.role is Role.PRE_CANDIDATE:
-            self.stands_at = min(self.stands_at, now + self.rng.uniform(*PRE_VOTE_RETRY_MS))
+            self.election_due_at = min(self.election_due_at, now + self.rng.uniform(*PRE_VOTE_RETRY_MS))
 
-    def elected(self, now: float, probe: bool) -> None:
+    def on_vote_majority(self, now: float, pre_vote: bool) -> None:
         """Handle a majority of grants; an election that follows a pre-vote is retried early."""
-        super().elected(now, probe)
+        super().on_vote_majority(now, pre_vote)
         if self.role is Role.CANDIDATE:
-            self.stands_at = now + self.rng.uniform(*ELECTION_RETRY_MS)
+            self.election_due_at = now + self.rng.uniform(*ELECTION_RETRY_MS)
 
-    def asked(self, now: float, sender: str, request: AskVote) -> None:
+    def handle_vote_request(self, now: float, sender: str, request: RequestVote) -> None:
         """Handle a vote request. Of two concurrent pre-candidates, the one with the longer log goes on, or
         with equal logs the smaller name.
         """
-        if request.probe and self.role is Role.PRE_CANDIDATE and self._has_priority_over(sender, request):
+        if request.pre_vote and self.role is Role.PRE_CANDIDATE and self._has_priority_over(sender, request):
             return
         sent_before = len(self.ready.messages)
-        super().asked(now, sender, request)
+        super().handle_vote_request(now, sender, request)
         granted = any(
-            isinstance(message, Vote) and message.granted for _, message in self.ready.messages[sent_before:]
+            isinstance(message, VoteResponse) and message.granted
+            for _, message in self.ready.messages[sent_before:]
         )
-        if not request.probe or not granted or self.role is Role.LEADER:
+        if not request.pre_vote or not granted or self.role is Role.LEADER:
             return
         if self.role is Role.PRE_CANDIDATE:
-            self.follow(now, self.term, "")
-        self.stands_at = max(self.stands_at, now + self.rng.uniform(*GRANT_BACKOFF_MS))
+            self.become_follower(now, self.term, "")
+        self.election_due_at = max(self.election_due_at, now + self.rng.uniform(*GRANT_BACKOFF_MS))
 
-    def _has_priority_over(self, other: str, request: AskVote) -> bool:
-        own_log, other_log = (self.term_of(self.last), self.last), (request.last_term, request.last)
+    def _has_priority_over(self, other: str, request: RequestVote) -> bool:
+        own_log, other_log = (
+            (self.term_at(self.last_index), self.last_index),
+            (request.last_term, request.last_index),
+        )
         return own_log > other_log or (own_log == other_log and self.name < other)
 
-    def appended(self, now: float, sender: str, response: Appended) -> None:
+    def handle_append_response(self, now: float, sender: str, response: AppendResponse) -> None:
         """Handle a follower's response; a repeated refusal only updates its progress, without a retry."""
         self.notes[sender] = response.note
         repeated = self._is_repeated_refusal(now, sender, response)
         progress = self.progress.get(sender)
         if not repeated or progress is None:
-            super().appended(now, sender, response)
+            super().handle_append_response(now, sender, response)
             return
         progress.last_heard_at = now
-        progress.next = max(1, min(response.index + 1, self.last + 1))
+        progress.next_index = max(1, min(response.index + 1, self.last_index + 1))
 
     def quorum_index(self, now: float, persisted_indexes: dict[str, int]) -> int:
         """Last index held by a majority, and by more failure domains than may be lost."""
@@ -96,8 +100,8 @@
         progress = self.progress.get(name)
         return progress.last_heard_at if progress is not None else -inf
 
-    def _is_repeated_refusal(self, now: float, sender: str, response: Appended) -> bool:
-        if response.good or response.term != self.term or self.role is not Role.LEADER:
+    def _is_repeated_refusal(self, now: float, sender: str, response: AppendResponse) -> bool:
+        if response.success or response.term != self.term or self.role is not Role.LEADER:
             return False
         index, answered_at = self.last_refusals.get(sender, (-1, 0.0))
         if index == response.index and now - answered_at < REFUSAL_RETRY_INTERVAL_MS:
--- a/barleybarrow/idempotency_records.py
+++ b/barleybarrow/idempotency_records.py
@@ -16,13 +16,13 @@
 
 from msgspec import Meta, Struct
 
-DELAY = 20.0  # milliseconds that reports are batched for
-ECHO = 500.0  # milliseconds between probes
+BATCH_DELAY_MS = 20.0  # milliseconds that reports are batched for
+PROBE_INTERVAL_MS = 500.0  # milliseconds between probes
 MAX_CLOCK_RATE_RATIO = 1.05  # bound on the rates of two monotonic clocks over a window
 RETENTION_WINDOWS = 2.0  # retention time of a record, in units of its window
 MAX_RECORDS = 20_000
 MAX_TOTAL_BODY_BYTES = 8 * 1024 * 1024
-LONGEST_ANSWER = 2048  # bytes of a response body
+MAX_BODY_BYTES = 2048  # bytes of a response body
 MAX_KEY_BYTES = 32  # the driver passes a digest of the client's key
 MAX_REPORTS_PER_MESSAGE = 200
 MAX_QUEUED_REPORTS = 5000
@@ -32,12 +32,12 @@
 Number = Annotated[int, Meta(ge=0, le=2**53)]
 
 
-class Answer(Struct, array_like=True, frozen=True):
+class SavedResponse(Struct, array_like=True, frozen=True):
     """A server's response."""
 
-    body: Annotated[bytes, Meta(max_length=LONGEST_ANSWER)]
-    kind: bytes | None = None
-    coding: bytes | None = None
+    body: Annotated[bytes, Meta(max_length=MAX_BODY_BYTES)]
+    content_type: bytes | None = None
+    content_encoding: bytes | None = None
 
 
 class KeyReport(Struct, array_like=True, frozen=True):
@@ -48,7 +48,7 @@
     age: Annotated[float, Meta(ge=0.0)]  # milliseconds since the first attempt was sent
     window: Annotated[float, Meta(ge=0.0, le=1e7)]  # milliseconds that servers remember the key
     servers: Annotated[list[str], Meta(max_length=8)]
-    response: Answer | None = None
+    response: SavedResponse | None = None
 
 
 class Probe(Struct, array_like=True, frozen=True, tag=1):
@@ -81,7 +81,7 @@
     """All that is known of one key."""
 
     reports: dict[str, HeldReport] = field(default_factory=dict)  # by proxy
-    response: Answer | None = None
+    response: SavedResponse | None = None
     expires_at: float = 0.0
 
 
@@ -104,7 +104,7 @@
     Without response and server, the request may go to no server.
     """
 
-    answer: Answer | None = None
+    response: SavedResponse | None = None
     server: str = ""
     until: float = 0.0
 
@@ -114,34 +114,34 @@
 
     def __init__(self, name: str, now: float) -> None:
         self.name = name
-        self.fates: OrderedDict[bytes, IdempotencyRecord] = OrderedDict()
+        self.records: OrderedDict[bytes, IdempotencyRecord] = OrderedDict()
         self.open_requests: dict[int, OpenRequest] = {}
         self.last_report_number = 0
         self.body_bytes = 0
         self.queued_reports: OrderedDict[bytes, KeyReport] = OrderedDict()
         self.queued_at: dict[bytes, float] = {}
-        self.tell_at = inf
+        self.flush_at = inf
         self.next_probe_at = now
         self.last_probe = 0
         self.probe_sent_at: dict[int, float] = {}  # by probe token
         self.last_probe_heard: dict[str, int] = {}  # by proxy: the last probe received from it
-        self.reach: list[str] = []
-        self.out: list[tuple[str, Message]] = []
+        self.reachable: list[str] = []
+        self.outgoing: list[tuple[str, Message]] = []
         self.counts: Counter[str] = Counter()
 
     # Queries
 
-    def ask(self, key: bytes, now: float, shared: bool) -> Verdict | None:
+    def lookup(self, key: bytes, now: float, shared: bool) -> Verdict | None:
         """What is known of a repeated key; None if it may go to any server.
 
         `shared`: the servers deduplicate among themselves, so the request may go to any of several servers
         at which it may have run.
         """
-        record = self.fates.get(key)
+        record = self.records.get(key)
         if record is None or now >= record.expires_at:
             return None
         if record.response is not None:
-            return Verdict(answer=record.response)
+            return Verdict(response=record.response)
         servers = {server for report in record.reports.values() for server in report.servers}
         if not servers:
             return None
@@ -152,10 +152,10 @@
 
     # This proxy's requests
 
-    def arrived(self, request: int, key: bytes, window: float) -> None:
+    def on_request(self, request: int, key: bytes, window: float) -> None:
         self.open_requests[request] = OpenRequest(key, window)
 
-    def sent(self, now: float, request: int, server: str) -> None:
+    def on_attempt_sent(self, now: float, request: int, server: str) -> None:
         """Record an attempt; called before it is sent."""
         open_request = self.open_requests.get(request)
         if open_request is None:
@@ -165,7 +165,7 @@
         open_request.attempt_count += 1
         self.publish(now, open_request)
 
-    def ended(self, now: float, request: int, attempt: int, not_executed: bool) -> None:
+    def on_attempt_ended(self, now: float, request: int, attempt: int, not_executed: bool) -> None:
         """Record the end of an attempt; `not_executed`: it is known not to have run."""
         open_request = self.open_requests.get(request)
         if open_request is None or attempt not in open_request.attempts_in_flight:
@@ -175,14 +175,14 @@
             open_request.possible_servers.add(server)
         self.publish(now, open_request)
 
-    def over(self, now: float, request: int, response: Answer | None) -> None:
+    def on_request_done(self, now: float, request: int, response: SavedResponse | None) -> None:
         """Record the final response, or that the client left; attempts in flight may still run."""
         open_request = self.open_requests.pop(request, None)
         if open_request is not None and open_request.attempt_count:
             open_request.possible_servers.update(open_request.attempts_in_flight.values())
             self.publish(now, open_request, response)
 
-    def publish(self, now: float, open_request: OpenRequest, response: Answer | None = None) -> None:
+    def publish(self, now: float, open_request: OpenRequest, response: SavedResponse | None = None) -> None:
         """Apply a new report on a request of this proxy, and queue it for the other proxies."""
         self.last_report_number += 1
         servers = sorted({*open_request.possible_servers, *open_request.attempts_in_flight.values()})[:8]
@@ -195,7 +195,7 @@
             response,
         )
         self.apply_report(self.name, report, now, now - open_request.first_sent_at)
-        if len(self.reach) >= MAX_GROUP_SIZE:
+        if len(self.reachable) >= MAX_GROUP_SIZE:
             self.counts["group"] += 1
             return
         if open_request.key not in self.queued_reports and len(self.queued_reports) >= MAX_QUEUED_REPORTS:
@@ -203,18 +203,18 @@
             self.counts["waiting"] += 1
         self.queued_reports[open_request.key] = report
         self.queued_at[open_request.key] = now
-        self.tell_at = min(self.tell_at, now + DELAY)
+        self.flush_at = min(self.flush_at, now + BATCH_DELAY_MS)
 
     # Records
 
     def apply_report(self, origin: str, report: KeyReport, now: float, age: float) -> None:
         """Merge a proxy's report; `age`: an upper bound on the time since the first attempt was sent."""
-        record = self.fates.get(report.key)
+        record = self.records.get(report.key)
         if record is None or now >= record.expires_at:
             self.remove(report.key)
-            record = self.fates[report.key] = IdempotencyRecord()
-            while len(self.fates) > MAX_RECORDS:
-                self.remove(next(iter(self.fates)))
+            record = self.records[report.key] = IdempotencyRecord()
+            while len(self.records) > MAX_RECORDS:
+                self.remove(next(iter(self.records)))
                 self.counts["fates"] += 1
         before = record.reports.get(origin)
         if before is not None and report.number <= before.number:
@@ -234,13 +234,13 @@
 
     def remove(self, key: bytes) -> None:
         """Remove a key's record, if there is one."""
-        record = self.fates.pop(key, None)
+        record = self.records.pop(key, None)
         if record is not None and record.response is not None:
             self.body_bytes -= len(record.response.body)
 
     def evict_oldest_body(self) -> None:
         """Drop the oldest response; the record keeps the servers at which its key may have run."""
-        record = next(f for f in self.fates.values() if f.response is not None)
+        record = next(f for f in self.records.values() if f.response is not None)
         assert record.response is not None
         self.body_bytes -= len(record.response.body)
         record.response = None
@@ -248,35 +248,35 @@
 
     # Other proxies
 
-    def next(self) -> float:
+    def next_wakeup(self) -> float:
         """When `tick` has to be called next."""
-        return min(self.tell_at, self.next_probe_at)
+        return min(self.flush_at, self.next_probe_at)
 
     def tick(self, now: float) -> None:
-        if now >= self.tell_at:
+        if now >= self.flush_at:
             self.flush(now)
         if now >= self.next_probe_at:
-            self.next_probe_at = now + ECHO
-            if len(self.reach) < MAX_GROUP_SIZE:
+            self.next_probe_at = now + PROBE_INTERVAL_MS
+            if len(self.reachable) < MAX_GROUP_SIZE:
                 self.last_probe += 1
                 self.probe_sent_at[self.last_probe] = now
                 while len(self.probe_sent_at) > 64:
                     del self.probe_sent_at[next(iter(self.probe_sent_at))]
-                self.out += [(name, Probe(self.last_probe)) for name in self.reach]
-            while self.fates and now >= next(iter(self.fates.values())).expires_at:
-                self.remove(next(iter(self.fates)))
+                self.outgoing += [(name, Probe(self.last_probe)) for name in self.reachable]
+            while self.records and now >= next(iter(self.records.values())).expires_at:
+                self.remove(next(iter(self.records)))
 
     def flush(self, now: float) -> None:
         """Send the queued reports."""
-        self.tell_at = inf
+        self.flush_at = inf
         batch: list[KeyReport] = []
         while self.queued_reports:
             key, report = self.queued_reports.popitem(last=False)
             age = report.age + now - self.queued_at.pop(key)
             batch.append(KeyReport(key, report.number, age, report.window, report.servers, report.response))
             if len(batch) == MAX_REPORTS_PER_MESSAGE or not self.queued_reports:
-                self.out += [
-                    (name, KeyReports(self.last_probe_heard.get(name, 0), batch)) for name in self.reach
+                self.outgoing += [
+                    (name, KeyReports(self.last_probe_heard.get(name, 0), batch)) for name in self.reachable
                 ]
                 batch = []
 
@@ -285,7 +285,7 @@
             self.last_probe_heard[sender] = message.token
             while len(self.last_probe_heard) > 4 * MAX_GROUP_SIZE:
                 del self.last_probe_heard[next(iter(self.last_probe_heard))]
-            self.out.append((sender, KeyReports(message.token, [])))
+            self.outgoing.append((sender, KeyReports(message.token, [])))
             return
         # The reports were made after that probe was sent.
         not_before = self.probe_sent_at.get(message.token, -inf)
--- a/barleybarrow/incarnations.py
+++ b/barleybarrow/incarnations.py
@@ -9,34 +9,34 @@
 
 
 @dataclass(frozen=True)
-class Life:
+class Incarnation:
     """The highest count that a peer has presented, the run that presented it, and the highest before that."""
 
-    lives: int = 0
-    run: int = 0
-    before: int = 0
+    count: int = 0
+    run_id: int = 0
+    previous_count: int = 0
 
 
 @dataclass
 class Incarnations:
     """The latest incarnation of each peer. An update takes effect once it is on disk."""
 
-    latest: dict[str, Life] = field(default_factory=dict)
+    latest: dict[str, Incarnation] = field(default_factory=dict)
 
-    def shown(self, name: str, count: int, run_id: int) -> tuple[int, Life | None]:
+    def on_shown(self, name: str, count: int, run_id: int) -> tuple[int, Incarnation | None]:
         """Handle a count presented by a peer.
 
         Returns the highest count known from before its run, which is the reply, and the incarnation to store
-        if it is a new one. `run` identifies the process; 0 if the peer's release has no such number.
+        if it is a new one. `run_id` identifies the process; 0 if the peer's release has no such number.
         """
-        known = self.latest.get(name, Life())
-        if run_id and run_id == known.run and count == known.lives:
-            return known.before, None
-        if count <= known.lives:
-            return known.lives, None
-        return known.lives, Life(count, run_id, known.lives)
-
-    def kept(self, name: str, incarnation: Life) -> None:
+        known = self.latest.get(name, Incarnation())
+        if run_id and run_id == known.run_id and count == known.count:
+            return known.previous_count, None
+        if count <= known.count:
+            return known.count, None
+        return known.count, Incarnation(count, run_id, known.count)
+
+    def on_stored(self, name: str, incarnation: Incarnation) -> None:
         """Take over an incarnation that is on disk."""
-        if incarnation.lives > self.latest.get(name, Life()).lives:
+        if incarnation.count > self.latest.get(name, Incarnation()).count:
             self.latest[name] = incarnation
--- a/barleybarrow/overrides.py
+++ b/barleybarrow/overrides.py
@@ -10,7 +10,7 @@
 
 from msgspec import DecodeError, Meta, Struct, ValidationError, msgpack
 
-from barleybarrow.version_vectors import Entry, State
+from barleybarrow.version_vectors import Entry, VersionedState
 
 KINDS = ("server", "block", "tenant")
 NAME_PATTERN = re.compile(r"^[A-Za-z0-9._:@\-]{1,128}$")
@@ -19,11 +19,11 @@
 MAX_EXPIRED_PER_CALL = 16
 
 
-class MarkError(ValueError):
+class OverrideError(ValueError):
     """An invalid override; the message is one line that names the problem."""
 
 
-class Mark(Struct, array_like=True, frozen=True):
+class Override(Struct, array_like=True, frozen=True):
     """An override as stored. `at` is the Unix time on its writer's clock, for display only."""
 
     who: Annotated[str, Meta(max_length=64)]
@@ -33,22 +33,22 @@
 
 
 def key_of(kind: str, name: str) -> str:
-    """The state key of a target. Raises MarkError."""
+    """The state key of a target. Raises OverrideError."""
     if kind not in KINDS:
-        raise MarkError(f"{kind}: must be one of {', '.join(KINDS)}")
+        raise OverrideError(f"{kind}: must be one of {', '.join(KINDS)}")
     if not NAME_PATTERN.match(name) or (kind == "block" and not name.isdigit()):
-        raise MarkError(f"{kind} {name!r}: is no name of one")
+        raise OverrideError(f"{kind} {name!r}: is no name of one")
     return f"{kind} {name}"
 
 
-def read(entry: Entry) -> Mark | None:
+def decode_override(entry: Entry) -> Override | None:
     """The override in an entry, None for a tombstone. An undecodable one is still in effect."""
     if entry.value is None:
         return None
     try:
-        return msgpack.decode(entry.value, type=Mark)
+        return msgpack.decode(entry.value, type=Override)
     except (DecodeError, ValidationError):
-        return Mark("?", "this release cannot read it")
+        return Override("?", "this release cannot read it")
 
 
 def in_conflict(slot: Iterable[Entry]) -> bool:
@@ -57,7 +57,7 @@
     return len(slot) > 1 and any(e.value is not None for e in slot)
 
 
-class Effect:
+class ActiveOverrides:
     """The servers, blocks and tenants that are overridden, kept up to date with the state's changes."""
 
     def __init__(self) -> None:
@@ -66,7 +66,7 @@
         self.blocks: set[int] = set()
         self.conflicts: set[str] = set()
 
-    def follow(self, state: State, keys: Iterable[str]) -> list[tuple[str, str]]:
+    def update(self, state: VersionedState, keys: Iterable[str]) -> list[tuple[str, str]]:
         """Process changed keys; returns kind and name of each target whose override was set or cleared."""
         changes = []
         for key in keys:
@@ -84,7 +84,7 @@
         return changes
 
 
-class Lapses:
+class OverrideExpiry:
     """Expiry of overrides that have a duration, timed by each keeper from when it first held them.
 
     No clocks are compared: an override lasts at least for its duration on a keeper's own clock, and longer if
@@ -96,12 +96,14 @@
         self.rank = rank  # position among the keepers; negative on other proxies
         self.expirations: dict[str, tuple[tuple[str, int], float]] = {}  # by key: the override's dot, its end
 
-    def follow(self, now: float, state: State, keys: Iterable[str]) -> None:
+    def update(self, now: float, state: VersionedState, keys: Iterable[str]) -> None:
         """Process changed keys."""
         if self.rank < 0:
             return
         for key in keys:
-            overrides = [(e.dot, m.for_s) for e in state.slots.get(key, ()) if (m := read(e)) is not None]
+            overrides = [
+                (e.dot, m.for_s) for e in state.slots.get(key, ()) if (m := decode_override(e)) is not None
+            ]
             if len(overrides) != 1 or not overrides[0][1]:  # a conflict is left to administrators
                 self.expirations.pop(key, None)
             elif self.expirations.get(key, (None, 0.0))[0] != overrides[0][0]:
--- a/barleybarrow/policy.py
+++ b/barleybarrow/policy.py
@@ -141,7 +141,7 @@
     return {"age": 1000.0 * age, "requests": int(requests)}
 
 
-def sooner(one: float, other: float) -> float:
+def stricter_bound(one: float, other: float) -> float:
     """The lower of two limits, where 0 means no limit."""
     return min(one, other) if one and other else one or other
 
@@ -182,12 +182,15 @@
     "repeats": Section(check_repeats, lambda a, b: {"repeats": lower_repeats(a.repeats, b.repeats)}),
     "connections": Section(
         check_connections,
-        lambda a, b: {"age": sooner(a.age, b.age), "requests": int(sooner(a.requests, b.requests))},
+        lambda a, b: {
+            "age": stricter_bound(a.age, b.age),
+            "requests": int(stricter_bound(a.requests, b.requests)),
+        },
     ),
 }
 
 
-def read(text: str) -> Rules:
+def parse_policy(text: str) -> Rules:
     """Parse a document. Raises PolicyError: a single invalid key rejects the whole document."""
     if len(text.encode()) > MAX_DOCUMENT_BYTES:
         raise PolicyError(f"the document: {MAX_DOCUMENT_BYTES} bytes at most")
--- a/barleybarrow/replica.py
+++ b/barleybarrow/replica.py
@@ -27,9 +27,9 @@
     Dot,
     Entry,
     EventNumber,
-    State,
-    Taken,
+    MergeResult,
     Vector,
+    VersionedState,
     is_covered,
     merge_vector,
     range_of,
@@ -42,7 +42,7 @@
 MIN_REPLY_INTERVAL_MS = 100.0  # between status replies to a peer that is behind
 PULL_TIMEOUT_MS = 2000.0  # a pull that makes no progress is abandoned and restarted from another peer
 PUSH_RETRY_INTERVAL_MS = 300.0  # between pushes of the same write to a keeper
-WRITTEN = 5000.0  # milliseconds until the outcome of an unacknowledged write is reported as unknown
+WRITE_TIMEOUT_MS = 5000.0  # milliseconds until the outcome of an unacknowledged write is reported as unknown
 AUDIT_INTERVAL_MS = 2000.0
 PRUNE_INTERVAL_MS = 5000.0
 FULL_RETRY_BACKOFF_MS = 30_000.0  # until a replica that ran out of room pulls again
@@ -50,11 +50,11 @@
 MAX_CHUNK_ENTRIES, MAX_CHUNK_BYTES, MAX_CHUNK_SCAN = 200, 32 * 1024, 5000  # scan: change log items
 MIN_CHUNK_BYTES = 512  # for slow readers; an entry is never split
 FAST_CHUNK_MS = PULL_TIMEOUT_MS / 8  # a chunk that arrives within this time doubles the next chunk's size
-MAX_RANGE_BYTES, MOST_IN_RANGE = 512 * 1024, 4096  # a range must fit into one message: bytes and entries
+MAX_RANGE_BYTES, MAX_RANGE_ENTRIES = 512 * 1024, 4096  # a range must fit into one message: bytes and entries
 CLEANUP_BATCH_KEYS = 2000  # keys examined per tick after a full copy has been received
-MOST_MESSAGES = 2000  # limit of messages queued for sending
-MOST_WRITES = 64  # limit of writes awaiting acknowledgement
-MOST_OTHERS = 1024  # limit of peers whose status is kept
+MAX_QUEUED_MESSAGES = 2000  # limit of messages queued for sending
+MAX_PENDING_WRITES = 64  # limit of writes awaiting acknowledgement
+MAX_PEERS = 1024  # limit of peers whose status is kept
 
 Name = Annotated[str, Meta(min_length=1, max_length=64)]
 RunId = Annotated[int, Meta(ge=0, lt=2**62)]
@@ -125,24 +125,24 @@
     digests: Digests
 
 
-class AskRange(Struct, array_like=True, frozen=True, tag=6):
+class RangeRequest(Struct, array_like=True, frozen=True, tag=6):
     """Asks for all entries of one key range."""
 
     token: RunId
     index: Annotated[int, Meta(ge=0, lt=RANGE_COUNT)]
 
 
-class TellRange(Struct, array_like=True, frozen=True, tag=7):
+class RangeReply(Struct, array_like=True, frozen=True, tag=7):
     """All entries of one key range, with its digest and the vector for which both are valid."""
 
     token: RunId
     index: Annotated[int, Meta(ge=0, lt=RANGE_COUNT)]
     vector: Vector
     digest: Annotated[int, Meta(ge=0)]
-    entries: Annotated[list[Entry], Meta(max_length=MOST_IN_RANGE)]
+    entries: Annotated[list[Entry], Meta(max_length=MAX_RANGE_ENTRIES)]
 
 
-Message = ReplicaStatus | PullRequest | EntryChunk | DigestRequest | DigestReply | AskRange | TellRange
+Message = ReplicaStatus | PullRequest | EntryChunk | DigestRequest | DigestReply | RangeRequest | RangeReply
 
 
 class Stage(Enum):
@@ -153,15 +153,15 @@
 
 
 @dataclass
-class Kept:
+class StoredReplica:
     """The durable state of a keeper."""
 
     origin: str = ""  # identifies this store as a source of writes
-    whole: bool = False  # holds every write that was acknowledged with this keeper's vote
+    complete: bool = False  # holds every write that was acknowledged with this keeper's vote
     entries: list[Entry] = field(default_factory=list)
     vector: Vector = field(default_factory=dict)
     pruned: Vector = field(default_factory=dict)
-    starts: int = 0  # how many times the store was opened
+    store_opens: int = 0  # how many times the store was opened
     # By keeper: the highest store open count that it reported, and the run that reported it.
     peer_opens: dict[str, tuple[int, int]] = field(default_factory=dict)
 
@@ -170,24 +170,25 @@
 class Ready:
     """Work for the driver, in this order: store, send the messages, report the results of writes."""
 
-    changed: list[str] = field(default_factory=list)  # changed keys, for the consumers of the state
-    keys: dict[str, list[Entry]] = field(default_factory=dict)  # entries to store, by key
-    facts: Kept | None = None  # metadata to store; its entries are left empty
+    changed_keys: list[str] = field(default_factory=list)  # changed keys, for the consumers of the state
+    entries_by_key: dict[str, list[Entry]] = field(default_factory=dict)  # entries to store, by key
+    metadata: StoredReplica | None = None  # metadata to store; its entries are left empty
     messages: list[tuple[str, Message]] = field(default_factory=list)
-    done: list[tuple[int, bool]] = field(default_factory=list)  # token; True: acknowledged, False: unknown
+    # Token; True: acknowledged, False: unknown.
+    write_results: list[tuple[int, bool]] = field(default_factory=list)
 
 
 @dataclass(slots=True)
 class Peer:
     """The last reported status of another replica, and the progress of pulls from it."""
 
-    run: int = 0
+    run_id: int = 0
     catch_up_round: int = 0
     vector: Vector = field(default_factory=dict)
     pruned: Vector = field(default_factory=dict)
     complete: bool = False
-    answers: bool = False  # it has echoed this replica's run and current catch-up round
-    heard_at: float = -inf
+    echoed_run: bool = False  # it has echoed this replica's run and current catch-up round
+    last_heard_at: float = -inf
     status_sent_at: float = -inf
     last_push_at: float = -inf
     chunk_bytes: int = MAX_CHUNK_BYTES  # size limit of the next chunk requested
@@ -245,35 +246,36 @@
         keepers: list[str],
         rng: Random,
         now: float,
-        stored: Kept | None = None,
+        stored: StoredReplica | None = None,
         max_entries: int | None = None,
     ) -> None:
         self.name, self.keepers, self.rng = name, keepers, rng
         self.is_keeper = name in keepers
-        self.state = State(max_entries) if max_entries else State()
-        self.most_removed = MAX_TOMBSTONES
+        self.state = VersionedState(max_entries) if max_entries else VersionedState()
+        self.max_tombstones = MAX_TOMBSTONES
         self.run_id = rng.getrandbits(62) | 1
-        self.origin, self.whole, self.asks = "", False, 1
+        self.origin, self.complete, self.catch_up_round = "", False, 1
         self.store_opens, self.peer_opens = 0, dict[str, tuple[int, int]]()
         self.metadata_changed = self.is_keeper
         if stored is not None:
-            self.origin, self.whole = stored.origin, stored.whole
-            self.store_opens, self.peer_opens = stored.starts + 1, dict(stored.peer_opens)
+            self.origin, self.complete = stored.origin, stored.complete
+            self.store_opens, self.peer_opens = stored.store_opens + 1, dict(stored.peer_opens)
             self.state.load(stored.entries, stored.vector, stored.pruned)
         if self.is_keeper and not self.origin:
             self.new_origin()
         self.stage = Stage.BEHIND
         self.covered_peers: set[str] = set()  # keepers fully covered in this catch-up round
-        self.others: dict[str, Peer] = {}
-        self.reach: list[str] = []  # names of reachable peers, maintained by the driver
+        self.peers: dict[str, Peer] = {}
+        self.reachable: list[str] = []  # names of reachable peers, maintained by the driver
         self.active_pull: ActivePull | None = None
         self.cleanup: FullCopyCleanup | None = None
-        self.urgent: list[tuple[str, Message]] = []  # requests, sent at once: they depend on nothing unstored
-        self.writes: dict[int, PendingWrite] = {}
+        # Requests, sent at once: they depend on nothing unstored.
+        self.immediate_messages: list[tuple[str, Message]] = []
+        self.pending_writes: dict[int, PendingWrite] = {}
         self.audit: Audit | None = None
         self.last_audit_at = -inf
-        self.differs = False  # replicas with equal vectors differ and the audit has not resolved it yet
-        self.aside: list[Entry] = []  # entries replaced by an audit, for the driver to log
+        self.has_diverged = False  # replicas with equal vectors differ and the audit has not resolved it yet
+        self.replaced_entries: list[Entry] = []  # entries replaced by an audit, for the driver to log
         self.ready = Ready()
         self.next_status_at = self.next_prune_at = now
         self.last_active_at, self.pull_backoff_until = now, -inf
@@ -294,25 +296,25 @@
         self.counts["store_old"] += 1
         self.store_opens = known_opens + 1
         self.new_origin()
-        self.whole = False
+        self.complete = False
         self.start_catch_up()
 
     @property
     def majority(self) -> int:
         return len(self.keepers) // 2 + 1
 
-    def other(self, name: str) -> Peer:
-        peer = self.others.get(name)
+    def peer_state(self, name: str) -> Peer:
+        peer = self.peers.get(name)
         if peer is None:
-            if len(self.others) >= MOST_OTHERS:
-                del self.others[min(self.others, key=lambda n: self.others[n].heard_at)]
+            if len(self.peers) >= MAX_PEERS:
+                del self.peers[min(self.peers, key=lambda n: self.peers[n].last_heard_at)]
                 self.counts["others"] += 1
-            peer = self.others[name] = Peer()
+            peer = self.peers[name] = Peer()
         return peer
 
     # Timers
 
-    def next(self) -> float:
+    def next_wakeup(self) -> float:
         """When `tick` has to be called next."""
         due_times = [self.next_status_at, self.next_prune_at]
         if self.cleanup is not None:
@@ -322,17 +324,17 @@
     def tick(self, now: float) -> None:
         self.check_for_stall(now)
         if self.stage is Stage.BEHIND and self.keepers == [self.name]:
-            self.caught_up()  # a single keeper has no peers to catch up with
+            self.mark_caught_up()  # a single keeper has no peers to catch up with
         if self.cleanup is not None:
             self.continue_cleanup()
         if self.active_pull is not None and now - self.active_pull.last_chunk_at > PULL_TIMEOUT_MS:
             self.counts["pulls_given_up"] += 1
-            source = self.other(self.active_pull.source)
+            source = self.peer_state(self.active_pull.source)
             source.chunk_bytes = max(MIN_CHUNK_BYTES, source.chunk_bytes // 4)
             self.active_pull = None
-        for write in [w for w in self.writes.values() if now - w.started_at > WRITTEN]:
-            del self.writes[write.token]
-            self.ready.done.append((write.token, False))
+        for write in [w for w in self.pending_writes.values() if now - w.started_at > WRITE_TIMEOUT_MS]:
+            del self.pending_writes[write.token]
+            self.ready.write_results.append((write.token, False))
         if now >= self.next_status_at:
             self.send_statuses(now)
         if now >= self.next_prune_at:
@@ -352,42 +354,42 @@
         """Begin a new catch-up round; replies to earlier rounds no longer count."""
         self.stage = Stage.BEHIND
         self.covered_peers.clear()
-        self.asks += 1
-        for peer in self.others.values():
-            peer.answers = False
+        self.catch_up_round += 1
+        for peer in self.peers.values():
+            peer.echoed_run = False
 
     def send_statuses(self, now: float) -> None:
         """Send this replica's status to some or all peers, and push pending writes again."""
-        busy = self.stage is Stage.BEHIND or bool(self.writes)
+        busy = self.stage is Stage.BEHIND or bool(self.pending_writes)
         self.next_status_at = now + (BUSY_STATUS_INTERVAL_MS if busy else STATUS_INTERVAL_MS)
-        targets = set(self.reach)
+        targets = set(self.reachable)
         if len(targets) > MAX_BROADCAST_PEERS:
             targets = set(self.rng.sample(sorted(targets), GOSSIP_FANOUT))
         if busy:
-            targets.update(k for k in self.keepers if k != self.name and k in self.reach)
+            targets.update(k for k in self.keepers if k != self.name and k in self.reachable)
         for name in sorted(targets):
             self.send_status(now, name)
-        for write in self.writes.values():
+        for write in self.pending_writes.values():
             for name in self.keepers_without(write):
-                peer = self.other(name)
+                peer = self.peer_state(name)
                 if now - peer.last_push_at >= PUSH_RETRY_INTERVAL_MS:
                     peer.last_push_at = now
                     self.send(name, EntryChunk(0, [write.entry], 0, False, {}, {}))
 
     def send_status(self, now: float, name: str) -> None:
-        peer, state = self.other(name), self.state
+        peer, state = self.peer_state(name), self.state
         peer.status_sent_at = now
-        echo, last_open = (peer.run, peer.catch_up_round), self.peer_opens.get(name, (0, 0))
+        echo, last_open = (peer.run_id, peer.catch_up_round), self.peer_opens.get(name, (0, 0))
         status = ReplicaStatus(
             self.run_id,
-            self.asks,
+            self.catch_up_round,
             self.store_opens,
             echo,
             last_open,
-            self.whole,
+            self.complete,
             dict(state.vector),
             dict(state.pruned),
-            state.print,
+            state.digest,
             state.is_gapless(),
         )
         self.send(name, status)
@@ -397,10 +399,10 @@
         if not self.state.tombstone_keys or self.stage is Stage.BEHIND:
             return
         stable = dict(self.state.vector)
-        peers = [o for n, o in self.others.items() if n in self.reach or n in self.keepers]
+        peers = [o for n, o in self.peers.items() if n in self.reachable or n in self.keepers]
         for peer in peers:
             stable = {o: min(n, peer.vector.get(o, 0)) for o, n in stable.items()}
-        self.state.prune(stable if peers else {}, self.most_removed)
+        self.state.prune(stable if peers else {}, self.max_tombstones)
         self.metadata_changed = True
 
     def continue_cleanup(self) -> None:
@@ -412,18 +414,18 @@
         self.counts["dropped"] += self.state.drop_absent(keys, cleanup.seen_dots, cleanup.vector)
         if cleanup.position >= len(cleanup.keys):
             self.cleanup = None
-            self.state.heard(cleanup.vector)
+            self.state.advance_vector(cleanup.vector)
             self.metadata_changed = True
 
     # Writes
 
-    def may_write(self) -> str:
+    def write_refusal(self) -> str:
         """Why writes are refused at present; empty if they are accepted."""
         if not self.is_keeper:
             return f"keeps nothing: ask one of {' '.join(self.keepers)}"
         if self.stage is Stage.BEHIND:
             return "has not caught up with a majority of the keepers"
-        if len(self.writes) >= MOST_WRITES:
+        if len(self.pending_writes) >= MAX_PENDING_WRITES:
             return "too many writes are on their way"
         return ""
 
@@ -433,9 +435,9 @@
         if entry is None:
             return False
         self.metadata_changed = True
-        self.writes[token] = PendingWrite(token, entry, now)
-        for name in self.reach:
-            self.other(name).last_push_at = now
+        self.pending_writes[token] = PendingWrite(token, entry, now)
+        for name in self.reachable:
+            self.peer_state(name).last_push_at = now
             self.send(name, EntryChunk(0, [entry], 0, False, {}, {}))
         self.next_status_at = min(self.next_status_at, now + BUSY_STATUS_INTERVAL_MS)
         self.complete_writes()
@@ -444,22 +446,23 @@
     def keepers_without(self, write: PendingWrite) -> list[str]:
         """Keepers that have not reported that they hold the write."""
         dot = {write.entry.origin: write.entry.number}
-        return [k for k in self.keepers if k != self.name and not is_covered(dot, self.other(k).vector)]
+        return [k for k in self.keepers if k != self.name and not is_covered(dot, self.peer_state(k).vector)]
 
     def complete_writes(self) -> None:
         """Acknowledge the writes that a majority of the keepers holds."""
-        for write in list(self.writes.values()):
+        for write in list(self.pending_writes.values()):
             if len(self.keepers) - len(self.keepers_without(write)) >= self.majority:
-                del self.writes[write.token]
-                self.ready.done.append((write.token, True))
+                del self.pending_writes[write.token]
+                self.ready.write_results.append((write.token, True))
 
     # Messages
 
     def send(self, to: str, message: Message) -> None:
         self.ready.messages.append((to, message))
-        if len(self.ready.messages) > MOST_MESSAGES:  # the disk is slow; peers retry what they still need
-            del self.ready.messages[: MOST_MESSAGES // 2]
-            self.counts["messages"] += MOST_MESSAGES // 2
+        # The disk is slow; peers retry what they still need.
+        if len(self.ready.messages) > MAX_QUEUED_MESSAGES:
+            del self.ready.messages[: MAX_QUEUED_MESSAGES // 2]
+            self.counts["messages"] += MAX_QUEUED_MESSAGES // 2
 
     def receive(self, now: float, sender: str, message: Message) -> None:
         """Handle a message from an authenticated peer."""
@@ -469,23 +472,23 @@
         elif isinstance(message, PullRequest):
             self.on_pull_request(sender, message)
         elif isinstance(message, EntryChunk):
-            self.part(now, sender, message)
+            self.on_chunk(now, sender, message)
         elif isinstance(message, DigestRequest):
             state = self.state
-            if self.whole:
+            if self.complete:
                 digest_reply = DigestReply(
                     message.token, dict(state.vector), state.is_gapless(), list(state.digests)
                 )
                 self.send(sender, digest_reply)
         elif isinstance(message, DigestReply):
             self.on_digests(now, sender, message)
-        elif isinstance(message, AskRange):
+        elif isinstance(message, RangeRequest):
             state = self.state
             entries = [e for key in state.range_keys[message.index] for e in state.slots[key]]
-            if len(entries) > MOST_IN_RANGE or sum(e.size for e in entries) > MAX_RANGE_BYTES:
+            if len(entries) > MAX_RANGE_ENTRIES or sum(e.size for e in entries) > MAX_RANGE_BYTES:
                 self.counts["ranges"] += 1  # stays unrepaired at the requester, which reports the difference
             else:
-                range_reply = TellRange(
+                range_reply = RangeReply(
                     message.token, message.index, dict(state.vector), state.digests[message.index], entries
                 )
                 self.send(sender, range_reply)
@@ -493,20 +496,20 @@
             self.on_range(message)
 
     def on_status(self, now: float, sender: str, status: ReplicaStatus) -> None:
-        peer, state = self.other(sender), self.state
-        if peer.run != status.run_id:
-            peer.run, peer.answers = status.run_id, False
+        peer, state = self.peer_state(sender), self.state
+        if peer.run_id != status.run_id:
+            peer.run_id, peer.echoed_run = status.run_id, False
         peer.catch_up_round = status.catch_up_round
         if sender in self.keepers and status.store_opens > self.peer_opens.get(sender, (0, 0))[0]:
             self.peer_opens[sender] = status.store_opens, status.run_id
             self.metadata_changed = True
-        peer.heard_at, peer.vector, peer.pruned, peer.complete = (
+        peer.last_heard_at, peer.vector, peer.pruned, peer.complete = (
             now,
             dict(status.vector),
             dict(status.pruned),
             status.complete,
         )
-        peer.answers = peer.answers or status.echo == (self.run_id, self.asks)
+        peer.echoed_run = peer.echoed_run or status.echo == (self.run_id, self.catch_up_round)
         newer_open_known = status.last_open[0] > self.store_opens or (
             status.last_open[0] == self.store_opens and status.last_open[1] not in (0, self.run_id)
         )
@@ -515,45 +518,50 @@
         ):
             self.on_stale_store(max(status.last_open[0], self.store_opens))
         if is_covered(status.vector, state.vector):
-            self.follow(sender)
+            self.record_covered(sender)
             equal = is_covered(state.vector, status.vector)
             if not equal and now - peer.status_sent_at >= MIN_REPLY_INTERVAL_MS:
                 self.send_status(now, sender)
             elif equal and status.gapless and state.is_gapless() and self.cleanup is None:
-                if status.digest == state.print:
-                    self.differs = self.differs and sender not in self.keepers
+                if status.digest == state.digest:
+                    self.has_diverged = self.has_diverged and sender not in self.keepers
                 else:
                     self.start_audit(now)
-            if status.echo != (self.run_id, self.asks) and now - peer.status_sent_at >= MIN_REPLY_INTERVAL_MS:
+            if (
+                status.echo != (self.run_id, self.catch_up_round)
+                and now - peer.status_sent_at >= MIN_REPLY_INTERVAL_MS
+            ):
                 self.send_status(now, sender)  # echoes the peer's run and catch-up round
         elif self.active_pull is None and self.cleanup is None and now >= self.pull_backoff_until:
             self.start_pull(now, sender)
         self.complete_writes()
 
-    def follow(self, name: str) -> None:
+    def record_covered(self, name: str) -> None:
         """Note that this replica holds everything that a keeper holds, which may complete the catch-up."""
-        peer = self.other(name)
-        if self.stage is Stage.CAUGHT_UP or name not in self.keepers or not peer.answers:
+        peer = self.peer_state(name)
+        if self.stage is Stage.CAUGHT_UP or name not in self.keepers or not peer.echoed_run:
             return
         self.covered_peers.add(name)
-        complete = sum(self.others[n].complete for n in self.covered_peers) + (self.is_keeper and self.whole)
+        complete = sum(self.peers[n].complete for n in self.covered_peers) + (
+            self.is_keeper and self.complete
+        )
         if complete >= self.majority or len(self.covered_peers) + self.is_keeper == len(self.keepers):
             # From a majority of complete replicas, or from all keepers when the group is first started.
-            self.caught_up()
+            self.mark_caught_up()
 
-    def caught_up(self) -> None:
+    def mark_caught_up(self) -> None:
         self.stage = Stage.CAUGHT_UP
-        if self.is_keeper and not self.whole:
-            self.whole, self.metadata_changed = True, True
+        if self.is_keeper and not self.complete:
+            self.complete, self.metadata_changed = True, True
 
     # Pulling missing entries
 
     def start_pull(self, now: float, name: str) -> None:
         """Pull a delta, or a full copy if the peer has discarded tombstones that are not covered here."""
-        peer = self.other(name)
+        peer = self.peer_state(name)
         full = not is_covered(peer.pruned, self.state.vector)
-        if full or peer.pull_offset_run != peer.run:
-            peer.pull_offset, peer.pull_offset_run = 0, peer.run
+        if full or peer.pull_offset_run != peer.run_id:
+            peer.pull_offset, peer.pull_offset_run = 0, peer.run_id
         self.active_pull = ActivePull(name, self.rng.getrandbits(62) | 1, full, now)
         self.counts["whole_copies"] += full
         self.request_next_chunk()
@@ -562,8 +570,8 @@
         pull = self.active_pull
         assert pull is not None
         vector = {} if pull.full else dict(self.state.vector)
-        source = self.other(pull.source)
-        self.urgent.append(
+        source = self.peer_state(pull.source)
+        self.immediate_messages.append(
             (pull.source, PullRequest(pull.token, vector, source.pull_offset, pull.full, source.chunk_bytes))
         )
 
@@ -575,7 +583,7 @@
         vectors = (dict(self.state.vector), dict(self.state.pruned)) if last else ({}, {})
         self.send(sender, EntryChunk(request.token, entries, after, last, *vectors))
 
-    def part(self, now: float, sender: str, chunk: EntryChunk) -> None:
+    def on_chunk(self, now: float, sender: str, chunk: EntryChunk) -> None:
         """Merge a chunk of a pull, or a pushed write."""
         pull = self.active_pull
         if chunk.token and (pull is None or pull.token != chunk.token or pull.source != sender):
@@ -590,7 +598,7 @@
             self.send_status(now, sender)  # confirms the write; sent only after it is on disk
             return
         assert pull is not None
-        source = self.other(sender)
+        source = self.peer_state(sender)
         if now - pull.last_chunk_at < FAST_CHUNK_MS:
             source.chunk_bytes = min(MAX_CHUNK_BYTES, 2 * source.chunk_bytes)
         pull.last_chunk_at, source.pull_offset = now, chunk.after
@@ -604,36 +612,36 @@
         if not pull.has_room:  # incomplete, so the source's vector must not be adopted
             self.counts["behind_for_room"] += 1
             self.pull_backoff_until = now + FULL_RETRY_BACKOFF_MS
-            self.other(sender).pull_offset = 0
+            self.peer_state(sender).pull_offset = 0
         elif pull.full:
             self.cleanup = FullCopyCleanup(list(self.state.slots), pull.seen_dots, chunk.vector)
             merge_vector(self.state.pruned, chunk.pruned)
         elif is_covered(chunk.pruned, self.state.vector):
-            self.state.heard(chunk.vector)
+            self.state.advance_vector(chunk.vector)
         else:  # the source has discarded tombstones during the pull
             self.start_pull(now, sender)
 
     def merge_entry(self, now: float, entry: Entry) -> None:
-        result = self.state.take(entry)
+        result = self.state.merge(entry)
         self.counts[f"entries_{result.value}"] += 1
-        if result is Taken.MISMATCH:
+        if result is MergeResult.MISMATCH:
             self.start_audit(now)
-        elif result is Taken.ROOM and self.active_pull is not None:
+        elif result is MergeResult.FULL and self.active_pull is not None:
             self.active_pull.has_room = False
 
     # Audits
 
     def start_audit(self, now: float) -> None:
         """Replicas with equal vectors differ: request the digests of all ranges from all keepers."""
-        self.differs = True
+        self.has_diverged = True
         if now - self.last_audit_at < AUDIT_INTERVAL_MS or self.stage is Stage.BEHIND:
             return
         self.last_audit_at = now
         self.counts["audits"] += 1
         self.audit = Audit(self.rng.getrandbits(62) | 1, now)
         for name in self.keepers:
-            if name != self.name and name in self.reach:
-                self.urgent.append((name, DigestRequest(self.audit.token)))
+            if name != self.name and name in self.reachable:
+                self.immediate_messages.append((name, DigestRequest(self.audit.token)))
 
     def on_digests(self, now: float, sender: str, reply: DigestReply) -> None:
         """Collect digests; request each range for which a majority of the keepers has another digest."""
@@ -662,41 +670,41 @@
             if vote_count >= self.majority and digest != state.digests[index]:
                 audit.majority_digests[index] = digest
                 holder = next(n for n, r in audit.replies.items() if r.digests[index] == digest)
-                self.urgent.append((holder, AskRange(audit.token, index)))
+                self.immediate_messages.append((holder, RangeRequest(audit.token, index)))
 
-    def on_range(self, reply: TellRange) -> None:
+    def on_range(self, reply: RangeReply) -> None:
         """Replace a range by the entries of the majority, if the vectors are still equal."""
         audit, state = self.audit, self.state
         if audit is None or audit.token != reply.token or reply.index not in audit.majority_digests:
             return
         if reply.digest != audit.majority_digests[reply.index] or reply.vector != state.vector:
             return
-        received = State(self.state.max_entries)
+        received = VersionedState(self.state.max_entries)
         received.load(reply.entries, {}, {})
         if received.digests[reply.index] != reply.digest or any(
             range_of(e.key) != reply.index for e in reply.entries
         ):
             return
         replaced = state.replace_range(reply.index, reply.entries)
-        self.aside += replaced[: 64 - len(self.aside)]
+        self.replaced_entries += replaced[: 64 - len(self.replaced_entries)]
         self.counts["set_aside"] += len(replaced)
         self.metadata_changed = True
 
     # Output
 
-    def take(self) -> Ready | None:
+    def take_ready(self) -> Ready | None:
         """The work that has accumulated since the last call; None if there is none."""
         ready, state = self.ready, self.state
-        ready.changed, state.changed_keys = list(state.changed_keys), {}
+        ready.changed_keys, state.changed_keys = list(state.changed_keys), {}
         if self.is_keeper:
-            for key in ready.changed:
-                ready.keys[key] = list(state.slots.get(key, ()))
-            if self.metadata_changed or ready.keys:
+            for key in ready.changed_keys:
+                ready.entries_by_key[key] = list(state.slots.get(key, ()))
+            if self.metadata_changed or ready.entries_by_key:
                 vectors = dict(state.vector), dict(state.pruned)
-                ready.facts = Kept(
-                    self.origin, self.whole, [], *vectors, self.store_opens, dict(self.peer_opens)
+                ready.metadata = StoredReplica(
+                    self.origin, self.complete, [], *vectors, self.store_opens, dict(self.peer_opens)
                 )
-        if not (ready.changed or ready.facts or ready.messages or ready.done):
+        if not (ready.changed_keys or ready.metadata or ready.messages or ready.write_results):
             return None
         self.metadata_changed = False
         self.ready = Ready()
--- a/barleybarrow/rollout.py
+++ b/barleybarrow/rollout.py
@@ -7,8 +7,8 @@
 | phase | rules enforced | transitions |
 | --- | --- | --- |
 | PROPOSED | the old | all have checked it: JOINT; rejected by a member, withdrawn or timed out: WITHDRAWN |
-| JOINT | the stricter of old and new | all have applied it: FORCE; withdrawn or timed out: WITHDRAWN |
-| FORCE | the new, until the next version is in force | - |
+| JOINT | the stricter of old and new | all have applied it: IN_FORCE; withdrawn or timed out: WITHDRAWN |
+| IN_FORCE | the new, until the next version is in force | - |
 | WITHDRAWN | the old | - |
 """
 
@@ -19,18 +19,18 @@
 
 from msgspec import Meta, Struct, msgpack
 
-from barleybarrow.policy import MAX_DOCUMENT_BYTES, PolicyError, Rules, read, stricter
+from barleybarrow.policy import MAX_DOCUMENT_BYTES, PolicyError, Rules, parse_policy, stricter
 
 MAX_VERSIONS = 200  # retained; those in force and pending are always retained
-MOST_ROSTER = 1024  # limit of members
-MOST_VOTERS = 7
+MAX_ROSTER = 1024  # limit of members
+MAX_VOTERS = 7
 STEP_RETRY_INTERVAL_MS = 500.0  # between appends of the same step until it is committed
 DOWN_CHECK_DELAY_MS = 500.0  # from the start of a phase until unresponsive members are probed
 CHECK_TIMEOUT_MS = 500.0  # with leases, how long a proposal waits for the checks of unresponsive members
 
 Name = Annotated[str, Meta(min_length=1, max_length=64)]
 Number = Annotated[int, Meta(ge=0, le=2**53)]
-PROPOSED, JOINT, FORCE, WITHDRAWN = "proposed", "joint", "in force", "withdrawn"
+PROPOSED, JOINT, IN_FORCE, WITHDRAWN = "proposed", "joint", "in force", "withdrawn"
 
 
 class Propose(Struct, array_like=True, frozen=True, tag=1):
@@ -67,7 +67,7 @@
 class Electorate(Struct, array_like=True, frozen=True, tag=5):
     """Requests a set of voters, which the leader establishes one change at a time."""
 
-    names: Annotated[list[Name], Meta(min_length=1, max_length=MOST_VOTERS)]
+    names: Annotated[list[Name], Meta(min_length=1, max_length=MAX_VOTERS)]
     who: Annotated[str, Meta(max_length=64)]
 
 
@@ -99,7 +99,7 @@
     electorate: list[str] = []
 
 
-class Book:
+class RolloutState:
     """The replicated state of rollouts: versions, roster and requested voters."""
 
     def __init__(self) -> None:
@@ -109,7 +109,7 @@
         self.force = self.pending = 0  # version numbers; 0: the settings in the operators' files
         self.electorate: list[str] = []  # voters last requested by administrators; empty if never requested
         self.applied = 0
-        self.refused = 0  # commands that were invalid, late or repeated
+        self.rejected_commands = 0  # commands that were invalid, late or repeated
 
     # Applying the log
 
@@ -121,22 +121,22 @@
         try:
             command = msgpack.decode(data, type=Command)
         except ValueError:
-            self.refused += 1
+            self.rejected_commands += 1
             return
         if isinstance(command, Propose):
             self.apply_proposal(index, command)
         elif isinstance(command, Step):
-            self.step(index, command)
+            self.apply_step(index, command)
         elif isinstance(command, Join):
-            if command.name in self.roster or len(self.roster) < MOST_ROSTER:
+            if command.name in self.roster or len(self.roster) < MAX_ROSTER:
                 self.roster[command.name] = None
             else:
-                self.refused += 1
+                self.rejected_commands += 1
         elif isinstance(command, Electorate):
             if len(set(command.names)) == len(command.names) and all(n in self.roster for n in command.names):
                 self.electorate = list(command.names)
             else:
-                self.refused += 1
+                self.rejected_commands += 1
         else:
             self.roster.pop(command.name, None)
 
@@ -165,18 +165,18 @@
             if number_to_drop not in (self.force, self.pending):
                 self.by_id.pop(self.versions.pop(number_to_drop).id, None)
 
-    def step(self, index: int, step: Step) -> None:
+    def apply_step(self, index: int, step: Step) -> None:
         version = self.versions.get(step.number)
         if version is None or step.number != self.pending:
-            self.refused += 1
+            self.rejected_commands += 1
         elif step.phase == JOINT and version.phase == PROPOSED:
             version.phase, version.joint_at = JOINT, index
-        elif step.phase == FORCE and version.phase == JOINT:
-            version.phase, self.force, self.pending = FORCE, version.number, 0
+        elif step.phase == IN_FORCE and version.phase == JOINT:
+            version.phase, self.force, self.pending = IN_FORCE, version.number, 0
         elif step.phase == WITHDRAWN and version.phase in (PROPOSED, JOINT):
             version.phase, version.ended, self.pending = WITHDRAWN, step.why, 0
         else:
-            self.refused += 1
+            self.rejected_commands += 1
 
     # Queries and snapshots
 
@@ -200,7 +200,7 @@
         if version is None or version.phase != PROPOSED:
             return None
         try:
-            read(version.text)
+            parse_policy(version.text)
         except PolicyError as error:
             return version.number, str(error)
         return None
@@ -222,7 +222,7 @@
 def rules_or_default(text: str) -> Rules:
     """The rules of a document, defaults if it is invalid: then this process cannot have accepted it."""
     try:
-        return read(text)
+        return parse_policy(text)
     except PolicyError:
         return Rules()
 
@@ -245,31 +245,31 @@
     probe_targets: list[str]
 
 
-class Conductor:
+class RolloutDriver:
     """Drives the pending version through its phases on the leader. Times are on its own monotonic clock."""
 
     def __init__(self, timeout_ms: float) -> None:
         self.timeout_ms = timeout_ms  # after which a pending version is withdrawn
         self.number = 0
         self.phase = ""
-        self.started_at = self.phase_began = self.last_step_at = 0.0
-        self.down: dict[str, float] = {}  # by member: when it was last found to be down
+        self.started_at = self.phase_started_at = self.last_step_at = 0.0
+        self.down_at: dict[str, float] = {}  # by member: when it was last found to be down
         self.missing: list[str] = []
 
     def on_elected(self) -> None:
         """This process has become leader: discard what it knew of members in earlier terms."""
         self.number, self.phase = 0, ""
-        self.down.clear()
+        self.down_at.clear()
 
     def mark_down(self, now: float, name: str) -> None:
         """Count a member as down: its address refused a connection that was started in this phase.
 
         A process that starts there later reads the current state before it admits requests.
         """
-        self.down[name] = now
+        self.down_at[name] = now
 
-    def conduct(
-        self, now: float, state: Book, reports: Mapping[str, MemberReport], lease_wait_ms: float
+    def next_actions(
+        self, now: float, state: RolloutState, reports: Mapping[str, MemberReport], lease_wait_ms: float
     ) -> RolloutActions:
         """The next actions; called often.
 
@@ -283,13 +283,13 @@
         if version.number != self.number:
             self.number, self.started_at, self.phase = version.number, now, ""
         if version.phase != self.phase:
-            self.phase, self.phase_began, self.last_step_at = version.phase, now, -inf
-            self.down.clear()  # a member that was down may have restarted before this phase was committed
+            self.phase, self.phase_started_at, self.last_step_at = version.phase, now, -inf
+            self.down_at.clear()  # a member that was down may have restarted before this phase was committed
         index = version.proposed_at if version.phase == PROPOSED else version.joint_at
         self.missing = [
             name
             for name in state.roster
-            if reports.get(name, MemberReport(0)).applied < index and name not in self.down
+            if reports.get(name, MemberReport(0)).applied < index and name not in self.down_at
         ]
         rejections = [
             (name, report)
@@ -305,13 +305,13 @@
         if rejections and version.phase == PROPOSED:
             name, report = min(rejections, key=lambda item: item[0])
             step = Step(version.number, WITHDRAWN, f"{name}: {report.reason}"[:500])
-        elif not self.missing or now - self.phase_began >= wait_ms:
-            step = Step(version.number, JOINT if version.phase == PROPOSED else FORCE)
+        elif not self.missing or now - self.phase_started_at >= wait_ms:
+            step = Step(version.number, JOINT if version.phase == PROPOSED else IN_FORCE)
         elif now - self.started_at >= self.timeout_ms:
             step = Step(
                 version.number, WITHDRAWN, ("not taken up in time by " + " ".join(self.missing))[:500]
             )
-        probe_targets = self.missing if now - self.phase_began >= DOWN_CHECK_DELAY_MS else []
+        probe_targets = self.missing if now - self.phase_started_at >= DOWN_CHECK_DELAY_MS else []
         if step is None or now - self.last_step_at < STEP_RETRY_INTERVAL_MS:
             return RolloutActions([], probe_targets)
         self.last_step_at = now
--- a/barleybarrow/shares.py
+++ b/barleybarrow/shares.py
@@ -39,7 +39,7 @@
     "Role",
     "LeaseRequest",
     "SharedRateLimiter",
-    "Shares",
+    "LimitShares",
 ]
 
 LEASE_MS = 3000.0  # how long an acceptor's promise to a credit server lasts
@@ -117,7 +117,7 @@
     issued: dict[str, list["IssuedShare"]] = field(default_factory=dict)  # by key
 
 
-class Shares(CreditServerLease):
+class LimitShares(CreditServerLease):
     """One process's view of the shares. Times are milliseconds on its own monotonic clock."""
 
     def __init__(
@@ -131,7 +131,7 @@
     ) -> None:
         super().__init__(name, keepers, rng, now, LeaseTimes(lease_ms=LEASE_MS))
         self.rate_of = rate_of
-        self.base = self.initial_share = 1.0 / max(1, proxies)
+        self.fallback_share = self.initial_share = 1.0 / max(1, proxies)
         # Proxy state
         self.last_report_id = 0
         self.report_sent_at: dict[int, float] = {}
@@ -151,22 +151,22 @@
 
     # Queries of the rate limiter
 
-    def part(self, key: str, now: float) -> float:
+    def share_of(self, key: str, now: float) -> float:
         """The share of a limit that this proxy may use now."""
         grant = self.grants.get(key)
         if grant is None:
-            return self.base
+            return self.fallback_share
         share, until = grant
         if now < until:
             return share
         if now < until + FALLBACK_DELAY_GRANTS * GRANT_MS:
-            return min(share, self.base)
+            return min(share, self.fallback_share)
         del self.grants[key]
-        return self.base
+        return self.fallback_share
 
     # Timers
 
-    def next(self) -> float:
+    def next_wakeup(self) -> float:
         """When `tick` has to be called next."""
         return min(self.next_report_at, self.next_lease_wakeup())
 
@@ -236,7 +236,7 @@
             self.term,
             self.last_report_id,
             self.applied_sequence,
-            self.base,
+            self.fallback_share,
             [(k, round(r, 2)) for k, r in top],
         )
         if self.credit_server == self.name:
@@ -254,7 +254,7 @@
             or requested_at < self.applied_requested_at
         ):
             return  # no pending report of ours, or one older than the report of the last grant
-        self.applied_sequence, self.applied_requested_at, self.base = (
+        self.applied_sequence, self.applied_requested_at, self.fallback_share = (
             grant.sequence,
             requested_at,
             grant.fallback_share,
@@ -407,7 +407,7 @@
 
     def __init__(self, settings: RateLimiterSettings) -> None:
         super().__init__(settings)
-        self.shares: Shares | None = None
+        self.shares: LimitShares | None = None
         self.applied_shares: dict[str, float] = {}
 
     def ask(self, key: str, now: float) -> float:
@@ -415,7 +415,7 @@
         shares, bucket = self.shares, self.buckets.get(key)
         if shares is not None and not self.settings.by_address:
             shares.request_counts[key] += 1
-            share = shares.part(key, now)
+            share = shares.share_of(key, now)
             if bucket is None or self.applied_shares.get(key) != share:
                 total = self.limit(key)
                 limit = Limit(total.rate * share, max(1.0, total.burst * share))
--- a/barleybarrow/version_vectors.py
+++ b/barleybarrow/version_vectors.py
@@ -21,7 +21,7 @@
 RANGE_COUNT = 256  # number of key ranges, each with a digest of its own
 MAX_ENTRIES = 20_000
 MAX_STATE_BYTES = 16 * 1024 * 1024  # of keys and values
-MOST_ORIGINS = 512  # limit of origins: incarnations of keepers that have written
+MAX_ORIGINS = 512  # limit of origins: incarnations of keepers that have written
 MAX_TOMBSTONES = 5_000  # keys kept as tombstones for replicas that are behind; the oldest are pruned first
 MAX_KEY_LENGTH, MAX_VALUE_BYTES = 160, 4096
 
@@ -37,7 +37,7 @@
     key: Annotated[str, Meta(min_length=1, max_length=MAX_KEY_LENGTH)]
     origin: Origin
     number: Annotated[int, Meta(ge=1, le=2**53)]
-    over: Vector  # dots of this key that it supersedes: by origin, all numbers up to this one
+    supersedes: Vector  # dots of this key that it supersedes: by origin, all numbers up to this one
     value: Annotated[bytes, Meta(max_length=MAX_VALUE_BYTES)] | None
 
     @property
@@ -47,16 +47,16 @@
     @property
     def size(self) -> int:
         """Approximate size in bytes."""
-        return len(self.key) + len(self.value or b"") + 32 * len(self.over) + 64
+        return len(self.key) + len(self.value or b"") + 32 * len(self.supersedes) + 64
 
 
-class Taken(Enum):
+class MergeResult(Enum):
     """The outcome of merging an entry."""
 
-    NEWS = "news"
+    APPLIED = "news"
     OLD = "old"  # already held, or superseded
     MISMATCH = "differs"  # the same dot is held with other contents: one of the two is corrupted
-    ROOM = "room"  # rejected: no room
+    FULL = "room"  # rejected: no room
 
 
 def covers(vector: Mapping[str, int], dot: Dot) -> bool:
@@ -84,7 +84,7 @@
     return hashlib.blake2b(key.encode(), digest_size=1).digest()[0]
 
 
-class State:
+class VersionedState:
     """One replica's copy of the state."""
 
     def __init__(self, max_entries: int = MAX_ENTRIES) -> None:
@@ -94,7 +94,7 @@
         self.pruned: Vector = {}  # covers the discarded tombstones and what they superseded
         self.uncovered: dict[str, set[int]] = {}  # by origin: held events that the vector does not cover
         self.digests = [0] * RANGE_COUNT  # by range, of all entries but tombstones
-        self.size = self.bytes = self.removed = 0
+        self.size = self.bytes = self.tombstone_count = 0
         self.changed_keys: dict[str, None] = {}  # since the driver last took them
         self.counts: Counter[str] = Counter()
         self.change_count = 0
@@ -110,7 +110,7 @@
             yield from slot
 
     @property
-    def print(self) -> int:
+    def digest(self) -> int:
         """The digest of all entries but tombstones."""
         combined = 0
         for digest in self.digests:
@@ -152,7 +152,7 @@
         self.size += sign
         self.bytes += sign * entry.size
         if entry.value is None:
-            self.removed += sign
+            self.tombstone_count += sign
         else:
             self.digests[range_index] ^= digest_of(entry)
         if sign < 0 and entry.origin in self.uncovered:
@@ -175,27 +175,27 @@
     def has_room(self, entry: Entry) -> bool:
         """Whether there is room for an entry; one that supersedes a held entry is always accepted."""
         held = self.slots.get(entry.key, ())
-        if any(covers(entry.over, e.dot) for e in held):
+        if any(covers(entry.supersedes, e.dot) for e in held):
             return True
-        known = entry.origin in self.vector or len(self.vector) < MOST_ORIGINS
+        known = entry.origin in self.vector or len(self.vector) < MAX_ORIGINS
         return known and self.size < self.max_entries and self.bytes + entry.size <= MAX_STATE_BYTES
 
-    def take(self, entry: Entry) -> Taken:
+    def merge(self, entry: Entry) -> MergeResult:
         """Merge an entry from another replica. Commutative and idempotent."""
         slot = self.slots.get(entry.key, ())
         for held in slot:
             if held.dot == entry.dot:
-                return Taken.OLD if held == entry else Taken.MISMATCH
-            if covers(held.over, entry.dot):
-                return Taken.OLD
+                return MergeResult.OLD if held == entry else MergeResult.MISMATCH
+            if covers(held.supersedes, entry.dot):
+                return MergeResult.OLD
         if covers(self.vector, entry.dot):
-            return Taken.OLD
+            return MergeResult.OLD
         if not self.has_room(entry):
             self.counts["room"] += 1
-            return Taken.ROOM
-        self.set_slot(entry.key, [e for e in slot if not covers(entry.over, e.dot)] + [entry])
+            return MergeResult.FULL
+        self.set_slot(entry.key, [e for e in slot if not covers(entry.supersedes, e.dot)] + [entry])
         self.advance(entry.origin)
-        return Taken.NEWS
+        return MergeResult.APPLIED
 
     def advance(self, origin: str) -> None:
         """Extend the vector by the held events of an origin that follow it without a gap."""
@@ -218,7 +218,7 @@
             return None
         supersedes: Vector = dict(self.pruned) if not slot else {}
         for held in slot:
-            merge_vector(supersedes, held.over)
+            merge_vector(supersedes, held.supersedes)
             merge_vector(supersedes, {held.origin: held.number})
         entry = Entry(key, origin, self.vector.get(origin, 0) + 1, supersedes, value)
         if not self.has_room(entry):
@@ -228,7 +228,7 @@
         self.advance(origin)
         return entry
 
-    def heard(self, vector: Mapping[str, int]) -> None:
+    def advance_vector(self, vector: Mapping[str, int]) -> None:
         """Extend the vector after everything that `vector` covers has been received or was superseded."""
         merge_vector(self.vector, vector)
         for origin in [o for o in self.uncovered if o in vector]:
@@ -295,11 +295,11 @@
         excess, pruned_count = len(self.tombstone_keys) - max_tombstones, 0
         for key in list(islice(self.tombstone_keys, max_scan)):
             slot = self.slots[key]
-            if not all(covers(self.vector, e.dot) and is_covered(e.over, self.vector) for e in slot):
+            if not all(covers(self.vector, e.dot) and is_covered(e.supersedes, self.vector) for e in slot):
                 continue
             if excess > pruned_count or all(covers(stable, e.dot) for e in slot):
                 for e in slot:
-                    merge_vector(self.pruned, e.over)
+                    merge_vector(self.pruned, e.supersedes)
                     merge_vector(self.pruned, {e.origin: e.number})
                 pruned_count += len(slot)
                 self.set_slot(key, [])
--- a/benchmarks/policy.py
+++ b/benchmarks/policy.py
@@ -25,7 +25,7 @@
 
 sys.path.insert(0, str(Path(__file__).resolve().parent.parent))  # run as a file, from anywhere
 
-from barleybarrow.policy_gate import DRIFT, LEASE, PolicyGate
+from barleybarrow.policy_gate import LEASE_MS, MAX_CLOCK_RATE_RATIO, PolicyGate
 from barleybarrow.rollout import Propose
 from brackenusher.group import policies
 from brackenusher.group.policies import wish
@@ -219,12 +219,12 @@
     command, force = Propose("bench", "", "", 0.0, TEXT.format(1)), max(c.forces) + 1
     while c.now < began + 30_000.0:
         member = c.members[asks]
-        if "bench" not in member.book.by_id and int((c.now - began) / 10.0) % 50 == 0:
+        if "bench" not in member.rollout_state.by_id and int((c.now - began) / 10.0) % 50 == 0:
             member.submit(c.clock(asks), command)
             c.carry(asks)
         c.run(c.now + 10.0)
         live = [m for i, m in enumerate(c.members) if c.up[i] and c.paused_until[i] <= c.now]
-        if all(m.book.force == force for m in live):
+        if all(m.rollout_state.force == force for m in live):
             break
     return c.now - began
 
@@ -232,10 +232,10 @@
 def paid() -> float:
     """Microseconds that a request pays at the gate, over a call that does nothing; the least of five."""
     g = PolicyGate("n0", ["n0"], random.Random(1), 0.0)
-    g.caught = True
+    g.caught_up = True
 
     def gate() -> float:
-        return 1.0 if g.verdict(1.0) else 0.0
+        return 1.0 if g.admission_refusal(1.0) else 0.0
 
     def nothing() -> float:
         return 0.0
@@ -284,7 +284,7 @@
     most = 60 if args.quick else 200
     told(f"{most} in virtual time", [in_council(most, s) for s in seeds], AIM_MS[200])
     silent = [in_council(9, s, fence=True, silent=True) for s in seeds]
-    told("9, one silent, fence (virtual)", silent, LEASE * DRIFT + 1000.0)
+    told("9, one silent, fence (virtual)", silent, LEASE_MS * MAX_CLOCK_RATE_RATIO + 1000.0)
     told("9, the leader dies (virtual)", [in_council(9, s, dead=True) for s in seeds], LEADER_MS)
     cost = paid()
     print(f"\na request pays {cost:.2f} us at the gate (aim {PAID_US})")
--- a/benchmarks/replica.py
+++ b/benchmarks/replica.py
@@ -26,11 +26,11 @@
 import psutil
 from msgspec import msgpack
 
-from barleybarrow.overrides import Effect, Mark
+from barleybarrow.overrides import ActiveOverrides, Override
 from barleybarrow.rate_limiter import Limit, RateLimiter, RateLimiterSettings
-from barleybarrow.replica import Kept, Message, Ready, Replica
-from barleybarrow.shares import SharedRateLimiter, Shares
-from barleybarrow.version_vectors import Entry, State
+from barleybarrow.replica import Message, Ready, Replica, StoredReplica
+from barleybarrow.shares import LimitShares, SharedRateLimiter
+from barleybarrow.version_vectors import Entry, VersionedState
 from brackenusher.group.replica_store import ReplicaStore
 from testbed.copies import Copies
 from testbed.portions import Portions
@@ -44,7 +44,7 @@
 
 
 def entries(size: int, origin: str = "n0~0") -> list[Entry]:
-    value = msgpack.encode(Mark("staff", "trial", 0.0, 0.0))
+    value = msgpack.encode(Override("staff", "trial", 0.0, 0.0))
     return [Entry(f"server x{n}", origin, n + 1, {}, value) for n in range(size)]
 
 
@@ -55,10 +55,10 @@
     machines = {}
     for name, part in (("n0", every), ("n1", every[: held - differ])):
         vector = {"n0~0": len(part)}
-        m = Replica(name, ["n0", "n1"], rng, now, Kept(f"{name}~0", True, part, vector), ROOM)
-        m.reach = ["n0", "n1"]
-        m.reach.remove(name)
-        m.take()
+        m = Replica(name, ["n0", "n1"], rng, now, StoredReplica(f"{name}~0", True, part, vector), ROOM)
+        m.reachable = ["n0", "n1"]
+        m.reachable.remove(name)
+        m.take_ready()
         machines[name] = m
     gc.collect()
     gc.freeze()  # as the daemon does at its start
@@ -68,8 +68,8 @@
 
     def carry(name: str) -> None:
         nonlocal sent
-        urgent, machines[name].urgent = machines[name].urgent, []
-        ready = machines[name].take()
+        urgent, machines[name].immediate_messages = machines[name].immediate_messages, []
+        ready = machines[name].take_ready()
         for to, message in [*urgent, *(ready.messages if ready is not None else ())]:
             data = msgpack.encode(message)
             sent += len(data)
@@ -178,7 +178,9 @@
     path.mkdir(parents=True)
     shelf = ReplicaStore(str(path))
     keys = {e.key: [e] for e in entries(size)}
-    shelf.keep(Ready(keys=keys, facts=Kept(origin, True, [], {"n0~0": size}, {}, 1, {})))
+    shelf.keep(
+        Ready(entries_by_key=keys, metadata=StoredReplica(origin, True, [], {"n0~0": size}, {}, 1, {}))
+    )
     shelf.db.close()
 
 
@@ -242,11 +244,11 @@
 
 def paid() -> tuple[float, float]:
     """Microseconds that a request pays for marks, and a limit over all beside one's own."""
-    effect, state = Effect(), State()
+    effect, state = ActiveOverrides(), VersionedState()
     for entry in entries(100):
-        state.take(entry)
-    effect.follow(state, list(state.slots))
-    shares = Shares("n0", ["n0"], random.Random(1), 0.0, 9, lambda key: 1e6)
+        state.merge(entry)
+    effect.update(state, list(state.slots))
+    shares = LimitShares("n0", ["n0"], random.Random(1), 0.0, 9, lambda key: 1e6)
     shared, own = (
         kind(RateLimiterSettings(tenant=Limit(1e9, 1e9))) for kind in (SharedRateLimiter, RateLimiter)
     )
--- a/benchmarks/week.py
+++ b/benchmarks/week.py
@@ -36,8 +36,8 @@
 """,
     "policy: joint left out": """
 from barleybarrow.policy_gate import PolicyGate
-from barleybarrow.policy import read
-PolicyGate.read_rules = lambda self: read(self.book.text(self.book.force))
+from barleybarrow.policy import parse_policy
+PolicyGate.effective_rules = lambda self: parse_policy(self.rollout_state.text(self.rollout_state.force))
 """,
     "policy: joint is the new alone": """
 from barleybarrow import policy_gate
@@ -48,97 +48,97 @@
 right = PolicyGate.__init__
 def init(self, *a, **k):
     right(self, *a, **k)
-    self.caught = True
+    self.caught_up = True
 PolicyGate.__init__ = init
 """,
     "policy: says more than it has taken up": """
 from msgspec import msgpack
 from barleybarrow import policy_gate
-right = policy_gate.PolicyGate.take_up
-def take_up(self):
+right = policy_gate.PolicyGate.refresh_rules
+def refresh_rules(self):
     right(self)
-    self.agreement.note = msgpack.encode(policy_gate.Note(self.agreement.last + 5))
-policy_gate.PolicyGate.take_up = take_up
+    self.raft.note = msgpack.encode(policy_gate.FollowerReport(self.raft.last_index + 5))
+policy_gate.PolicyGate.refresh_rules = refresh_rules
 """,
     "policy: silence is taken for being down": """
-from barleybarrow.rollout import Conductor
-right = Conductor.conduct
-Conductor.conduct = lambda s, n, b, w, waited: right(s, n, b, w, 200.0)
+from barleybarrow.rollout import RolloutDriver
+right = RolloutDriver.next_actions
+RolloutDriver.next_actions = lambda s, n, b, w, waited: right(s, n, b, w, 200.0)
 """,
     "policy: half of the votes are enough": """
-from barleybarrow.agreement import Agreement
-Agreement.majority = property(lambda self: max(1, len(self.voters) // 2))
+from barleybarrow.agreement import RaftNode
+RaftNode.majority = property(lambda self: max(1, len(self.voters) // 2))
 """,
     "policy: anything applied counts as caught up": """
 from barleybarrow.policy_gate import PolicyGate
-right = PolicyGate.settle
-def settle(self, now):
+right = PolicyGate.process_reads
+def process_reads(self, now):
     right(self, now)
-    self.caught = self.caught or bool(self.book.applied)
-PolicyGate.settle = settle
+    self.caught_up = self.caught_up or bool(self.rollout_state.applied)
+PolicyGate.process_reads = process_reads
 """,
     "policy: a version is in force as soon as it is joint": """
-from barleybarrow.rollout import Book, Step
-right = Book.step
-def step(self, index, s):
+from barleybarrow.rollout import RolloutState, Step
+right = RolloutState.apply_step
+def apply_step(self, index, s):
     right(self, index, s)
     if s.phase == "joint":
         right(self, index, Step(s.number, "in force"))
-Book.step = step
+RolloutState.apply_step = apply_step
 """,
     "marks: one disk is enough": """
 from barleybarrow.replica import Replica
 Replica.majority = property(lambda self: 1)
 """,
     "marks: a write supersedes nothing": """
-from barleybarrow.version_vectors import State
-right = State.write
+from barleybarrow.version_vectors import VersionedState
+right = VersionedState.write
 def write(self, origin, key, value):
     entry = right(self, origin, key, value)
     return entry and type(entry)(entry.key, entry.origin, entry.number, {}, entry.value)
-State.write = write
+VersionedState.write = write
 """,
     "marks: forgotten removals are not superseded": """
-from barleybarrow.version_vectors import State
-right = State.write
+from barleybarrow.version_vectors import VersionedState
+right = VersionedState.write
 def write(self, origin, key, value):
     held, self.pruned = self.pruned, {}
     try:
         return right(self, origin, key, value)
     finally:
         self.pruned = held
-State.write = write
+VersionedState.write = write
 """,
     "marks: of two that knew nothing of each other the first stays": """
-from barleybarrow.version_vectors import State, Taken, covers
-right = State.take
-def take(self, entry):
+from barleybarrow.version_vectors import MergeResult, VersionedState, covers
+right = VersionedState.merge
+def merge(self, entry):
     slot = self.slots.get(entry.key, ())
-    if slot and not any(covers(entry.over, e.dot) for e in slot):
+    if slot and not any(covers(entry.supersedes, e.dot) for e in slot):
         self.vector[entry.origin] = max(self.vector.get(entry.origin, 0), entry.number)
-        return Taken.OLD
+        return MergeResult.OLD
     return right(self, entry)
-State.take = take
+VersionedState.merge = merge
 """,
     "marks: caught up with whoever answers first": """
 from barleybarrow.replica import Replica
-right = Replica.follow
-def follow(self, name):
+right = Replica.record_covered
+def record_covered(self, name):
     right(self, name)
-    if self.others[name].answers:
-        self.caught_up()
-Replica.follow = follow
+    if self.peers[name].echoed_run:
+        self.mark_caught_up()
+Replica.record_covered = record_covered
 """,
     "marks: a part that came is taken for all there is": """
 from barleybarrow.replica import Replica
-right = Replica.part
-def part(self, now, sender, m):
+right = Replica.on_chunk
+def on_chunk(self, now, sender, m):
     if m.token and m.vector == {}:
-        self.state.heard(self.other(sender).vector)
+        self.state.advance_vector(self.peer_state(sender).vector)
     elif not m.token:
-        self.state.heard({e.origin: e.number for e in m.entries})
+        self.state.advance_vector({e.origin: e.number for e in m.entries})
     right(self, now, sender, m)
-Replica.part = part
+Replica.on_chunk = on_chunk
 """,
 }
 
--- a/brackenusher/control_plane/config_checks.py
+++ b/brackenusher/control_plane/config_checks.py
@@ -55,7 +55,7 @@
             return
         if self.configuration is not None and self.configuration.generation >= state.version:
             return
-        checked = self._checked.get(next(reversed(state.taken)))
+        checked = self._checked.get(next(reversed(state.accepted)))
         if checked is not None:
             self._put_in_force(checked)
             return
--- a/brackenusher/control_plane/config_members.py
+++ b/brackenusher/control_plane/config_members.py
@@ -79,7 +79,7 @@
         for name in message.voters:
             self._seen[name] = now
             self._links.connect(name)
-        self._node.hear_voters(list(message.voters), message.voters_index)
+        self._node.learn_voters(list(message.voters), message.voters_index)
 
     def tell_changes(self) -> None:
         """Tell everybody at once where the voters or the leader have changed."""
@@ -106,7 +106,7 @@
 
     def _forget(self) -> None:
         now = self._loop.time()
-        keep = {*self._seeds, *self._node.voters[0], *self._node.agreement.voters}
+        keep = {*self._seeds, *self._node.voters[0], *self._node.raft.voters}
         for name in self._links.connected():
             self._seen[name] = now
         for name, seen in list(self._seen.items()):
--- a/brackenusher/control_plane/config_shard.py
+++ b/brackenusher/control_plane/config_shard.py
@@ -18,7 +18,7 @@
 from barleybarrow.consensus.config_node import ConfigNode, NodeOptions, Work
 from barleybarrow.consensus.configuration_state import (
     MAX_BODY_BYTES,
-    NO_ANSWER,
+    OUTCOME_UNKNOWN,
     Document,
     OrderKind,
     OrderOutcome,
@@ -106,14 +106,14 @@
         options = NodeOptions(
             name=self.links.own.address,
             zone=failure_domain(settings, settings.zone),
-            counts=settings.counts_for_quorum and bool(settings.data_dir),
+            counts_for_quorum=settings.counts_for_quorum and bool(settings.data_dir),
             seeds=seeds,
             bootstrap=settings.bootstrap,
             tolerated_machines=settings.fault_tolerance.machines,
             tolerated_domains=settings.fault_tolerance.regions or settings.fault_tolerance.zones,
         )
         self._node = ConfigNode(options, self.rng, self._now(), kept)
-        self._node.on_applied.append(self._applied)
+        self._node.applied_handlers.append(self._applied)
         self._members = ConfigMembers(self.links, self._node, seeds)
         self.links.on_message(messages.MachineMessage, self._on_machine_message)
         self.links.on_message(messages.Members, self._on_members)
@@ -145,11 +145,11 @@
 
     async def _leave(self, node: ConfigNode) -> None:
         if node.is_leader:
-            await self._until(lambda: not node.is_leader or node.is_held_by_others, HOLD_S)
+            await self._until(lambda: not node.is_leader or node.is_replicated_elsewhere, HOLD_S)
             if self._hand_over():
                 await self._until(lambda: not node.is_leader, HAND_OVER_S)
-        if node.may_be_replaced:
-            node.leave(self._now())
+        if node.has_replacement:
+            node.request_replacement(self._now())
             self._pump()
             await self._until(lambda: self.links.own.address not in node.voters[0], REPLACE_S)
 
@@ -172,10 +172,10 @@
         ends = self._loop.time() + timeout_s
         while (left := ends - self._loop.time()) > LEAST_WAIT_S:
             outcome = await self._attempt(kind, base_version, body, min(left, ATTEMPT_S))
-            if outcome.status != OrderStatus.UNCLEAR:
+            if outcome.status != OrderStatus.INDETERMINATE:
                 return outcome
             await asyncio.sleep(min(PAUSE_S, max(0.0, ends - self._loop.time())))
-        return NO_ANSWER
+        return OUTCOME_UNKNOWN
 
     def document(self) -> Document | None:
         """The newest committed document here, as the operator sent it."""
@@ -201,14 +201,14 @@
         event, tokens = asyncio.Event(), list[int]()
         ends = self._loop.time() + timeout_s
         while not event.is_set() and (left := ends - self._loop.time()) > LEAST_WAIT_S:
-            tokens.append(node.confirm(self._now(), event.set))
+            tokens.append(node.confirm_read(self._now(), event.set))
             self._pump()
             try:
                 await asyncio.wait_for(event.wait(), min(left, CONFIRM_AGAIN_S))
             except TimeoutError:
                 continue
         for token in tokens:
-            node.forget(token)
+            node.cancel_read(token)
         return event.is_set()
 
     def voters(self) -> list[str]:
@@ -237,36 +237,36 @@
         node = self._node
         if node is None:
             return {"role": "starting"}
-        agreement = node.agreement
+        raft = node.raft
         return {
-            "role": agreement.role.value,
-            "term": agreement.term,
+            "role": raft.role.value,
+            "term": raft.term,
             "leader": node.leader,
             "voters": self.voters(),
             "version": node.state.version,
-            "committed": agreement.commit,
+            "committed": raft.commit_index,
             "applied": node.applied_index,
-            "log_entries": len(agreement.entries),
-            "catching_up": agreement.barred,
+            "log_entries": len(raft.entries),
+            "catching_up": raft.quarantined,
             "disk_refuses": self._storage is not None and self._storage.refusing,
-            "orders_under_way": len(node.orders.jobs),
+            "orders_under_way": len(node.orders.pending_orders),
         }
 
     def history(self) -> list[dict[str, object]]:
         """The orders that were taken, oldest first; times are Unix milliseconds of the leader's clock."""
         if self._node is None:
             return []
-        taken = self._node.state.history()
+        taken = self._node.state.accepted_orders()
         return [{"version": t.version, "digest": t.digest.hex(), "at_ms": t.at} for t in taken]
 
     # Orders
 
     async def _attempt(self, kind: str, base_version: int, body: bytes, timeout_s: float) -> OrderOutcome:
         node, leader = self._node, self.leader()
-        if node is not None and node.was_taken(kind, base_version, body):
-            return OrderOutcome(OrderStatus.TAKEN)
+        if node is not None and node.was_accepted(kind, base_version, body):
+            return OrderOutcome(OrderStatus.ACCEPTED)
         if node is None or not leader:
-            return NO_ANSWER
+            return OUTCOME_UNKNOWN
         future: asyncio.Future[OrderOutcome] = self._loop.create_future()
         key = next(self._ids)
         if node.is_leader:
@@ -275,11 +275,11 @@
             self._forwarded[key] = future
             if not self.links.send(leader, messages.OrderRequest(key, kind, base_version, body)):
                 del self._forwarded[key]
-                return NO_ANSWER
+                return OUTCOME_UNKNOWN
         try:
             return await asyncio.wait_for(future, timeout_s)
         except TimeoutError:
-            return NO_ANSWER
+            return OUTCOME_UNKNOWN
         finally:
             self._forwarded.pop(key, None)
 
@@ -299,7 +299,7 @@
             self.links.send(sender, messages.OrderResult(request.id, int(outcome.status), outcome.error))
 
         if self._stopped or not self.is_leader:
-            answer(NO_ANSWER)
+            answer(OUTCOME_UNKNOWN)
         else:
             self._take_order(request.kind, request.base_version, request.body, answer)
 
@@ -314,7 +314,7 @@
 
         def checked(digest: bytes, error: str) -> None:
             if self._node is not None:
-                self._node.checked(self._now(), digest, error)
+                self._node.on_document_checked(self._now(), digest, error)
                 self._pump()
 
         self._checks.check_order(request.digest, request.document, checked)
@@ -357,7 +357,7 @@
         """What was passed on to a leader that is gone gets no answer."""
         if address == self._leader:
             for future in list(self._forwarded.values()):
-                settle(future, NO_ANSWER)
+                settle(future, OUTCOME_UNKNOWN)
 
     # The machine
 
@@ -392,7 +392,7 @@
             return
         self._pumping = True
         try:
-            while (work := node.take()) is not None:
+            while (work := node.take_ready()) is not None:
                 self._storage.keep(work, lambda work=work: self._kept(work))  # type: ignore[misc]
         finally:
             self._pumping = False
@@ -402,7 +402,7 @@
     def _kept(self, work: Work) -> None:
         assert self._node is not None
         self._send(work.messages)
-        self._node.stored(self._now())
+        self._node.on_stored(self._now())
         self._pump()
 
     def _send(self, outgoing: list[tuple[str, bytes]]) -> None:
@@ -411,7 +411,7 @@
 
     def _hand_over(self) -> bool:
         assert self._node is not None
-        outgoing = self._node.hand_over(self._now())
+        outgoing = self._node.transfer_leadership(self._now())
         self._send(outgoing)
         return bool(outgoing)
 
@@ -433,14 +433,14 @@
             then = self._waiting.pop(ticket, None)
             if then is not None:
                 then(outcome)
-        checks, node.orders.checks = node.orders.checks, []
+        checks, node.orders.check_requests = node.orders.check_requests, []
         for request in checks:
             self._start_check(request)
         if node.leader != self._leader:
             self._give_up(self._leader)
             self._leader = node.leader
             self._had_leader = self._had_leader or bool(node.leader)
-            log.info("configuration shard: leader=%s term=%d", node.leader or "none", node.agreement.term)
+            log.info("configuration shard: leader=%s term=%d", node.leader or "none", node.raft.term)
         voters, index = node.voters
         if voters != self._voters:
             self._voters = list(voters)
--- a/brackenusher/control_plane/config_storage.py
+++ b/brackenusher/control_plane/config_storage.py
@@ -54,7 +54,7 @@
     def keep(self, work: Work, then: Callable[[], None]) -> None:
         """Make a work durable, then call back; tries until it is."""
         store, writer = self._store, self._writer
-        if store is None or writer is None or not work.stores:
+        if store is None or writer is None or not work.has_writes:
             then()
             return
         image, records = work.image, work.records
--- a/brackenusher/group/acting.py
+++ b/brackenusher/group/acting.py
@@ -7,7 +7,7 @@
 from dataclasses import replace
 
 from barleybarrow.budget import ClientRetryBudget
-from barleybarrow.policy import Rules, sooner
+from barleybarrow.policy import Rules, stricter_bound
 from barleybarrow.rate_limiter import CLOSED_WAIT, RateLimiter, RateLimiterSettings
 from brackenusher.core.admission import Request, name_of
 from brackenusher.core.transaction import Transactions
@@ -75,7 +75,9 @@
             self.budget.set_limit(rules.repeats)
         base = self.connections
         self.pool.planner.settings = replace(
-            base, age=sooner(base.age, rules.age), requests=int(sooner(base.requests, rules.requests))
+            base,
+            age=stricter_bound(base.age, rules.age),
+            requests=int(stricter_bound(base.requests, rules.requests)),
         )
         if (rules.servers, rules.blocks) != (before.servers, before.blocks):
             self.transactions.post(self.pool.look_again())
--- a/brackenusher/group/keyed_requests.py
+++ b/brackenusher/group/keyed_requests.py
@@ -6,7 +6,7 @@
 
 from barleybarrow import interface as face
 from barleybarrow.brain import PROVEN
-from barleybarrow.idempotency_records import LONGEST_ANSWER, Answer, IdempotencyRecords
+from barleybarrow.idempotency_records import MAX_BODY_BYTES, IdempotencyRecords, SavedResponse
 from barleybarrow.interface import Effect, Group
 from brackenusher.core import transaction as core
 from brackenusher.core.admission import Before, Request
@@ -44,13 +44,13 @@
         if conf.effect is not Effect.KEYED:
             return None
         key = key_of(request.message)
-        known = self.fates.ask(key, clock(), conf.group is Group.ALL) if key else None
+        known = self.fates.lookup(key, clock(), conf.group is Group.ALL) if key else None
         if known is None:
             return None
-        if known.answer is not None:
+        if known.response is not None:
             self.answers += 1
-            a = known.answer
-            return Before(Content(a.body, a.kind, a.coding))
+            a = known.response
+            return Before(Content(a.body, a.content_type, a.content_encoding))
         self.bound += 1
         return Before(None, known.server, known.until)
 
@@ -61,17 +61,17 @@
             transaction = self.owner.open.get(event.request)
             key = key_of(transaction.message) if conf.effect is Effect.KEYED and transaction else b""
             if key:
-                fates.arrived(event.request, key, conf.window)
+                fates.on_request(event.request, key, conf.window)
         elif isinstance(event, face.Finished):
-            fates.ended(now, event.request, event.attempt, event.outcome in PROVEN)
+            fates.on_attempt_ended(now, event.request, event.attempt, event.outcome in PROVEN)
         for action in actions:
             if isinstance(action, face.Send):
-                fates.sent(now, action.request, action.backend)
+                fates.on_attempt_sent(now, action.request, action.backend)
 
     def answered(self, transaction: "core.Transaction", answer: "core.Answer | None") -> None:
         kept = None
         if isinstance(answer, core.Served):
             content = answer.content
-            if content.rest is None and len(content.body) <= LONGEST_ANSWER:
-                kept = Answer(bytes(content.body), content.kind, content.coding)
-        self.fates.over(clock(), transaction.id, kept)
+            if content.rest is None and len(content.body) <= MAX_BODY_BYTES:
+                kept = SavedResponse(bytes(content.body), content.kind, content.coding)
+        self.fates.on_request_done(clock(), transaction.id, kept)
--- a/brackenusher/group/node.py
+++ b/brackenusher/group/node.py
@@ -16,9 +16,9 @@
 
 from barleybarrow.agreement_messages import Entry, Message, Ready
 from barleybarrow.incarnations import Incarnations
-from barleybarrow.policy import PolicyError, Rules, read
+from barleybarrow.policy import PolicyError, Rules, parse_policy
 from barleybarrow.policy_gate import PolicyGate
-from barleybarrow.rollout import MOST_VOTERS, Drop, Electorate, Propose
+from barleybarrow.rollout import MAX_VOTERS, Drop, Electorate, Propose
 from brackenusher.config.operators import PolicySettings
 from brackenusher.core.admission import Request
 from brackenusher.core.transaction import Transactions
@@ -82,11 +82,10 @@
             self.store is not None and len(settings.voters) > 1,
             self.store is not None,
         )
-        agreement = self.governed.agreement
-        alone = self.store is not None and agreement.voters == [name] and agreement.barred
-        self.alone_at = (
-            clock() + ALONE if alone else inf
-        )  # by its log it votes alone, whatever the file names
+        agreement = self.governed.raft
+        alone = self.store is not None and agreement.voters == [name] and agreement.quarantined
+        # by its log it votes alone, whatever the file names
+        self.alone_at = clock() + ALONE if alone else inf
         self.streams = house.streams
         self.streams.takers[b""] = self.heard
         self.streams.refused, self.streams.opened = self.refused, self.opened
@@ -144,7 +143,7 @@
             if self.alone_at < inf:
                 self.ask_all(now)
             self.governed.tick(now)
-            for name in self.governed.look:
+            for name in self.governed.probe_targets:
                 self.streams.nudge(name)
             self.pump(now)
         finally:
@@ -154,15 +153,15 @@
         """This one votes alone if its store is the latest: whoever has met a later start of it says so."""
         if now >= self.alone_at:
             self.alone_at = inf
-            self.governed.agreement.trust()
+            self.governed.raft.end_quarantine()
             return
-        for name in {*self.settings.voters, *self.governed.book.roster} - {self.name}:
+        for name in {*self.settings.voters, *self.governed.rollout_state.roster} - {self.name}:
             self.streams.nudge(name)
 
     def again(self) -> None:
         self.loop.deadlines.remove(self.due)
         now = clock()
-        when = min(max(self.governed.next(), now + LEAST_WAIT), now + LONGEST_WAIT)
+        when = min(max(self.governed.next_wakeup(), now + LEAST_WAIT), now + LONGEST_WAIT)
         self.due = self.loop.deadlines.add(when, self.work)
 
     # Store, send, apply
@@ -170,12 +169,12 @@
     def pump(self, now: float) -> None:
         """Take what the machine wants done, one after the other."""
         self.tell()
-        ready = self.governed.take() if self.inorder.idle else None
+        ready = self.governed.take_ready() if self.inorder.idle else None
         if ready is not None:
             self.inorder.put(ready)
 
     def needs(self, ready: Ready) -> bool:
-        return ready.hard is not None or bool(ready.entries) or ready.snapshot is not None
+        return ready.hard_state is not None or bool(ready.entries) or ready.snapshot is not None
 
     def keep(self, ready: Ready) -> None:
         assert self.store is not None
@@ -187,14 +186,14 @@
         for to, message in ready.messages:
             self.streams.send(to, msgpack.encode(message))
         reach("after-send")
-        made = self.governed.stored(clock(), ready)
-        if ready.apply:
+        made = self.governed.on_stored(clock(), ready)
+        if ready.committed_entries:
             reach("after-apply")
         if made is not None and self.store is not None and self.worker is not None:
             store = self.store
             self.worker.put(lambda: store.compact(made), lambda why: None)
         self.act()
-        if self.store is None and self.name in self.governed.book.electorate:
+        if self.store is None and self.name in self.governed.rollout_state.electorate:
             self.prepare()
         self.pump(clock())
 
@@ -229,14 +228,14 @@
 
     def keep_whole(self) -> None:
         """Have all that the machine holds on disk; what it wants stored later comes after it."""
-        store, worker, whole = self.store, self.worker, self.governed.agreement.whole()
+        store, worker, whole = self.store, self.worker, self.governed.raft.full_state()
         assert store is not None and worker is not None
 
         def kept(why: str) -> None:
             if why:
                 self.loop.deadlines.add(clock() + STORE_AGAIN, self.keep_whole)
             else:
-                self.governed.can_keep(clock())
+                self.governed.on_store_ready(clock())
                 say(log, logging.INFO, "store_made", "policy: keeps what it says on disk, and may vote")
 
         worker.put(lambda: store.keep(whole), kept)
@@ -249,24 +248,24 @@
         self.again()
 
     def refused(self, name: str, began: float) -> None:
-        self.governed.found_down(clock(), name, began)
+        self.governed.on_connection_refused(clock(), name, began)
 
     def opened(self, name: str, lives: int, run: int, then: Callable[[int | None], None]) -> None:
         """A peer opens a stream and says how often its store was opened.
 
         `then` is told what was known of that before, once this is on disk; None where it cannot be.
         """
-        before, life = self.met.shown(name, lives, run)
+        before, life = self.met.on_shown(name, lives, run)
         if life is None or self.store is None or self.worker is None:
             then(before)
             return
         store = self.store
         self.meets[name] = life
-        meets = {n: (m.lives, m.run, m.before) for n, m in self.meets.items()}
+        meets = {n: (m.count, m.run_id, m.previous_count) for n, m in self.meets.items()}
 
         def kept(why: str) -> None:
             if not why:
-                self.met.kept(name, life)
+                self.met.on_stored(name, life)
             then(None if why else before)
 
         self.worker.put(lambda: store.facts(met=meets), kept)
@@ -281,24 +280,25 @@
             self.lives = lives + 1
             self.streams.lives = self.lives
             self.cleared, self.alone_at, self.old = {self.name}, inf, True
-            self.governed.agreement.barred = True
+            self.governed.raft.quarantined = True
             if self.store is not None and self.worker is not None:
                 store, mine = self.store, self.lives
                 self.worker.put(lambda: store.facts(lives=mine), lambda why: None)
             return
-        agreement = self.governed.agreement
+        agreement = self.governed.raft
         if name not in agreement.voters:
             return
         self.cleared.add(name)
-        able = self.governed.keeps and not self.old  # what one knows no others can clear: it has to catch up
-        if agreement.barred and able and len(self.cleared) >= agreement.majority:
-            agreement.trust()
+        # what one knows no others can clear: it has to catch up
+        able = self.governed.durable and not self.old
+        if agreement.quarantined and able and len(self.cleared) >= agreement.majority:
+            agreement.end_quarantine()
 
     # Acting upon the rules
 
     def ask(self, key: str, request: Request, now: float) -> float:
         """Whether a request of a tenant may come in: 0, or how many milliseconds to wait."""
-        why = self.governed.verdict(clock())
+        why = self.governed.admission_refusal(clock())
         if why:
             self.turned_away += 1
             return CLOSED
@@ -306,20 +306,20 @@
 
     def act(self) -> None:
         """Act upon the rules of now, before anybody hears that they were taken up."""
-        if self.governed.changed:
-            self.governed.changed = False
+        if self.governed.rules_changed:
+            self.governed.rules_changed = False
             self.acting.act(self.governed.rules or Rules())
 
     def tell(self) -> None:
         """Log what has changed."""
         governed = self.governed
-        why = governed.verdict(clock())
+        why = governed.admission_refusal(clock())
         if why != self.why:
             self.why = why
             level = logging.WARNING if why else logging.INFO
             text = "policy: admits nothing: %(why)s" if why else "policy: admits"
             say(log, level, "policy_gate", text, **({"why": why} if why else {}))
-        book = governed.book
+        book = governed.rollout_state
         v = book.versions.get(book.pending)
         phase = (book.force, book.pending, v.phase if v is not None else "")
         if phase != self.phase:
@@ -327,14 +327,14 @@
             text = "policy: at %(at).1f version %(force)d is in force; on its way: %(pending)d %(phase)s"
             facts = {"at": clock(), "force": book.force, "pending": book.pending, "phase": phase[2] or "none"}
             say(log, logging.INFO, "policy_version", text, **facts)
-        role = governed.agreement.role.value
+        role = governed.raft.role.value
         if role != self.role:
             self.role = role
-            text, term = "policy: is %(role)s in term %(term)d", governed.agreement.term
+            text, term = "policy: is %(role)s in term %(term)d", governed.raft.term
             say(log, logging.INFO, "policy_role", text, role=role, term=term)
 
     def ready(self) -> bool:
-        return not self.governed.verdict(clock())
+        return not self.governed.admission_refusal(clock())
 
     def figures(self) -> list[tuple[str, int, str, list[tuple[str, str]]]]:
         """Gauges for a collector."""
@@ -348,7 +348,7 @@
             "policy_term": status.term,
             "policy_turned_away": self.turned_away,
             **{f"policy_{by}": count for by, count in self.acting.counts.items()},
-            "policy_dropped": sum(self.streams.counts.values()) + self.governed.agreement.dropped,
+            "policy_dropped": sum(self.streams.counts.values()) + self.governed.raft.dropped,
         }
         if isfinite(status.lease_left):
             found = {**found, "policy_lease_ms": int(status.lease_left)}
@@ -359,29 +359,29 @@
     def say_status(self, wish: Wish) -> Any:
         found = asdict(self.governed.status(clock()))
         found["lease_left"] = found["lease_left"] if isfinite(found["lease_left"]) else None
-        book, at = self.governed.book, self.streams.where(found["leader"])
+        book, at = self.governed.rollout_state, self.streams.where(found["leader"])
         found["leader_at"] = "{}:{}".format(*at) if at is not None else ""
         number = book.by_id.get(wish.id, 0)
         found["asked"] = self.worded(number) if number else None
         return found
 
     def worded(self, number: int) -> dict[str, Any]:
-        v = self.governed.book.versions[number]
+        v = self.governed.rollout_state.versions[number]
         facts = ("number", "id", "who", "why", "at", "phase", "ended")
         return {name: getattr(v, name) for name in facts}
 
     def say_history(self, wish: Wish) -> Any:
-        return [self.worded(number) for number in sorted(self.governed.book.versions)]
+        return [self.worded(number) for number in sorted(self.governed.rollout_state.versions)]
 
     def say_version(self, wish: Wish) -> Any:
-        book = self.governed.book
+        book = self.governed.rollout_state
         number = wish.number or book.force
         if number and number not in book.versions:
             raise PolicyError(f"version {number}: is not known")
         return {"number": number, "text": book.text(number)}
 
     def propose(self, wish: Wish) -> Any:
-        read(wish.text)
+        parse_policy(wish.text)
         if not 0 < len(wish.id) <= 64 or len(wish.who) > 64 or len(wish.why) > 500:
             raise PolicyError("id, who or why: too long, or missing")
         self.governed.submit(clock(), Propose(wish.id, wish.who, wish.why, wish.at, wish.text))
@@ -389,7 +389,7 @@
         return {"sent": True}
 
     def withdraw(self, wish: Wish) -> Any:
-        pending = self.governed.book.pending
+        pending = self.governed.rollout_state.pending
         if not pending:
             raise PolicyError("nothing is on its way")
         self.governed.withdraw(clock(), pending, wish.who)
@@ -397,7 +397,7 @@
         return {"number": pending}
 
     def drop(self, wish: Wish) -> Any:
-        if wish.id not in self.governed.book.roster:
+        if wish.id not in self.governed.rollout_state.roster:
             raise PolicyError(f"{wish.id}: is not on the roster")
         self.governed.submit(clock(), Drop(wish.id, wish.who))
         self.pump(clock())
@@ -405,9 +405,9 @@
 
     def elect(self, wish: Wish) -> Any:
         """Who is to vote, by names with blanks between them."""
-        names, roster = wish.text.split(), self.governed.book.roster
-        if not 1 <= len(names) <= MOST_VOTERS or len(set(names)) < len(names):
-            raise PolicyError(f"voters: 1 to {MOST_VOTERS} names, each once")
+        names, roster = wish.text.split(), self.governed.rollout_state.roster
+        if not 1 <= len(names) <= MAX_VOTERS or len(set(names)) < len(names):
+            raise PolicyError(f"voters: 1 to {MAX_VOTERS} names, each once")
         for name in names:
             if name not in roster:
                 raise PolicyError(f"voters: {name} is not on the roster")
--- a/brackenusher/group/policies.py
+++ b/brackenusher/group/policies.py
@@ -10,7 +10,7 @@
 
 from msgspec import json
 
-from barleybarrow.policy import PolicyError, read
+from barleybarrow.policy import PolicyError, parse_policy
 from brackenusher.config.operators import PeersSettings
 from brackenusher.config.platform import ConfigError
 from brackenusher.membership.frames import Granted, Wish
@@ -105,7 +105,7 @@
 def check(text: str, out: TextIO) -> int:
     """Whether this release can act upon a document. Raises ConfigError."""
     try:
-        rules = read(text)
+        rules = parse_policy(text)
     except PolicyError as error:
         raise ConfigError(str(error)) from error
     found = [
--- a/brackenusher/group/recovery.py
+++ b/brackenusher/group/recovery.py
@@ -16,7 +16,7 @@
 from pathlib import Path
 from typing import Any, TextIO
 
-from barleybarrow.recovery import Held, Objection, lacking, objections, recovered
+from barleybarrow.recovery import Objection, StoreContents, missing_versions, objections, recovered_state
 from barleybarrow.replica import Ready
 from brackenusher.config.operators import Operator, PeersSettings, load_operator
 from brackenusher.config.platform import ConfigError
@@ -78,9 +78,9 @@
             raise ConfigError(f"{path}: does not hold together: {error}") from error
 
 
-def held_in(path: Path, name: str, named: tuple[str, ...]) -> Held:
+def held_in(path: Path, name: str, named: tuple[str, ...]) -> StoreContents:
     kept = read_file(Store, path, Store.load)
-    return Held(name, kept.term, kept.snapshot, kept.entries, named)
+    return StoreContents(name, kept.term, kept.snapshot, kept.entries, named)
 
 
 def folders_of(operator: Operator) -> dict[str, Path]:
@@ -138,14 +138,16 @@
     return found
 
 
-def lost(answers: dict[str, dict[str, Any]], held: Held | None, marks: set[str] | None) -> list[str]:
+def lost(answers: dict[str, dict[str, Any]], held: StoreContents | None, marks: set[str] | None) -> list[str]:
     """What proxies that answer know of, and the files at hand lack."""
     found: dict[str, None] = {}
     mine = []
     if held is not None:
-        mine = [{"number": v.number, "id": v.id, "phase": v.phase} for v in held.book().versions.values()]
+        mine = [
+            {"number": v.number, "id": v.id, "phase": v.phase} for v in held.rollout_state().versions.values()
+        ]
     for answer in answers.values():
-        found |= dict.fromkeys(lacking(mine, answer["history"]))
+        found |= dict.fromkeys(missing_versions(mine, answer["history"]))
         if marks is not None:
             found |= dict.fromkeys(
                 f"the mark of {m['key']}" for m in answer["marks"] if m["key"] not in marks
@@ -165,10 +167,10 @@
 def allowed(found: list[Objection], know: bool, out: TextIO) -> bool:
     """Whether it may be done; says why not, and what `--i-know` would claim."""
     for objection in found:
-        print(f"refused: {objection.why}", file=out)
-        if objection.claim:
-            print(f"    --i-know says: {objection.claim}", file=out)
-    return all(o.claim for o in found) and (know or not found)
+        print(f"refused: {objection.reason}", file=out)
+        if objection.assertion:
+            print(f"    --i-know says: {objection.assertion}", file=out)
+    return all(o.assertion for o in found) and (know or not found)
 
 
 # The verbs
@@ -256,12 +258,15 @@
     if file.name == ReplicaStore.NAME:
         kept = read_file(ReplicaStore, file, ReplicaStore.load)
         marks = sum(e.value is not None for e in kept.entries)
-        return f"{marks} marks, {len(kept.entries) - marks} removals, started {kept.starts} times"
+        return f"{marks} marks, {len(kept.entries) - marks} removals, started {kept.store_opens} times"
     held = held_in(file, "", ())
-    book = held.book()
+    book = held.rollout_state()
     pending = f", {book.pending} is {book.versions[book.pending].phase}" if book.pending else ""
     voters = " ".join(held.voters) or "by the operators' file"
-    return f"term {held.term}, log to {held.last}, version {book.force} is in force{pending}; voters {voters}"
+    return (
+        f"term {held.term}, log to {held.last_index}, "
+        f"version {book.force} is in force{pending}; voters {voters}"
+    )
 
 
 def recover(properties: str, name: str, without: list[str], seen: list[str], know: bool, out: TextIO) -> int:
@@ -283,14 +288,14 @@
     found = objections(mine, others, without, applied)
     print(f"{name}: {said_of(path)}", file=out)
     say_lost(lost(answers, mine, None), answers, out)
-    book = mine.book()
+    book = mine.rollout_state()
     if book.pending:
         print(f"version {book.pending} is on its way here: it goes on, and ends as it ends", file=out)
     if not allowed(found, know, out):
         return REFUSED
     store = Store(str(path.parent))
     with closing(store.db):
-        store.keep(recovered(mine, others))
+        store.keep(recovered_state(mine, others))
     print(
         f"{name} votes alone from now on. Start it, and wait until `policy status` says that it leads;",
         file=out,
@@ -353,7 +358,7 @@
     else:
         shelf = ReplicaStore(str(folder))
         with closing(shelf.db):
-            shelf.keep(Ready(facts=replace(shelf.load(), entries=[], starts=0)))
+            shelf.keep(Ready(metadata=replace(shelf.load(), entries=[], store_opens=0)))
 
 
 def run(options: Any, load: Callable[[str], PeersSettings], out: TextIO) -> int:
--- a/brackenusher/group/replica_store.py
+++ b/brackenusher/group/replica_store.py
@@ -4,7 +4,7 @@
 
 from msgspec import DecodeError, msgpack
 
-from barleybarrow.replica import Kept, Ready
+from barleybarrow.replica import Ready, StoredReplica
 from barleybarrow.version_vectors import Entry
 from brackenusher.group.database import DatabaseDamagedError, File
 from brackenusher.runtime.points import reach
@@ -22,12 +22,12 @@
     NAME = "replica.db"
     TABLES = ("CREATE TABLE IF NOT EXISTS slots (key TEXT PRIMARY KEY, data BLOB, sum BLOB)",)
 
-    def load(self) -> Kept:
+    def load(self) -> StoredReplica:
         """Raises DatabaseDamagedError."""
-        facts, kept = self.whole(), Kept()
+        facts, kept = self.whole(), StoredReplica()
         try:
             if "kept" in facts:
-                kept = msgpack.decode(facts["kept"], type=Kept)
+                kept = msgpack.decode(facts["kept"], type=StoredReplica)
             for key, data, found in self.db.execute("SELECT key, data, sum FROM slots"):
                 if sum_of(key, data) != found:
                     raise DatabaseDamagedError(f"the entries of {key}")
@@ -40,14 +40,14 @@
         """Make durable what the machine wants kept, all of it or nothing. Raises OSError, sqlite3.Error."""
         reach("before-keep")
         with self.durably():
-            gone = [(key,) for key, slot in ready.keys.items() if not slot]
-            rows = [(key, msgpack.encode(slot)) for key, slot in ready.keys.items() if slot]
+            gone = [(key,) for key, slot in ready.entries_by_key.items() if not slot]
+            rows = [(key, msgpack.encode(slot)) for key, slot in ready.entries_by_key.items() if slot]
             self.db.executemany("DELETE FROM slots WHERE key = ?", gone)
             self.db.executemany(
                 "INSERT OR REPLACE INTO slots VALUES (?, ?, ?)",
                 [(key, data, sum_of(key, data)) for key, data in rows],
             )
-            if ready.facts is not None:
-                self.fact("kept", msgpack.encode(ready.facts))
+            if ready.metadata is not None:
+                self.fact("kept", msgpack.encode(ready.metadata))
                 self.fact("form", self.FORM)
         reach("after-keep")
--- a/brackenusher/group/replicas.py
+++ b/brackenusher/group/replicas.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from typing import Any, TextIO
 
-from barleybarrow.overrides import MarkError, key_of
+from barleybarrow.overrides import OverrideError, key_of
 from brackenusher.config.operators import PeersSettings
 from brackenusher.config.platform import ConfigError
 from brackenusher.group.policies import CommandRefusedError, wish
@@ -89,7 +89,7 @@
     def about() -> str:
         try:
             return key_of(options.kind, options.name)
-        except MarkError as error:
+        except OverrideError as error:
             raise ConfigError(str(error)) from error
 
     def mark() -> int:
--- a/brackenusher/group/replicator.py
+++ b/brackenusher/group/replicator.py
@@ -16,12 +16,20 @@
 from barleybarrow import interface as face
 from barleybarrow.idempotency_records import IdempotencyRecords
 from barleybarrow.idempotency_records import Message as Told
-from barleybarrow.overrides import KINDS, Effect, Lapses, Mark, MarkError, key_of, read
+from barleybarrow.overrides import (
+    KINDS,
+    ActiveOverrides,
+    Override,
+    OverrideError,
+    OverrideExpiry,
+    decode_override,
+    key_of,
+)
 from barleybarrow.rate_limiter import CLOSED_WAIT, LONGEST_KEY
-from barleybarrow.replica import Kept, Ready, Replica, Stage
 from barleybarrow.replica import Message as Copied
+from barleybarrow.replica import Ready, Replica, Stage, StoredReplica
+from barleybarrow.shares import LimitShares, SharedRateLimiter
 from barleybarrow.shares import Message as Shared
-from barleybarrow.shares import SharedRateLimiter, Shares
 from brackenusher.config.operators import ReplicaSettings
 from brackenusher.core.admission import Request
 from brackenusher.core.transaction import Transactions
@@ -70,20 +78,23 @@
         kept, self.worker, shelf = None, None, None
         if name in keepers:
             shelf, kept = opened(ReplicaStore, ReplicaStore.load, settings.folder, "replica")
-            kept = kept or Kept()
+            kept = kept or StoredReplica()
             if settings.from_empty and kept.origin:
-                kept, aside = Kept(), shelf.set_aside()
+                kept, aside = StoredReplica(), shelf.set_aside()
                 say(log, logging.WARNING, "store_left", "replica: left aside as %(aside)s", aside=aside)
             self.worker = Worker()
         self.shelf: ReplicaStore | None = shelf
         rng = random.Random(random.SystemRandom().getrandbits(64))
         self.machine = Replica(name, keepers, rng, clock(), kept, settings.entries)
-        self.effect, self.lapses = Effect(), Lapses(keepers.index(name) if name in keepers else -1)
-        self.effect.follow(self.machine.state, list(self.machine.state.slots))
-        self.lapses.follow(clock(), self.machine.state, list(self.machine.state.slots))
-        self.shares: Shares | None = None
+        self.effect, self.lapses = (
+            ActiveOverrides(),
+            OverrideExpiry(keepers.index(name) if name in keepers else -1),
+        )
+        self.effect.update(self.machine.state, list(self.machine.state.slots))
+        self.lapses.update(clock(), self.machine.state, list(self.machine.state.slots))
+        self.shares: LimitShares | None = None
         if door is not None and settings.limits:
-            self.shares = Shares(
+            self.shares = LimitShares(
                 name, keepers, rng, clock(), wanted.proxies, lambda key: door.limit(key).rate
             )
             door.shares = self.shares
@@ -136,13 +147,13 @@
         now, swim = clock(), self.peers.swim
         try:
             assert swim is not None
-            self.machine.reach = [m.name for m in swim.alive() if m.name != self.name]
+            self.machine.reachable = [m.name for m in swim.alive() if m.name != self.name]
             self.machine.tick(now)
             if self.shares is not None:
-                self.shares.reachable = self.machine.reach
+                self.shares.reachable = self.machine.reachable
                 self.shares.tick(now)
             if self.fates is not None:
-                self.fates.reach = self.machine.reach
+                self.fates.reachable = self.machine.reachable
                 self.fates.tick(now)
             if now >= self.lapse_at:
                 self.lapse_at = now + LAPSE
@@ -155,11 +166,11 @@
 
     def again(self) -> None:
         self.loop.deadlines.remove(self.due)
-        now, when = clock(), self.machine.next()
+        now, when = clock(), self.machine.next_wakeup()
         if self.shares is not None:
-            when = min(when, self.shares.next())
+            when = min(when, self.shares.next_wakeup())
         if self.fates is not None:
-            when = min(when, self.fates.next())
+            when = min(when, self.fates.next_wakeup())
         when = min(max(when, now + LEAST_WAIT), now + LONGEST_WAIT)
         self.due = self.loop.deadlines.add(when, self.work)
 
@@ -173,7 +184,7 @@
 
     def lapse(self, now: float) -> None:
         """Clear marks whose span is over, as the first keeper that sees it."""
-        if self.machine.may_write():
+        if self.machine.write_refusal():
             return
         for key in self.lapses.due(now):
             self.write(key, None)
@@ -181,26 +192,26 @@
     # Store, send
 
     def pump(self) -> None:
-        urgent, self.machine.urgent = self.machine.urgent, []
+        urgent, self.machine.immediate_messages = self.machine.immediate_messages, []
         for to, question in urgent:
             self.streams.send(to, msgpack.encode(question), COPIES)
-        ready = self.machine.take() if self.inorder.idle else None
+        ready = self.machine.take_ready() if self.inorder.idle else None
         if ready is not None:
-            if ready.changed:
-                self.act(ready.changed)
+            if ready.changed_keys:
+                self.act(ready.changed_keys)
             self.inorder.put(ready)
         if self.shares is not None:
             out, self.shares.outgoing = self.shares.outgoing, []
             for to, message in out:
                 self.streams.send(to, msgpack.encode(message), SHARES)
         if self.fates is not None:
-            said, self.fates.out = self.fates.out, []
+            said, self.fates.outgoing = self.fates.outgoing, []
             for to, word in said:
                 self.streams.send(to, msgpack.encode(word), FATES)
         self.tell()
 
     def needs(self, ready: Ready) -> bool:
-        return bool(ready.keys) or ready.facts is not None
+        return bool(ready.entries_by_key) or ready.metadata is not None
 
     def keep(self, ready: Ready) -> None:
         assert self.shelf is not None
@@ -210,7 +221,7 @@
         for to, message in ready.messages:
             self.streams.send(to, msgpack.encode(message), COPIES)
         reach("after-tell")
-        for token, good in ready.done:
+        for token, good in ready.write_results:
             self.outcomes[token] = "acknowledged" if good else "unknown"
             while len(self.outcomes) > MOST_OUTCOMES:
                 self.outcomes.popitem(last=False)
@@ -233,16 +244,16 @@
     def hurry(self, now: float, event: face.Event, actions: Sequence[Any]) -> None:
         """An observer of the transactions: a fate is told soon."""
         assert self.past is not None and self.fates is not None
-        before = self.fates.tell_at
+        before = self.fates.flush_at
         self.past.handled(now, event, actions)
-        if self.fates.tell_at < before:
+        if self.fates.flush_at < before:
             self.again()
 
     # Acting upon it
 
     def act(self, changed: list[str]) -> None:
-        self.lapses.follow(clock(), self.machine.state, changed)
-        moved = self.effect.follow(self.machine.state, changed)
+        self.lapses.update(clock(), self.machine.state, changed)
+        moved = self.effect.update(self.machine.state, changed)
         names = [name for kind, name in moved if kind == "server" and name in self.pool.members]
         blocks = {int(name) for kind, name in moved if kind == "block"}
         if blocks:
@@ -269,7 +280,7 @@
     def tell(self) -> None:
         """Log what has changed."""
         m, effect = self.machine, self.effect
-        now = (m.stage.value, len(effect.conflicts), m.differs, m.counts["store_old"])
+        now = (m.stage.value, len(effect.conflicts), m.has_diverged, m.counts["store_old"])
         if now == self.told:
             return
         before, self.told = self.told, now
@@ -285,7 +296,7 @@
         if now[3] != before[3]:
             text = "replica: others know of more than its store holds: it counts as an empty one"
             say(log, logging.ERROR, "replica_store_old", text)
-        aside, m.aside = m.aside, []
+        aside, m.replaced_entries = m.replaced_entries, []
         for entry in aside:
             text = "replica: set aside, as a majority holds something else: %(key)s by %(origin)s"
             say(log, logging.ERROR, "replica_set_aside", text, key=entry.key, origin=entry.origin)
@@ -297,17 +308,17 @@
             "replica_caught_up": int(m.stage is Stage.CAUGHT_UP),
             "replica_entries": m.state.size,
             "replica_bytes": m.state.bytes,
-            "replica_removed": m.state.removed,
+            "replica_removed": m.state.tombstone_count,
             "replica_conflicts": len(self.effect.conflicts),
-            "replica_differs": int(m.differs),
-            "replica_writes": len(m.writes),
+            "replica_differs": int(m.has_diverged),
+            "replica_writes": len(m.pending_writes),
             "replica_dropped": m.state.counts["room"] + self.streams.counts["room"] + m.dropped,
             "replica_turned_away": self.turned_away,
         }
         if self.past is not None and self.fates is not None:
             found = {
                 **found,
-                "replica_fates": len(self.fates.fates),
+                "replica_fates": len(self.fates.records),
                 "replica_repeats_answered": self.past.answers,
                 "replica_repeats_bound": self.past.bound,
             }
@@ -319,7 +330,7 @@
 
     def write(self, key: str, value: bytes | None) -> int:
         """Raises CommandRefusedError."""
-        why = self.machine.may_write()
+        why = self.machine.write_refusal()
         if why:
             raise CommandRefusedError(f"{self.name} {why}")
         self.token += 1
@@ -338,8 +349,8 @@
     def mark(self, wish: Wish) -> Any:
         key = self.key(wish)
         if len(wish.who) > 64 or len(wish.why) > 500 or not 0.0 <= wish.number <= 30 * 86_400:
-            raise MarkError("who, why or for: too long")
-        value = msgpack.encode(Mark(wish.who, wish.why, float(wish.number), wish.at))
+            raise OverrideError("who, why or for: too long")
+        value = msgpack.encode(Override(wish.who, wish.why, float(wish.number), wish.at))
         return {"token": self.write(key, value)}
 
     def clear(self, wish: Wish) -> Any:
@@ -363,7 +374,7 @@
         for key in [*sorted(self.effect.conflicts), *sorted(set(keys) - self.effect.conflicts)]:
             words = []
             for entry in m.state.slots[key]:
-                mark = read(entry)
+                mark = decode_override(entry)
                 facts = {"origin": entry.origin, "number": entry.number, "marked": mark is not None}
                 if mark is not None:
                     facts |= {"who": mark.who, "why": mark.why, "for_s": mark.for_s, "at": mark.at}
@@ -378,33 +389,33 @@
         """How this copy stands to the others that were heard lately."""
         m, now = self.machine, clock()
         others = {}
-        for name, other in sorted((n, o) for n, o in m.others.items() if o.run):
+        for name, other in sorted((n, o) for n, o in m.peers.items() if o.run_id):
             covered = all(m.state.vector.get(o, 0) >= n for o, n in other.vector.items())
             covers = all(other.vector.get(o, 0) >= n for o, n in m.state.vector.items())
             words = "has the same" if covered and covers else "is ahead" if covers else "is behind"
             others[name] = {
-                "heard_ms": int(now - other.heard_at),
+                "heard_ms": int(now - other.last_heard_at),
                 "stands": "has other things" if not covered and not covers else words,
             }
         parts = {}
         if self.shares is not None:
             keys = list(self.shares.grants)[:100]
-            parts = {key: round(self.shares.part(key, now), 4) for key in keys}
+            parts = {key: round(self.shares.share_of(key, now), 4) for key in keys}
         return {
             "name": self.name,
             "stage": m.stage.value,
             "origin": m.origin,
-            "whole": m.whole,
+            "whole": m.complete,
             "entries": m.state.size,
-            "removed": m.state.removed,
+            "removed": m.state.tombstone_count,
             "bytes": m.state.bytes,
-            "print": f"{m.state.print:016x}",
-            "differs": m.differs,
+            "print": f"{m.state.digest:016x}",
+            "differs": m.has_diverged,
             "conflicts": sorted(self.effect.conflicts)[:100],
             "others": others,
             "warden": self.shares.credit_server if self.shares is not None else "",
             "parts": parts,
-            "base": round(self.shares.base, 4) if self.shares is not None else None,
+            "base": round(self.shares.fallback_share, 4) if self.shares is not None else None,
             "counts": dict(m.counts + m.state.counts),
         }
 
--- a/brackenusher/group/store.py
+++ b/brackenusher/group/store.py
@@ -6,7 +6,7 @@
 from msgspec import DecodeError, msgpack
 
 from barleybarrow.agreement_messages import Entry, Ready, Snapshot
-from barleybarrow.incarnations import Life
+from barleybarrow.incarnations import Incarnation
 from brackenusher.group.database import DatabaseDamagedError, File, check
 from brackenusher.runtime.points import reach
 
@@ -20,7 +20,7 @@
     lives: int = 0  # how often this store was opened
     snapshot: Snapshot | None = None
     entries: list[Entry] = field(default_factory=list)
-    met: dict[str, Life] = field(default_factory=dict)
+    met: dict[str, Incarnation] = field(default_factory=dict)
 
 
 class Store(File):
@@ -43,7 +43,7 @@
     def read(self, facts: dict[str, Any]) -> Kept:
         kept = Kept(facts.get("term", 0), facts.get("vote", ""), facts.get("lives", 0))
         for name, life in facts.get("met", {}).items():
-            kept.met[str(name)] = Life(*life) if isinstance(life, list) else Life(int(life))
+            kept.met[str(name)] = Incarnation(*life) if isinstance(life, list) else Incarnation(int(life))
         if "snapshot" in facts:
             kept.snapshot = msgpack.decode(facts["snapshot"], type=Snapshot)
         place = kept.snapshot.index if kept.snapshot is not None else 0
@@ -60,17 +60,17 @@
         """Make durable what the machine wants kept, all of it or nothing. Raises OSError, sqlite3.Error."""
         reach("before-store")
         with self.durably():
-            if ready.hard is not None:
-                self.fact("term", ready.hard[0])
-                self.fact("vote", ready.hard[1])
+            if ready.hard_state is not None:
+                self.fact("term", ready.hard_state[0])
+                self.fact("vote", ready.hard_state[1])
             if ready.snapshot is not None:
                 self.fact("snapshot", msgpack.encode(ready.snapshot))
                 self.db.execute("DELETE FROM log")
             if ready.entries:
-                self.db.execute("DELETE FROM log WHERE place >= ?", (ready.first,))
+                self.db.execute("DELETE FROM log WHERE place >= ?", (ready.first_index,))
                 rows = [
                     (at, e.term, e.kind, e.data, check(at, e.term, e.kind, e.data))
-                    for at, e in enumerate(ready.entries, ready.first)
+                    for at, e in enumerate(ready.entries, ready.first_index)
                 ]
                 self.db.executemany("INSERT INTO log VALUES (?, ?, ?, ?, ?)", rows)
         reach("after-store")
--- a/testbed/consensus.py
+++ b/testbed/consensus.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from barleybarrow.agreement import ELECTION, Agreement, Role
+from barleybarrow.agreement import ELECTION_TIMEOUT_MS, RaftNode, Role
 from barleybarrow.agreement_messages import Entry, Message, Ready, Snapshot
 
 MOST_ON_WAY = 40
@@ -38,13 +38,13 @@
     entries: list[Entry] = field(default_factory=list)
 
     def keep(self, ready: Ready) -> None:
-        if ready.hard is not None:
-            self.term, self.vote = ready.hard
+        if ready.hard_state is not None:
+            self.term, self.vote = ready.hard_state
         if ready.snapshot is not None:
             self.snapshot, self.entries = ready.snapshot, []
         if ready.entries:
             base = self.snapshot.index if self.snapshot is not None else 0
-            del self.entries[ready.first - base - 1 :]
+            del self.entries[ready.first_index - base - 1 :]
             self.entries += ready.entries
 
     def compact(self, snapshot: Snapshot) -> None:
@@ -57,7 +57,7 @@
 class Machine:
     """One process, its disk, and what it wants stored and has not yet."""
 
-    agreement: Agreement
+    agreement: RaftNode
     disk: Disk = field(default_factory=Disk)
     waiting: list[Ready] = field(default_factory=list)
 
@@ -77,17 +77,17 @@
         self.found: list[str] = []
         self.proposed = self.token = 0
 
-    def machine(self, name: str, *kept: Any) -> Agreement:
-        return Agreement(name, list(self.names), self.rng, self.now, *kept)
+    def machine(self, name: str, *kept: Any) -> RaftNode:
+        return RaftNode(name, list(self.names), self.rng, self.now, *kept)
 
     # What may happen
 
     def timeout(self, name: str) -> None:
         """A long silence for one."""
         a = self.machines[name].agreement
-        self.now += ELECTION
-        a.heard_at = min(a.heard_at, self.now - 2 * ELECTION)
-        a.stands_at = self.now
+        self.now += ELECTION_TIMEOUT_MS
+        a.leader_heard_at = min(a.leader_heard_at, self.now - 2 * ELECTION_TIMEOUT_MS)
+        a.election_due_at = self.now
         a.tick(self.now)
         self.want(name)
 
@@ -101,11 +101,11 @@
             held = self.leaders.setdefault(m.agreement.term, name)
             if held != name:
                 self.found.append(f"one_leader: {held} and {name} in term {m.agreement.term}")
-        for token, index in m.agreement.reads:
+        for token, index in m.agreement.answered_reads:
             if index < self.questions.get(token, 0):
                 self.found.append(f"fresh_reads: {name} was told {index} of {self.questions[token]}")
-        m.agreement.reads.clear()
-        ready = m.agreement.take()
+        m.agreement.answered_reads.clear()
+        ready = m.agreement.take_ready()
         if ready is not None:
             m.waiting.append(ready)
 
@@ -117,11 +117,11 @@
         ready = m.waiting.pop(0)
         m.disk.keep(ready)
         self.carry(name, ready)
-        for index, entry in ready.apply:
+        for index, entry in ready.committed_entries:
             held = self.log.setdefault(index, (entry.term, entry.data))
             if held != (entry.term, entry.data):
                 self.found.append(f"one_log: {name} applied another entry at {index}")
-        m.agreement.stored(self.now, ready)
+        m.agreement.on_stored(self.now, ready)
         self.want(name)
 
     def carry(self, name: str, ready: Ready) -> None:
@@ -159,12 +159,12 @@
     def read(self, name: str) -> None:
         self.token += 1
         self.questions[self.token] = max(self.log, default=0)
-        self.machines[name].agreement.read(self.now, self.token)
+        self.machines[name].agreement.request_read(self.now, self.token)
         self.want(name)
 
     def compact(self, name: str) -> None:
         m = self.machines[name]
-        made = m.agreement.compact(m.agreement.applied, b"")
+        made = m.agreement.compact(m.agreement.applied_index, b"")
         if made is not None and not m.waiting:
             m.disk.compact(made)
 
@@ -252,9 +252,20 @@
     for name in table.names:
         a, m = table.machines[name].agreement, table.machines[name]
         votes, entries = sorted(a.votes), [(e.term, e.data) for e in a.entries]
-        progress = sorted((n, p.next, p.match) for n, p in a.progress.items())
+        progress = sorted((n, p.next_index, p.match_index) for n, p in a.progress.items())
         parts.append(
-            (a.role, a.term, a.vote, a.leader, entries, a.commit, votes, progress, m.disk.term, m.disk.vote)
+            (
+                a.role,
+                a.term,
+                a.vote,
+                a.leader,
+                entries,
+                a.commit_index,
+                votes,
+                progress,
+                m.disk.term,
+                m.disk.vote,
+            )
         )
     on_way = sorted((s, t, repr(m)) for s, t, m in table.on_way)
     return hash(repr((parts, on_way, table.proposed)))
--- a/testbed/copies.py
+++ b/testbed/copies.py
@@ -7,7 +7,7 @@
 import copy
 import random
 
-from barleybarrow.replica import Kept, Ready, Replica, Stage
+from barleybarrow.replica import Ready, Replica, Stage, StoredReplica
 from barleybarrow.version_vectors import Dot, Entry, Vector
 from testbed import oracle_replica as oracle
 from testbed.cluster import PERIOD, Machines
@@ -20,19 +20,19 @@
     """What a keeper has stored."""
 
     def __init__(self) -> None:
-        self.kept = Kept()
+        self.kept = StoredReplica()
         self.slots: dict[str, list[Entry]] = {}
 
     def keep(self, ready: Ready) -> None:
-        for key, slot in ready.keys.items():
+        for key, slot in ready.entries_by_key.items():
             if slot:
                 self.slots[key] = slot
             else:
                 self.slots.pop(key, None)
-        if ready.facts is not None:
-            self.kept = ready.facts
+        if ready.metadata is not None:
+            self.kept = ready.metadata
 
-    def load(self) -> Kept:
+    def load(self) -> StoredReplica:
         kept = copy.deepcopy(self.kept)
         kept.entries = [e for slot in self.slots.values() for e in slot]
         return kept
@@ -68,8 +68,8 @@
         name, rng = f"n{i}", random.Random(self.rng.random())
         kept = self.disks[i].load() if name in self.keepers else None
         found = Replica(name, self.keepers, rng, self.clock(i), kept, self.room)
-        found.reach = [f"n{j}" for j in range(self.size) if j != i]
-        found.most_removed = self.most_removed
+        found.reachable = [f"n{j}" for j in range(self.size) if j != i]
+        found.max_tombstones = self.most_removed
         return found
 
     def begin(self, i: int) -> None:
@@ -77,10 +77,10 @@
 
     def carry(self, i: int) -> None:
         member = self.members[i]
-        urgent, member.urgent = member.urgent, []
+        urgent, member.immediate_messages = member.immediate_messages, []
         for to, message in urgent:
             self.send(i, int(to[1:]), message)
-        ready = member.take()
+        ready = member.take_ready()
         if member.stage is Stage.CAUGHT_UP:
             self.judge_ready(i)
         if ready is not None:
@@ -90,7 +90,7 @@
 
     def sync(self, i: int) -> None:
         ready = self.busy[i][0]
-        span = self.rng.uniform(*SYNC) if ready.keys or ready.facts else 0.0
+        span = self.rng.uniform(*SYNC) if ready.entries_by_key or ready.metadata else 0.0
         self.at(self.now + span, self.synced, (i, self.life[i], ready))
 
     def synced(self, what: tuple[int, int, Ready]) -> None:
@@ -100,7 +100,7 @@
         self.disks[i].keep(ready)
         for to, message in ready.messages:
             self.send(i, int(to[1:]), message)
-        for token, good in ready.done:
+        for token, good in ready.write_results:
             if good:
                 self.acked[token] = self.now
         self.busy[i].pop(0)
@@ -113,7 +113,7 @@
     def write(self, i: int, key: str, value: bytes | None) -> int:
         """Have one write; its token, or 0 where it does not."""
         member = self.members[i]
-        if not self.runs(i) or member.may_write():
+        if not self.runs(i) or member.write_refusal():
             return 0
         self.tokens += 1
         knew = dict(member.state.vector)
@@ -148,13 +148,13 @@
 
     def poor(self, i: int) -> bool:
         """Whether a keeper's disk does not hold what was acknowledged through it."""
-        return not self.disks[i].kept.whole
+        return not self.disks[i].kept.complete
 
     # What is seen
 
     def judge_ready(self, i: int) -> None:
         """One that says that it has caught up holds what was acknowledged before it started."""
-        key = (i, self.life[i], self.members[i].asks)
+        key = (i, self.life[i], self.members[i].catch_up_round)
         if key in self.seen_ready:
             return
         self.seen_ready.add(key)
