--- a/testbed/keyed.py
+++ b/testbed/keyed.py
@@ -9,7 +9,7 @@
 from functools import partial
 from typing import Any
 
-from barleybarrow.idempotency_records import DELAY, Answer, IdempotencyRecords
+from barleybarrow.idempotency_records import BATCH_DELAY_MS, IdempotencyRecords, SavedResponse
 from testbed.cluster import DELAY as WAY
 from testbed.cluster import PERIOD, TURN, Machines
 from testbed.schedule import Schedule
@@ -19,7 +19,7 @@
 LIMIT = 250.0  # after which a proxy gives an attempt up
 LOST = 0.2  # of answers
 SERVERS = 6
-TELLS = DELAY + 2 * TURN + WAY[1] + 1.0  # by when a word has come over a link that works
+TELLS = BATCH_DELAY_MS + 2 * TURN + WAY[1] + 1.0  # by when a word has come over a link that works
 MOVES = 120.0  # milliseconds between two new keys, on the mean
 
 
@@ -56,11 +56,11 @@
 
     def machine(self, i: int) -> IdempotencyRecords:
         found = IdempotencyRecords(f"n{i}", self.clock(i))
-        found.reach = [f"n{j}" for j in range(self.size) if j != i]
+        found.reachable = [f"n{j}" for j in range(self.size) if j != i]
         return found
 
     def carry(self, i: int) -> None:
-        out, self.members[i].out = self.members[i].out, []
+        out, self.members[i].outgoing = self.members[i].outgoing, []
         for to, message in out:
             self.send(i, int(to[1:]), message)
 
@@ -104,16 +104,16 @@
 
     def take(self, i: int, move: Move, request: int) -> None:
         fates, now = self.members[i], self.clock(i)
-        verdict = fates.ask(move.key, now, False)
+        verdict = fates.lookup(move.key, now, False)
         self.known += verdict is not None
-        if verdict is not None and verdict.answer is not None:
+        if verdict is not None and verdict.response is not None:
             move.done = True
             return
         if verdict is not None and (not verdict.server or now >= verdict.until):
             return  # given up at once: it may run nowhere else
         server = int(verdict.server) if verdict is not None else self.rng.randrange(SERVERS)
-        fates.arrived(request, move.key, WINDOW)
-        fates.sent(now, request, str(server))
+        fates.on_request(request, move.key, WINDOW)
+        fates.on_attempt_sent(now, request, str(server))
         self.attempts.append(Attempt(move.key, server, self.now, i, verdict is not None))
         span, life = self.rng.uniform(*WORK), self.life[i]
         lost = self.rng.random() < LOST or span > LIMIT
@@ -123,8 +123,8 @@
         if self.life[i] != life or not self.runs(i):
             return
         fates, now = self.members[i], self.clock(i)
-        fates.ended(now, request, 0, False)
-        fates.over(now, request, None if lost else Answer(b"done"))
+        fates.on_attempt_ended(now, request, 0, False)
+        fates.on_request_done(now, request, None if lost else SavedResponse(b"done"))
         move.done = move.done or not lost
         self.carry(i)
 
--- a/testbed/oracle_replica.py
+++ b/testbed/oracle_replica.py
@@ -6,7 +6,7 @@
 from collections.abc import Iterable, Mapping, Sequence
 from dataclasses import dataclass
 
-from barleybarrow.version_vectors import Dot, Entry, State, Vector, covers
+from barleybarrow.version_vectors import Dot, Entry, Vector, VersionedState, covers
 
 
 @dataclass(frozen=True)
@@ -43,7 +43,7 @@
     return found
 
 
-def missing(state: State, wanted: Iterable[Entry], written: Iterable[Entry]) -> list[Entry]:
+def missing(state: VersionedState, wanted: Iterable[Entry], written: Iterable[Entry]) -> list[Entry]:
     """Writes that a copy lacks, though no later one that was made supersedes them."""
     held = {e.dot for e in state.entries()}
     by_key: dict[str, list[Entry]] = {}
@@ -51,19 +51,19 @@
         by_key.setdefault(entry.key, []).append(entry)
     found = []
     for entry in wanted:
-        over = any(covers(later.over, entry.dot) for later in by_key.get(entry.key, ()))
+        over = any(covers(later.supersedes, entry.dot) for later in by_key.get(entry.key, ()))
         if entry.dot not in held and not over and entry.value is not None:
             found.append(entry)
     return found
 
 
-def risen(state: State, acked: Iterable[Entry]) -> list[Entry]:
+def risen(state: VersionedState, acked: Iterable[Entry]) -> list[Entry]:
     """What a copy holds though an acknowledged write has superseded it."""
     acked = list(acked)
-    return [e for e in state.entries() if any(a.key == e.key and covers(a.over, e.dot) for a in acked)]
+    return [e for e in state.entries() if any(a.key == e.key and covers(a.supersedes, e.dot) for a in acked)]
 
 
-def beaten(state: State, knew: Mapping[Dot, Vector]) -> list[Entry]:
+def beaten(state: VersionedState, knew: Mapping[Dot, Vector]) -> list[Entry]:
     """What a copy holds beside a write of the same key whose writer had heard of it: that write wins."""
     slots = [slot for slot in state.slots.values() if len(slot) > 1]
     return [
@@ -74,7 +74,7 @@
     ]
 
 
-def unlike(states: Mapping[str, State]) -> list[str]:
+def unlike(states: Mapping[str, VersionedState]) -> list[str]:
     """Where copies differ in what is not a removal."""
     found, first = [], next(iter(states.items()), None)
     for name, state in states.items():
--- a/testbed/policy_group.py
+++ b/testbed/policy_group.py
@@ -11,7 +11,7 @@
 
 from barleybarrow.agreement_messages import Entry, Ready
 from barleybarrow.policy_gate import PolicyGate
-from barleybarrow.rollout import FORCE, Electorate, Propose
+from barleybarrow.rollout import IN_FORCE, Electorate, Propose
 from testbed import oracle_policy as oracle
 from testbed.cluster import PERIOD, Machines
 from testbed.consensus import Disk
@@ -59,7 +59,7 @@
         rng = random.Random(self.rng.random())
         kept = disk.term, disk.vote, disk.snapshot, list(disk.entries)
         machine = partial(PolicyGate, f"n{i}", self.voters, rng, self.clock(i), self.fence, self.within)
-        return machine(*kept, barred=False, keeps=self.keeps[i])
+        return machine(*kept, quarantined=False, durable=self.keeps[i])
 
     def begin(self, i: int) -> None:
         self.busy[i], self.members[i] = [], self.machine(i)
@@ -72,16 +72,16 @@
     def look(self, i: int) -> None:
         """The leader tries the addresses of those that are silent."""
         member = self.members[i]
-        for name in member.look:
+        for name in member.probe_targets:
             j = int(name[1:])
             if not self.up[j] and not self.cut(i, j) and not self.cut(j, i):
-                member.found_down(self.clock(i), name, self.clock(i))
+                member.on_connection_refused(self.clock(i), name, self.clock(i))
 
     def carry(self, i: int) -> None:
         """Hand what is wanted to the disk; one after the other."""
         member = self.members[i]
         self.note(i)
-        ready = member.take()
+        ready = member.take_ready()
         if ready is not None:
             self.busy[i].append(ready)
             if len(self.busy[i]) == 1:
@@ -89,7 +89,7 @@
 
     def sync(self, i: int) -> None:
         ready = self.busy[i][0]
-        needs = ready.hard is not None or ready.entries or ready.snapshot is not None
+        needs = ready.hard_state is not None or ready.entries or ready.snapshot is not None
         span = self.rng.uniform(*SYNC) if needs and self.keeps[i] else 0.0
         self.at(self.now + span, self.synced, (i, self.life[i], ready))
 
@@ -100,15 +100,15 @@
         self.disks[i].keep(ready)
         for to, message in ready.messages:
             self.send(i, int(to[1:]), message)
-        for index, entry in ready.apply:
+        for index, entry in ready.committed_entries:
             self.agreed(i, index, entry)
-        made = self.members[i].stored(self.clock(i), ready)
+        made = self.members[i].on_stored(self.clock(i), ready)
         if made is not None and self.keeps[i]:
             self.disks[i].compact(made)
         self.busy[i].pop(0)
-        if not self.keeps[i] and f"n{i}" in self.members[i].book.electorate:
+        if not self.keeps[i] and f"n{i}" in self.members[i].rollout_state.electorate:
             self.keeps[i] = True
-            self.disks[i].keep(self.members[i].agreement.whole())
+            self.disks[i].keep(self.members[i].raft.full_state())
             self.at(self.now + self.rng.uniform(*SYNC), self.able, (i, self.life[i]))
         if self.busy[i]:
             self.sync(i)
@@ -116,7 +116,7 @@
 
     def able(self, what: tuple[int, int]) -> None:
         if self.lives(what, self.able):
-            self.members[what[0]].can_keep(self.clock(what[0]))
+            self.members[what[0]].on_store_ready(self.clock(what[0]))
 
     # What is done
 
@@ -135,15 +135,15 @@
         if self.runs(i):
             self.proposed += 1
             member = self.members[i]
-            latest = max(member.book.versions, default=0)
+            latest = max(member.rollout_state.versions, default=0)
             text = document(latest + 1) if self.rng.random() < 0.9 else "[what]\n"
             command = Propose(f"id{self.proposed}", f"n{i}", f"after {latest}", self.now, text)
             self.proposals[command.id] = (self.now, i, inf)
             member.submit(self.clock(i), command)
             if self.rng.random() < 0.3:
                 member.submit(self.clock(i), command)
-            if self.rng.random() < 0.2 and member.book.pending:
-                member.withdraw(self.clock(i), member.book.pending, "chance")
+            if self.rng.random() < 0.2 and member.rollout_state.pending:
+                member.withdraw(self.clock(i), member.rollout_state.pending, "chance")
             self.carry(i)
 
     def elect(self, i: int) -> None:
@@ -159,9 +159,9 @@
         while not self.forces:
             self.run(self.now + 500.0)
             lead = self.leader()
-            if lead is not None and not lead.book.pending:
+            if lead is not None and not lead.rollout_state.pending:
                 self.proposed += 1
-                text = document(max(lead.book.versions, default=0) + 1)
+                text = document(max(lead.rollout_state.versions, default=0) + 1)
                 lead.submit(self.clock(int(lead.name[1:])), Propose(f"id{self.proposed}", "", "", 0.0, text))
         self.run(self.now + 500.0)
 
@@ -172,7 +172,7 @@
             for i in range(self.size):
                 if self.runs(i):
                     member = self.members[i]
-                    closed = member.verdict(self.clock(i))
+                    closed = member.admission_refusal(self.clock(i))
                     for tenant in TENANTS:
                         rules = member.rules
                         limit = rules.tenants.get(tenant) if rules is not None else None
@@ -187,7 +187,7 @@
 
     def note(self, i: int) -> None:
         """Note what an oracle wants to know of one."""
-        a = self.members[i].agreement
+        a = self.members[i].raft
         if a.role.value == "leader":
             self.leaders.setdefault(a.term, set()).add(a.name)
 
@@ -195,7 +195,7 @@
         held = self.log.setdefault(index, (entry.term, entry.data))
         if held != (entry.term, entry.data):
             self.found.append(f"one_log: n{i} applied another entry at {index}")
-        book = self.members[i].book
+        book = self.members[i].rollout_state
         self.at(self.now, self.forced, (i, book))
 
     def forced(self, what: tuple[int, Any]) -> None:
@@ -214,15 +214,15 @@
         texts: dict[int, str] = {}
         ends: dict[int, str] = {}
         for i, member in enumerate(self.members):
-            for v in member.book.versions.values():
+            for v in member.rollout_state.versions.values():
                 if texts.setdefault(v.number, v.id) != v.id:
                     found.append(
                         f"one_word: version {v.number} is {v.id} at n{i}, {texts[v.number]} elsewhere"
                     )
-                if v.phase in (FORCE, "withdrawn") and ends.setdefault(v.number, v.phase) != v.phase:
+                if v.phase in (IN_FORCE, "withdrawn") and ends.setdefault(v.number, v.phase) != v.phase:
                     found.append(f"one_word: version {v.number} is {v.phase} at n{i}")
         versions = []
-        held = {v.number: v for m in self.members for v in m.book.versions.values()}
+        held = {v.number: v for m in self.members for v in m.rollout_state.versions.values()}
         for number, at in sorted(self.forces.items()):
             stopped = {t for t in TENANTS if number in held and f"tenants.{t}]" in held[number].text}
             versions.append(oracle.Version(number, at, frozenset(stopped)))
@@ -231,11 +231,11 @@
         return found + oracle.breaches(versions, self.asks) + one_order(made, numbers)
 
     def leader(self) -> PolicyGate | None:
-        up = [m for i, m in enumerate(self.members) if self.up[i] and m.agreement.role.value == "leader"]
-        return max(up, key=lambda m: m.agreement.term) if up else None
+        up = [m for i, m in enumerate(self.members) if self.up[i] and m.raft.role.value == "leader"]
+        return max(up, key=lambda m: m.raft.term) if up else None
 
     def settled(self) -> bool:
         """Whether all that are up admit, and have applied the same."""
         up = [m for i, m in enumerate(self.members) if self.up[i]]
-        same = {(m.book.force, m.book.pending) for m in up}
-        return len(same) == 1 and all(not m.verdict(self.clock(int(m.name[1:]))) for m in up)
+        same = {(m.rollout_state.force, m.rollout_state.pending) for m in up}
+        return len(same) == 1 and all(not m.admission_refusal(self.clock(int(m.name[1:]))) for m in up)
--- a/testbed/portions.py
+++ b/testbed/portions.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 from barleybarrow.rate_limiter import Limit, RateLimiterSettings
-from barleybarrow.shares import SharedRateLimiter, Shares
+from barleybarrow.shares import LimitShares, SharedRateLimiter
 from testbed.cluster import PERIOD, Machines
 
 LOOK = 20.0  # milliseconds between two looks at the parts in use
@@ -22,7 +22,7 @@
         super().__init__(size, seed)
         self.keepers = [f"n{i}" for i in range(keepers)]
         self.rate, self.burst, self.proxies = rate, burst, proxies or size
-        self.shares: list[Shares] = []
+        self.shares: list[LimitShares] = []
         self.doors: list[SharedRateLimiter] = []
         for _ in range(size):
             self.shares.append(None)  # type: ignore[arg-type]
@@ -39,7 +39,7 @@
     def begin(self, i: int) -> None:
         rng = random.Random(self.rng.random())
         door = SharedRateLimiter(RateLimiterSettings(tenant=Limit(self.rate, self.burst)))
-        shares = Shares(f"n{i}", self.keepers, rng, self.clock(i), self.proxies, lambda key: self.rate)
+        shares = LimitShares(f"n{i}", self.keepers, rng, self.clock(i), self.proxies, lambda key: self.rate)
         door.shares = shares
         self.shares[i], self.doors[i] = shares, door
 
@@ -66,7 +66,7 @@
         self.at(self.now + self.rng.uniform(0.5, 1.5) * span, self.client, i)
 
     def look(self, _: object) -> None:
-        parts = [self.shares[i].part("t", self.clock(i)) for i in range(self.size) if self.runs(i)]
+        parts = [self.shares[i].share_of("t", self.clock(i)) for i in range(self.size) if self.runs(i)]
         self.used.append((self.now, sum(parts)))
         self.at(self.now + LOOK, self.look, None)
 
--- a/testbed/processes/moves.py
+++ b/testbed/processes/moves.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from barleybarrow.idempotency_records import ECHO
+from barleybarrow.idempotency_records import PROBE_INTERVAL_MS
 from testbed.processes.grouped import NUMBERS, Grouped
 from testbed.processes.several import scene
 from testbed.standins import host, response
@@ -34,7 +34,7 @@
             lambda: all((self.wish(n, "replica verify") or {}).get("stage") == "caught up" for n in range(3)),
             "caught up",
         )
-        time.sleep(2 * ECHO / 1000.0)  # each has asked the others
+        time.sleep(2 * PROBE_INTERVAL_MS / 1000.0)  # each has asked the others
         return self
 
     def first_word(self, pipe: Any, who: str) -> Any:
--- a/testbed/steps.py
+++ b/testbed/steps.py
@@ -15,9 +15,9 @@
 
 from msgspec import msgpack
 
-from barleybarrow.agreement_messages import Append, Appended, Message
-from barleybarrow.policy_gate import Note, PolicyGate
-from barleybarrow.rollout import FORCE, Propose
+from barleybarrow.agreement_messages import AppendEntries, AppendResponse, Message
+from barleybarrow.policy_gate import FollowerReport, PolicyGate
+from barleybarrow.rollout import IN_FORCE, Propose
 from testbed.consensus import Disk
 from testbed.policy_group import TENANTS, document
 
@@ -54,19 +54,21 @@
             self.go_by()
             while self.on_way:
                 self.deliver(self.on_way[0][:2])
-        assert all(m.book.force == 1 and not m.verdict(self.now) for m in self.machines.values())
+        assert all(
+            m.rollout_state.force == 1 and not m.admission_refusal(self.now) for m in self.machines.values()
+        )
 
     # What may happen
 
     def carry(self, name: str) -> None:
         """What is due, then store, send, apply what one wants; judge."""
         m = self.machines[name]
-        if m.next() <= self.now:
+        if m.next_wakeup() <= self.now:
             m.tick(self.now)
-        while (ready := m.take()) is not None:
+        while (ready := m.take_ready()) is not None:
             if name == self.names[0]:
                 self.disk.keep(ready)
-            m.stored(self.now, ready)
+            m.on_stored(self.now, ready)
             for to, message in ready.messages:
                 if self.says_nothing(to, name, message):
                     self.machines[to].receive(self.now, name, message)
@@ -80,12 +82,16 @@
         m = self.machines[to]
         if not self.up[to] or any(each[:2] == (sender, to) for each in self.on_way):
             return False
-        if isinstance(message, Append):
-            a = m.agreement
-            return not message.entries and message.before == a.last and message.commit <= a.commit
-        if isinstance(message, Appended) and message.good and sender in m.told:
-            told = msgpack.decode(message.note, type=Note) if message.note else None
-            return told is not None and told.applied <= m.told[sender].applied
+        if isinstance(message, AppendEntries):
+            a = m.raft
+            return (
+                not message.entries
+                and message.prev_index == a.last_index
+                and message.commit_index <= a.commit_index
+            )
+        if isinstance(message, AppendResponse) and message.success and sender in m.reports:
+            told = msgpack.decode(message.note, type=FollowerReport) if message.note else None
+            return told is not None and told.applied <= m.reports[sender].applied
         return False
 
     def go_by(self) -> None:
@@ -95,9 +101,9 @@
             if self.up[name]:
                 m = self.machines[name]
                 m.tick(self.now)
-                for other in m.look:
+                for other in m.probe_targets:
                     if not self.up[other]:
-                        m.found_down(self.now, other, self.now)
+                        m.on_connection_refused(self.now, other, self.now)
                 self.carry(name)
 
     def deliver(self, link: tuple[str, str], keep: bool = False) -> None:
@@ -133,10 +139,15 @@
 
     def judge(self) -> None:
         """Each version lets one tenant in, another with each number: whoever is served shows its version."""
-        forced = [v for m in self.machines.values() for v in m.book.versions.values() if v.phase == FORCE]
+        forced = [
+            v
+            for m in self.machines.values()
+            for v in m.rollout_state.versions.values()
+            if v.phase == IN_FORCE
+        ]
         known = max((v.number for v in forced), default=0)
         for name, m in self.machines.items():
-            if not self.up[name] or m.verdict(self.now) or m.rules is None:
+            if not self.up[name] or m.admission_refusal(self.now) or m.rules is None:
                 continue
             for number, tenant in ((n, TENANTS[n % 3]) for n in range(1, self.proposed + 1)):
                 limit = m.rules.tenants.get(tenant)
@@ -153,13 +164,13 @@
     def state(self) -> int:
         parts: list[Any] = []
         for name, m in self.machines.items():
-            b, c = m.book, m.conductor
+            b, c = m.rollout_state, m.rollout_driver
             phases = [(v.number, v.phase) for v in b.versions.values()]
-            told = sorted((n, w.applied) for n, w in m.told.items())
-            since = (self.now - c.phase_began) // PASS if c.number else 0
-            down = sorted(name for name in c.down)
-            parts.append((self.up[name], b.applied, phases, list(b.roster), m.caught, m.woken, told))
-            parts.append((c.number, c.phase, down, since, m.agreement.commit, len(m.asked)))
+            told = sorted((n, w.applied) for n, w in m.reports.items())
+            since = (self.now - c.phase_started_at) // PASS if c.number else 0
+            down = sorted(name for name in c.down_at)
+            parts.append((self.up[name], b.applied, phases, list(b.roster), m.caught_up, m.resuming, told))
+            parts.append((c.number, c.phase, down, since, m.raft.commit_index, len(m.read_sent_at)))
         on_way = sorted(f"{s} {t} {worded(m)}" for s, t, m in self.on_way)
         return hash(repr((parts, on_way, self.latest, self.proposed)))
 
--- a/testbed/week/virtual.py
+++ b/testbed/week/virtual.py
@@ -74,8 +74,8 @@
 
 def withdraw(c: PolicyGroup, i: int) -> None:
     member = c.members[i]
-    if c.runs(i) and member.book.pending:
-        member.withdraw(c.clock(i), member.book.pending, "staff")
+    if c.runs(i) and member.rollout_state.pending:
+        member.withdraw(c.clock(i), member.rollout_state.pending, "staff")
         c.carry(i)
 
 
--- a/tests/fleet/config_oracle.py
+++ b/tests/fleet/config_oracle.py
@@ -18,7 +18,7 @@
 
     number: int
     kind: str
-    base: int
+    base_version: int
     generation: int
     change: str  # JSON
     valid: bool = True
@@ -32,7 +32,7 @@
     machine: str
     started_at: float
     order: SentOrder | None = None
-    ended: float = 0.0
+    ended_at: float = 0.0
     status: int = 0
     document: Document | None = None  # result of a read
 
@@ -91,7 +91,7 @@
                 continue
             number = call.order.number
             if call.status == ACCEPTED:
-                self.acknowledged[number] = min(call.ended, self.acknowledged.get(number, call.ended))
+                self.acknowledged[number] = min(call.ended_at, self.acknowledged.get(number, call.ended_at))
                 self._record_version(call.order)
             elif 400 <= call.status < 500:
                 self.refused[number] = call.status
@@ -128,7 +128,7 @@
             return [comparable(change)]
         results = list[Document]()
         for base in self.orders.values():
-            if base.generation == order.base and base.number not in visited:
+            if base.generation == order.base_version and base.number not in visited:
                 for document in self._possible_documents(base, visited | {order.number}):
                     whole = {
                         "Generation": document["Generation"],
@@ -140,7 +140,7 @@
     def _check_one_order_per_base(self) -> None:
         by_base = defaultdict(set)
         for number in {*self.order_by_version.values(), *self.acknowledged}:
-            by_base[self.orders[number].base].add(number)
+            by_base[self.orders[number].base_version].add(number)
         for base, numbers in by_base.items():
             if len(numbers) > 1:
                 self.problems.append(f"orders {sorted(numbers)} were all accepted on top of version {base}")
@@ -157,7 +157,7 @@
             (ended, self.orders[number].generation) for number, ended in self.acknowledged.items()
         ]
         reads = [c for c in self.history.calls if c.operation == "read" and c.status == ACCEPTED]
-        known_versions += [(call.ended, version_read(call)) for call in reads]
+        known_versions += [(call.ended_at, version_read(call)) for call in reads]
         for call in reads:
             newest_known = max(
                 (generation for ended, generation in known_versions if ended < call.started_at), default=0
--- a/tests/fleet/config_schedules.py
+++ b/tests/fleet/config_schedules.py
@@ -71,21 +71,21 @@
         """Run the simulation and return all problems found by the oracle."""
         simulation = self.simulation
         for machine in list(simulation.machines.values()):
-            simulation.at(
+            simulation.schedule(
                 self.rng.uniform(0.0, START_WINDOW_MS),
                 lambda machine=machine: simulation.start(machine, True),
             )
-        simulation.at(START_WINDOW_MS, lambda: simulation.spawn(self.first_order()))
+        simulation.schedule(START_WINDOW_MS, lambda: simulation.spawn(self.first_order()))
         for _ in range(self.rng.randint(1, 3)):
-            simulation.at(FAULTS_FROM_MS / 2, lambda: simulation.spawn(self.operator()))
+            simulation.schedule(FAULTS_FROM_MS / 2, lambda: simulation.spawn(self.operator()))
         for _ in range(self.rng.randint(1, 8)):
             at, fault = self.rng.uniform(FAULTS_FROM_MS, FAULTS_UNTIL_MS), self.rng.choice(self.faults)
             if self.rng.random() < 0.5:
-                simulation.at(at, lambda fault=fault: self.after_next_acknowledgement(fault))
+                simulation.schedule(at, lambda fault=fault: self.after_next_acknowledgement(fault))
             else:
-                simulation.at(at, fault)
-        simulation.at(FAULTS_UNTIL_MS, self.end_all_faults)
-        simulation.at(FAULTS_UNTIL_MS + RECOVERY_MS, lambda: simulation.spawn(self.last_order()))
+                simulation.schedule(at, fault)
+        simulation.schedule(FAULTS_UNTIL_MS, self.end_all_faults)
+        simulation.schedule(FAULTS_UNTIL_MS + RECOVERY_MS, lambda: simulation.spawn(self.last_order()))
         simulation.run_until(END_MS)
         return ConsistencyChecker(simulation.history, json.loads).check()
 
@@ -181,7 +181,11 @@
                 next(self.order_numbers), "replace", self.newest_version(), self.newest_version() + 1, ""
             )
             order = SentOrder(
-                order.number, "replace", order.base, order.generation, f'{{"Generation": {order.generation}}}'
+                order.number,
+                "replace",
+                order.base_version,
+                order.generation,
+                f'{{"Generation": {order.generation}}}',
             )
             yield from self.send(order)
             if self.was_acknowledged(order) or self.simulation.now - started_at > ACK_DEADLINE_MS:
@@ -202,7 +206,7 @@
 
     def running(self) -> list[Machine]:
         """Running machines that count for the quorum."""
-        return [m for m in self.simulation.machines.values() if m.node is not None and m.counts]
+        return [m for m in self.simulation.machines.values() if m.node is not None and m.counts_for_quorum]
 
     def pick_machine(self) -> Machine | None:
         """A random running machine that counts for the quorum, with a bias towards the leader."""
@@ -219,7 +223,7 @@
             if machine.node is None and not machine.removed:
                 self.simulation.start(machine)
 
-        self.simulation.at(delay, start_if_down)
+        self.simulation.schedule(delay, start_if_down)
 
     def kill(self, machine: Machine | None = None, power: bool = False) -> None:
         """Kill a process and restart it."""
@@ -276,7 +280,7 @@
         notify_peers, duration_ms = self.rng.random() < 0.4, self.rng.uniform(300.0, 5000.0)
         for other in others:
             self.simulation.cut(one, other, notify_peers)
-            self.simulation.at(duration_ms, lambda other=other: self.simulation.heal(one, other))
+            self.simulation.schedule(duration_ms, lambda other=other: self.simulation.heal(one, other))
 
     def reset_connections(self) -> None:
         """Reset all connections of a machine."""
@@ -289,32 +293,38 @@
         """A disk hangs for a while."""
         machine = self.pick_machine()
         if machine is not None:
-            machine.stalled_until = self.simulation.now + self.rng.uniform(500.0, 4000.0)
+            machine.disk_stalled_until = self.simulation.now + self.rng.uniform(500.0, 4000.0)
 
     def slow_disk(self) -> None:
         """A disk is slow for a while."""
         machine = self.pick_machine()
         if machine is not None:
-            machine.slow_disk = 25.0
-            self.simulation.at(5000.0, lambda: setattr(machine, "slow_disk", 1.0))
+            machine.disk_slowdown = 25.0
+            self.simulation.schedule(5000.0, lambda: setattr(machine, "disk_slowdown", 1.0))
 
     def fill_disk(self) -> None:
         """A disk refuses writes for a while."""
         machine = self.pick_machine()
         if machine is not None:
             machine.disk.full = True
-            self.simulation.at(self.rng.uniform(500.0, 4000.0), lambda: setattr(machine.disk, "full", False))
+            self.simulation.schedule(
+                self.rng.uniform(500.0, 4000.0), lambda: setattr(machine.disk, "full", False)
+            )
 
     def slow_link(self) -> None:
         """All links of a machine are slow for a while."""
         machine = self.pick_machine()
         if machine is not None:
-            machine.slow_link = self.rng.uniform(50.0, 900.0)
-            self.simulation.at(self.rng.uniform(500.0, 4000.0), lambda: setattr(machine, "slow_link", 0.0))
+            machine.extra_delay_ms = self.rng.uniform(50.0, 900.0)
+            self.simulation.schedule(
+                self.rng.uniform(500.0, 4000.0), lambda: setattr(machine, "extra_delay_ms", 0.0)
+            )
 
     def kill_diskless(self) -> None:
         """Kill and restart a process without a disk."""
-        diskless = [m for m in self.simulation.machines.values() if m.node is not None and not m.counts]
+        diskless = [
+            m for m in self.simulation.machines.values() if m.node is not None and not m.counts_for_quorum
+        ]
         if diskless:
             self.kill(self.rng.choice(diskless))
 
@@ -325,24 +335,24 @@
             return
         name = f"10.0.3.{next(self.new_machine_numbers)}:7680"
         self.restart(self.simulation.add_machine(name, machine.zone, counts=True), 0.0)
-        self.simulation.at(1500.0, lambda: self.simulation.stop(machine))
-        self.simulation.at(1600.0, lambda: self.remove(machine))
+        self.simulation.schedule(1500.0, lambda: self.simulation.stop(machine))
+        self.simulation.schedule(1600.0, lambda: self.remove(machine))
 
     def pause(self) -> None:
         """Pause a process for a while."""
         machine = self.pick_machine()
         if machine is not None:
-            machine.frozen_until = self.simulation.now + self.rng.uniform(300.0, 4000.0)
+            machine.paused_until = self.simulation.now + self.rng.uniform(300.0, 4000.0)
 
     def may_lose_disk(self, machine: Machine) -> bool:
         """Whether a machine may lose its disk: at most the tolerated number may be lost and not caught up."""
         machines = self.simulation.machines
         for other in machines.values():
-            if other.wiped and other.node is not None and not other.node.agreement.barred:
+            if other.wiped and other.node is not None and not other.node.raft.quarantined:
                 other.wiped = False
-        newest = max(self.running(), key=lambda m: m.node.agreement.commit if m.node else 0)
+        newest = max(self.running(), key=lambda m: m.node.raft.commit_index if m.node else 0)
         assert newest.node is not None
-        voters = newest.node.agreement.voters
+        voters = newest.node.raft.voters
         lost = [name for name in voters if machines[name].removed or machines[name].wiped]
         return len({*lost, machine.name}) <= self.simulation.tolerated
 
@@ -361,7 +371,7 @@
         new_machine = self.simulation.add_machine(name, machine.zone, counts=True)
         if self.rng.random() < 0.4:  # planned: the new machine starts first
             self.restart(new_machine, 0.0)
-            self.simulation.at(self.rng.uniform(500.0, 2500.0), lambda: self.remove(machine))
+            self.simulation.schedule(self.rng.uniform(500.0, 2500.0), lambda: self.remove(machine))
         else:
             self.remove(machine)
             self.restart(new_machine, self.rng.uniform(300.0, 2500.0))
@@ -383,7 +393,7 @@
             ):
                 fault()
             elif self.simulation.now < FAULTS_UNTIL_MS - 500.0:
-                self.simulation.at(1.0, check)
+                self.simulation.schedule(1.0, check)
 
         check()
 
@@ -391,7 +401,7 @@
         """Lose power during one of the next disk operations."""
         machine = self.pick_machine()
         if machine is not None:
-            machine.disk.power_lost_at = machine.disk.operations + self.rng.randint(1, 12)
+            machine.disk.power_loss_at = machine.disk.operations + self.rng.randint(1, 12)
 
     def wipe_some_and_lose_power_of_others(self) -> None:
         """The tolerated number of machines lose their disks, while all others lose power."""
@@ -408,8 +418,10 @@
             return
         for other in self.running():
             self.simulation.cut(machine.name, other.name, says_so=True)
-            self.simulation.at(1500.0, lambda other=other: self.simulation.heal(machine.name, other.name))
-        self.simulation.at(
+            self.simulation.schedule(
+                1500.0, lambda other=other: self.simulation.heal(machine.name, other.name)
+            )
+        self.simulation.schedule(
             900.0, lambda: self.after_next_acknowledgement(lambda: self.wipe_other_than(machine))
         )
 
@@ -437,8 +449,10 @@
         for one, other in list(simulation.cuts):
             simulation.heal(one, other)
         for machine in simulation.machines.values():
-            machine.disk.full, machine.slow_disk, machine.slow_link = False, 1.0, 0.0
-            machine.disk.power_lost_at = 0
-            machine.stalled_until = machine.frozen_until = min(machine.stalled_until, simulation.now)
+            machine.disk.full, machine.disk_slowdown, machine.extra_delay_ms = False, 1.0, 0.0
+            machine.disk.power_loss_at = 0
+            machine.disk_stalled_until = machine.paused_until = min(
+                machine.disk_stalled_until, simulation.now
+            )
             if machine.node is None:
                 self.restart(machine, 0.0)
--- a/tests/fleet/config_search.py
+++ b/tests/fleet/config_search.py
@@ -16,7 +16,7 @@
 from msgspec import msgpack
 
 from barleybarrow.agreement import Role
-from barleybarrow.agreement_messages import Kind
+from barleybarrow.agreement_messages import EntryKind
 from barleybarrow.consensus.config_node import ConfigNode, NodeOptions, Work
 from barleybarrow.consensus.configuration_state import (
     Command,
@@ -143,7 +143,7 @@
                     )
                     voters, index = state.replicas[remote_name].node.voters
                     self.run_on_node(
-                        state, local_name, lambda node, now, v=voters, i=index: node.hear_voters(list(v), i)
+                        state, local_name, lambda node, now, v=voters, i=index: node.learn_voters(list(v), i)
                     )
 
     def deliver_all(self, state: SystemState, max_deliveries: int = MAX_DELIVERIES) -> None:
@@ -215,20 +215,20 @@
     def complete_work(self, state: SystemState, name: str, replica: Replica) -> None:
         node = replica.node
         while True:
-            while (work := node.take()) is not None:
+            while (work := node.take_ready()) is not None:
                 self.persist(replica, work)
                 for to, payload in work.messages:
                     self.send(state, name, to, payload)
-                node.stored(state.now)
-            requests, node.orders.checks = node.orders.checks, []
+                node.on_stored(state.now)
+            requests, node.orders.check_requests = node.orders.check_requests, []
             for request in requests:
-                node.checked(state.now, request.digest, "")
+                node.on_document_checked(state.now, request.digest, "")
             if not requests:
                 break
         outcomes, node.orders.outcomes = node.orders.outcomes, []
         for ticket, outcome in outcomes:
             generation = state.generation_by_ticket.get((name, replica.incarnation, ticket))
-            if outcome.status == OrderStatus.TAKEN and generation is not None:
+            if outcome.status == OrderStatus.ACCEPTED and generation is not None:
                 state.acknowledged_generations = (*state.acknowledged_generations, generation)
                 state.accepted_order = state.accepted_order or state.sent[generation]
             elif 400 <= outcome.status < 500:
@@ -383,8 +383,10 @@
         """Hash of everything that distinguishes states, except times."""
         parts: list[object] = [state.orders_sent, state.acknowledged_generations, state.bounds]
         for name, replica in state.replicas.items():
-            raft = replica.node.agreement
-            progress = tuple((n, p.next, p.match, p.received_index) for n, p in sorted(raft.progress.items()))
+            raft = replica.node.raft
+            progress = tuple(
+                (n, p.next_index, p.match_index, p.received_index) for n, p in sorted(raft.progress.items())
+            )
             log = tuple((entry.term, entry.kind, hash(entry.data)) for entry in raft.entries)
             parts.append(
                 (
@@ -393,9 +395,9 @@
                     raft.term,
                     raft.vote,
                     raft.leader,
-                    raft.barred,
+                    raft.quarantined,
                     raft.snapshot.index,
-                    raft.commit,
+                    raft.commit_index,
                     tuple(sorted(raft.votes)),
                     progress,
                     log,
@@ -409,7 +411,7 @@
 
     def check_invariants(self, state: SystemState, name: str, replica: Replica) -> None:
         """Check all invariants. Raises ViolationError."""
-        raft = replica.node.agreement
+        raft = replica.node.raft
         if raft.role is Role.LEADER:
             self.check_single_leader_per_term(state, raft.term, name)
             self.check_leader_has_acknowledged_orders(state, replica)
@@ -425,19 +427,19 @@
 
     def check_leader_has_acknowledged_orders(self, state: SystemState, replica: Replica) -> None:
         node = replica.node
-        present = {order.version for order in node.state.history()}
-        for entry in node.agreement.entries:
-            if entry.kind == Kind.DATA and entry.data:
+        present = {order.version for order in node.state.accepted_orders()}
+        for entry in node.raft.entries:
+            if entry.kind == EntryKind.DATA and entry.data:
                 command = msgpack.decode(entry.data)
                 if command[0] == 1:  # the tag of an order, whose compressed body contains the version
                     present.add(generation_of_order(entry.data))
         missing = [generation for generation in state.acknowledged_generations if generation not in present]
-        if missing and node.agreement.term >= max(term for term, _ in state.known_leaders):
+        if missing and node.raft.term >= max(term for term, _ in state.known_leaders):
             raise ViolationError(f"a leader without acknowledged versions {missing}: {state.path}")
 
     def check_committed_entries_agree(self, state: SystemState, replica: Replica) -> None:
-        raft = replica.node.agreement
-        for index in range(raft.snapshot.index + 1, raft.commit + 1):
+        raft = replica.node.raft
+        for index in range(raft.snapshot.index + 1, raft.commit_index + 1):
             entry = raft.entries[index - raft.snapshot.index - 1]
             encoded = msgpack.encode(entry)
             if state.committed.setdefault(index, encoded) != encoded:
--- a/tests/fleet/emulated_machine.py
+++ b/tests/fleet/emulated_machine.py
@@ -27,27 +27,27 @@
 
     name: str
     zone: str
-    counts: bool
+    counts_for_quorum: bool
     disk: EmulatedDisk
     node: ConfigNode | None = None
     store: SlotStore | None = None
-    life: int = 0  # of the process; callbacks of earlier ones are ignored
+    incarnation: int = 0  # of the process; callbacks of earlier ones are ignored
     sessions: dict[str, Session] = field(default_factory=dict)
-    wanted: set[str] = field(default_factory=set)
-    waiting: dict[int, Callable[[OrderOutcome], None]] = field(default_factory=dict)  # by ticket
-    forwarded: dict[int, Callable[[OrderOutcome], None]] = field(default_factory=dict)  # by id
-    writing: Work | None = None
-    tick_due: float = inf
-    slow_disk: float = 1.0
-    slow_link: float = 0.0  # extra delay of each message
+    wanted_peers: set[str] = field(default_factory=set)
+    waiting_orders: dict[int, Callable[[OrderOutcome], None]] = field(default_factory=dict)  # by ticket
+    forwarded_orders: dict[int, Callable[[OrderOutcome], None]] = field(default_factory=dict)  # by id
+    work_in_progress: Work | None = None
+    tick_at: float = inf
+    disk_slowdown: float = 1.0
+    extra_delay_ms: float = 0.0  # extra delay of each message
     bytes_per_ms: float = inf  # bandwidth of its links
-    stalled_until: float = 0.0
-    frozen_until: float = 0.0
+    disk_stalled_until: float = 0.0
+    paused_until: float = 0.0
     removed: bool = False
     wiped: bool = False  # lost its disk and has not caught up since
 
 
-class Timeline:
+class EventQueue:
     """Event queue ordered by time; events of the same time run in the order they were scheduled."""
 
     def __init__(self) -> None:
@@ -55,7 +55,7 @@
         self.events: list[tuple[float, int, Callable[[], None]]] = []
         self.sequence = count()
 
-    def at(self, delay: float, action: Callable[[], None]) -> None:
+    def schedule(self, delay: float, action: Callable[[], None]) -> None:
         """Schedule an action after a delay."""
         heapq.heappush(self.events, (self.now + delay, next(self.sequence), action))
 
@@ -66,16 +66,16 @@
             action()
         self.now = end
 
-    def on(self, machine: Machine, delay: float, action: Callable[[], None]) -> None:
+    def schedule_on(self, machine: Machine, delay: float, action: Callable[[], None]) -> None:
         """Schedule an action of a process: skipped if that has ended by then, deferred while it is paused."""
-        incarnation = machine.life
+        incarnation = machine.incarnation
 
         def run() -> None:
-            if machine.life != incarnation:
+            if machine.incarnation != incarnation:
                 return
-            if machine.frozen_until > self.now:
-                self.at(machine.frozen_until - self.now, run)
+            if machine.paused_until > self.now:
+                self.schedule(machine.paused_until - self.now, run)
                 return
             action()
 
-        self.at(delay, run)
+        self.schedule(delay, run)
--- a/tests/fleet/fleet_simulation.py
+++ b/tests/fleet/fleet_simulation.py
@@ -12,14 +12,14 @@
 from typing import Any
 
 from barleybarrow.consensus.config_node import ConfigNode, NodeOptions, Work
-from barleybarrow.consensus.configuration_state import NO_ANSWER, OrderOutcome, OrderStatus
+from barleybarrow.consensus.configuration_state import OUTCOME_UNKNOWN, OrderOutcome, OrderStatus
 from barleybarrow.consensus.durable_state import decode_state
 from barleybarrow.consensus.voter_selection import ControlProcess
 from brackenusher.storage.files import StorageError
 from brackenusher.storage.slot_store import SlotStore
 from tests.fleet.config_oracle import Call, History, SentOrder
-from tests.fleet.emulated_disk import EmulatedDisk, PowerLost
-from tests.fleet.emulated_machine import Machine, Session, Timeline
+from tests.fleet.emulated_disk import EmulatedDisk, PowerLossError
+from tests.fleet.emulated_machine import EventQueue, Machine, Session
 
 SILENCE_MS = 1600.0  # until a cut that says nothing is noticed
 CONNECT_MS = 150.0  # between two tries for a link
@@ -36,7 +36,7 @@
 Story = Generator[Step, Any, None]
 
 
-class World(Timeline):
+class World(EventQueue):
     """All machines and what is between them."""
 
     node_class: type[ConfigNode] = ConfigNode  # tests plant faults by a class of their own
@@ -59,7 +59,7 @@
         for i in range(doors):
             self.add_machine(f"10.0.1.{i + 1}:7680", f"zone-{i % 3}", counts=False)
         self.seeds = list(self.machines)[:3]
-        self.at(CONNECT_MS, self.connect)
+        self.schedule(CONNECT_MS, self.connect)
 
     # Machines
 
@@ -71,14 +71,14 @@
 
     def start(self, machine: Machine, bootstrap: bool = False) -> None:
         """Start a process."""
-        machine.life += 1
+        machine.incarnation += 1
         kept = None
         machine.store = None
-        if machine.counts:
+        if machine.counts_for_quorum:
             machine.store = self.store_class("data", "configuration", machine.disk)
             try:
                 loaded = machine.store.load()
-            except PowerLost:
+            except PowerLossError:
                 machine.disk.lose_power()
                 self.on_power_lost(machine)
                 return
@@ -87,7 +87,7 @@
         options = NodeOptions(
             machine.name,
             machine.zone,
-            machine.counts,
+            machine.counts_for_quorum,
             self.seeds,
             bootstrap,
             self.tolerated,
@@ -96,28 +96,28 @@
         rng = random.Random(self.rng.getrandbits(32))
         machine.node = self.node_class(options, rng, self.now, kept)
         machine.node.max_log_entries = SHORT_LOG  # so that snapshots and their installation happen often
-        machine.sessions, machine.waiting, machine.forwarded = {}, {}, {}
-        machine.wanted = {*self.seeds, *machine.node.voters[0]} - {machine.name}
-        machine.writing, machine.tick_due = None, inf
-        self.on(machine, 0.0, lambda: self.tick(machine))
-        self.on(machine, self.rng.uniform(0.0, GOSSIP_MS), lambda: self.gossip(machine))
+        machine.sessions, machine.waiting_orders, machine.forwarded_orders = {}, {}, {}
+        machine.wanted_peers = {*self.seeds, *machine.node.voters[0]} - {machine.name}
+        machine.work_in_progress, machine.tick_at = None, inf
+        self.schedule_on(machine, 0.0, lambda: self.tick(machine))
+        self.schedule_on(machine, self.rng.uniform(0.0, GOSSIP_MS), lambda: self.gossip(machine))
 
     def kill(self, machine: Machine, power: bool = False) -> None:
         """End a process, with `power` that of its machine: what it was writing may be half done."""
         if machine.node is None:
             return
-        if machine.writing is not None and machine.store is not None:
-            work, store = machine.writing, machine.store
-            machine.disk.power_lost_at = machine.disk.operations + self.rng.randint(1, 4)
+        if machine.work_in_progress is not None and machine.store is not None:
+            work, store = machine.work_in_progress, machine.store
+            machine.disk.power_loss_at = machine.disk.operations + self.rng.randint(1, 4)
             try:
                 if self.rng.random() < 0.8:
                     write(store, work)
-            except (PowerLost, StorageError):
+            except (PowerLossError, StorageError):
                 pass
-            machine.disk.power_lost_at = 0
+            machine.disk.power_loss_at = 0
         if power:
             machine.disk.lose_power()
-        machine.node, machine.life, machine.frozen_until = None, machine.life + 1, 0.0
+        machine.node, machine.incarnation, machine.paused_until = None, machine.incarnation + 1, 0.0
         for peer, session in list(machine.sessions.items()):
             self.end_session(machine.name, peer, session, SILENCE_MS if power else 2.0)
         machine.sessions = {}
@@ -125,22 +125,22 @@
     def stop(self, machine: Machine) -> None:
         """The planned end: the lead is handed over, then the process ends."""
         if machine.node is not None:
-            self.send_all(machine, machine.node.hand_over(self.now))
-            self.on(machine, 100.0, lambda: self.kill(machine))
+            self.send_all(machine, machine.node.transfer_leadership(self.now))
+            self.schedule_on(machine, 100.0, lambda: self.kill(machine))
 
     # Links
 
     def connect(self) -> None:
         """Open what links are wanted and missing."""
-        self.at(CONNECT_MS, self.connect)
+        self.schedule(CONNECT_MS, self.connect)
         for machine in self.machines.values():
-            for name in sorted(machine.wanted):
+            for name in sorted(machine.wanted_peers):
                 peer = self.machines.get(name)
                 if machine.node is None or peer is None or peer.node is None:
                     continue
                 if name in machine.sessions or machine.name in peer.sessions:
                     continue
-                frozen = max(machine.frozen_until, peer.frozen_until) > self.now
+                frozen = max(machine.paused_until, peer.paused_until) > self.now
                 if not frozen and pair(machine.name, name) not in self.cuts and self.rng.random() < 0.7:
                     self.open(machine, peer)
 
@@ -151,13 +151,15 @@
         for here, there in ((one, other), (other, one)):
             delay = self.rng.uniform(*self.delay_ms)
             session.free_at[here.name] = self.now + delay
-            self.on(here, delay, lambda here=here, there=there: self.greeted(here, there, session))
+            self.schedule_on(here, delay, lambda here=here, there=there: self.greeted(here, there, session))
 
     def greeted(self, here: Machine, there: Machine, session: Session) -> None:
         """The other side's Hello has come."""
         if session.alive and here.node is not None:
             self.tell_members(here, there.name)
-            here.node.link_up(self.now, ControlProcess(there.name, there.zone, there.counts, there.life))
+            here.node.link_up(
+                self.now, ControlProcess(there.name, there.zone, there.counts_for_quorum, there.incarnation)
+            )
             self.pump(here)
 
     def end_session(self, one: str, other: str, session: Session, delay: float) -> None:
@@ -167,7 +169,9 @@
         session.alive = False
         for here, there in ((one, other), (other, one)):
             machine = self.machines[here]
-            self.on(machine, delay, lambda machine=machine, there=there: self.lost(machine, there, session))
+            self.schedule_on(
+                machine, delay, lambda machine=machine, there=there: self.lost(machine, there, session)
+            )
 
     def lost(self, machine: Machine, peer: str, session: Session) -> None:
         """A process notices that a link ended."""
@@ -186,7 +190,7 @@
             if says_so:
                 self.end_session(one, other, session, 1.0)
             else:
-                self.at(SILENCE_MS, lambda: self.end_if_cut(one, other, session))
+                self.schedule(SILENCE_MS, lambda: self.end_if_cut(one, other, session))
 
     def end_if_cut(self, one: str, other: str, session: Session) -> None:
         """A cut that lasts ends the connection; one that healed has lost what was sent meanwhile."""
@@ -214,7 +218,7 @@
         if pair(sender.name, to) in self.cuts:
             session.lossy = True
             return True
-        slow = sender.slow_link + self.machines[to].slow_link
+        slow = sender.extra_delay_ms + self.machines[to].extra_delay_ms
         due = max(self.now + self.rng.uniform(*self.delay_ms) + slow, session.free_at.get(to, 0.0))
         narrow = min(sender.bytes_per_ms, self.machines[to].bytes_per_ms)
         due += sum(len(part) for part in parts if isinstance(part, bytes)) / narrow
@@ -227,7 +231,7 @@
             elif session.alive and receiver.sessions.get(sender.name) is session:
                 self.receive(receiver, sender.name, kind, *parts)
 
-        self.on(receiver, due - self.now, deliver)
+        self.schedule_on(receiver, due - self.now, deliver)
         return True
 
     def send_all(self, machine: Machine, outgoing: list[tuple[str, bytes]]) -> None:
@@ -243,20 +247,20 @@
             node.receive(self.now, sender, parts[0])
         elif kind == "members":
             controls, voters, index = parts
-            machine.wanted |= {*controls, *voters} - {machine.name}
-            node.hear_voters(voters, index)
+            machine.wanted_peers |= {*controls, *voters} - {machine.name}
+            node.learn_voters(voters, index)
         elif kind == "order":
             number, order = parts
             self.order_forwarded(machine, sender, number, order)
         elif kind == "result":
-            then = machine.forwarded.pop(parts[0], None)
+            then = machine.forwarded_orders.pop(parts[0], None)
             if then is not None:
                 then(parts[1])
         self.pump(machine)
 
     def gossip(self, machine: Machine) -> None:
         """Tell all others who is known."""
-        self.on(machine, GOSSIP_MS, lambda: self.gossip(machine))
+        self.schedule_on(machine, GOSSIP_MS, lambda: self.gossip(machine))
         for name in machine.sessions:
             self.tell_members(machine, name)
 
@@ -265,7 +269,7 @@
         assert machine.node is not None
         controls = [machine.name, *machine.sessions]
         voters, index = machine.node.voters
-        machine.wanted |= {*voters} - {machine.name}
+        machine.wanted_peers |= {*voters} - {machine.name}
         self.send(machine, to, "members", controls, list(voters), index)
 
     # The driver of a process
@@ -273,8 +277,8 @@
     def tick(self, machine: Machine) -> None:
         """The time of a process is up."""
         assert machine.node is not None
-        if self.now >= machine.tick_due - 0.01 or machine.tick_due == inf:
-            machine.tick_due = inf
+        if self.now >= machine.tick_at - 0.01 or machine.tick_at == inf:
+            machine.tick_at = inf
             machine.node.tick(self.now)
             self.pump(machine)
 
@@ -283,44 +287,46 @@
         node = machine.node
         if node is None:
             return
-        while machine.writing is None and (work := node.take()) is not None:
-            if work.stores and machine.store is not None:
+        while machine.work_in_progress is None and (work := node.take_ready()) is not None:
+            if work.has_writes and machine.store is not None:
                 self.keep(machine, work)
             else:
                 self.done(machine, work)
         self.tell(machine, node)
         due = node.next_wakeup(self.now)
-        if due < machine.tick_due:
-            machine.tick_due = due
-            self.on(machine, due - self.now, lambda: self.tick(machine))
+        if due < machine.tick_at:
+            machine.tick_at = due
+            self.schedule_on(machine, due - self.now, lambda: self.tick(machine))
 
     def keep(self, machine: Machine, work: Work) -> None:
         """Begin to write."""
-        machine.writing = work
-        delay = self.rng.uniform(*self.disk_ms) * machine.slow_disk
-        delay = max(delay, machine.stalled_until - self.now)
+        machine.work_in_progress = work
+        delay = self.rng.uniform(*self.disk_ms) * machine.disk_slowdown
+        delay = max(delay, machine.disk_stalled_until - self.now)
         if delay >= STALL_MS:
-            self.on(machine, STALL_MS, lambda: self.in_trouble(machine))
-        self.on(machine, delay, lambda: self.written(machine, work))
+            self.schedule_on(machine, STALL_MS, lambda: self.in_trouble(machine))
+        self.schedule_on(machine, delay, lambda: self.written(machine, work))
 
     def written(self, machine: Machine, work: Work) -> None:
         """The disk is done, or refuses."""
-        if machine.stalled_until > self.now:
-            self.on(machine, machine.stalled_until - self.now, lambda: self.written(machine, work))
+        if machine.disk_stalled_until > self.now:
+            self.schedule_on(
+                machine, machine.disk_stalled_until - self.now, lambda: self.written(machine, work)
+            )
             return
         assert machine.store is not None
         try:
             write(machine.store, work)
-        except PowerLost:
-            machine.writing = None
+        except PowerLossError:
+            machine.work_in_progress = None
             self.kill(machine, power=True)
             self.on_power_lost(machine)
             return
         except StorageError:
             self.in_trouble(machine)
-            self.on(machine, RETRY_MS, lambda: self.written(machine, work))
+            self.schedule_on(machine, RETRY_MS, lambda: self.written(machine, work))
             return
-        machine.writing = None
+        machine.work_in_progress = None
         self.done(machine, work)
         self.pump(machine)
 
@@ -328,13 +334,13 @@
         """A work is stored: send, and apply."""
         assert machine.node is not None
         self.send_all(machine, work.messages)
-        machine.node.stored(self.now)
+        machine.node.on_stored(self.now)
 
     def in_trouble(self, machine: Machine) -> None:
         """The disk stalls or refuses."""
         node = machine.node
         if node is not None and node.is_leader:
-            self.send_all(machine, node.hand_over(self.now))
+            self.send_all(machine, node.transfer_leadership(self.now))
             node.orders.abandon()
             self.tell(machine, node)
 
@@ -342,24 +348,24 @@
         """Give outcomes to those who wait, and check documents."""
         outcomes, node.orders.outcomes = node.orders.outcomes, []
         for ticket, outcome in outcomes:
-            then = machine.waiting.pop(ticket, None)
+            then = machine.waiting_orders.pop(ticket, None)
             if then is not None:
                 then(outcome)
-        checks, node.orders.checks = node.orders.checks, []
+        checks, node.orders.check_requests = node.orders.check_requests, []
         for request in checks:
             error = "Invalid: take it out" if request.document.get("Invalid") else ""
 
             def checked(digest: bytes = request.digest, error: str = error) -> None:
-                node.checked(self.now, digest, error)
+                node.on_document_checked(self.now, digest, error)
                 self.pump(machine)
 
-            self.on(machine, CHECK_MS, checked)
+            self.schedule_on(machine, CHECK_MS, checked)
 
     def give_up(self, machine: Machine) -> None:
         """What was passed on to a leader that is gone has no answer."""
-        forwarded, machine.forwarded = machine.forwarded, {}
+        forwarded, machine.forwarded_orders = machine.forwarded_orders, {}
         for then in forwarded.values():
-            then(NO_ANSWER)
+            then(OUTCOME_UNKNOWN)
 
     # Operators
 
@@ -368,18 +374,18 @@
         node = machine.node
         if node is None:
             return
-        if node.was_taken(order.kind, order.base, order.change.encode()):
-            then(OrderOutcome(OrderStatus.TAKEN))
+        if node.was_accepted(order.kind, order.base_version, order.change.encode()):
+            then(OrderOutcome(OrderStatus.ACCEPTED))
         elif node.is_leader:
             self.take_order(machine, order, then)
         elif node.leader:
             number = next(self.ids)
-            machine.forwarded[number] = then
+            machine.forwarded_orders[number] = then
             if not self.send(machine, node.leader, "order", number, order):
-                del machine.forwarded[number]
-                then(NO_ANSWER)
+                del machine.forwarded_orders[number]
+                then(OUTCOME_UNKNOWN)
         else:
-            then(NO_ANSWER)
+            then(OUTCOME_UNKNOWN)
 
     def order_forwarded(self, machine: Machine, sender: str, number: int, order: SentOrder) -> None:
         """Another process passes an order on."""
@@ -387,7 +393,7 @@
         if machine.node.is_leader:
             self.take_order(machine, order, lambda outcome: self.answer(machine, sender, number, outcome))
         else:
-            self.answer(machine, sender, number, NO_ANSWER)
+            self.answer(machine, sender, number, OUTCOME_UNKNOWN)
 
     def answer(self, machine: Machine, to: str, number: int, outcome: OrderOutcome) -> None:
         """Tell what became of an order that was passed on."""
@@ -397,17 +403,17 @@
         """The leader takes an order in."""
         assert machine.node is not None
         body = order.change.encode()
-        ticket = machine.node.submit(self.now, order.kind, order.base, body, int(self.now))
-        machine.waiting[ticket] = then
+        ticket = machine.node.submit(self.now, order.kind, order.base_version, body, int(self.now))
+        machine.waiting_orders[ticket] = then
         self.pump(machine)
 
     def read(self, machine: Machine, then: Callable[[dict[str, Any] | None], None]) -> None:
         """Read the newest document at one process."""
         node = machine.node
         if node is not None:
-            life = machine.life
-            node.confirm(
-                self.now, lambda: then(copied(node.state.document)) if machine.life == life else None
+            life = machine.incarnation
+            node.confirm_read(
+                self.now, lambda: then(copied(node.state.document)) if machine.incarnation == life else None
             )
             self.pump(machine)
 
@@ -424,7 +430,7 @@
         except StopIteration:
             return
         if what == "sleep":
-            self.at(argument, lambda: self.resume(story, None))
+            self.schedule(argument, lambda: self.resume(story, None))
         else:
             self.call(story, what, argument)
 
@@ -436,12 +442,12 @@
         machine = self.machines[name]
 
         def finish(status: int, document: dict[str, Any] | None = None) -> None:
-            if not call.ended:
-                call.ended, call.status, call.document = self.now, status, document
-                self.at(1.0, lambda: self.resume(story, call))
+            if not call.ended_at:
+                call.ended_at, call.status, call.document = self.now, status, document
+                self.schedule(1.0, lambda: self.resume(story, call))
 
-        self.at(CALL_MS, lambda: finish(0))
-        if machine.frozen_until > self.now:
+        self.schedule(CALL_MS, lambda: finish(0))
+        if machine.paused_until > self.now:
             return
         if what == "order":
             assert order is not None
--- a/tests/fleet/shard_world.py
+++ b/tests/fleet/shard_world.py
@@ -54,7 +54,7 @@
     return Success(Configuration(raw["Generation"]))
 
 
-def body(generation: int, **more: Any) -> bytes:
+def document_body(generation: int, **more: Any) -> bytes:
     """A complete configuration document."""
     return json.dumps({"Generation": generation, "Routes": [], **more}).encode()
 
@@ -62,18 +62,18 @@
 class ControlHarness:
     """One machine with a control process."""
 
-    def __init__(self, simulation: "ShardWorld", number: int, counts: bool) -> None:
-        self.simulation, self.counts = simulation, counts
+    def __init__(self, simulation: "ShardSimulation", number: int, counts: bool) -> None:
+        self.simulation, self.counts_for_quorum = simulation, counts
         self.address = f"10.0.0.{number}:{PORT}"
         self.zone = f"zone-{number % 3}"
         self.disk = EmulatedDisk(random.Random(number))
         self.writers: list[VirtualWriter] = []
-        self.committed: list[int] = []
+        self.committed_generations: list[int] = []
         self.shard: ConfigShard | None = None
         self.incarnation = 0
 
     @property
-    def up(self) -> ConfigShard:
+    def running_shard(self) -> ConfigShard:
         assert self.shard is not None
         return self.shard
 
@@ -85,8 +85,8 @@
             self.address,
             self.zone,
             self.incarnation,
-            self.counts,
-            self.counts,
+            self.counts_for_quorum,
+            self.counts_for_quorum,
             self.address,
         )
         settings = LocalSettings(
@@ -97,14 +97,14 @@
             internal_port_range=[PORT, PORT + 15],
             seed_nodes=self.simulation.seeds,
             bootstrap=bootstrap,
-            counts_for_quorum=self.counts,
-            data_dir="data" if self.counts else "",
+            counts_for_quorum=self.counts_for_quorum,
+            data_dir="data" if self.counts_for_quorum else "",
             fault_tolerance=FaultTolerance(machines=1),
         )
         links: Any = self.simulation.network.open(hello)
         rng = random.Random(self.simulation.rng.getrandbits(32))
         self.shard = ConfigShard(settings, links, validate, rng, self.make_writer, self.disk)
-        self.shard.on_committed.append(lambda found: self.committed.append(found.generation))
+        self.shard.on_committed.append(lambda found: self.committed_generations.append(found.generation))
         await self.shard.start()
 
     def make_writer(self) -> VirtualWriter:
@@ -113,21 +113,23 @@
 
     def kill(self, silent: bool = False) -> None:
         self.simulation.network.kill(self.address, silent)
-        self.up._stopped = True
-        assert self.up._storage is not None and self.up._members is not None
-        self.up._storage.close()
-        self.up._members.close()
+        self.running_shard._stopped = True
+        assert self.running_shard._storage is not None and self.running_shard._members is not None
+        self.running_shard._storage.close()
+        self.running_shard._members.close()
         self.shard = None
 
     def stall(self, seconds: float) -> None:
         storage = self.writers[-1]  # the first writer is the one that validates documents
         storage.stalled_until = asyncio.get_running_loop().time() + seconds
 
-    async def take(self, generation: int, base: int, timeout_s: float = 4.0, **more: Any) -> OrderOutcome:
-        return await self.up.submit("replace", base, body(generation, **more), timeout_s)
+    async def submit_replacement(
+        self, generation: int, base: int, timeout_s: float = 4.0, **more: Any
+    ) -> OrderOutcome:
+        return await self.running_shard.submit("replace", base, document_body(generation, **more), timeout_s)
 
 
-class ShardWorld:
+class ShardSimulation:
     """All control processes. The first `quorum_count` of them have disks, and the first three are seeds."""
 
     def __init__(self, quorum_count: int = 3, diskless_count: int = 1, seed: int = 1) -> None:
@@ -150,7 +152,7 @@
     def leader(self) -> ControlHarness:
         """The leader, or of several the one with the highest term."""
         leading = [c for c in self.controls if c.shard is not None and c.shard.is_leader]
-        return max(leading, key=lambda c: int(str(c.up.status()["term"])))
+        return max(leading, key=lambda c: int(str(c.running_shard.status()["term"])))
 
     def followers(self) -> list[ControlHarness]:
         """All running processes except the leader."""
@@ -158,7 +160,7 @@
         return [c for c in self.controls if c.shard is not None and c is not leader]
 
 
-async def until(condition: Callable[[], bool], seconds: float) -> float:
+async def wait_until(condition: Callable[[], bool], seconds: float) -> float:
     """Wait for a condition and return how long it took. Raises TimeoutError."""
     loop = asyncio.get_running_loop()
     started_at = loop.time()
--- a/tests/fleet/test_config_catch_up.py
+++ b/tests/fleet/test_config_catch_up.py
@@ -44,9 +44,9 @@
             body = f'{{"Generation": {base + 1}, "Upsert": {{"Routes": [{item}]}}}}'.encode()
             leading.node.submit(simulation.now, "patch", base, body, 0)
             simulation.pump(leading)
-        simulation.at(CHANGE_INTERVAL_MS, change)
+        simulation.schedule(CHANGE_INTERVAL_MS, change)
 
-    simulation.at(CHANGE_INTERVAL_MS, change)
+    simulation.schedule(CHANGE_INTERVAL_MS, change)
 
 
 class CatchUpTest(unittest.TestCase):
@@ -55,7 +55,7 @@
     def wait_until_caught_up(self, machine: Machine, simulation: World, within_ms: float) -> float:
         """Wait until a replica lags by no more than the changes in progress; returns how long that took."""
         started_at = simulation.now
-        while machine.node is None or machine.node.agreement.barred or version_lag(simulation, machine) > 3:
+        while machine.node is None or machine.node.raft.quarantined or version_lag(simulation, machine) > 3:
             simulation.run_until(simulation.now + 20.0)
             self.assertLess(simulation.now - started_at, within_ms, f"{machine.name} never caught up")
         return simulation.now - started_at
@@ -80,7 +80,7 @@
                 simulation.run_until(simulation.now + 1500.0)
                 leading = leader(simulation)
                 assert leading is not None and leading.node is not None
-                size = len(leading.node.agreement.snapshot.data)
+                size = len(leading.node.raft.snapshot.data)
                 self.assertGreater(size / BYTES_PER_MS, 600.0, "the snapshot is too small for this test")
                 leading.node.max_log_entries = log_entries
                 simulation.kill(machine, power=True)
@@ -103,7 +103,7 @@
             self.assertNotIn(machine.name, voters(simulation))
             first = leader(simulation)
             assert first is not None and first.node is not None
-            self.assertGreater(first.node.agreement.snapshot.index, 24)
+            self.assertGreater(first.node.raft.snapshot.index, 24)
             simulation.start(machine)
             self.wait_until_caught_up(machine, simulation, 4000.0)
 
--- a/tests/fleet/test_config_driver_histories.py
+++ b/tests/fleet/test_config_driver_histories.py
@@ -7,7 +7,7 @@
 from itertools import count
 
 from tests.fleet.config_oracle import ACCEPTED, Call, ConsistencyChecker, History, SentOrder
-from tests.fleet.shard_world import ControlHarness, ShardWorld
+from tests.fleet.shard_world import ControlHarness, ShardSimulation
 from tests.fleet.virtual_time import play
 
 SEED_COUNT = 10
@@ -21,7 +21,7 @@
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
-        self.simulation = ShardWorld(3, 2, seed)
+        self.simulation = ShardSimulation(3, 2, seed)
         self.history = History()
         self.order_numbers = count(1)
         self.loop = asyncio.get_running_loop()
@@ -81,10 +81,12 @@
             self.history.calls.append(call)
             if control.shard is not None:
                 shard, body = control.shard, order.change.encode()
-                outcome = await shard.submit(order.kind, order.base, body, self.rng.choice([0.2, 0.9]))
+                outcome = await shard.submit(
+                    order.kind, order.base_version, body, self.rng.choice([0.2, 0.9])
+                )
                 if control.shard is shard:  # otherwise the process that would answer is gone
                     call.status = int(outcome.status)
-            call.ended = self.loop.time() * 1000.0
+            call.ended_at = self.loop.time() * 1000.0
             if call.status == ACCEPTED or 400 <= call.status < 500:
                 return
             await asyncio.sleep(0.1)
@@ -98,7 +100,7 @@
             document = await shard.confirmed_document(timeout_s)
             if control.shard is shard and document is not None:
                 call.status, call.document = ACCEPTED, json.loads(json.dumps(document))
-        call.ended = self.loop.time() * 1000.0
+        call.ended_at = self.loop.time() * 1000.0
         return call
 
     async def inject_fault(self) -> None:
--- a/tests/fleet/test_config_node.py
+++ b/tests/fleet/test_config_node.py
@@ -5,7 +5,7 @@
 
 from msgspec import msgpack
 
-from barleybarrow.agreement_messages import AskVote, Message, TimeoutNow, Vote
+from barleybarrow.agreement_messages import Message, RequestVote, TimeoutNow, VoteResponse
 from barleybarrow.consensus.config_node import ConfigNode, NodeOptions, Work
 from barleybarrow.consensus.durable_state import DurableState, decode_state
 from barleybarrow.consensus.paced_agreement import PacedRaftNode
@@ -44,8 +44,8 @@
 def bootstrapped_state() -> DurableState:
     """Persistent state of a voter that has just learned the initial voters."""
     node = voter(None, bootstrap=True)
-    node.agreement = PacedRaftNode("a", VOTERS, Random(1), 0.0)
-    return DurableState(snapshot=node.agreement.snapshot)
+    node.raft = PacedRaftNode("a", VOTERS, Random(1), 0.0)
+    return DurableState(snapshot=node.raft.snapshot)
 
 
 def deliver(node: ConfigNode, sender: str, message: Message, now: float) -> None:
@@ -56,118 +56,118 @@
 def vote_responses(work: Work | None) -> list[tuple[str, bool]]:
     """The vote responses in a work: recipient, and whether the vote was granted."""
     messages = [(to, msgpack.decode(data, type=Message)) for to, data in work.messages] if work else []
-    return [(to, message.granted) for to, message in messages if isinstance(message, Vote)]
+    return [(to, message.granted) for to, message in messages if isinstance(message, VoteResponse)]
 
 
 class VotesTest(unittest.TestCase):
     def test_a_vote_is_stored_in_the_work_that_sends_it(self) -> None:
         node, store = voter(bootstrapped_state()), FakeStore()
-        deliver(node, "b", AskVote(5, 0, 0, False), 10.0)
-        work = node.take()
+        deliver(node, "b", RequestVote(5, 0, 0, False), 10.0)
+        work = node.take_ready()
         assert work is not None
         self.assertEqual(vote_responses(work), [("b", True)])
-        self.assertTrue(work.stores)
+        self.assertTrue(work.has_writes)
         store.image = msgpack.encode(("unused",))
         record = work.records[0]
         self.assertEqual(msgpack.decode(record)[:2], [5, "b"])
 
     def test_a_restarted_voter_does_not_vote_twice_in_a_term(self) -> None:
         first, store = voter(None, bootstrap=True), FakeStore()
-        work = first.take()
+        work = first.take_ready()
         assert work is not None
         store.persist(work)
-        first.stored(0.0)
+        first.on_stored(0.0)
         state = bootstrapped_state()
         again = voter(state)
-        deliver(again, "b", AskVote(5, 0, 0, False), 10.0)
-        work = again.take()
+        deliver(again, "b", RequestVote(5, 0, 0, False), 10.0)
+        work = again.take_ready()
         assert work is not None
         state.term, state.vote = msgpack.decode(work.records[0])[:2]
         restarted = voter(state)
-        deliver(restarted, "c", AskVote(5, 0, 0, False), 2000.0)
-        self.assertEqual(vote_responses(restarted.take()), [("c", False)])
-        deliver(restarted, "c", AskVote(6, 0, 0, False), 2001.0)
+        deliver(restarted, "c", RequestVote(5, 0, 0, False), 2000.0)
+        self.assertEqual(vote_responses(restarted.take_ready()), [("c", False)])
+        deliver(restarted, "c", RequestVote(6, 0, 0, False), 2001.0)
 
     def test_no_further_work_before_the_previous_one_is_persisted(self) -> None:
         node = voter(bootstrapped_state())
-        deliver(node, "b", AskVote(5, 0, 0, False), 10.0)
-        self.assertIsNotNone(node.take())
-        deliver(node, "c", AskVote(6, 0, 0, False), 20.0)
-        self.assertIsNone(node.take())
-        node.stored(30.0)
-        self.assertEqual(vote_responses(node.take()), [("c", True)])
+        deliver(node, "b", RequestVote(5, 0, 0, False), 10.0)
+        self.assertIsNotNone(node.take_ready())
+        deliver(node, "c", RequestVote(6, 0, 0, False), 20.0)
+        self.assertIsNone(node.take_ready())
+        node.on_stored(30.0)
+        self.assertEqual(vote_responses(node.take_ready()), [("c", True)])
 
 
 class EmptyStoreTest(unittest.TestCase):
     def test_a_first_start_is_recorded_so_that_an_empty_store_means_lost_data(self) -> None:
         node, store = voter(None, bootstrap=True), FakeStore()
-        work = node.take()
+        work = node.take_ready()
         assert work is not None and work.image is not None
         store.persist(work)
-        self.assertFalse(voter(store.read()).agreement.barred)
+        self.assertFalse(voter(store.read()).raft.quarantined)
 
     def test_a_lost_store_stays_quarantined_after_restarts(self) -> None:
         node, store = voter(None), FakeStore()
-        self.assertTrue(node.agreement.barred)
-        work = node.take()
+        self.assertTrue(node.raft.quarantined)
+        work = node.take_ready()
         assert work is not None
         store.persist(work)
-        self.assertTrue(voter(store.read()).agreement.barred)
+        self.assertTrue(voter(store.read()).raft.quarantined)
 
     def test_a_quarantined_voter_does_not_vote(self) -> None:
         state = bootstrapped_state()
         state.quarantined = True
         node = voter(state)
-        deliver(node, "b", AskVote(5, 9, 4, False), 10.0)
-        deliver(node, "b", AskVote(5, 9, 4, True), 11.0)
-        self.assertEqual(vote_responses(node.take()), [])
+        deliver(node, "b", RequestVote(5, 9, 4, False), 10.0)
+        deliver(node, "b", RequestVote(5, 9, 4, True), 11.0)
+        self.assertEqual(vote_responses(node.take_ready()), [])
 
     def test_a_lost_store_does_not_bootstrap_the_shard(self) -> None:
         node = voter(None)
         for step in range(100):
             node.link_up(step * 100.0, ControlProcess("b", "zone", True))
             node.tick(step * 100.0)
-            if node.take() is not None:
-                node.stored(step * 100.0)
-        self.assertEqual((node.agreement.voters, node.agreement.last), ([], 0))
+            if node.take_ready() is not None:
+                node.on_stored(step * 100.0)
+        self.assertEqual((node.raft.voters, node.raft.last_index), ([], 0))
 
 
 class LeadershipTransferTest(unittest.TestCase):
     def leader(self) -> ConfigNode:
         node = voter(bootstrapped_state())
-        node.agreement.stand(1000.0, probe=False)
-        node.take()
-        node.stored(1000.0)
-        deliver(node, "b", Vote(1, True, False), 1001.0)
+        node.raft.campaign(1000.0, pre_vote=False)
+        node.take_ready()
+        node.on_stored(1000.0)
+        deliver(node, "b", VoteResponse(1, True, False), 1001.0)
         self.assertTrue(node.is_leader)
         return node
 
     def test_leadership_is_transferred_to_a_recently_heard_voter(self) -> None:
         node = self.leader()
-        outgoing = node.hand_over(1100.0)
+        outgoing = node.transfer_leadership(1100.0)
         self.assertEqual(len(outgoing), 1)
         self.assertIn(outgoing[0][0], ("b", "c"))
         self.assertEqual(msgpack.decode(outgoing[0][1], type=Message), TimeoutNow(1))
 
     def test_a_follower_transfers_no_leadership(self) -> None:
-        self.assertEqual(voter(bootstrapped_state()).hand_over(0.0), [])
+        self.assertEqual(voter(bootstrapped_state()).transfer_leadership(0.0), [])
 
     def test_a_voter_votes_for_the_target_of_a_leadership_transfer(self) -> None:
         node = self.leader()
-        node.take()
-        node.stored(1010.0)
-        log = node.agreement
-        deliver(node, "b", AskVote(2, log.last, 1, False, True), 1020.0)
-        self.assertEqual(vote_responses(node.take()), [("b", True)])
+        node.take_ready()
+        node.on_stored(1010.0)
+        log = node.raft
+        deliver(node, "b", RequestVote(2, log.last_index, 1, False, True), 1020.0)
+        self.assertEqual(vote_responses(node.take_ready()), [("b", True)])
         self.assertFalse(node.is_leader)
 
     def test_a_quarantined_voter_does_not_campaign_on_a_leadership_transfer(self) -> None:
         state = bootstrapped_state()
         state.quarantined = True
         node = voter(state)
-        node.agreement.leader = "b"
+        node.raft.leader = "b"
         deliver(node, "b", TimeoutNow(0), 10.0)
-        self.assertEqual(node.agreement.term, 0)
+        self.assertEqual(node.raft.term, 0)
 
 
 def processes(*zones: str, counts_for_quorum: bool = True) -> list[ControlProcess]:
--- a/tests/fleet/test_config_planted.py
+++ b/tests/fleet/test_config_planted.py
@@ -45,9 +45,9 @@
 
     def on_document_checked(self, now: float, digest: bytes, error: str) -> None:
         super().on_document_checked(now, digest, error)
-        pending = self.jobs.get(digest)
+        pending = self.pending_orders.get(digest)
         if pending is not None and pending.index:
-            self._finish(pending, OrderOutcome(OrderStatus.TAKEN))
+            self._finish(pending, OrderOutcome(OrderStatus.ACCEPTED))
 
 
 class AcknowledgeProposedNode(NodeWithBuggyQueue):
@@ -85,7 +85,7 @@
 
     def restore(self, data: bytes) -> None:
         super().restore(data)
-        self.taken.clear()
+        self.accepted.clear()
 
 
 class AmnesicNode(NodeWithBuggyState):
@@ -97,7 +97,7 @@
 
     def apply(self, order: Order) -> OrderOutcome:
         try:
-            if generation_of(read_body(order)) <= self.version or order.digest in self.taken:
+            if generation_of(read_body(order)) <= self.version or order.digest in self.accepted:
                 return super().apply(order)
         except OrderError:
             return super().apply(order)
@@ -126,21 +126,21 @@
 
     def __init__(self, *arguments: Any) -> None:
         super().__init__(*arguments)
-        self.agreement.barred = False
+        self.raft.quarantined = False
 
-    def hear_voters(self, voters: list[str], index: int) -> None:
-        super().hear_voters(voters, index)
-        agreement = self.agreement
-        if agreement.last == 0 and self.name in voters:
-            agreement.voters = list(voters)
-            agreement.update_role()
+    def learn_voters(self, voters: list[str], index: int) -> None:
+        super().learn_voters(voters, index)
+        raft = self.raft
+        if raft.last_index == 0 and self.name in voters:
+            raft.voters = list(voters)
+            raft.update_role()
 
 
 class ImageWithoutLogNode(ConfigNode):
     """Omits the entries after a snapshot from the persisted image."""
 
-    def take(self) -> Work | None:
-        work = super().take()
+    def take_ready(self) -> Work | None:
+        work = super().take_ready()
         if work is not None and work.image is not None:
             image = msgpack.decode(work.image, type=StoredImage)
             image.entries = []
@@ -151,8 +151,8 @@
 class SendsBeforeStoringNode(ConfigNode):
     """Sends before storing: entries are not persisted until the next image."""
 
-    def take(self) -> Work | None:
-        work = super().take()
+    def take_ready(self) -> Work | None:
+        work = super().take_ready()
         if work is not None and work.records:
             work.records = []
         return work
@@ -161,7 +161,7 @@
 class UnconfirmedReadsNode(ConfigNode):
     """Treats the local state as the newest."""
 
-    def confirm(self, now: float, callback: Any) -> int:
+    def confirm_read(self, now: float, callback: Any) -> int:
         callback()
         return 0
 
@@ -169,20 +169,20 @@
 class EarlyCommitRaft(PacedRaftNode):
     """Commits what is on a single disk."""
 
-    def advance(self, now: float) -> None:
-        if self.stored_to > self.commit and self.term_of(self.stored_to) == self.term:
-            self.commit = self.stored_to
-            self.beat(now, to_all=True)
+    def advance_commit(self, now: float) -> None:
+        if self.persisted_index > self.commit_index and self.term_at(self.persisted_index) == self.term:
+            self.commit_index = self.persisted_index
+            self.broadcast_heartbeat(now, to_all=True)
 
 
 class EarlyCommitNode(ConfigNode):
     def __init__(self, *arguments: Any) -> None:
         super().__init__(*arguments)
-        self.agreement.__class__ = EarlyCommitRaft
+        self.raft.__class__ = EarlyCommitRaft
 
     def _bootstrap(self, now: float) -> None:
         super()._bootstrap(now)
-        self.agreement.__class__ = EarlyCommitRaft
+        self.raft.__class__ = EarlyCommitRaft
 
 
 class EarlyAcknowledgeNode(EarlyCommitNode):
--- a/tests/fleet/test_config_scenarios.py
+++ b/tests/fleet/test_config_scenarios.py
@@ -14,7 +14,7 @@
     """A simulation whose processes start within 0.3 s."""
     simulation = World(seed, machines, tolerated, diskless)
     for machine in list(simulation.machines.values()):
-        simulation.at(
+        simulation.schedule(
             simulation.rng.uniform(0.0, 300.0), lambda machine=machine: simulation.start(machine, True)
         )
     return simulation
@@ -27,7 +27,7 @@
         for m in simulation.machines.values()
         if m.node is not None and m.node.is_leader and m is not except_machine
     ]
-    return max(leaders, key=lambda m: m.node.agreement.term if m.node else 0) if leaders else None
+    return max(leaders, key=lambda m: m.node.raft.term if m.node else 0) if leaders else None
 
 
 def time_to_leader(simulation: World, except_machine: Machine | None = None) -> float:
@@ -88,7 +88,7 @@
             for machine in simulation.machines.values():
                 if machine is not late:
                     simulation.start(machine, True)
-            simulation.at(2500.0, lambda simulation=simulation, late=late: simulation.start(late, True))  # type: ignore[misc]
+            simulation.schedule(2500.0, lambda simulation=simulation, late=late: simulation.start(late, True))  # type: ignore[misc]
             simulation.run_until(2400.0)
             self.assertEqual(len(voters(simulation)), 2)
             simulation.run_until(6000.0)
@@ -132,7 +132,9 @@
             simulation.run_until(simulation.rng.uniform(300.0, 1500.0))
             for machine in simulation.machines.values():
                 simulation.kill(machine, power=True)
-                simulation.at(300.0, lambda simulation=simulation, machine=machine: simulation.start(machine))
+                simulation.schedule(
+                    300.0, lambda simulation=simulation, machine=machine: simulation.start(machine)
+                )
             with self.subTest(seed=seed):
                 self.assertEqual(submit_order(simulation, "10.0.0.2:7680", 0, 3).status, ACCEPTED)
 
@@ -148,10 +150,10 @@
 
         def pause() -> None:
             if simulation.now < ends_at:
-                machine.frozen_until = simulation.now + pause_ms
-                simulation.at(pause_ms + self.RUN_INTERVAL_MS, pause)
+                machine.paused_until = simulation.now + pause_ms
+                simulation.schedule(pause_ms + self.RUN_INTERVAL_MS, pause)
 
-        simulation.at(simulation.rng.uniform(0.0, pause_ms), pause)
+        simulation.schedule(simulation.rng.uniform(0.0, pause_ms), pause)
 
     def leader_availability(self, simulation: World, period_ms: float) -> float:
         """The fraction of a period during which there is a leader."""
@@ -205,7 +207,7 @@
             old_leader = leader(simulation)
             assert old_leader is not None
             if fault == "freeze":
-                old_leader.frozen_until = simulation.now + 9000.0
+                old_leader.paused_until = simulation.now + 9000.0
             elif fault == "stop":
                 simulation.stop(old_leader)
             else:
@@ -310,13 +312,13 @@
         extra = [{"Name": f"route-{i}", "Text": f"{i * 7919:0200d}"} for i in range(430)]
         version = 0
         simulation.run_until(2000.0)
-        term = leader(simulation).node.agreement.term  # type: ignore[union-attr]
+        term = leader(simulation).node.raft.term  # type: ignore[union-attr]
         for step in range(12):
             call = submit_order(simulation, "10.0.1.1:7680", version, version + 2, extra)
             self.assertEqual(call.status, ACCEPTED)
-            self.assertLess(call.ended - call.started_at, 300.0, f"step {step}")
+            self.assertLess(call.ended_at - call.started_at, 300.0, f"step {step}")
             version += 2
-        self.assertEqual(leader(simulation).node.agreement.term, term)  # type: ignore[union-attr]
+        self.assertEqual(leader(simulation).node.raft.term, term)  # type: ignore[union-attr]
 
     def test_disk_use_is_bounded_by_log_compaction(self) -> None:
         simulation = start_simulation(2)
--- a/tests/fleet/test_config_search.py
+++ b/tests/fleet/test_config_search.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from barleybarrow.agreement_messages import AskVote
+from barleybarrow.agreement_messages import RequestVote
 from barleybarrow.consensus.config_node import ConfigNode
 from barleybarrow.consensus.configuration_state import ConfigurationState
 from barleybarrow.consensus.paced_agreement import PacedRaftNode
@@ -62,7 +62,7 @@
     search.add_machine(state, search.names[voters])
     search.deliver_all(state)
     leaver = next(name for name in search.names[:voters] if name != leader_name(state))
-    search.run_on_node(state, leaver, lambda node, now: node.leave(now))
+    search.run_on_node(state, leaver, lambda node, now: node.request_replacement(now))
     return state
 
 
@@ -102,31 +102,33 @@
 
     def __init__(self, *arguments: Any) -> None:
         super().__init__(*arguments)
-        self.agreement.barred = False
+        self.raft.quarantined = False
 
-    def hear_voters(self, voters: list[str], index: int) -> None:
-        super().hear_voters(voters, index)
-        if self.agreement.last == 0 and self.name in voters:
-            self.agreement.voters = list(voters)
-            self.agreement.update_role()
+    def learn_voters(self, voters: list[str], index: int) -> None:
+        super().learn_voters(voters, index)
+        if self.raft.last_index == 0 and self.name in voters:
+            self.raft.voters = list(voters)
+            self.raft.update_role()
 
 
 class AnyLogRaft(PacedRaftNode):
     """Votes for any candidate, whatever its log contains."""
 
-    def asked(self, now: float, sender: str, request: AskVote) -> None:
-        longest = AskVote(request.term, 2**50, request.term, request.probe, request.leadership_transfer)
-        super().asked(now, sender, longest)
+    def handle_vote_request(self, now: float, sender: str, request: RequestVote) -> None:
+        longest = RequestVote(
+            request.term, 2**50, request.term, request.pre_vote, request.leadership_transfer
+        )
+        super().handle_vote_request(now, sender, longest)
 
 
 class VotesForAnyLog(ConfigNode):
     def __init__(self, *arguments: Any) -> None:
         super().__init__(*arguments)
-        self.agreement.__class__ = AnyLogRaft
+        self.raft.__class__ = AnyLogRaft
 
     def _bootstrap(self, now: float) -> None:
         super()._bootstrap(now)
-        self.agreement.__class__ = AnyLogRaft
+        self.raft.__class__ = AnyLogRaft
 
 
 class MinorityRaft(PacedRaftNode):
@@ -140,20 +142,20 @@
 class ElectsItself(VotesForAnyLog):
     def _bootstrap(self, now: float) -> None:
         super()._bootstrap(now)
-        self.agreement.__class__ = MinorityRaft
+        self.raft.__class__ = MinorityRaft
 
 
 class SameTermRaft(MinorityRaft):
     """Campaigns without raising its term."""
 
-    def hard(self, term: int, vote: str) -> None:
-        super().hard(self.term if vote == self.name else term, vote)
+    def set_hard_state(self, term: int, vote: str) -> None:
+        super().set_hard_state(self.term if vote == self.name else term, vote)
 
 
 class CampaignsInOldTerm(VotesForAnyLog):
     def _bootstrap(self, now: float) -> None:
         super()._bootstrap(now)
-        self.agreement.__class__ = SameTermRaft
+        self.raft.__class__ = SameTermRaft
 
 
 class SnapshotLosesOrders(ConfigNode):
@@ -169,7 +171,7 @@
 
     def restore(self, data: bytes) -> None:
         super().restore(data)
-        self.taken.clear()
+        self.accepted.clear()
 
 
 class InjectedBugsTest(unittest.TestCase):
--- a/tests/fleet/test_config_state.py
+++ b/tests/fleet/test_config_state.py
@@ -8,7 +8,7 @@
 
 from msgspec import msgpack
 
-from barleybarrow.agreement import Agreement
+from barleybarrow.agreement import RaftNode
 from barleybarrow.agreement_messages import Entry, Ready, Snapshot
 from barleybarrow.consensus import configuration_state
 from barleybarrow.consensus.configuration_state import (
@@ -76,7 +76,7 @@
         for base, generation in ((0, 2), (2, 4), (4, 9)):
             self.assertEqual(apply_replacement(state, base, generation), 200)
         self.assertEqual(state.version, 9)
-        self.assertEqual([order.version for order in state.history()], [2, 4, 9])
+        self.assertEqual([order.version for order in state.accepted_orders()], [2, 4, 9])
 
     def test_a_different_order_with_the_same_versions_is_refused(self) -> None:
         state = ConfigurationState()
@@ -92,7 +92,7 @@
         state, limit = ConfigurationState(), configuration_state.MAX_ACCEPTED_ORDERS
         for version in range(limit + 10):
             apply_replacement(state, version, version + 1)
-        self.assertEqual(len(state.taken), limit)
+        self.assertEqual(len(state.accepted), limit)
         self.assertEqual(apply_replacement(state, 10, 11), 200)
         self.assertEqual(apply_replacement(state, 9, 10), 503, "it was accepted, so it is never refused")
         self.assertEqual(
@@ -117,12 +117,12 @@
         apply_replacement(state, 2, 4, Routes=[])
         other.restore(state.snapshot())
         self.assertEqual((other.version, other.document), (state.version, state.document))
-        self.assertEqual(other.history(), state.history())
+        self.assertEqual(other.accepted_orders(), state.accepted_orders())
         self.assertEqual(
             apply_replacement(other, 0, 2, Routes=[{"Name": "a", "Weight": 1.5, "Umlaut": "\u00e4"}]), 200
         )
         other.restore(b"")
-        self.assertEqual((other.version, other.document, other.taken), (0, None, {}))
+        self.assertEqual((other.version, other.document, other.accepted), (0, None, {}))
 
     def test_replaying_and_restoring_from_snapshots_give_the_same_state(self) -> None:
         rng = Random(1)
@@ -202,18 +202,18 @@
 
 
 class DurableStateTest(unittest.TestCase):
-    def raft_node(self) -> Agreement:
-        agreement = Agreement("a", ["a", "b"], Random(1), 0.0, term=3, vote="b")
-        agreement.entries = [Entry(1, 1, b"one"), Entry(2, 1, b"two")]
-        return agreement
+    def raft_node(self) -> RaftNode:
+        raft = RaftNode("a", ["a", "b"], Random(1), 0.0, term=3, vote="b")
+        raft.entries = [Entry(1, 1, b"one"), Entry(2, 1, b"two")]
+        return raft
 
     def test_an_image_and_records_are_read_back(self) -> None:
-        agreement = self.raft_node()
-        image = encode_image(agreement)
+        raft = self.raft_node()
+        image = encode_image(raft)
         records = [
-            encode_record(agreement, Ready(hard=(4, ""))),
-            encode_record(agreement, Ready(hard=(5, "a"), first=3, entries=[Entry(5, 1, b"three")])),
-            encode_record(agreement, Ready(hard=(6, "b"), first=2, entries=[Entry(6, 1, b"other")])),
+            encode_record(raft, Ready(hard_state=(4, ""))),
+            encode_record(raft, Ready(hard_state=(5, "a"), first_index=3, entries=[Entry(5, 1, b"three")])),
+            encode_record(raft, Ready(hard_state=(6, "b"), first_index=2, entries=[Entry(6, 1, b"other")])),
         ]
         state = decode_state(image, records)
         self.assertEqual((state.term, state.vote, state.quarantined), (6, "b", False))
--- a/tests/fleet/test_failure_domains.py
+++ b/tests/fleet/test_failure_domains.py
@@ -47,15 +47,15 @@
         assert first is not None
         if first.zone != "zone-0":
             return False  # the leader's own disk, in another zone, has whatever it acknowledges
-        simulation.machines["10.0.0.3:7680"].slow_link = 400.0
+        simulation.machines["10.0.0.3:7680"].extra_delay_ms = 400.0
         call = submit_order(simulation, first.name, 3, 4)
-        acknowledged_early = call.status == ACCEPTED and call.ended - call.started_at < 400.0
+        acknowledged_early = call.status == ACCEPTED and call.ended_at - call.started_at < 400.0
         for name in ("10.0.0.1:7680", "10.0.0.2:7680"):
             simulation.kill(simulation.machines[name], power=True)
             simulation.machines[name].disk.wipe()
         survivor = simulation.machines["10.0.0.3:7680"].node
         assert survivor is not None
-        known = [entry for entry in survivor.agreement.entries if entry.data]
+        known = [entry for entry in survivor.raft.entries if entry.data]
         return acknowledged_early and survivor.state.version < 4 and len(known) < 2
 
     def test_an_acknowledged_order_survives_the_loss_of_a_zone(self) -> None:
--- a/tests/fleet/test_final_records.py
+++ b/tests/fleet/test_final_records.py
@@ -83,8 +83,8 @@
             await first.load()
             for name in ("one", "two"):
                 await disk.keep(first, name)
-            path = max(disk.files.files, key=lambda path: len(disk.files.files[path].seen))
-            disk.files.files[path].seen += b"torn"
+            path = max(disk.files.files, key=lambda path: len(disk.files.files[path].current))
+            disk.files.files[path].current += b"torn"
             disk.files.full = True
             second = disk.started()
             self.assertEqual({record.id for record in await second.load()}, {"one", "two"})
--- a/tests/fleet/test_process_lives.py
+++ b/tests/fleet/test_process_lives.py
@@ -9,7 +9,15 @@
 from msgspec import msgpack
 
 from barleybarrow.agreement import Role
-from barleybarrow.agreement_messages import Appended, AskVote, Entry, Kind, ReadUpTo, Snapshot, Vote
+from barleybarrow.agreement_messages import (
+    AppendResponse,
+    Entry,
+    EntryKind,
+    ReadIndexResponse,
+    RequestVote,
+    Snapshot,
+    VoteResponse,
+)
 from barleybarrow.consensus.config_node import ConfigNode, NodeOptions
 from barleybarrow.consensus.durable_state import DurableState
 from barleybarrow.consensus.voter_selection import ControlProcess
@@ -50,10 +58,10 @@
 def leading(seed: int = 1) -> ConfigNode:
     """A leader of three voters, whose first entry is on its way."""
     node = started(0, seed)
-    node.agreement.stand(1.0, probe=False)
-    node.agreement.receive(1.0, VOTERS[1], Vote(node.agreement.term, True, False))
-    while node.take() is not None:
-        node.stored(1.0)
+    node.raft.campaign(1.0, pre_vote=False)
+    node.raft.receive(1.0, VOTERS[1], VoteResponse(node.raft.term, True, False))
+    while node.take_ready() is not None:
+        node.on_stored(1.0)
     return node
 
 
@@ -92,11 +100,11 @@
     def test_a_read_of_an_earlier_life_is_no_answer_to_this_one(self) -> None:
         nodes = [started(1, seed) for seed in (1, 2)]
         for node in nodes:
-            node.agreement.leader = VOTERS[0]
+            node.raft.leader = VOTERS[0]
         answered: list[int] = []
-        earlier = nodes[0].confirm(1.0, lambda: None)
-        nodes[1].confirm(1.0, lambda: answered.append(1))
-        nodes[1].receive(2.0, VOTERS[0], msgpack.encode(ReadUpTo(earlier, 0)))
+        earlier = nodes[0].confirm_read(1.0, lambda: None)
+        nodes[1].confirm_read(1.0, lambda: answered.append(1))
+        nodes[1].receive(2.0, VOTERS[0], msgpack.encode(ReadIndexResponse(earlier, 0)))
         self.assertEqual(answered, [])
 
     def test_pings_and_reports_are_numbered_anew(self) -> None:
@@ -114,29 +122,31 @@
 
     def test_what_an_earlier_life_held_does_not_count(self) -> None:
         node = leading()
-        agreement = node.agreement
+        agreement = node.raft
         node.link_up(2.0, ControlProcess(VOTERS[1], "zone-1", True, incarnation=1))
-        agreement.append(Entry(agreement.term, Kind.DATA))
-        last = agreement.last
-        agreement.receive(3.0, VOTERS[1], Appended(agreement.term, True, last, agreement.round))
-        self.assertEqual(agreement.match(VOTERS[1]), last)
+        agreement.append(Entry(agreement.term, EntryKind.DATA))
+        last = agreement.last_index
+        agreement.receive(3.0, VOTERS[1], AppendResponse(agreement.term, True, last, agreement.round))
+        self.assertEqual(agreement.match_index_of(VOTERS[1]), last)
         node.link_up(4.0, ControlProcess(VOTERS[1], "zone-1", True, incarnation=2))
-        self.assertEqual(agreement.match(VOTERS[1]), 0)
-        late = Appended(agreement.term, True, last, agreement.round - 1)
+        self.assertEqual(agreement.match_index_of(VOTERS[1]), 0)
+        late = AppendResponse(agreement.term, True, last, agreement.round - 1)
         agreement.receive(4.0, VOTERS[1], late)
-        self.assertEqual(agreement.match(VOTERS[1]), 0, "an answer of the life before, under way since")
-        agreement.receive(5.0, VOTERS[1], Appended(agreement.term, True, last, agreement.round))
-        self.assertEqual(agreement.match(VOTERS[1]), last)
+        self.assertEqual(
+            agreement.match_index_of(VOTERS[1]), 0, "an answer of the life before, under way since"
+        )
+        agreement.receive(5.0, VOTERS[1], AppendResponse(agreement.term, True, last, agreement.round))
+        self.assertEqual(agreement.match_index_of(VOTERS[1]), last)
 
     def test_one_that_is_trusted_again_votes_for_no_other_in_that_term(self) -> None:
-        agreement = started(1, 3, barred=True).agreement
-        agreement.follow(1.0, 7, "")
-        agreement.trust()
+        agreement = started(1, 3, barred=True).raft
+        agreement.become_follower(1.0, 7, "")
+        agreement.end_quarantine()
         self.assertIs(agreement.role, Role.FOLLOWER)
-        agreement.take()
-        agreement.receive(5000.0, VOTERS[2], AskVote(7, 100, 7, False))
-        ready = agreement.take()
-        said = [m for _, m in ready.messages if isinstance(m, Vote)] if ready else []
+        agreement.take_ready()
+        agreement.receive(5000.0, VOTERS[2], RequestVote(7, 100, 7, False))
+        ready = agreement.take_ready()
+        said = [m for _, m in ready.messages if isinstance(m, VoteResponse)] if ready else []
         self.assertEqual([vote.granted for vote in said], [False])
 
 
--- a/tests/fleet/test_storage_slots.py
+++ b/tests/fleet/test_storage_slots.py
@@ -7,7 +7,7 @@
 
 from brackenusher.storage.files import StorageError, StorageFullError
 from brackenusher.storage.slot_store import SlotStore
-from tests.fleet.emulated_disk import EmulatedDisk, PowerLost
+from tests.fleet.emulated_disk import EmulatedDisk, PowerLossError
 
 State = tuple[bytes | None, tuple[bytes, ...]]  # a snapshot and the records behind it
 EMPTY: State = (None, ())
@@ -57,12 +57,12 @@
         """Lose power at one operation and twice more later; after each start go on from what was found."""
         rng = random.Random(seed)
         disk = EmulatedDisk(random.Random(seed * 1000 + operation))
-        disk.power_lost_at = operation
+        disk.power_loss_at = operation
         found = EMPTY
         for _ in range(3):
             try:
                 store, state, damaged = load(disk)
-            except PowerLost:  # also while the store is read
+            except PowerLossError:  # also while the store is read
                 disk.lose_power()
                 store, state, damaged = load(disk)
             self.assertEqual(state, found)
@@ -70,7 +70,7 @@
             try:
                 for number in range(25):
                     script.step(number)
-            except PowerLost:
+            except PowerLossError:
                 pass
             disk.lose_power()
             _, found, damaged = load(disk)
@@ -79,18 +79,18 @@
                 self.assertEqual(
                     script.attempted[0], EMPTY, "only a store that kept nothing yet may be damaged"
                 )
-            disk.power_lost_at = disk.operations + rng.randint(1, 40)
+            disk.power_loss_at = disk.operations + rng.randint(1, 40)
 
     def test_a_process_that_is_killed_loses_nothing_it_kept(self) -> None:
         for seed in range(20):
             rng = random.Random(seed)
             disk = EmulatedDisk(rng)
-            disk.power_lost_at = rng.randint(1, 50)
+            disk.power_loss_at = rng.randint(1, 50)
             script = Script(load(disk)[0], EMPTY, rng)
-            with self.assertRaises(PowerLost):
+            with self.assertRaises(PowerLossError):
                 for number in range(MOST_OPERATIONS):
                     script.step(number)
-            disk.power_lost_at = 0  # the process is gone, and its files are as they were
+            disk.power_loss_at = 0  # the process is gone, and its files are as they were
             self.assertIn(load(disk)[1], script.attempted)
 
 
@@ -102,7 +102,7 @@
         store = load(disk)[0]
         store.replace(b"snapshot")
         store.append([b"first"])
-        disk.files[store.paths[0]].seen += b"torn"
+        disk.files[store.paths[0]].current += b"torn"
         disk.full = True
         refusing = RefusingFiles(disk)
         store = SlotStore("folder", "state", refusing)
@@ -120,10 +120,10 @@
             disk = EmulatedDisk(random.Random(seed))
             store = load(disk)[0]
             store.replace(b"snapshot")
-            disk.power_lost_at = disk.operations + 2  # written, and killed before its sync
-            with self.assertRaises(PowerLost):
+            disk.power_loss_at = disk.operations + 2  # written, and killed before its sync
+            with self.assertRaises(PowerLossError):
                 store.append([b"record"])
-            disk.power_lost_at = 0
+            disk.power_loss_at = 0
             read = load(disk)[1]
             disk.lose_power()
             self.assertEqual(load(disk)[1], read, f"seed {seed}")
@@ -134,9 +134,9 @@
         store.replace(b"before")
         store.replace(b"snapshot")
         store.append([b"one", b"two"])
-        whole, known = bytes(disk.files[store.paths[1]].seen), set()
+        whole, known = bytes(disk.files[store.paths[1]].current), set()
         for length in range(len(whole) + 1):
-            disk.files[store.paths[1]].seen[:] = whole[:length]
+            disk.files[store.paths[1]].current[:] = whole[:length]
             state = load(disk)[1]
             known.add(state)
             self.assertIn(state[0], (b"before", b"snapshot"))
@@ -169,7 +169,7 @@
     def refuse_at(self, operation: int, code: int, kind: type[StorageError]) -> None:
         rng = random.Random(operation)
         disk = EmulatedDisk(rng)
-        disk.refuse_at = {operation: code}
+        disk.errno_at = {operation: code}
         script = Script(load(disk)[0], EMPTY, rng)
         refused = 0
         for number in range(30):
@@ -219,7 +219,7 @@
         end = store.end
         store.append([b"second"])
         store.append([b"third!"])
-        disk.files[store.paths[0]].seen[end + 9] ^= 1
+        disk.files[store.paths[0]].current[end + 9] ^= 1
         store, state, _ = load(disk)
         self.assertEqual(state, (b"snapshot", (b"first",)))
         store.append([b"longer than both that were there"])
@@ -230,11 +230,11 @@
         store = load(disk)[0]
         store.replace(b"snapshot one")
         store.append([b"record one"])
-        old = bytes(disk.files[store.paths[0]].seen)
+        old = bytes(disk.files[store.paths[0]].current)
         store.replace(b"snapshot two")
         store.replace(b"snapshot 3rd")
         file = disk.files[store.paths[0]]
-        file.seen[len(file.seen) :] = old[len(file.seen) :]  # the cut of the length was lost
+        file.current[len(file.current) :] = old[len(file.current) :]  # the cut of the length was lost
         self.assertEqual(load(disk)[1], (b"snapshot 3rd", ()))
 
     def test_a_damaged_snapshot_gives_way_to_the_one_before(self) -> None:
@@ -242,7 +242,7 @@
         store = load(disk)[0]
         store.replace(b"snapshot one")
         store.replace(b"snapshot two")
-        disk.files[store.paths[1]].seen[-1] ^= 1
+        disk.files[store.paths[1]].current[-1] ^= 1
         self.assertEqual(load(disk)[1], (b"snapshot one", ()))
 
     def test_no_whole_slot_is_told_apart_from_an_empty_folder(self) -> None:
@@ -250,7 +250,7 @@
         self.assertFalse(load(disk)[2])
         store = load(disk)[0]
         store.replace(b"snapshot")
-        disk.files[store.paths[0]].seen[3] ^= 1
+        disk.files[store.paths[0]].current[3] ^= 1
         self.assertTrue(load(disk)[2])
 
     def test_random_bytes_are_never_taken_for_a_store(self) -> None:
@@ -269,9 +269,9 @@
         disk = EmulatedDisk(random.Random(1))
         store = load(disk)[0]
         store.replace(b"snapshot")
-        before = disk.syncs
+        before = disk.sync_count
         store.append([b"one", b"two"])
-        self.assertEqual(disk.syncs - before, 1)
+        self.assertEqual(disk.sync_count - before, 1)
 
     def test_append_before_a_snapshot_is_refused(self) -> None:
         with self.assertRaises(StorageError):
--- a/tests/test_fates.py
+++ b/tests/test_fates.py
@@ -10,14 +10,14 @@
 
 from barleybarrow import interface as face
 from barleybarrow.idempotency_records import (
-    DELAY,
-    ECHO,
+    BATCH_DELAY_MS,
     MAX_GROUP_SIZE,
-    Answer,
+    PROBE_INTERVAL_MS,
     IdempotencyRecords,
     KeyReport,
     KeyReports,
     Probe,
+    SavedResponse,
     Verdict,
 )
 from barleybarrow.interface import Effect, Group, Outcome
@@ -31,7 +31,7 @@
 def connected_pair():
     """The records of two connected proxies, by name."""
     records = {name: IdempotencyRecords(name, 0.0) for name in ("a", "b")}
-    records["a"].reach, records["b"].reach = ["b"], ["a"]
+    records["a"].reachable, records["b"].reachable = ["b"], ["a"]
     return records
 
 
@@ -40,7 +40,7 @@
     for _ in range(4):
         for name, own in records.items():
             own.tick(now)
-            out, own.out = own.out, []
+            out, own.outgoing = own.outgoing, []
             for to, m in out:
                 records[to].receive(now + delay_ms, name, m)
 
@@ -49,40 +49,40 @@
     records = connected_pair()
     deliver(records, 0.0)
     a, b = records["a"], records["b"]
-    a.arrived(1, b"k", WINDOW)
-    assert a.ask(b"k", 5.0, False) is None
-    a.sent(10.0, 1, "s0")
-    assert a.ask(b"k", 10.0, False).server == "s0" and b.ask(b"k", 10.0, False) is None
-    deliver(records, 10.0 + DELAY)
-    verdict = b.ask(b"k", 40.0, False)
+    a.on_request(1, b"k", WINDOW)
+    assert a.lookup(b"k", 5.0, False) is None
+    a.on_attempt_sent(10.0, 1, "s0")
+    assert a.lookup(b"k", 10.0, False).server == "s0" and b.lookup(b"k", 10.0, False) is None
+    deliver(records, 10.0 + BATCH_DELAY_MS)
+    verdict = b.lookup(b"k", 40.0, False)
     assert verdict.server == "s0" and verdict.until < 10.0 + WINDOW  # the server still remembers the key
-    assert verdict.until > WINDOW / 1.05 - ECHO - DELAY - 10.0
-    a.ended(50.0, 1, 0, True)  # not executed
-    a.sent(51.0, 1, "s1")
+    assert verdict.until > WINDOW / 1.05 - PROBE_INTERVAL_MS - BATCH_DELAY_MS - 10.0
+    a.on_attempt_ended(50.0, 1, 0, True)  # not executed
+    a.on_attempt_sent(51.0, 1, "s1")
     deliver(records, 80.0)
-    assert b.ask(b"k", 90.0, False).server == "s1"
-    a.over(100.0, 1, Answer(b"done"))
-    a.ended(101.0, 1, 0, True)
+    assert b.lookup(b"k", 90.0, False).server == "s1"
+    a.on_request_done(100.0, 1, SavedResponse(b"done"))
+    a.on_attempt_ended(101.0, 1, 0, True)
     deliver(records, 130.0)
-    assert b.ask(b"k", 140.0, False) == Verdict(answer=Answer(b"done"))
-    assert b.ask(b"k", 150.0 + 2 * WINDOW, False) is None
+    assert b.lookup(b"k", 140.0, False) == Verdict(response=SavedResponse(b"done"))
+    assert b.lookup(b"k", 150.0 + 2 * WINDOW, False) is None
     deliver(records, 1000.0 + 3 * WINDOW)
-    assert not b.fates and not a.fates and not b.body_bytes
+    assert not b.records and not a.records and not b.body_bytes
 
 
 def test_a_key_that_may_have_run_at_two_servers_goes_to_neither_unless_deduplicated():
     records = connected_pair()
     deliver(records, 0.0)
     for name, server in (("a", "s0"), ("b", "s1")):  # before either receives the other's report
-        records[name].arrived(1, b"k", WINDOW)
-        records[name].sent(10.0, 1, server)
+        records[name].on_request(1, b"k", WINDOW)
+        records[name].on_attempt_sent(10.0, 1, server)
     deliver(records, 40.0)
     for f in records.values():
-        assert f.ask(b"k", 50.0, False) == Verdict()
-        assert f.ask(b"k", 50.0, True).server == "s0"
-    records["a"].over(60.0, 1, None)  # its client left: the attempt may still run
+        assert f.lookup(b"k", 50.0, False) == Verdict()
+        assert f.lookup(b"k", 50.0, True).server == "s0"
+    records["a"].on_request_done(60.0, 1, None)  # its client left: the attempt may still run
     deliver(records, 90.0)
-    assert records["b"].ask(b"k", 100.0, False) == Verdict()
+    assert records["b"].lookup(b"k", 100.0, False) == Verdict()
 
 
 def test_a_delayed_report_never_extends_the_server_window():
@@ -93,25 +93,25 @@
         probed_at = rng.uniform(0.0, 5000.0)
         b.next_probe_at = probed_at
         b.tick(probed_at)
-        ((_, probe),) = b.out
+        ((_, probe),) = b.outgoing
         probe_received_at = probed_at + rng.uniform(0.0, 3000.0)
         a.receive(probe_received_at, "b", probe)
         attempt_sent_at = probe_received_at + rng.uniform(-2000.0, 2000.0)
-        a.arrived(1, b"k", WINDOW)
-        a.sent(attempt_sent_at, 1, "s0")
+        a.on_request(1, b"k", WINDOW)
+        a.on_attempt_sent(attempt_sent_at, 1, "s0")
         reported_at = max(attempt_sent_at, probe_received_at) + rng.uniform(0.0, 2000.0)
-        a.tell_at = reported_at
-        a.out.clear()
+        a.flush_at = reported_at
+        a.outgoing.clear()
         a.tick(reported_at)
         report_received_at = reported_at + rng.uniform(0.0, 4000.0)
-        for to, m in a.out:
+        for to, m in a.outgoing:
             if isinstance(m, KeyReports):
                 assert to == "b"
                 b.receive(report_received_at, "a", m)
-        verdict = b.ask(b"k", report_received_at, False)
+        verdict = b.lookup(b"k", report_received_at, False)
         assert verdict is None or verdict.until <= attempt_sent_at + WINDOW
     b.receive(9000.0, "a", KeyReports(99, [KeyReport(b"x", 1, 0.0, WINDOW, ["s0"])]))
-    assert b.ask(b"x", 9000.0, False).until < 9000.0  # refers to an unknown probe
+    assert b.lookup(b"x", 9000.0, False).until < 9000.0  # refers to an unknown probe
 
 
 def test_tables_are_bounded_and_an_older_report_is_ignored(monkeypatch):
@@ -121,20 +121,22 @@
     records.probe_sent_at[1] = 0.0
     for n in range(5):
         records.receive(
-            10.0, "b", KeyReports(1, [KeyReport(b"%d" % n, n + 1, 0.0, WINDOW, ["s0"], Answer(b"x" * 6))])
+            10.0,
+            "b",
+            KeyReports(1, [KeyReport(b"%d" % n, n + 1, 0.0, WINDOW, ["s0"], SavedResponse(b"x" * 6))]),
         )
-    assert list(records.fates) == [b"2", b"3", b"4"] and records.counts["fates"] == 2
+    assert list(records.records) == [b"2", b"3", b"4"] and records.counts["fates"] == 2
     assert records.body_bytes == 6 and records.counts["answers"] >= 2
-    assert records.ask(b"2", 20.0, False).server == "s0" and records.ask(b"4", 20.0, False).answer
+    assert records.lookup(b"2", 20.0, False).server == "s0" and records.lookup(b"4", 20.0, False).response
     records.receive(20.0, "b", KeyReports(1, [KeyReport(b"2", 1, 0.0, WINDOW, [])]))
-    assert records.ask(b"2", 20.0, False).server == "s0"
-    records.reach = [
+    assert records.lookup(b"2", 20.0, False).server == "s0"
+    records.reachable = [
         f"n{n}" for n in range(MAX_GROUP_SIZE)
     ]  # too large a group: reports are not sent but counted
-    records.arrived(1, b"k", WINDOW)
-    records.sent(30.0, 1, "s0")
+    records.on_request(1, b"k", WINDOW)
+    records.on_attempt_sent(30.0, 1, "s0")
     records.tick(100.0)
-    assert not records.out and records.counts["group"] == 1
+    assert not records.outgoing and records.counts["group"] == 1
     with pytest.raises(msgspec.ValidationError):
         msgspec.msgpack.decode(
             msgspec.msgpack.encode([2, 0, [[b"", 1, 0.0, 1.0, []]]]), type=Probe | KeyReports
@@ -158,13 +160,13 @@
 
 
 def report_is_sent_only_at_the_end(monkeypatch):
-    def sent(self, now, request, server):
-        queued = self.queued_reports.copy(), dict(self.queued_at), self.tell_at
+    def on_attempt_sent(self, now, request, server):
+        queued = self.queued_reports.copy(), dict(self.queued_at), self.flush_at
         right(self, now, request, server)
-        self.queued_reports, self.queued_at, self.tell_at = queued
+        self.queued_reports, self.queued_at, self.flush_at = queued
 
-    right = IdempotencyRecords.sent
-    monkeypatch.setattr(IdempotencyRecords, "sent", sent)
+    right = IdempotencyRecords.on_attempt_sent
+    monkeypatch.setattr(IdempotencyRecords, "on_attempt_sent", on_attempt_sent)
 
 
 def transit_time_is_not_added_to_the_age(monkeypatch):
@@ -179,14 +181,16 @@
 
 
 def either_of_two_servers_is_allowed(monkeypatch):
-    right = IdempotencyRecords.ask
-    monkeypatch.setattr(IdempotencyRecords, "ask", lambda self, key, now, shared: right(self, key, now, True))
+    right = IdempotencyRecords.lookup
+    monkeypatch.setattr(
+        IdempotencyRecords, "lookup", lambda self, key, now, shared: right(self, key, now, True)
+    )
 
 
 def reports_replace_those_of_other_proxies(monkeypatch):
     def apply_report(self, origin, report, now, age):
-        if report.key in self.fates and origin != self.name:
-            self.fates[report.key].reports.clear()
+        if report.key in self.records and origin != self.name:
+            self.records[report.key].reports.clear()
         right(self, origin, report, now, age)
 
     right = IdempotencyRecords.apply_report
@@ -194,8 +198,10 @@
 
 
 def timed_out_attempts_count_as_not_executed(monkeypatch):
-    right = IdempotencyRecords.ended
-    monkeypatch.setattr(IdempotencyRecords, "ended", lambda self, now, r, a, _: right(self, now, r, a, True))
+    right = IdempotencyRecords.on_attempt_ended
+    monkeypatch.setattr(
+        IdempotencyRecords, "on_attempt_ended", lambda self, now, r, a, _: right(self, now, r, a, True)
+    )
 
 
 @pytest.mark.parametrize(
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -15,15 +15,33 @@
 from msgspec import msgpack
 
 from barleybarrow import policy_gate
-from barleybarrow.agreement import Agreement, Progress, Role
-from barleybarrow.agreement_messages import Append, AskVote, Entry, Kind, ReadUpTo, Ready, Snapshot
+from barleybarrow.agreement import Progress, RaftNode, Role
+from barleybarrow.agreement_messages import (
+    AppendEntries,
+    Entry,
+    EntryKind,
+    ReadIndexResponse,
+    Ready,
+    RequestVote,
+    Snapshot,
+)
 from barleybarrow.budget import ClientRetryBudget, ClientRetryLimit
 from barleybarrow.connections import ConnectionSettings
-from barleybarrow.incarnations import Incarnations, Life
-from barleybarrow.policy import PolicyError, Rules, read, stricter
-from barleybarrow.policy_gate import Note, PolicyGate
+from barleybarrow.incarnations import Incarnation, Incarnations
+from barleybarrow.policy import PolicyError, Rules, parse_policy, stricter
+from barleybarrow.policy_gate import FollowerReport, PolicyGate
 from barleybarrow.rate_limiter import Limit
-from barleybarrow.rollout import FORCE, Book, Conductor, Drop, Join, MemberReport, Propose, Step, Version
+from barleybarrow.rollout import (
+    IN_FORCE,
+    Drop,
+    Join,
+    MemberReport,
+    Propose,
+    RolloutDriver,
+    RolloutState,
+    Step,
+    Version,
+)
 from brackenusher.config.operators import PeersSettings
 from brackenusher.core.deadlines import Deadlines
 from brackenusher.group.acting import FULL_WAIT, REPEAT_WAIT, Acting
@@ -41,7 +59,7 @@
 
 
 def test_all_sections_of_a_document_are_parsed():
-    rules = read(
+    rules = parse_policy(
         '[door.tenants.a]\nrate = 2.5\n[servers]\nout = ["s1"]\nout_blocks = [3]\n'
         "[shares.tenants.b]\nopen = 4\n[repeats]\npart = 0.1\n[connections]\nage_s = 2\nrequests = 9\n"
     )
@@ -55,7 +73,7 @@
         9,
     )
     assert rules == Rules(*expected)
-    assert read("") == Rules()
+    assert parse_policy("") == Rules()
 
 
 @pytest.mark.parametrize(
@@ -86,7 +104,7 @@
 )
 def test_an_invalid_document_is_rejected_with_its_key(text, key):
     with pytest.raises(PolicyError, match=f"^{key}: ".replace(".", r"\.")):
-        read(text)
+        parse_policy(text)
 
 
 LIMITS = st.builds(Limit, st.integers(0, 9).map(float), st.integers(1, 9))
@@ -138,7 +156,7 @@
     fleet = SimpleNamespace(bars=[], planner=SimpleNamespace(settings=ConnectionSettings(age=9000.0)))
     acting = Acting(SimpleNamespace(open=opened), fleet)
     text = "[shares.tenants.a]\nopen = 1\n[repeats]\npart = 0.5\nburst = 1\n[connections]\n"
-    acting.act(read(text + "age_s = 3\nrequests = 7\n[door.tenants.a]\nrate = 1\nburst = 2\n"))
+    acting.act(parse_policy(text + "age_s = 3\nrequests = 7\n[door.tenants.a]\nrate = 1\nburst = 2\n"))
     assert (fleet.planner.settings.age, fleet.planner.settings.requests) == (3000.0, 7)
 
     def ask(tenant="a", repeated=False):
@@ -174,9 +192,11 @@
     for seed in range(600):
         table = storm(seed, 3, 800, changes=0.02)
         assert table.found == [], seed
-        agreed += sum(entry.kind == Kind.VOTERS for m in table.machines.values() for entry in m.disk.entries)
+        agreed += sum(
+            entry.kind == EntryKind.VOTERS for m in table.machines.values() for entry in m.disk.entries
+        )
     assert agreed > 50
-    monkeypatch.setattr(Agreement, "may_change", lambda self: True)
+    monkeypatch.setattr(RaftNode, "may_change_voters", lambda self: True)
     assert any(storm(seed, 3, 800, changes=0.02).found for seed in range(10, 30))
 
 
@@ -210,42 +230,42 @@
 
 
 def half_is_a_majority(monkeypatch):
-    monkeypatch.setattr(Agreement, "majority", property(lambda self: max(1, len(self.voters) // 2)))
+    monkeypatch.setattr(RaftNode, "majority", property(lambda self: max(1, len(self.voters) // 2)))
 
 
 def reads_skip_the_leadership_check(monkeypatch):
     """The leader serves reads without confirming that it still leads."""
 
-    def question(self, now, asker, token):
+    def enqueue_read(self, now, asker, token):
         if asker == self.name:
-            self.reads.append((token, self.commit))
+            self.answered_reads.append((token, self.commit_index))
         else:
-            self.send(asker, ReadUpTo(token, self.commit))
+            self.send(asker, ReadIndexResponse(token, self.commit_index))
 
-    monkeypatch.setattr(Agreement, "question", question)
+    monkeypatch.setattr(RaftNode, "enqueue_read", enqueue_read)
 
 
 def votes_twice_in_a_term(monkeypatch):
-    right = Agreement.asked
+    right = RaftNode.handle_vote_request
 
-    def asked(self, now, sender, m):
-        if not m.probe and m.term == self.term:
+    def handle_vote_request(self, now, sender, m):
+        if not m.pre_vote and m.term == self.term:
             self.vote = ""
         right(self, now, sender, m)
 
-    monkeypatch.setattr(Agreement, "asked", asked)
+    monkeypatch.setattr(RaftNode, "handle_vote_request", handle_vote_request)
 
 
 def previous_entry_is_not_checked(monkeypatch):
     """A follower accepts entries whatever entry precedes them."""
 
-    def match_up(self, m):
-        if m.before < self.snapshot.index or m.before > self.last:
+    def try_append(self, m):
+        if m.prev_index < self.snapshot.index or m.prev_index > self.last_index:
             return -1
-        self.place(m.before + 1, m.entries)
-        return m.before + len(m.entries)
+        self.overwrite_from(m.prev_index + 1, m.entries)
+        return m.prev_index + len(m.entries)
 
-    monkeypatch.setattr(Agreement, "match_up", match_up)
+    monkeypatch.setattr(RaftNode, "try_append", try_append)
 
 
 @pytest.mark.parametrize(
@@ -265,26 +285,26 @@
 
 
 def single_member(entries=(), term=2, vote="", size=3, **options):
-    agreement = Agreement(
+    raft = RaftNode(
         "n0", [f"n{i}" for i in range(size)], consensus.Even(), 0.0, term, vote, None, entries, **options
     )
-    return agreement
+    return raft
 
 
 def test_an_entry_of_an_older_term_is_not_committed_by_counting_replicas():
     # The case of figure 8 in the Raft paper: such an entry may still be overwritten.
     a = single_member([Entry(1, 1, b"x")])
-    a.role, a.stored_to = Role.LEADER, 1
+    a.role, a.persisted_index = Role.LEADER, 1
     a.progress = {n: progress_at(1) for n in ("n1", "n2")}
-    a.advance(0.0)
-    assert a.commit == 0
+    a.advance_commit(0.0)
+    assert a.commit_index == 0
     a.append(Entry(2, 0))
-    ready = a.take()
-    a.stored(0.0, ready)
+    ready = a.take_ready()
+    a.on_stored(0.0, ready)
     for p in a.progress.values():
-        p.match = 2
-    a.advance(0.0)
-    assert a.commit == 2
+        p.match_index = 2
+    a.advance_commit(0.0)
+    assert a.commit_index == 2
 
 
 def progress_at(match):
@@ -293,40 +313,40 @@
 
 def test_voters_change_one_at_a_time():
     a = single_member(size=1)
-    a.stand(0.0, True)
-    a.stored(0.0, a.take())
-    assert a.commit == a.last == 1
+    a.campaign(0.0, True)
+    a.on_stored(0.0, a.take_ready())
+    assert a.commit_index == a.last_index == 1
     assert not a.change_voters(0.0, ["n0", "n1", "n2"])  # two changes at once
     assert a.change_voters(0.0, ["n0", "n1"]) and a.voters == ["n0", "n1"]
     assert not a.change_voters(0.0, ["n0"])  # the previous change is not committed yet
-    a.stored(0.0, a.take())
-    assert a.commit == 1  # both voters are needed now
+    a.on_stored(0.0, a.take_ready())
+    assert a.commit_index == 1  # both voters are needed now
 
 
 def test_a_compacted_log_is_sent_as_a_snapshot_that_includes_the_voters():
-    a, b = single_member([], size=1), Agreement("n9", ["n0"], consensus.Even(), 0.0)
-    a.stand(0.0, True)
-    a.stored(0.0, a.take())
+    a, b = single_member([], size=1), RaftNode("n9", ["n0"], consensus.Even(), 0.0)
+    a.campaign(0.0, True)
+    a.on_stored(0.0, a.take_ready())
     for i in range(5):
         a.propose(1.0, b"%d" % i)
-    a.stored(1.0, a.take())
-    a.take()
-    assert a.compact(a.applied, b"state") == Snapshot(6, 3, ["n0"], b"state") and a.entries == []
+    a.on_stored(1.0, a.take_ready())
+    a.take_ready()
+    assert a.compact(a.applied_index, b"state") == Snapshot(6, 3, ["n0"], b"state") and a.entries == []
     b.tick(5000.0)
-    for to, m in b.take().messages:
+    for to, m in b.take_ready().messages:
         assert to == "n0"
         a.receive(5000.0, "n9", m)
-    for _to, m in a.take().messages:
+    for _to, m in a.take_ready().messages:
         b.receive(5000.0, "n0", m)
-    received = b.take()
-    assert received.snapshot.data == b"state" and b.applied == 6
+    received = b.take_ready()
+    assert received.snapshot.data == b"state" and b.applied_index == 6
 
 
 # rollout
 
 
 def rollout_in_joint_phase():
-    rollout = Book()
+    rollout = RolloutState()
 
     def apply(index, command):
         rollout.apply(index, msgpack.encode(command))
@@ -345,7 +365,7 @@
     assert rollout.versions[2].ended == "version 1 was on its way" and len(rollout.versions) == 2
     apply(8, Step(1, "withdrawn", "by hand"))
     apply(9, Step(1, "in force"))
-    assert (rollout.force, rollout.pending, rollout.versions[1].phase, rollout.refused) == (
+    assert (rollout.force, rollout.pending, rollout.versions[1].phase, rollout.rejected_commands) == (
         0,
         0,
         "withdrawn",
@@ -353,7 +373,7 @@
     )
     apply(10, Drop("n2", "me"))
     assert list(rollout.roster) == ["n0", "n1"]
-    reloaded = Book()
+    reloaded = RolloutState()
     reloaded.load(10, rollout.save())
     assert (
         reloaded.versions == rollout.versions
@@ -364,36 +384,37 @@
 
 def test_no_step_is_taken_before_all_members_have_applied_the_previous_one():
     rollout, _ = rollout_in_joint_phase()
-    c = Conductor(10_000.0)
+    c = RolloutDriver(10_000.0)
     reports = {"n0": MemberReport(5), "n1": MemberReport(4)}
-    assert c.conduct(0.0, rollout, reports, 1e9).steps == [] and c.missing == ["n1", "n2"]
-    assert c.conduct(2000.0, rollout, reports, 1e9).probe_targets == ["n1", "n2"]
+    assert c.next_actions(0.0, rollout, reports, 1e9).steps == [] and c.missing == ["n1", "n2"]
+    assert c.next_actions(2000.0, rollout, reports, 1e9).probe_targets == ["n1", "n2"]
     c.mark_down(2000.0, "n2")
     reports["n1"] = MemberReport(5)
-    assert c.conduct(2100.0, rollout, reports, 1e9).steps == [Step(1, "in force")]
-    assert c.conduct(2200.0, rollout, reports, 1e9).steps == []  # retried only after an interval
+    assert c.next_actions(2100.0, rollout, reports, 1e9).steps == [Step(1, "in force")]
+    assert c.next_actions(2200.0, rollout, reports, 1e9).steps == []  # retried only after an interval
     c.on_elected()
-    assert c.conduct(2300.0, rollout, reports, 1e9).steps == []  # a new leader does not know that n2 is down
-    late = c.conduct(12_400.0, rollout, reports, 1e9).steps
+    # A new leader does not know that n2 is down.
+    assert c.next_actions(2300.0, rollout, reports, 1e9).steps == []
+    late = c.next_actions(12_400.0, rollout, reports, 1e9).steps
     assert late == [Step(1, "withdrawn", "not taken up in time by n2")]
 
 
 def test_an_unresponsive_member_delays_only_steps_that_its_lease_endangers():
-    rollout = Book()
+    rollout = RolloutState()
     for index, command in enumerate([Join("n0"), Join("n1"), Propose("a", "", "", 0.0, "")], 1):
         rollout.apply(index, msgpack.encode(command))
-    c, reports = Conductor(30_000.0), {"n0": MemberReport(3)}
-    assert c.conduct(0.0, rollout, reports, 3150.0).steps == []
-    assert c.conduct(499.0, rollout, reports, 3150.0).steps == []
-    joint = c.conduct(500.0, rollout, reports, 3150.0).steps
+    c, reports = RolloutDriver(30_000.0), {"n0": MemberReport(3)}
+    assert c.next_actions(0.0, rollout, reports, 3150.0).steps == []
+    assert c.next_actions(499.0, rollout, reports, 3150.0).steps == []
+    joint = c.next_actions(500.0, rollout, reports, 3150.0).steps
     assert joint == [
         Step(1, "joint")
     ]  # its check is not needed: it admits nothing under rules it cannot parse
     rollout.apply(4, msgpack.encode(joint[0]))
     reports["n0"] = MemberReport(4)
-    assert c.conduct(600.0, rollout, reports, 3150.0).steps == []
-    assert c.conduct(3700.0, rollout, reports, 3150.0).steps == []
-    assert c.conduct(3750.0, rollout, reports, 3150.0).steps == [Step(1, FORCE)]
+    assert c.next_actions(600.0, rollout, reports, 3150.0).steps == []
+    assert c.next_actions(3700.0, rollout, reports, 3150.0).steps == []
+    assert c.next_actions(3750.0, rollout, reports, 3150.0).steps == [Step(1, IN_FORCE)]
 
 
 def test_a_change_does_not_wait_for_heartbeats():
@@ -433,7 +454,11 @@
 
 
 def joint_phase_is_skipped(monkeypatch):
-    monkeypatch.setattr(PolicyGate, "read_rules", lambda self: read(self.book.text(self.book.force)))
+    monkeypatch.setattr(
+        PolicyGate,
+        "effective_rules",
+        lambda self: parse_policy(self.rollout_state.text(self.rollout_state.force)),
+    )
 
 
 def joint_phase_uses_the_new_rules(monkeypatch):
@@ -445,19 +470,19 @@
 
     def init(self, *args, **more):
         right(self, *args, **more)
-        self.caught = True
+        self.caught_up = True
 
     monkeypatch.setattr(PolicyGate, "__init__", init)
 
 
 def reports_more_than_it_applied(monkeypatch):
-    right = PolicyGate.take_up
+    right = PolicyGate.refresh_rules
 
-    def take_up(self):
+    def refresh_rules(self):
         right(self)
-        self.agreement.note = msgpack.encode(Note(self.agreement.last + 5))
+        self.raft.note = msgpack.encode(FollowerReport(self.raft.last_index + 5))
 
-    monkeypatch.setattr(PolicyGate, "take_up", take_up)
+    monkeypatch.setattr(PolicyGate, "refresh_rules", refresh_rules)
 
 
 def test_exhaustive_search_of_a_rollout_with_one_fault_violates_no_invariant():
@@ -481,8 +506,8 @@
 
 
 def rollout_waits_less_than_a_lease(monkeypatch):
-    right = Conductor.conduct
-    monkeypatch.setattr(Conductor, "conduct", lambda s, n, b, w, _: right(s, n, b, w, 200.0))
+    right = RolloutDriver.next_actions
+    monkeypatch.setattr(RolloutDriver, "next_actions", lambda s, n, b, w, _: right(s, n, b, w, 200.0))
 
 
 @pytest.mark.parametrize(
@@ -520,7 +545,9 @@
         assert c.breaches() == [] and c.settled(), seed
         c.run(c.now + 3000.0)
         lead = c.leader()
-        reached += bool(lead.book.electorate) and set(lead.agreement.voters) == set(lead.book.electorate)
+        reached += bool(lead.rollout_state.electorate) and set(lead.raft.voters) == set(
+            lead.rollout_state.electorate
+        )
     assert reached >= 1  # guards against runs in which no change is completed
 
 
@@ -529,7 +556,7 @@
 
     def init(self, *args, **more):
         right(self, *args, **more)
-        self.keeps = True
+        self.durable = True
 
     monkeypatch.setattr(PolicyGate, "__init__", init)
     monkeypatch.setattr(PolicyGroup, "able", lambda self, what: None)
@@ -542,26 +569,26 @@
 
 
 def test_a_member_that_lost_its_store_does_not_vote_in_the_term_of_its_recovery():
-    a = single_member(term=3, barred=True)
-    a.receive(0.0, "n1", Append(3, 0, 0, [], 0, 1))
-    a.trust()
-    a.heard_at = -1e9
-    a.receive(5000.0, "n2", AskVote(3, 9, 3, False))
-    assert [m.granted for to, m in a.take().messages if to == "n2"] == [False]
+    a = single_member(term=3, quarantined=True)
+    a.receive(0.0, "n1", AppendEntries(3, 0, 0, [], 0, 1))
+    a.end_quarantine()
+    a.leader_heard_at = -1e9
+    a.receive(5000.0, "n2", RequestVote(3, 9, 3, False))
+    assert [m.granted for to, m in a.take_ready().messages if to == "n2"] == [False]
 
 
 def test_a_lease_lasts_from_the_time_of_the_read():
     g = PolicyGate("n0", ["n0", "n1", "n2"], consensus.Even(), 0.0, fence=True)
-    g.agreement.leader = "n1"
-    g.book.roster["n0"] = None
+    g.raft.leader = "n1"
+    g.rollout_state.roster["n0"] = None
     g.tick(0.0)
     for at in (500.0, 1000.0):
         g.tick(at)
-    g.receive(1200.0, "n1", ReadUpTo(min(g.asked), 0))
-    assert g.lease_expires_at == 0.0 + policy_gate.LEASE and g.verdict(1300.0) == ""
+    g.receive(1200.0, "n1", ReadIndexResponse(min(g.read_sent_at), 0))
+    assert g.lease_expires_at == 0.0 + policy_gate.LEASE_MS and g.admission_refusal(1300.0) == ""
     for at in (2000.0, 2900.0):
         g.tick(at)
-    assert g.verdict(3001.0) == "lease"
+    assert g.admission_refusal(3001.0) == "lease"
 
 
 def test_a_member_stalled_before_catching_up_must_still_catch_up():
@@ -571,7 +598,7 @@
     g.tick(5500.0)
     for at in range(6000, 10_000, 500):
         g.tick(float(at))
-        assert g.verdict(float(at)) == "behind"
+        assert g.admission_refusal(float(at)) == "behind"
     c = run_random_schedule(20916)
     c.run(c.now + 12_000.0)
     assert c.breaches() == []
@@ -579,19 +606,19 @@
 
 def test_a_stalled_member_admits_nothing_before_a_read():
     g = PolicyGate("n5", ["n0", "n1", "n2"], consensus.Even(), 0.0, fence=True)
-    g.caught, g.lease_expires_at = True, 9e9
+    g.caught_up, g.lease_expires_at = True, 9e9
     g.last_active_at = 0.0
-    assert g.verdict(500.0) == "" and g.verdict(5000.0) == "behind"
+    assert g.admission_refusal(500.0) == "" and g.admission_refusal(5000.0) == "behind"
 
 
 def test_a_member_that_cannot_parse_the_policy_in_force_admits_nothing():
     # A member of an older release does not know a section that the other members know.
     g = PolicyGate("n0", ["n0"], consensus.Even(), 0.0)
-    g.caught = True
-    g.book.versions[1] = Version(1, "a", "", "", 0.0, "[tomorrow]\n", FORCE)
-    g.book.force = 1
-    g.take_up()
-    assert g.rules is None and g.verdict(1.0) == "unreadable"
+    g.caught_up = True
+    g.rollout_state.versions[1] = Version(1, "a", "", "", 0.0, "[tomorrow]\n", IN_FORCE)
+    g.rollout_state.force = 1
+    g.refresh_rules()
+    assert g.rules is None and g.admission_refusal(1.0) == "unreadable"
 
 
 def test_an_unresponsive_member_blocks_a_change_or_is_fenced():
@@ -608,13 +635,15 @@
         text = "[door.tenants.z]\nrate = 0\n"
         lead.submit(c.clock(int(lead.name[1:])), Propose("x", "", "", 0.0, text))
         c.run(c.now + 12_000.0)
-        v = lead.book.versions[lead.book.by_id["x"]]
+        v = lead.rollout_state.versions[lead.rollout_state.by_id["x"]]
         assert (v.phase == "in force") == fence, v
         assert len(c.forces) == before + fence
         if not fence:
-            assert v.ended == "not taken up in time by n4" and c.members[4].verdict(c.clock(4)) == ""
+            assert (
+                v.ended == "not taken up in time by n4" and c.members[4].admission_refusal(c.clock(4)) == ""
+            )
         else:
-            assert c.members[4].verdict(c.clock(4)) == "lease"
+            assert c.members[4].admission_refusal(c.clock(4)) == "lease"
         c.faults = []
         c.run(c.now + 3000.0)
         assert c.settled() and c.breaches() == []
@@ -627,9 +656,9 @@
     other = next(m for m in c.members if m is not lead)
     i, j = int(lead.name[1:]), int(other.name[1:])
     c.play(Schedule(size=3, periods=60.0, links=[LinkFault(at=0, lasts=60, of=[i], to=[j], lost=1.0)]), 1e9)
-    assert c.leader() is lead and lead.agreement.counts["led"] == 1
+    assert c.leader() is lead and lead.raft.counters["led"] == 1
     c.play(Schedule(size=3, periods=60.0, acts=[Act(at=0, do="pause", who=[i], lasts=20)]), 1e9)
-    assert max(m.agreement.term for m in c.members) <= 3 and c.breaches() == []
+    assert max(m.raft.term for m in c.members) <= 3 and c.breaches() == []
 
 
 def test_the_oracle_on_hand_made_histories():
@@ -666,10 +695,10 @@
         ("n1", 3, 0, 0),
         ("n1", 3, 0, 3),  # a release that sends no run number
     ):
-        reply, incarnation = incarnations.shown(name, lives, run)
+        reply, incarnation = incarnations.on_shown(name, lives, run)
         assert reply == before, (name, lives, run)
         if incarnation is not None:
-            incarnations.kept(name, incarnation)
+            incarnations.on_stored(name, incarnation)
 
 
 def test_sending_while_a_stream_is_opening_does_not_break_it():
@@ -689,7 +718,7 @@
 
 
 def ready(term, first, *data):
-    return Ready(hard=(term, "n1"), first=first, entries=[Entry(term, 1, d) for d in data])
+    return Ready(hard_state=(term, "n1"), first_index=first, entries=[Entry(term, 1, d) for d in data])
 
 
 def test_a_store_reloads_its_contents_and_replaces_overwritten_entries(tmp_path):
@@ -701,7 +730,7 @@
     store.db.close()
     loaded = Store(str(tmp_path)).load()
     assert (loaded.term, loaded.vote, loaded.lives) == (5, "n1", 3)
-    assert loaded.met == {"n1": Life(2, 7, 1), "n2": Life(4)}
+    assert loaded.met == {"n1": Incarnation(2, 7, 1), "n2": Incarnation(4)}
     assert loaded.snapshot == Snapshot(1, 4, ["n0"], b"s") and loaded.entries == [Entry(5, 1, b"B")]
 
 
--- a/tests/test_policy_processes.py
+++ b/tests/test_policy_processes.py
@@ -290,9 +290,9 @@
 
 
 WAITS_LESS_THAN_A_LEASE = """
-from barleybarrow.rollout import Conductor
-right = Conductor.conduct
-Conductor.conduct = lambda self, now, book, words, waited: right(self, now, book, words, 200.0)
+from barleybarrow.rollout import RolloutDriver
+right = RolloutDriver.next_actions
+RolloutDriver.next_actions = lambda self, now, book, words, waited: right(self, now, book, words, 200.0)
 """
 
 
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -9,9 +9,9 @@
 from helpers import command
 from msgspec import msgpack
 
-from barleybarrow.agreement_messages import Entry, Kind, Snapshot
-from barleybarrow.recovery import TERMS, Held, lacking, objections, recovered
-from barleybarrow.rollout import FORCE, JOINT, Join, Propose, Step
+from barleybarrow.agreement_messages import Entry, EntryKind, Snapshot
+from barleybarrow.recovery import TERM_MARGIN, StoreContents, missing_versions, objections, recovered_state
+from barleybarrow.rollout import IN_FORCE, JOINT, Join, Propose, Step
 from testbed.processes.governing import Governed
 from testbed.processes.whole import Whole
 
@@ -19,12 +19,12 @@
 
 
 def data(term, *commands):
-    return [Entry(term, Kind.DATA, msgpack.encode(c)) for c in commands]
+    return [Entry(term, EntryKind.DATA, msgpack.encode(c)) for c in commands]
 
 
 def held(name, term=3, count=4, last_term=None, voters=THREE):
-    entries = [Entry(term if last_term is None else last_term, Kind.NOTHING) for _ in range(count)]
-    return Held(name, term, Snapshot(10, 1, list(voters), b""), entries)
+    entries = [Entry(term if last_term is None else last_term, EntryKind.NOOP) for _ in range(count)]
+    return StoreContents(name, term, Snapshot(10, 1, list(voters), b""), entries)
 
 
 @pytest.mark.parametrize(
@@ -41,39 +41,39 @@
 def test_a_store_goes_on_alone_only_where_nothing_speaks_against_it(others, without, applied, whys):
     found = objections(held("n0"), others, without, applied)
     assert len(found) == len(whys)
-    assert all(why in o.why for o, why in zip(found, whys, strict=True))
+    assert all(why in o.reason for o, why in zip(found, whys, strict=True))
     claims = {"were not", "applied more"}
-    assert [bool(o.claim) for o in found] == [any(c in why for c in claims) for why in whys]
+    assert [bool(o.assertion) for o in found] == [any(c in why for c in claims) for why in whys]
 
 
 def test_the_store_that_is_further_along_is_that_of_the_later_term():
     five = [f"n{i}" for i in range(5)]
     late, long = held("n0", count=1, last_term=5, voters=five), held("n1", count=9, voters=five)
-    assert late.reach > long.reach
-    assert [o.why for o in objections(late, [long], ["n2", "n3", "n4"], {})] == []
+    assert late.log_position > long.log_position
+    assert [o.reason for o in objections(late, [long], ["n2", "n3", "n4"], {})] == []
     (why,) = objections(long, [late], ["n2", "n3", "n4"], {})
-    assert "n0's store is further along" in why.why and not why.claim
+    assert "n0's store is further along" in why.reason and not why.assertion
     stranger = objections(held("n9"), [held("n0")], THREE[1:], {})
-    assert "does not vote by its own log" in stranger[0].why
+    assert "does not vote by its own log" in stranger[0].reason
 
 
 def test_one_that_goes_on_outranks_all_that_were_seen_and_votes_alone():
     mine, other = held("n0"), held("n1", term=8, last_term=3)
-    ready = recovered(mine, [other])
-    assert ready.hard == (8 + TERMS, "n0") and ready.first == mine.last + 1
-    after = Held("n0", ready.hard[0], mine.snapshot, [*mine.entries, *ready.entries])
-    assert after.voters == ["n0"] and after.reach > max(mine.reach, other.reach)
+    ready = recovered_state(mine, [other])
+    assert ready.hard_state == (8 + TERM_MARGIN, "n0") and ready.first_index == mine.last_index + 1
+    after = StoreContents("n0", ready.hard_state[0], mine.snapshot, [*mine.entries, *ready.entries])
+    assert after.voters == ["n0"] and after.log_position > max(mine.log_position, other.log_position)
 
 
 def test_what_a_store_holds_and_what_it_lacks_is_said():
-    log = data(1, Join("n0"), Propose("a", "ama", "less", 0.0, ""), Step(1, JOINT), Step(1, FORCE))
-    book = Held("n0", 1, None, log, THREE).book()
+    log = data(1, Join("n0"), Propose("a", "ama", "less", 0.0, ""), Step(1, JOINT), Step(1, IN_FORCE))
+    book = StoreContents("n0", 1, None, log, THREE).rollout_state()
     assert book.force == 1 and list(book.roster) == ["n0"]
     mine = [{"number": 1, "id": "a", "phase": "in force"}, {"number": 2, "id": "b", "phase": "joint"}]
     told = [{**v, "who": "ama", "why": ""} for v in (mine[0], {**mine[1], "phase": "withdrawn"})]
     told += [{"number": 3, "id": "c", "phase": "in force", "who": "kofi", "why": "more"}]
     told += [{"number": 1, "id": "z", "phase": "in force", "who": "kofi", "why": ""}]
-    assert lacking(mine, told) == [
+    assert missing_versions(mine, told) == [
         "version 2 by ama, withdrawn: - (here joint)",
         "version 3 by kofi, in force: more",
         "version 1 by kofi, in force: - (here it is another's)",
--- a/tests/test_replica.py
+++ b/tests/test_replica.py
@@ -13,9 +13,9 @@
 from hypothesis import strategies as st
 
 from barleybarrow import replica
-from barleybarrow.overrides import Effect, Lapses, MarkError, key_of, read
-from barleybarrow.replica import EntryChunk, Kept, Ready, Replica, ReplicaStatus, Stage
-from barleybarrow.version_vectors import Entry, State, Taken, covers, is_covered, range_of
+from barleybarrow.overrides import ActiveOverrides, OverrideError, OverrideExpiry, decode_override, key_of
+from barleybarrow.replica import EntryChunk, Ready, Replica, ReplicaStatus, Stage, StoredReplica
+from barleybarrow.version_vectors import Entry, MergeResult, VersionedState, covers, is_covered, range_of
 from brackenusher.group.database import DatabaseDamagedError, opened
 from brackenusher.group.replica_store import ReplicaStore
 from testbed import oracle_replica as oracle
@@ -30,14 +30,14 @@
 
 def replicas_after(operations):
     """Three replicas after writes and one-way merges between them, and all entries ever written."""
-    states, written = [State() for _ in range(3)], []
+    states, written = [VersionedState() for _ in range(3)], []
     for writer, key, value, recipient in operations:
         entry = states[writer].write(f"n{writer}", KEYS[key], value)
         if entry is not None:
             written.append(entry)
         if recipient is not None:
             for e in list(states[writer].entries()):
-                states[recipient].take(e)
+                states[recipient].merge(e)
     return states, written
 
 
@@ -60,21 +60,21 @@
 @given(OPERATIONS, st.randoms(use_true_random=False))
 def test_merge_is_commutative_and_idempotent_and_vectors_only_grow(operations, rng):
     states, written = replicas_after(operations)
-    one, other = State(), State()
+    one, other = VersionedState(), VersionedState()
     for e in written:
-        one.take(e)
+        one.merge(e)
     twice = written * 2
     rng.shuffle(twice)
     for e in twice:
         before = dict(other.vector)
-        other.take(e)
+        other.merge(e)
         assert is_covered(before, other.vector)
-    assert contents(one) == contents(other) and one.print == other.print
+    assert contents(one) == contents(other) and one.digest == other.digest
     for e in written:  # exactly the entries that none supersedes are held
-        superseded = any(m.key == e.key and covers(m.over, e.dot) for m in written)
+        superseded = any(m.key == e.key and covers(m.supersedes, e.dot) for m in written)
         assert ((e.key, e.dot, e.value) in contents(one)) != superseded
     assert one.size == sum(1 for _ in one.entries())
-    reloaded = State()
+    reloaded = VersionedState()
     reloaded.load(list(one.entries()), one.vector, one.pruned)
     assert (
         contents(reloaded) == contents(one)
@@ -87,42 +87,42 @@
 @given(OPERATIONS)
 def test_a_delta_or_full_copy_makes_replicas_equal_and_pruned_tombstones_revive_nothing(operations):
     states, written = replicas_after(operations)
-    complete, behind = State(), State()
+    complete, behind = VersionedState(), VersionedState()
     for e in written:
-        complete.take(e)
+        complete.merge(e)
     for e in list(states[2].entries()):
-        behind.take(e)
+        behind.merge(e)
     complete.prune(complete.vector, 0)
     assert not complete.tombstone_keys
     if not is_covered(complete.pruned, behind.vector):  # full copy: covered but absent entries are dropped
         seen_dots = {e.dot for e in complete.entries()}
         for e in list(complete.entries()):
-            behind.take(e)
+            behind.merge(e)
         behind.drop_absent(list(behind.slots), seen_dots, complete.vector)
     else:
         delta, _, last = complete.changes_since(behind.vector, 0, 1000, 10**6, 1000)
         assert last and all(not covers(behind.vector, e.dot) for e in delta)
         for e in delta:
-            behind.take(e)
-    behind.heard(complete.vector)
+            behind.merge(e)
+    behind.advance_vector(complete.vector)
     live_entries = [{e for e in contents(state) if e[2] is not None} for state in (behind, complete)]
-    assert live_entries[0] == live_entries[1] and behind.is_gapless() and behind.print == complete.print
+    assert live_entries[0] == live_entries[1] and behind.is_gapless() and behind.digest == complete.digest
 
 
 def test_a_full_state_rejects_new_keys_but_accepts_superseding_entries():
-    state = State(max_entries=2)
+    state = VersionedState(max_entries=2)
     assert state.write("n0", "server a", b"1") and state.write("n0", "server b", b"1")
     assert state.write("n0", "server c", b"1") is None and state.counts["room"] == 1
-    assert state.take(Entry("server d", "n1", 1, {}, b"1")) is Taken.ROOM and state.vector == {"n0": 2}
-    assert state.write("n0", "server a", b"2").over == {"n0": 1}
-    assert state.write("n0", "server b", None) and state.removed == 1 and state.size == 2
+    assert state.merge(Entry("server d", "n1", 1, {}, b"1")) is MergeResult.FULL and state.vector == {"n0": 2}
+    assert state.write("n0", "server a", b"2").supersedes == {"n0": 1}
+    assert state.write("n0", "server b", None) and state.tombstone_count == 1 and state.size == 2
     assert state.write("n0", "server x", None) is None
     same_dot = Entry("server a", "n0", 3, {"n0": 1}, b"else")
-    assert state.take(same_dot) is Taken.MISMATCH
+    assert state.merge(same_dot) is MergeResult.MISMATCH
 
 
 def test_change_chunks_continue_where_the_previous_one_ended():
-    state = State()
+    state = VersionedState()
     for n in range(2500):
         state.write("n0", f"server s{n}", b"v")
     entries, after, chunk_count, last = [], 0, 0, False
@@ -139,41 +139,41 @@
 
 
 def test_of_concurrent_entries_the_override_wins_and_the_conflict_is_shown():
-    one, other, active = State(), State(), Effect()
+    one, other, active = VersionedState(), VersionedState(), ActiveOverrides()
     first = one.write("n0", "server a", b"\x94\xa2me\xa0\x00\x00")
-    other.take(first)
+    other.merge(first)
     one.write("n0", "server a", None)
     concurrent = other.write("n1", "server a", b"\x94\xa3you\xa0\x00\x00")
-    one.take(concurrent)
-    assert active.follow(one, ["server a"]) == [("server", "a")] and active.servers == {"a"}
+    one.merge(concurrent)
+    assert active.update(one, ["server a"]) == [("server", "a")] and active.servers == {"a"}
     assert active.conflicts == {"server a"} and len(one.slots["server a"]) == 2
     one.write("n0", "server a", None)
-    assert active.follow(one, ["server a"]) and not active.servers and not active.conflicts
+    assert active.update(one, ["server a"]) and not active.servers and not active.conflicts
     one.write("n0", "block 7", b"?")
     one.write("n0", "tenant t", b"?")
-    active.follow(one, ["block 7", "tenant t", "what 8"])
+    active.update(one, ["block 7", "tenant t", "what 8"])
     assert active.blocks == {7} and active.tenants == {"t"}
-    assert read(one.slots["block 7"][0]).why == "this release cannot read it"
+    assert decode_override(one.slots["block 7"][0]).why == "this release cannot read it"
     for kind, name in (("host", "a"), ("block", "x"), ("server", ""), ("server", "a b")):
-        with pytest.raises(MarkError):
+        with pytest.raises(OverrideError):
             key_of(kind, name)
 
 
 def test_an_expired_override_is_due_at_each_keeper_in_turn():
-    state, first, second = State(), Lapses(0), Lapses(1)
+    state, first, second = VersionedState(), OverrideExpiry(0), OverrideExpiry(1)
     state.write("n0", "server a", b"\x94\xa2me\xa0\x0a\x00")  # for 10 s
     for expiry in (first, second):
-        expiry.follow(0.0, state, ["server a"])
+        expiry.update(0.0, state, ["server a"])
     assert not first.due(9_999.0) and first.due(10_000.0) == ["server a"]
     assert not second.due(14_999.0) and second.due(15_000.0) == ["server a"]
     state.write("n0", "server a", b"\x94\xa2me\xa0\x0a\x00")
-    first.follow(12_000.0, state, ["server a"])
+    first.update(12_000.0, state, ["server a"])
     assert not first.due(21_000.0) and first.due(22_000.0)
     state.write("n0", "server a", None)
-    first.follow(22_000.0, state, ["server a"])
+    first.update(22_000.0, state, ["server a"])
     assert not first.due(1e9)
-    proxy = Lapses(-1)
-    proxy.follow(0.0, state, ["server a"])
+    proxy = OverrideExpiry(-1)
+    proxy.update(0.0, state, ["server a"])
     assert not proxy.expirations
 
 
@@ -211,19 +211,19 @@
 
 
 def full_copies_drop_nothing(monkeypatch):
-    monkeypatch.setattr(State, "drop_absent", lambda self, keys, seen, vector: 0)
+    monkeypatch.setattr(VersionedState, "drop_absent", lambda self, keys, seen, vector: 0)
 
 
 def covered_entries_are_accepted_again(monkeypatch):
-    def take(self, entry):
+    def merge(self, entry):
         kept, self.vector = self.vector, {}
         try:
             return right(self, entry)
         finally:
             self.vector = kept
 
-    right = State.take
-    monkeypatch.setattr(State, "take", take)
+    right = VersionedState.merge
+    monkeypatch.setattr(VersionedState, "merge", merge)
 
 
 def majority_is_one_short(monkeypatch):
@@ -231,16 +231,16 @@
 
 
 def one_keeper_completes_the_catch_up(monkeypatch):
-    def follow(self, name):
+    def record_covered(self, name):
         if self.stage is Stage.BEHIND and name in self.keepers:
-            self.caught_up()
+            self.mark_caught_up()
 
-    monkeypatch.setattr(Replica, "follow", follow)
+    monkeypatch.setattr(Replica, "record_covered", record_covered)
 
 
 def full_copies_are_never_requested(monkeypatch):
     def start_pull(self, now, name):
-        other = self.other(name)
+        other = self.peer_state(name)
         pruned, other.pruned = other.pruned, {}
         right(self, now, name)
         other.pruned = pruned
@@ -253,13 +253,13 @@
     def write(self, origin, key, value):
         entry = right(self, origin, key, value)
         if entry is not None:
-            own = {o: n for o, n in entry.over.items() if o == origin}
+            own = {o: n for o, n in entry.supersedes.items() if o == origin}
             entry = Entry(entry.key, entry.origin, entry.number, own, entry.value)
             self.set_slot(key, [entry])
         return entry
 
-    right = State.write
-    monkeypatch.setattr(State, "write", write)
+    right = VersionedState.write
+    monkeypatch.setattr(VersionedState, "write", write)
 
 
 def vector_skips_gaps(monkeypatch):
@@ -268,7 +268,7 @@
             self.vector[origin] = max(self.uncovered[origin])
             self.mark_covered(origin, self.vector[origin], True)
 
-    monkeypatch.setattr(State, "advance", advance)
+    monkeypatch.setattr(VersionedState, "advance", advance)
 
 
 def messages_precede_storage(monkeypatch):
@@ -277,15 +277,15 @@
         for to, message in ready.messages:
             self.send(i, int(to[1:]), message)
         ready.messages = []
-        duration = self.rng.uniform(50.0, 400.0) if ready.keys or ready.facts else 0.0
+        duration = self.rng.uniform(50.0, 400.0) if ready.entries_by_key or ready.metadata else 0.0
         self.at(self.now + duration, self.synced, (i, self.life[i], ready))
 
     monkeypatch.setattr(Copies, "sync", sync)
 
 
 def chunks_claim_to_be_the_last(monkeypatch):
-    right = State.changes_since
-    monkeypatch.setattr(State, "changes_since", lambda *a: (right(*a)[0][:1], right(*a)[1], True))
+    right = VersionedState.changes_since
+    monkeypatch.setattr(VersionedState, "changes_since", lambda *a: (right(*a)[0][:1], right(*a)[1], True))
 
 
 @pytest.mark.parametrize(
@@ -330,13 +330,13 @@
 
 def test_a_tombstone_is_not_pruned_while_an_entry_it_supersedes_may_arrive():
     # The superseded entry would reappear if its tombstone were pruned before the entry arrives.
-    state = State()
-    state.take(Entry("server x", "n1~0", 1, {"n0~0": 2}, None))
+    state = VersionedState()
+    state.merge(Entry("server x", "n1~0", 1, {"n0~0": 2}, None))
     assert state.prune({"n1~0": 1}, max_tombstones=0) == 0
-    assert state.take(Entry("server x", "n0~0", 2, {}, b"1")) is Taken.OLD
-    state.heard({"n0~0": 2})
+    assert state.merge(Entry("server x", "n0~0", 2, {}, b"1")) is MergeResult.OLD
+    state.advance_vector({"n0~0": 2})
     assert state.prune({"n1~0": 1}, max_tombstones=0) == 1
-    assert state.take(Entry("server x", "n0~0", 2, {}, b"1")) is Taken.OLD and not state.slots
+    assert state.merge(Entry("server x", "n0~0", 2, {}, b"1")) is MergeResult.OLD and not state.slots
 
 
 def settled_group(size, keepers=3, seed=1):
@@ -380,12 +380,12 @@
 def test_a_write_supersedes_a_tombstone_that_its_writer_has_pruned():
     # An override cleared on one replica, whose tombstone was pruned on another, was set again on that other:
     # the first replica showed a conflict although the writes were not concurrent.
-    a, b = State(), State()
+    a, b = VersionedState(), VersionedState()
     for value in (b"1", None):
-        b.take(a.write("n0~1", "server s", value))
+        b.merge(a.write("n0~1", "server s", value))
     b.prune(b.vector)
     rewritten = b.write("n1~1", "server s", b"2")
-    a.take(rewritten)
+    a.merge(rewritten)
     assert a.slots == b.slots == {"server s": (rewritten,)}
     assert b.write("n1~1", "server t", None) is None
 
@@ -394,7 +394,7 @@
 def test_a_restarted_replica_pulls_only_what_differs(most_removed):
     c = settled_group(3)
     for m in c.members:
-        m.most_removed = most_removed
+        m.max_tombstones = most_removed
 
     def write_all(names, value):
         for n, name in enumerate(names):
@@ -444,11 +444,11 @@
     c.start(1)
     c.run(c.now + 1000.0)
     m = c.members[1]
-    assert m.counts["store_old"] and m.origin != before and m.stage is Stage.BEHIND and not m.whole
+    assert m.counts["store_old"] and m.origin != before and m.stage is Stage.BEHIND and not m.complete
     assert c.write(1, "server d", b"1") == 0
     c.start(0)
     c.run(c.now + 1500.0)
-    assert m.stage is Stage.CAUGHT_UP and m.whole and c.unlike() == [] and c.breaches() == []
+    assert m.stage is Stage.CAUGHT_UP and m.complete and c.unlike() == [] and c.breaches() == []
     c.crash(1)
     c.disks[1] = Disk()
     c.crash(2)
@@ -468,10 +468,12 @@
         m.receive(now, name, ReplicaStatus(5, 1, 1, (m.run_id + 2, 1), (0, 0), True, {}, {}, 0, True))
     assert m.stage is Stage.BEHIND
     for name in m.keepers[:2]:
-        m.receive(now, name, ReplicaStatus(5, 1, 1, (m.run_id, m.asks), (0, 0), True, {}, {}, 0, True))
+        m.receive(
+            now, name, ReplicaStatus(5, 1, 1, (m.run_id, m.catch_up_round), (0, 0), True, {}, {}, 0, True)
+        )
     assert m.stage is Stage.CAUGHT_UP
     m.tick(10_000.0)  # a stall: earlier replies no longer count
-    assert m.stage is Stage.BEHIND and m.may_write() == "keeps nothing: ask one of n0 n1 n2"
+    assert m.stage is Stage.BEHIND and m.write_refusal() == "keeps nothing: ask one of n0 n1 n2"
     for name in m.keepers:
         m.receive(10_000.0, name, ReplicaStatus(5, 1, 1, (m.run_id, 1), (0, 0), True, {}, {}, 0, True))
     assert m.stage is Stage.BEHIND
@@ -487,14 +489,14 @@
     damaged = 4 if damage == "other" else 1
     state = c.members[damaged].state
     key = "server s7"
-    corrupted = [Entry(e.key, e.origin, e.number, e.over, b"wrong") for e in state.slots[key]]
+    corrupted = [Entry(e.key, e.origin, e.number, e.supersedes, b"wrong") for e in state.slots[key]]
     state.set_slot(key, [] if damage == "lost" else corrupted)
     if damage == "keeper":  # a restarting replica accepts the damage until the audit compares digests
         c.crash(3)
         c.start(3)
     c.run(c.now + 6000.0)
     assert c.unlike() == [] and c.members[damaged].counts["set_aside"] == (damage != "lost")
-    assert all(m.state.slots[key][0].value == b"1" and not m.differs for m in c.members)
+    assert all(m.state.slots[key][0].value == b"1" and not m.has_diverged for m in c.members)
 
 
 def test_unexpected_replies_change_nothing():
@@ -503,7 +505,7 @@
     m.receive(now, "n0", EntryChunk(77, [Entry("server x", "n0~0", 2, {}, b"1")], 5, True, {"n0~0": 9}, {}))
     assert "n0~0" not in m.state.vector and m.counts["late_parts"] == 1
     assert m.state.slots.pop("server x")[0].number == 2  # the entry is valid, but the vector is not adopted
-    m.receive(now, "n0", replica.TellRange(1, range_of("server x"), {}, 0, []))
+    m.receive(now, "n0", replica.RangeReply(1, range_of("server x"), {}, 0, []))
     m.receive(now, "n0", replica.DigestReply(1, {}, True, [0] * 256))
     assert not m.state.slots and m.counts["set_aside"] == 0
 
@@ -524,14 +526,14 @@
 
 def test_the_oracle_on_hand_made_states():
     override, tombstone = Entry("k", "a", 1, {}, b"1"), Entry("k", "b", 1, {"a": 1}, None)
-    state = State()
+    state = VersionedState()
     assert oracle.missing(state, [override], [override]) == [override] and not oracle.missing(
         state, [override], [override, tombstone]
     )
-    state.take(override)
+    state.merge(override)
     assert oracle.risen(state, [tombstone]) == [override] and not oracle.risen(state, [override])
     assert not oracle.missing(state, [override], [override])
-    assert oracle.unlike({"x": state, "y": State()}) == ["equal: x and y differ in k"]
+    assert oracle.unlike({"x": state, "y": VersionedState()}) == ["equal: x and y differ in k"]
 
 
 # the store
@@ -540,26 +542,28 @@
 def test_the_store_reloads_what_was_stored_and_detects_damage(tmp_path):
     entry = Entry("server a", "n0~1", 1, {}, b"1")
     store, stored = opened(ReplicaStore, ReplicaStore.load, str(tmp_path), "replica")
-    assert stored == Kept()
-    metadata = Kept("n0~1", True, [], {"n0~1": 1}, {"x": 2}, 3, {"n1": (4, 5)})
-    store.keep(Ready(keys={"server a": [entry], "server b": []}, facts=metadata))
+    assert stored == StoredReplica()
+    metadata = StoredReplica("n0~1", True, [], {"n0~1": 1}, {"x": 2}, 3, {"n1": (4, 5)})
+    store.keep(Ready(entries_by_key={"server a": [entry], "server b": []}, metadata=metadata))
     store.db.close()
     store, stored = opened(ReplicaStore, ReplicaStore.load, str(tmp_path), "replica")
     metadata.entries = [entry]
     assert stored == metadata
-    store.keep(Ready(keys={"server a": []}))
+    store.keep(Ready(entries_by_key={"server a": []}))
     assert store.load().entries == []
-    store.keep(Ready(keys={"server a": [entry]}))
+    store.keep(Ready(entries_by_key={"server a": [entry]}))
     store.db.execute("UPDATE slots SET data = ?", (b"\x90",))
     with pytest.raises(DatabaseDamagedError, match="server a"):
         store.load()
     store.db.close()
     reopened, stored = opened(ReplicaStore, ReplicaStore.load, str(tmp_path), "replica")
-    assert stored is None and reopened.load() == Kept() and (tmp_path / "replica.db.damaged").exists()
+    assert (
+        stored is None and reopened.load() == StoredReplica() and (tmp_path / "replica.db.damaged").exists()
+    )
     reopened.db.close()
     (tmp_path / "replica.db").write_bytes(b"no database" * 100)
     reopened, stored = opened(ReplicaStore, ReplicaStore.load, str(tmp_path), "replica")
-    assert stored is None and reopened.load() == Kept()
+    assert stored is None and reopened.load() == StoredReplica()
     with pytest.raises(sqlite3.Error):
         reopened.db.close()
         reopened.facts(a=1)
--- a/tests/test_replica_processes.py
+++ b/tests/test_replica_processes.py
@@ -14,7 +14,7 @@
 import pytest
 from msgspec import msgpack
 
-from barleybarrow.overrides import Mark
+from barleybarrow.overrides import Override
 from barleybarrow.replica import Ready
 from barleybarrow.version_vectors import Entry
 from brackenusher.group.replica_store import ReplicaStore, sum_of
@@ -299,9 +299,9 @@
             folder = group.folder(n) / "replica"
             shelf = ReplicaStore(str(folder))
             kept = shelf.load()
-            mark = msgpack.encode(Mark("me", "it burns" * 20, 0.0, 0.0))
+            mark = msgpack.encode(Override("me", "it burns" * 20, 0.0, 0.0))
             many = {f"server x{i}": [Entry(f"server x{i}", "n0~0", i + 1, {}, mark)] for i in range(size)}
-            shelf.keep(Ready(keys=many, facts=replace(kept, vector={"n0~0": size})))
+            shelf.keep(Ready(entries_by_key=many, metadata=replace(kept, vector={"n0~0": size})))
             shelf.db.close()
         group.links.put(LinkFault(at=0, lasts=1e6, to=[4], carries="stream", bytes_per_s=4000.0))
         for n in (0, 1):
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -11,11 +11,11 @@
     CreditServerHeartbeat,
     DemandReport,
     LeaseRequest,
+    LimitShares,
     Promise,
     Role,
     SharedRateLimiter,
     ShareGrant,
-    Shares,
 )
 from testbed.cluster import PERIOD
 from testbed.portions import Portions
@@ -74,7 +74,7 @@
         holder = next(i for i, s in enumerate(p.shares) if s.role is not Role.CREDIT_SERVER)
         p.demand[holder] = 600.0
         p.run(p.now + 4000.0)
-        assert p.shares[holder].part("t", p.clock(holder)) > 0.9
+        assert p.shares[holder].share_of("t", p.clock(holder)) > 0.9
         if fault == "crash":
             p.crash(holder)
         else:
@@ -133,24 +133,24 @@
 
 
 def test_leases_and_shares_last_from_the_time_of_the_request():
-    s = Shares("n0", ["n0", "n1", "n2"], random.Random(1), 0.0, 3, lambda key: RATE)
+    s = LimitShares("n0", ["n0", "n1", "n2"], random.Random(1), 0.0, 3, lambda key: RATE)
     s.promised_until = 0.0
     s.role, s.reachable = Role.CANDIDATE, ["n1", "n2"]
     s.send_lease_requests(100.0)
     s.receive(2000.0, "n1", Promise(s.ballot, True))
     assert s.role is Role.CREDIT_SERVER and s.lease_expires_at == 100.0 + LEASE_MS
-    slow = Shares("n0", ["n0", "n1", "n2"], random.Random(1), 0.0, 3, lambda key: RATE)
+    slow = LimitShares("n0", ["n0", "n1", "n2"], random.Random(1), 0.0, 3, lambda key: RATE)
     slow.promised_until = 0.0
     slow.role = Role.CANDIDATE
     slow.send_lease_requests(100.0)
     slow.receive(101.0 + LEASE_MS, "n1", Promise(slow.ballot, True))
     assert slow.role is Role.CANDIDATE  # the lease had expired before the promise arrived
-    p = Shares("n5", ["n0", "n1", "n2"], random.Random(1), 0.0, 4, lambda key: RATE)
+    p = LimitShares("n5", ["n0", "n1", "n2"], random.Random(1), 0.0, 4, lambda key: RATE)
     p.receive(0.0, "n0", CreditServerHeartbeat(9))
     p.send_report(50.0)
     assert p.outgoing[-1] == ("n0", DemandReport(9, 1, 0, 0.25, []))
     p.receive(1500.0, "n0", ShareGrant(9, 1, 1, 0.25, [("t", 0.9)]))
-    assert p.part("t", 50.0 + GRANT_MS - 1.0) == 0.9 and p.part("t", 50.0 + GRANT_MS) == 0.25
+    assert p.share_of("t", 50.0 + GRANT_MS - 1.0) == 0.9 and p.share_of("t", 50.0 + GRANT_MS) == 0.25
     p.receive(1600.0, "n1", ShareGrant(9, 1, 2, 0.25, [("t", 1.0)]))
     p.receive(1600.0, "n0", ShareGrant(8, 1, 3, 0.25, [("t", 1.0)]))
     assert p.applied_sequence == 1  # grants of other servers and other terms are ignored
@@ -159,7 +159,7 @@
 
 
 def test_a_restarted_acceptor_refuses_until_earlier_promises_have_expired():
-    s = Shares("n1", ["n0", "n1", "n2"], random.Random(1), 0.0, 3, lambda key: RATE)
+    s = LimitShares("n1", ["n0", "n1", "n2"], random.Random(1), 0.0, 3, lambda key: RATE)
     s.receive(LEASE_MS, "n0", LeaseRequest(7, 1))
     assert s.outgoing.pop() == ("n0", Promise(1, False))
     s.receive(1.06 * LEASE_MS, "n0", LeaseRequest(7, 2))
@@ -176,7 +176,7 @@
 
 def test_a_rate_limiter_gains_no_tokens_when_its_share_changes():
     limiter = SharedRateLimiter(RateLimiterSettings(tenant=Limit(100.0, 100), table=2))
-    shares = Shares("n0", ["n0"], random.Random(1), 0.0, 4, lambda key: 100.0)
+    shares = LimitShares("n0", ["n0"], random.Random(1), 0.0, 4, lambda key: 100.0)
     limiter.shares = shares
     assert sum(limiter.ask("t", 0.0) == 0.0 for _ in range(100)) == 25
     shares.grants["t"] = (1.0, 1e9)
--- a/tests/test_week.py
+++ b/tests/test_week.py
@@ -5,7 +5,7 @@
 import pytest
 from msgspec.structs import replace
 
-from barleybarrow.policy import read
+from barleybarrow.policy import parse_policy
 from barleybarrow.policy_gate import PolicyGate
 from testbed.cli import main
 from testbed.schedule import LinkFault, ScheduleError
@@ -16,8 +16,8 @@
 
 JOINT_LEFT_OUT = """
 from barleybarrow.policy_gate import PolicyGate
-from barleybarrow.policy import read
-PolicyGate.read_rules = lambda self: read(self.book.text(self.book.force))
+from barleybarrow.policy import parse_policy
+PolicyGate.effective_rules = lambda self: parse_policy(self.rollout_state.text(self.rollout_state.force))
 """
 
 
@@ -36,7 +36,11 @@
 
 
 def test_a_bug_that_is_planted_is_found_in_a_week_of_virtual_time(monkeypatch):
-    monkeypatch.setattr(PolicyGate, "read_rules", lambda self: read(self.book.text(self.book.force)))
+    monkeypatch.setattr(
+        PolicyGate,
+        "effective_rules",
+        lambda self: parse_policy(self.rollout_state.text(self.rollout_state.force)),
+    )
     assert any(virtual.of_policy(drawn(seed, 5)) for seed in range(2000, 2008))
 
 
