--- a/brackenusher/fronts/__init__.py
+++ b/brackenusher/fronts/__init__.py
@@ -1,1 +1,1 @@
-"""What clients speak: each front is a machine fed bytes and a thin driver round it."""
+"""Client-facing protocols: each consists of a sans-I/O state machine and a thin socket driver."""
--- a/brackenusher/fronts/control/__init__.py
+++ b/brackenusher/fronts/control/__init__.py
@@ -1,1 +1,1 @@
-"""The second address: readiness, figures, drain and resume, for those who operate the proxy."""
+"""The control address: readiness, metrics, drain and resume, for operators of the proxy."""
--- a/brackenusher/fronts/control/driver.py
+++ b/brackenusher/fronts/control/driver.py
@@ -1,13 +1,13 @@
-"""The driver of the second address: a listener of its own, whose sockets come first in each turn of the loop.
+"""Server of the control address, whose sockets are handled first in each iteration of the loop.
 
-What goes wrong here costs a caller, never a transaction. It holds `SOCKETS` descriptors at most.
+A fault here affects a control connection, never a transaction. The number of descriptors is bounded.
 """
 
 import logging
 import socket
 from collections.abc import Generator
 
-from brackenusher.fronts.control.machine import Call, Deeds
+from brackenusher.fronts.control.machine import Call, Handlers
 from brackenusher.runtime.buffers import Buffers
 from brackenusher.runtime.driver import SHORTAGE, Address, open_listener, write
 from brackenusher.runtime.log import say
@@ -16,23 +16,23 @@
 
 log = logging.getLogger(__name__)
 
-MOST_CALLERS = 12  # beyond, the one that came first and has no whole call gives way
-SOCKETS = MOST_CALLERS + 2  # with the listener, and one that is accepted while another gives way
-CALL_TIME = 5000.0  # ms for a whole call
-ANSWER_TIME = 2000.0  # ms in which an answer is to be taken
-LINGER = 300.0  # ms: so long what else a caller sends is read away, lest a reset overtake the answer
+MOST_CALLERS = 12  # above this, the oldest without a complete request is closed
+SOCKETS = MOST_CALLERS + 2  # with the listener, and one accepted before another is closed
+REQUEST_TIMEOUT_MS = 5000.0  # to receive a complete request
+RESPONSE_WRITE_TIMEOUT_MS = 2000.0  # for the client to read the response
+LINGER_MS = 300.0  # input is discarded before the close, so that no TCP reset destroys the response
 
 
 class Control:
-    """Accepts callers and keeps count of them."""
+    """Accepts control connections."""
 
-    def __init__(self, loop: Loop, deeds: Deeds, buffers: Buffers) -> None:
-        self.loop, self.deeds, self.buffers = loop, deeds, buffers
-        self.callers: dict[Caller, None] = {}  # the first to come first
-        self.calls = self.dropped = 0  # that were answered; that gave way without a whole call
+    def __init__(self, loop: Loop, handlers: Handlers, buffers: Buffers) -> None:
+        self.loop, self.handlers, self.buffers = loop, handlers, buffers
+        self.connections: dict[ControlConnection, None] = {}  # oldest first
+        self.answered = self.dropped = 0  # requests answered; connections closed to make room
 
     def listen(self, address: Address) -> None:
-        """Raises OSError where the address cannot be listened on."""
+        """Listen on an address. Raises OSError if that fails."""
         sock = open_listener(address, backlog=128)
         self.task = self.loop.spawn(self.accept(sock), sock, first=True)
 
@@ -43,9 +43,9 @@
                 while True:
                     client, _ = sock.accept()
                     client.setblocking(False)
-                    Caller(self, client)
-                    if len(self.callers) > MOST_CALLERS:
-                        self.make_room()
+                    ControlConnection(self, client)
+                    if len(self.connections) > MOST_CALLERS:
+                        self.evict_oldest()
             except BlockingIOError:
                 continue
             except ConnectionError:
@@ -53,77 +53,88 @@
             except OSError as error:
                 if error.errno not in SHORTAGE:
                     raise
-                say(log, logging.WARNING, "control_accept_failed", "control: accept: %(why)s", why=error)
-                self.make_room()
-
-    def make_room(self) -> None:
-        """Have the oldest caller go, one without a whole call if there is one."""
-        oldest = next((each for each in self.callers if not each.call.done), next(iter(self.callers), None))
+                say(
+                    log,
+                    logging.WARNING,
+                    "control_accept_failed",
+                    "control address: accept failed: %(why)s",
+                    why=error,
+                )
+                self.evict_oldest()
+
+    def evict_oldest(self) -> None:
+        """Close the oldest connection, preferably one without a complete request."""
+        oldest = next(
+            (each for each in self.connections if not each.protocol.done), next(iter(self.connections), None)
+        )
         if oldest is not None:
             self.dropped += 1
             oldest.task.stop()
 
 
-class Caller:
-    """One connection, with one call on it."""
+class ControlConnection:
+    """One connection, which carries one request."""
 
-    def __init__(self, control: Control, sock: socket.socket) -> None:
-        self.control, self.sock, self.call = control, sock, Call(control.deeds)
-        self.limit: Entry | None = None
-        self.late = False
-        control.callers[self] = None
-        self.task = control.loop.spawn(self.run(), sock, first=True)
+    def __init__(self, server: Control, sock: socket.socket) -> None:
+        self.server, self.sock, self.protocol = server, sock, Call(server.handlers)
+        self.timer: Entry | None = None
+        self.timed_out = False
+        server.connections[self] = None
+        self.task = server.loop.spawn(self.run(), sock, first=True)
 
     def run(self) -> Coroutine:
         try:
-            self.time(CALL_TIME)
-            while not self.call.done:
+            self.set_timer(REQUEST_TIMEOUT_MS)
+            while not self.protocol.done:
                 yield READ
-                answer = self.call.late() if self.late else self.read()
+                answer = self.protocol.time_out() if self.timed_out else self.read()
                 if not (yield from self.write(answer)):
                     return
-            if self.call.ended:
+            if self.protocol.ended:
                 return
-            self.control.calls += 1
+            self.server.answered += 1
             self.sock.shutdown(socket.SHUT_WR)
-            self.time(LINGER)
-            while not self.late:
+            self.set_timer(LINGER_MS)
+            while not self.timed_out:
                 yield READ
                 try:
-                    if not self.control.buffers.receive(self.sock, len):
+                    if not self.server.buffers.receive(self.sock, len):
                         return
                 except BlockingIOError:
                     pass
         except OSError:
-            pass  # the caller broke the connection
+            pass  # the client broke the connection
         finally:
-            self.control.loop.deadlines.remove(self.limit)
-            self.control.callers.pop(self, None)
+            self.server.loop.deadlines.remove(self.timer)
+            self.server.connections.pop(self, None)
 
     def read(self) -> bytes:
-        found: list[bytes] = []
+        received: list[bytes] = []
         try:
-            self.control.buffers.receive(self.sock, lambda data: found.append(bytes(data)))
+            self.server.buffers.receive(self.sock, lambda data: received.append(bytes(data)))
         except BlockingIOError:
             return b""
-        return self.call.receive(found[0])
+        return self.protocol.receive(received[0])
 
     def write(self, data: bytes) -> Generator[int, int, bool]:
-        """Write all of it; False if the caller took too long."""
+        """Write all data; False if the client did not read it in time."""
         data = write(self.sock, data) if data else data
         if data:
-            self.time(ANSWER_TIME)
+            self.set_timer(RESPONSE_WRITE_TIMEOUT_MS)
         while data:
             yield WRITE
-            if self.late:
+            if self.timed_out:
                 return False
             data = write(self.sock, data)
         return True
 
-    def time(self, span: float) -> None:
-        self.control.loop.deadlines.remove(self.limit)
-        self.late, self.limit = False, self.control.loop.deadlines.add(clock() + span, self.too_late)
+    def set_timer(self, timeout_ms: float) -> None:
+        self.server.loop.deadlines.remove(self.timer)
+        self.timed_out, self.timer = (
+            False,
+            self.server.loop.deadlines.add(clock() + timeout_ms, self.on_timer),
+        )
 
-    def too_late(self) -> None:
-        self.late, self.limit = True, None
+    def on_timer(self) -> None:
+        self.timed_out, self.timer = True, None
         self.task.wake()
--- a/brackenusher/fronts/http.py
+++ b/brackenusher/fronts/http.py
@@ -1,6 +1,6 @@
-"""What HTTP means here, whatever its version on the wire: which requests there are, and the statuses.
+"""HTTP semantics shared by all protocol versions: request validation and the mapping of outcomes to statuses.
 
-Each version's machine reads its wire into a `Message` and asks `Front` what that is.
+The state machine of each version parses bytes into a `Message`; the code here classifies the message.
 """
 
 import math
@@ -17,11 +17,12 @@
 from brackenusher.core.transaction import Answer, Refused, Served
 
 Headers = tuple[tuple[bytes, bytes], ...]
-Fields = dict[bytes, bytes]  # headers by name, in lower case; none that counts was there twice
+HeaderMap = dict[bytes, bytes]  # by lower-case name; headers that must occur once were checked for duplicates
 
-READY = b"/health/ready"
-TOKEN = b"adw-token"
-ONCE = frozenset(  # headers that are read here or there: a second one could be read otherwise by the next
+READY_PATH = b"/health/ready"
+TOKEN_HEADER = b"adw-token"
+# read by this proxy or by a server: the next hop might pick another value of a duplicate
+SINGLE_VALUE_HEADERS = frozenset(
     (
         b"host",
         b"content-length",
@@ -35,10 +36,11 @@
         b"req-extra",
     )
 )
-ID = re.compile(rb"[!-~]{1,256}\Z")  # an id or a key that can be passed on
-AUTHORITY = re.compile(rb"(?:\[[0-9A-Fa-f:.]+\]|[-A-Za-z0-9._~!$&'()*+,;=%]+)(?::[0-9]*)?\Z")  # no userinfo
-SPAN = re.compile(rb"([0-9]{1,9}(?:\.[0-9]{1,9})?)([mu])\Z")
-REASONS = {
+ID_PATTERN = re.compile(rb"[!-~]{1,256}\Z")  # a request id or idempotency key that can be forwarded
+# no userinfo
+AUTHORITY_PATTERN = re.compile(rb"(?:\[[0-9A-Fa-f:.]+\]|[-A-Za-z0-9._~!$&'()*+,;=%]+)(?::[0-9]*)?\Z")
+DEADLINE_PATTERN = re.compile(rb"([0-9]{1,9}(?:\.[0-9]{1,9})?)([mu])\Z")
+REASON_PHRASES = {
     200: b"OK",
     400: b"Bad Request",
     401: b"Unauthorized",
@@ -59,7 +61,7 @@
 
 @dataclass(slots=True)
 class Rejection:
-    """An answer that needs no decision; `fatal` where the rest of the stream cannot be read."""
+    """A response produced without routing; `fatal` if the rest of the byte stream cannot be parsed."""
 
     status: int
     text: str
@@ -68,74 +70,79 @@
 
 
 class Front:
-    """What every connection's machine needs to know: the classes, and the tenants by name."""
+    """Validates requests and maps them to the configured classes and tenants; shared by all connections."""
 
     def __init__(self, settings: face.Settings, with_tokens: bool = False) -> None:
-        self.once = ONCE | {TOKEN} if with_tokens else ONCE
-        self.classes = {c.name.encode(): i for i, c in enumerate(settings.classes)}
-        self.methods = [b"GET" if c.effect is Effect.SAFE else b"POST" for c in settings.classes]
-        self.keyed = [c.effect is Effect.KEYED for c in settings.classes]
-        self.deadlines = [c.deadline for c in settings.classes]
-        self.tenants = {name.encode(): i for i, name in enumerate(settings.tenants)}
-
-    def fields(self, headers: Sequence[tuple[bytes, bytes]]) -> Fields | Rejection:
-        """The headers by name; or which one is there twice that could be read otherwise by the next."""
-        seen: Fields = {}
+        self.single_value_headers = (
+            SINGLE_VALUE_HEADERS | {TOKEN_HEADER} if with_tokens else SINGLE_VALUE_HEADERS
+        )
+        self.class_index = {c.name.encode(): i for i, c in enumerate(settings.classes)}
+        self.class_methods = [b"GET" if c.effect is Effect.SAFE else b"POST" for c in settings.classes]
+        self.class_is_keyed = [c.effect is Effect.KEYED for c in settings.classes]
+        self.class_deadlines = [c.deadline for c in settings.classes]
+        self.tenant_index = {name.encode(): i for i, name in enumerate(settings.tenants)}
+
+    def index_headers(self, headers: Sequence[tuple[bytes, bytes]]) -> HeaderMap | Rejection:
+        """Index headers by name; rejects a duplicate of a header that the next hop might read differently."""
+        by_name: HeaderMap = {}
         for name, value in headers:
-            if name in seen and name in self.once:
+            if name in by_name and name in self.single_value_headers:
                 return Rejection(400, f"{name.decode()} is there twice", fatal=True)
-            seen[name] = value
-        return seen
-
-    def take(self, message: Message, fields: Fields, ready: Callable[[], bool]) -> Request | Rejection:
-        """What a whole message is: a request for the turn servers, or something to be answered at once.
-
-        `fields` are its headers as `fields` gave them.
-        """
-        if message.target.partition(b"?")[0] == READY:
+            by_name[name] = value
+        return by_name
+
+    def classify(
+        self, message: Message, header_map: HeaderMap, is_ready: Callable[[], bool]
+    ) -> Request | Rejection:
+        """Classify a complete message: a request for the turn servers, or a response to send at once."""
+        if message.target.partition(b"?")[0] == READY_PATH:
             if message.method != b"GET":
                 return Rejection(405, "GET only", ((b"allow", b"GET"),))
-            return Rejection(200, "ready") if ready() else Rejection(503, "not ready")
-        return self.read(message, fields)
+            return Rejection(200, "ready") if is_ready() else Rejection(503, "not ready")
+        return self.parse(message, header_map)
 
-    def read(self, message: Message, fields: Fields) -> Request | Rejection:
-        """Translate a whole request, or say what is wrong with it."""
+    def parse(self, message: Message, header_map: HeaderMap) -> Request | Rejection:
+        """Translate a complete request, or reject it with the reason."""
         path = message.target.partition(b"?")[0]
         name = path[1:].partition(b"/")[0]
-        klass = self.classes.get(name)
+        klass = self.class_index.get(name)
         if klass is None and b"%" in name:
-            klass = self.classes.get(unquote(name).encode())
+            klass = self.class_index.get(unquote(name).encode())
         if klass is None or path[:1] != b"/":
             return Rejection(404, "no such class")
-        if message.method != self.methods[klass]:
-            return Rejection(405, "wrong method for the class", ((b"allow", self.methods[klass]),))
-        kind = fields.get(b"req-kind")
-        if kind is not None and self.classes.get(kind) != klass:
-            return Rejection(404 if kind not in self.classes else 400, "Req-Kind is not the path's class")
-        if not ID.match(fields.get(b"req-id", b"")):
+        if message.method != self.class_methods[klass]:
+            return Rejection(405, "wrong method for the class", ((b"allow", self.class_methods[klass]),))
+        requested_class = header_map.get(b"req-kind")
+        if requested_class is not None and self.class_index.get(requested_class) != klass:
+            return Rejection(
+                404 if requested_class not in self.class_index else 400, "Req-Kind is not the path's class"
+            )
+        if not ID_PATTERN.match(header_map.get(b"req-id", b"")):
             return Rejection(400, "Req-Id is missing or cannot be passed on")
-        if self.methods[klass] == b"GET" and message.body:
+        if self.class_methods[klass] == b"GET" and message.body:
             return Rejection(400, "no body is expected")
-        if self.keyed[klass] and not ID.match(fields.get(b"idempotency-key", b"")):
+        if self.class_is_keyed[klass] and not ID_PATTERN.match(header_map.get(b"idempotency-key", b"")):
             return Rejection(400, "Idempotency-Key is missing or cannot be passed on")
-        owner, tenant = fields.get(b"req-owner"), 0
-        message.owner, message.deadline = owner, fields.get(b"req-deadline")
-        if owner is not None and self.tenants:
-            tenant = self.tenants.get(owner, -1)
+        owner, tenant = header_map.get(b"req-owner"), 0
+        message.owner, message.deadline = owner, header_map.get(b"req-deadline")
+        if owner is not None and self.tenant_index:
+            tenant = self.tenant_index.get(owner, -1)
             if tenant < 0:
                 return Rejection(400, "Req-Owner is unknown")
-        span = self.deadlines[klass]
+        deadline_ms = self.class_deadlines[klass]
         if message.deadline is not None:
-            match = SPAN.match(message.deadline)
+            match = DEADLINE_PATTERN.match(message.deadline)
             if match is None:
                 return Rejection(400, "Req-Deadline cannot be read")
-            span = min(span, float(match[1]) / (1.0 if match[2] == b"m" else 1000.0))
-        repeated = fields.get(b"req-retry") == b"1"
-        return Request(fields[b"req-id"], klass, span, tenant, repeated, message, fields.get(TOKEN))
+            deadline_ms = min(deadline_ms, float(match[1]) / (1.0 if match[2] == b"m" else 1000.0))
+        is_retry = header_map.get(b"req-retry") == b"1"
+        return Request(
+            header_map[b"req-id"], klass, deadline_ms, tenant, is_retry, message, header_map.get(TOKEN_HEADER)
+        )
 
 
 def worded(verdict: Verdict) -> Rejection:
-    """The answer to a request that admission turned away."""
+    """The response to a request that admission control rejected."""
     if verdict.bar is Bar.TOKEN:
         headers: Headers = ((b"adw-auth", verdict.why.encode()),)
         if verdict.why in (tokens.MISSING, tokens.EXPIRED):
@@ -144,25 +151,25 @@
         return Rejection(403, "the token does not allow this", headers)
     if verdict.bar is Bar.ID:
         return Rejection(409, "Req-Id is that of an open request", fatal=True)
-    headers = ((b"retry-after", seconds(verdict.retry_after)),)
+    headers = ((b"retry-after", format_seconds(verdict.retry_after)),)
     if verdict.bar is Bar.DOOR:
         return Rejection(429, "over the limit", headers)
-    # at the end of the program the connection may serve on, else its descriptor is needed
+    # fatal if descriptors are short; during shutdown the connection may continue
     return Rejection(503, "refused", headers, fatal=verdict.bar is Bar.ROOM)
 
 
-def final(answer: Answer) -> tuple[int, bytes, Headers]:
-    """Status, body and headers of a final answer."""
+def final_response(answer: Answer) -> tuple[int, bytes, Headers]:
+    """Status, body and headers for the final answer of a transaction."""
     if isinstance(answer, Served):
         headers: Headers = ((b"content-type", answer.content.kind or b"application/octet-stream"),)
         if answer.content.coding:
             headers += ((b"content-encoding", answer.content.coding),)
         return 200, answer.content.body, headers
     if isinstance(answer, Refused):
-        return 503, b"refused\n", ((b"retry-after", seconds(answer.retry_after)),)
+        return 503, b"refused\n", ((b"retry-after", format_seconds(answer.retry_after)),)
     return 502, b"failed\n", ()
 
 
-def seconds(wait: float) -> bytes:
-    """Milliseconds as decimal seconds, rounded up."""
-    return b"%.3f" % (math.ceil(wait) / 1000.0)
+def format_seconds(wait_ms: float) -> bytes:
+    """Format milliseconds as decimal seconds, rounded up to a whole millisecond."""
+    return b"%.3f" % (math.ceil(wait_ms) / 1000.0)
--- a/brackenusher/fronts/http1/__init__.py
+++ b/brackenusher/fronts/http1/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 toward clients."""
+"""HTTP/1.1 for clients."""
--- a/brackenusher/fronts/http1/clients.py
+++ b/brackenusher/fronts/http1/clients.py
@@ -1,4 +1,4 @@
-"""The driver toward clients: the listener, and sockets round the virtual server's machines."""
+"""HTTP/1.1 client connections: the listener, and the socket I/O around the protocol state machine."""
 
 import select
 import socket
@@ -14,158 +14,166 @@
 from brackenusher.core.transaction import Answer, Served, Transaction
 from brackenusher.fronts.http import Front, Rejection, worded
 from brackenusher.fronts.http1.virtual_server import VirtualServer
-from brackenusher.fronts.listener import Heir, Listener, Room
+from brackenusher.fronts.listener import Listener, Room, TransferConnections
 from brackenusher.runtime.buffers import Buffers
 from brackenusher.runtime.driver import abort, write
 from brackenusher.runtime.loop import HANGUP, READ, WRITE, Coroutine, Loop, clock
 from brackenusher.runtime.timers import Entry
 from brackenusher.upstream.pool import Pool
 
-IDLE_TIME = 2_050.0  # a connection between requests is kept so long: some clients ask once and stay
-REQUEST_TIME = 2_500.0  # a request must be whole in this time, the first one counted from the connect
-LOOKS = 8  # connections of each place that are looked at for one that gives way
-PACE = 48.0  # bytes a millisecond: a body that comes no slower has as much time more as it takes
-BODY_TIME = 3_000.0  # a body that is passed on in pieces goes on in this time
-ANSWER_TIME = 10_000.0  # an answer must be taken by the client in this time, or some more of it
-LINGER = 500.0  # so long the rest of a stream that ends is read away, so that the answer is not reset
-PASSED_AT_ONCE = 16  # connections that are given to another process in one go
-FIRST_TIME = 20.0  # a connection this young is not closed at the end: its first request is on its way
+IDLE_TIMEOUT_MS = 2_050.0  # between requests: some clients send one request and keep the connection open
+REQUEST_TIMEOUT_MS = 2_500.0  # to receive a complete request; for the first one, since the connect
+EVICTION_SCAN_LIMIT = 8  # connections of each group that are examined for eviction
+MIN_BODY_BYTES_PER_MS = 48.0  # a body that arrives at least this fast extends the request time-out
+BODY_STALL_TIMEOUT_MS = 3_000.0  # between two reads of a body that is forwarded as a stream
+RESPONSE_WRITE_TIMEOUT_MS = 10_000.0  # for the client to read the next part of a response
+LINGER_MS = 500.0  # input is discarded before the close, so that no TCP reset destroys the response
+TRANSFER_BATCH_SIZE = 16  # connections sent to the successor process in one message
+# younger connections are not closed at shutdown: a first request may be in flight
+NEW_CONNECTION_GRACE_MS = 20.0
 
 
 class Clients(Listener):
-    """Accepts client connections and keeps count of them."""
+    """Accepts HTTP/1.1 connections and tracks their states for eviction and shutdown."""
 
     def __init__(
         self,
         loop: Loop,
-        front: Front,
+        classifier: Front,
         admission: Admission,
         pool: Pool,
-        room: Room,
-        most_kept: int,
+        connection_limit: Room,
+        max_idle: int,
         buffers: Buffers,
         lifecycle: Lifecycle,
         budget: Budget | None = None,
     ) -> None:
-        super().__init__(loop, room)
-        self.front, self.admission, self.pool, self.lifecycle = front, admission, pool, lifecycle
-        self.most_kept, self.buffers = most_kept, buffers
-        self.budget = budget  # for long bodies and answers; none: there are none
-        self.links: set[ClientLink] = set()
-        self.silent: dict[ClientLink, None] = {}  # between requests, none answered yet; the oldest first
-        self.kept: dict[ClientLink, None] = {}  # between requests; the one that was used last stands last
-        self.partial: dict[
-            ClientLink, None
-        ] = {}  # with a request that is not whole; who moved last stands last
-        self.spent: dict[ClientLink, None] = {}  # with their last answer written, the rest is read away
-        self.places = {
-            Place.SPENT: self.spent,
-            Place.SILENT: self.silent,
+        super().__init__(loop, connection_limit)
+        self.classifier, self.admission, self.pool, self.lifecycle = classifier, admission, pool, lifecycle
+        self.most_kept, self.buffers = max_idle, buffers
+        self.budget = budget  # for streamed bodies and responses; None disables streaming
+        self.links: set[Http1Connection] = set()
+        self.awaiting_first_request: dict[Http1Connection, None] = {}  # no request so far; oldest first
+        self.kept: dict[Http1Connection, None] = {}  # between requests; most recently used last
+        self.partial: dict[Http1Connection, None] = {}  # receiving a request; most recently active last
+        self.lingering: dict[Http1Connection, None] = {}  # final response sent, remaining input is discarded
+        self.eviction_groups = {
+            Place.SPENT: self.lingering,
+            Place.SILENT: self.awaiting_first_request,
             Place.PARTIAL: self.partial,
             Place.RESTING: self.kept,
         }
         self.evicted: Counter[Place] = Counter()
-        self.told_away: Counter[Place] = Counter()  # as it was told last
-        self.stopping = False  # each answer ends its connection
-        self.heir: Heir | None = None  # who takes connections between requests once this process is to stop
-        self.gates: list[Callable[[], bool]] = []  # what else must be so before it is ready
-        self.warming = False  # what others know is still awaited, for a fraction of a second
+        self.reported_evictions: Counter[Place] = Counter()  # as last reported
+        self.draining = False  # each response closes its connection
+        # sends idle connections to the successor process during handover
+        self.transfer: TransferConnections | None = None
+        self.gates: list[Callable[[], bool]] = []  # further conditions of readiness
+        self.warming = False  # still waiting, for a fraction of a second, for the state known to peers
 
     def ready(self) -> bool:
-        """Whether clients that may choose are to come here."""
-        open_ = all(gate() for gate in self.gates)
-        return self.pool.held and not self.warming and self.lifecycle.ready and open_
-
-    def begin(self, sock: socket.socket, address: str) -> "ClientLink":
-        return ClientLink(self, sock, address)
-
-    def spare(self) -> bool:
-        """Close a connection on which nothing is owed, as `eviction` says; False where there is none."""
-        now, heads = clock(), {}
-        for place, links in self.places.items():
-            for link in islice(links, LOOKS):
-                if place is Place.SPENT or link.unheard():  # else it moves, and this process has not looked
-                    heads[place] = link
+        """Whether load balancers should send clients here."""
+        checks_pass = all(gate() for gate in self.gates)
+        return self.pool.held and not self.warming and self.lifecycle.ready and checks_pass
+
+    def open_connection(self, sock: socket.socket, address: str) -> "Http1Connection":
+        return Http1Connection(self, sock, address)
+
+    def evict_one(self) -> bool:
+        """Close a connection without a pending response, as the eviction policy says; False if none."""
+        now, candidates = clock(), {}
+        for place, connections in self.eviction_groups.items():
+            for connection in islice(connections, EVICTION_SCAN_LIMIT):
+                # else it has sent data that was not read yet
+                if place is Place.SPENT or connection.no_unread_data():
+                    candidates[place] = connection
                     break
-        goes = choose({place: now - link.moved_at for place, link in heads.items()})
-        if goes is None:
+        chosen = choose({place: now - link.active_at for place, link in candidates.items()})
+        if chosen is None:
             return False
-        self.evicted[goes] += 1
-        heads[goes].task.stop()
+        self.evicted[chosen] += 1
+        candidates[chosen].task.stop()
         return True
 
     def figures(self) -> list[tuple[str, int, str, list[tuple[str, str]]]]:
-        """How many connections were evicted since the last call, by where they stood."""
-        news = self.evicted - self.told_away
-        self.told_away = self.evicted.copy()
-        return [("clients_evicted", count, "c", [("place", place.value)]) for place, count in news.items()]
+        """Number of connections evicted since the last call, by state."""
+        new_evictions = self.evicted - self.reported_evictions
+        self.reported_evictions = self.evicted.copy()
+        return [
+            ("clients_evicted", count, "c", [("place", place.value)])
+            for place, count in new_evictions.items()
+        ]
 
     def drain(self, idle: bool) -> None:
-        self.stopping = True
+        self.draining = True
         if idle:
             self.close_idle()
 
     def resume(self) -> None:
-        self.stopping = False
+        self.draining = False
 
-    def hand_over(self, heir: Heir) -> None:
-        super().hand_over(heir)
-        self.heir = heir
+    def hand_over(self, transfer: TransferConnections) -> None:
+        super().hand_over(transfer)
+        self.transfer = transfer
         self.pass_idle()
 
     def take_back(self) -> None:
         super().take_back()
-        self.heir = None
+        self.transfer = None
 
     def pass_idle(self) -> None:
-        idle = [link for link in [*self.silent, *self.kept] if link.machine.between]
-        for at in range(0, len(idle), PASSED_AT_ONCE):
-            links = idle[at : at + PASSED_AT_ONCE]
-            if self.heir is None or not self.heir([link.sock for link in links]):
+        idle = [
+            connection
+            for connection in [*self.awaiting_first_request, *self.kept]
+            if connection.protocol.between
+        ]
+        for start in range(0, len(idle), TRANSFER_BATCH_SIZE):
+            batch = idle[start : start + TRANSFER_BATCH_SIZE]
+            if self.transfer is None or not self.transfer([link.sock for link in batch]):
                 return
-            for link in links:
-                link.task.stop()  # closes this process's descriptor alone
+            for link in batch:
+                link.task.stop()  # closes only this process's descriptor
 
     def close_idle(self) -> None:
         """Close the connections between requests."""
-        young = clock() - FIRST_TIME
-        for link in [*self.silent, *self.kept]:
-            if link.place is self.kept or link.opened_at < young:
-                link.part()
+        opened_before = clock() - NEW_CONNECTION_GRACE_MS
+        for connection in [*self.awaiting_first_request, *self.kept]:
+            if connection.idle_group is self.kept or connection.opened_at < opened_before:
+                connection.close_gracefully()
 
     def hurry(self) -> None:
-        """Answer those who are still sending their request; it has not been taken."""
-        young = clock() - FIRST_TIME
-        for link in [link for link in self.partial if link.since < young]:
-            link.give_up()
+        """Time out requests that are still being received: none of them was accepted."""
+        opened_before = clock() - NEW_CONNECTION_GRACE_MS
+        for connection in [link for link in self.partial if link.group_since < opened_before]:
+            connection.time_out_now()
 
 
-class ClientLink:
-    """A client's connection."""
+class Http1Connection:
+    """One client connection."""
 
-    def __init__(self, clients: Clients, sock: socket.socket, address: str) -> None:
-        self.clients, self.sock, self.address = clients, sock, address
-        self.machine = VirtualServer(clients.front, clients.ready, clients.budget)
+    def __init__(self, listener: Clients, sock: socket.socket, address: str) -> None:
+        self.listener, self.sock, self.address = listener, sock, address
+        self.protocol = VirtualServer(listener.classifier, listener.ready, listener.budget)
         self.transaction: Transaction | None = None
         self.answer: Answer | None = None
-        self.limit: Entry | None = None
-        self.late, self.seen = False, 0  # bytes of a body that had come when it was looked last
-        self.opened_at = self.moved_at = clock()
-        self.resting, self.since = False, 0.0
-        self.parting = False  # it is to end once no request has begun to come in
-        self.stands: dict[ClientLink, None] | None = None  # where it is counted just now
-        self.place = clients.silent  # among which it counts between requests
-        clients.links.add(self)
-        self.beyond = clients.enter()  # taken only to be refused
-        self.task = clients.loop.spawn(self.run(), sock)
-
-    def part(self) -> None:
-        """End it in good order, unless a request has come that is not read yet: that one is served first."""
-        self.parting = True
+        self.timer: Entry | None = None
+        self.timed_out, self.seen_body_bytes = False, 0  # body bytes received at the last check
+        self.opened_at = self.active_at = clock()
+        self.resting, self.group_since = False, 0.0
+        self.closing_when_idle = False  # close once no request is being received
+        self.group: dict[Http1Connection, None] | None = None  # the listener's group that it is in
+        self.idle_group = listener.awaiting_first_request  # its group between requests
+        listener.links.add(self)
+        self.over_limit = listener.register_connection()  # accepted only to be refused
+        self.task = listener.loop.spawn(self.run(), sock)
+
+    def close_gracefully(self) -> None:
+        """Close gracefully; a request that has arrived but was not read yet is served first."""
+        self.closing_when_idle = True
         self.task.wake()
 
-    def gone(self) -> bool:
-        """Whether the client has closed, as far as the kernel knows; what it sent before may be unread."""
+    def peer_closed(self) -> bool:
+        """Whether the client has closed, according to the kernel; earlier data may still be unread."""
         try:
             if not self.sock.recv(1, socket.MSG_PEEK):
                 return True
@@ -173,12 +181,12 @@
             return False
         except OSError:
             return True
-        ends = select.poll()  # the end stands behind what is unread
-        ends.register(self.sock, select.POLLRDHUP)
-        return bool(ends.poll(0))
+        poll = select.poll()  # the FIN is queued behind unread data
+        poll.register(self.sock, select.POLLRDHUP)
+        return bool(poll.poll(0))
 
-    def unheard(self) -> bool:
-        """Whether nothing has come that is not read yet; asked of one that stands between requests."""
+    def no_unread_data(self) -> bool:
+        """Whether the socket has no unread data; called between requests."""
         try:
             return not self.sock.recv(1, socket.MSG_PEEK)
         except BlockingIOError:
@@ -187,246 +195,256 @@
             return True
 
     def run(self) -> Coroutine:
-        machine = self.machine
+        protocol = self.protocol
         try:
-            while not machine.last:
-                item = machine.next()
+            while not protocol.last:
+                item = protocol.next()
                 if item is None:
-                    if machine.ended or machine.last:
+                    if protocol.ended or protocol.last:
                         return
-                    heir = self.clients.heir
-                    if heir is not None and machine.between and heir([self.sock]):
+                    transfer = self.listener.transfer
+                    if transfer is not None and protocol.between and transfer([self.sock]):
                         return
-                    if self.parting and machine.between:
-                        if self.place is self.clients.silent:
-                            return  # it has had no answer that a reset could take away
+                    if self.closing_when_idle and protocol.between:
+                        if self.idle_group is self.listener.awaiting_first_request:
+                            return  # no response was sent that a reset could destroy
                         break
-                    self.rest(machine.between)
-                    if not (yield from self.write(machine.go_on())):
+                    self.update_idle_state(protocol.between)
+                    if not (yield from self.write(protocol.go_on())):
                         return
                     yield READ
                     self.read()
-                    if not self.late or self.resting and not machine.between:
+                    if not self.timed_out or self.resting and not protocol.between:
                         continue
                     if self.resting:
-                        self.parting = True
+                        self.closing_when_idle = True
                         continue
                     item = Rejection(408, "the request took too long", fatal=True)
-                self.rest(None)
+                self.update_idle_state(None)
                 if isinstance(item, Request):
                     data = yield from self.serve(item)
                 else:
-                    data = machine.reject(item, self.closing)
+                    data = protocol.reject(item, self.closes_after_response)
                 if data is None or not (yield from self.write(data)):
                     return
-                if not machine.items:
-                    machine.forget()
+                if not protocol.pending:
+                    protocol.release_budget()
             yield from self.linger()
         except OSError:
             pass  # the client broke the connection
         finally:
-            self.rest(None)
-            machine.forget()
-            if machine.upload is not None:
-                machine.upload.fail()
+            self.update_idle_state(None)
+            protocol.release_budget()
+            if protocol.upload is not None:
+                protocol.upload.fail()
             if isinstance(self.answer, Served) and self.answer.content.rest is not None:
-                self.answer.content.rest.stop()  # where it came in the turn in which the client went
-            self.clients.links.discard(self)
-            self.clients.leave()
+                # the answer arrived in the loop iteration in which the client disconnected
+                self.answer.content.rest.stop()
+            self.listener.links.discard(self)
+            self.listener.unregister_connection()
             if self.transaction is not None:
-                self.clients.admission.left(self.transaction)
+                self.listener.admission.left(self.transaction)
 
-    def rest(self, between: bool | None) -> None:
-        """Note that it stands between requests or that one comes in, None for neither; each has its time."""
+    def update_idle_state(self, between: bool | None) -> None:
+        """Set the group and time-out: between requests (True), receiving one (False), or neither (None)."""
         if between is None:
             self.time()
             self.stand(None)
         elif between and not self.resting:
-            self.time(IDLE_TIME)
-            self.stand(self.place)
-        elif not between and (self.resting or self.limit is None):
-            first = self.place is self.clients.silent
-            self.time(REQUEST_TIME - (clock() - self.opened_at if first else 0.0))
-            self.stand(self.clients.partial)
+            self.time(IDLE_TIMEOUT_MS)
+            self.stand(self.idle_group)
+        elif not between and (self.resting or self.timer is None):
+            is_first = self.idle_group is self.listener.awaiting_first_request
+            self.time(REQUEST_TIMEOUT_MS - (clock() - self.opened_at if is_first else 0.0))
+            self.stand(self.listener.partial)
         self.resting = bool(between)
 
-    def stand(self, where: "dict[ClientLink, None] | None") -> None:
-        """Be counted among those that may make room, or among none."""
-        if self.stands is not None:
-            self.stands.pop(self, None)
-        self.stands, self.since = where, clock()
-        self.moved_at = self.since
-        if where is not None:
-            where[self] = None
-        if where is self.clients.kept and len(where) > self.clients.most_kept and not self.stays:
-            next(iter(where)).part()
+    def stand(self, group: "dict[Http1Connection, None] | None") -> None:
+        """Move to a group of evictable connections, or to none."""
+        if self.group is not None:
+            self.group.pop(self, None)
+        self.group, self.group_since = group, clock()
+        self.active_at = self.group_since
+        if group is not None:
+            group[self] = None
+        if (
+            group is self.listener.kept
+            and len(group) > self.listener.most_kept
+            and not self.exempt_from_idle_timeout
+        ):
+            next(iter(group)).close_gracefully()
 
     def serve(self, request: Request) -> Generator[int, int, bytes | None]:
-        """Have a request answered; None if the connection is to end at once, as the client left."""
-        clients = self.clients
-        request.address, request.beyond, self.answer = self.address, self.beyond, None
-        fresh = self.place is clients.silent  # a first request shows that new connections come still
-        request.free = None if fresh else len(clients.kept)
-        request.gone = self.gone
-        if request.message.rest is None:  # else its time counts from the last byte of its body
+        """Process a request; None if the client has disconnected and the connection must end at once."""
+        listener = self.listener
+        request.address, request.beyond, self.answer = self.address, self.over_limit, None
+        # a first request shows that new connections still arrive
+        is_first = self.idle_group is listener.awaiting_first_request
+        request.free = None if is_first else len(listener.kept)
+        request.gone = self.peer_closed
+        if request.message.rest is None:  # else the deadline counts from the last byte of the body
             request.span = max(0.0, request.span - (clock() - request.came))
-        taken = clients.admission.admit(request, self.reply)
-        if isinstance(taken, Verdict):
-            return self.machine.reject(worded(taken), self.closing)
-        self.transaction, body = taken, request.message.rest
+        admitted = listener.admission.admit(request, self.on_answer)
+        if isinstance(admitted, Verdict):
+            return self.protocol.reject(worded(admitted), self.closes_after_response)
+        self.transaction, body = admitted, request.message.rest
         if body is not None:
             body.to_writer = self.task.wake
-            self.time(BODY_TIME)
-        timed = body is None  # whether its time counts already
+            self.time(BODY_STALL_TIMEOUT_MS)
+        deadline_runs = body is None  # whether its deadline is already running
         try:
             while self.answer is None:
-                full = self.machine.full
-                events = yield HANGUP if full else READ
+                paused = self.protocol.full
+                events = yield HANGUP if paused else READ
                 if events and self.answer is None:
-                    if full:
+                    if paused:
                         return None
                     self.read()
-                    if self.machine.ended:
+                    if self.protocol.ended:
                         return None
-                if body is not None and (body.broken or self.late):
-                    return self.break_off(taken)
-                if body is not None and body.whole and not timed:
-                    timed = True
-                    clients.admission.whole(taken)
+                if body is not None and (body.broken or self.timed_out):
+                    return self.abort_upload(admitted)
+                if body is not None and body.whole and not deadline_runs:
+                    deadline_runs = True
+                    listener.admission.whole(admitted)
         finally:
             if body is not None:
                 self.time()
                 body.to_writer = nothing
                 body.stop(End.WHOLE if body.over else End.GIVEN_UP)
-        self.transaction, self.place = None, clients.kept
-        clients.admission.answered(taken, self.answer)
+        self.transaction, self.idle_group = None, listener.kept
+        listener.admission.answered(admitted, self.answer)
         if isinstance(self.answer, Served) and self.answer.content.rest is not None:
-            return (yield from self.pour(self.answer.content, self.answer.content.rest))
-        return self.machine.answer(self.answer, self.closing)
+            return (yield from self.stream_response(self.answer.content, self.answer.content.rest))
+        return self.protocol.answer(self.answer, self.closes_after_response)
 
-    def break_off(self, taken: Transaction) -> bytes:
-        """A body that was being passed on cannot be read, or does not go on: it has run nowhere."""
+    def abort_upload(self, transaction: Transaction) -> bytes:
+        """The streamed body is malformed or has stalled; no server has executed the request."""
         self.transaction = None
-        self.clients.admission.left(taken)
-        item = self.machine.next()
+        self.listener.admission.left(transaction)
+        item = self.protocol.next()
         if not isinstance(item, Rejection):
             item = Rejection(408, "the body took too long", fatal=True)
-        return self.machine.reject(item, True)
+        return self.protocol.reject(item, True)
 
-    def pour(self, content: Content, pipe: Pipe) -> Generator[int, int, bytes | None]:
-        """Write an answer that comes in pieces; what is left to be written, None where it cannot be ended."""
+    def stream_response(self, content: Content, pipe: Pipe) -> Generator[int, int, bytes | None]:
+        """Write a streamed response; returns the bytes left to write, None if it cannot be completed."""
         pipe.to_reader = self.task.wake
         try:
-            data = self.machine.begin(content, self.closing)
+            data = self.protocol.encode_response_start(content, self.closes_after_response)
             while True:
                 if pipe.parts:
-                    data += self.machine.piece(pipe.take())
-                over = pipe.over  # as it is now: it may come to be so while this is written
-                if over and pipe.whole:
-                    data += self.machine.end()
+                    data += self.protocol.encode_chunk(pipe.take())
+                complete = pipe.over  # read before the write, during which it may change
+                if complete and pipe.whole:
+                    data += self.protocol.encode_response_end()
                 if not (yield from self.write(data)):
                     return None
                 data = b""
-                if over:
+                if complete:
                     break
                 if not pipe.parts and not pipe.over and (yield HANGUP):
-                    return None  # the client has gone
+                    return None  # the client has disconnected
             if pipe.whole:
                 pipe.stop(End.WHOLE)
                 return data
             pipe.stop(End.BROKEN)
-            abort(self.sock)  # or a client that reads to the end of the connection would take it for whole
+            abort(self.sock)  # else a client that reads up to the FIN would take the response as complete
             return None
         finally:
             pipe.to_reader = nothing
             pipe.stop()
 
     @property
-    def closing(self) -> bool:
-        """Whether an answer is to end the connection: not while what was sent ahead waits for its own."""
-        return self.clients.stopping and self.machine.between
+    def closes_after_response(self) -> bool:
+        """Whether to close after the response: not while pipelined requests await theirs."""
+        return self.listener.draining and self.protocol.between
 
-    def reply(self, answer: Answer) -> None:
+    def on_answer(self, answer: Answer) -> None:
         self.answer = answer
         self.task.wake()
 
     def read(self) -> None:
-        before = len(self.machine.items)
+        items_before = len(self.protocol.pending)
         try:
-            self.clients.buffers.receive(self.sock, self.machine.receive)
+            self.listener.buffers.receive(self.sock, self.protocol.receive)
         except BlockingIOError:
             return
-        for item, *_ in islice(self.machine.items, before, None):
+        for item, *_ in islice(self.protocol.pending, items_before, None):
             if isinstance(item, Request):
                 item.came = clock()
-        if self.stands is self.clients.partial:
-            self.moved_at = clock()
-            self.stands.pop(self)
-            self.stands[self] = None
+        if self.group is self.listener.partial:
+            self.active_at = clock()
+            self.group.pop(self)
+            self.group[self] = None
 
     def write(self, data: bytes) -> Generator[int, int, bool]:
-        """Write all of it; False if the client took too long."""
-        rest = write(self.sock, memoryview(data)) if data else memoryview(data)
-        while rest:
-            self.time(ANSWER_TIME)
+        """Write all data; False if the client did not read it in time."""
+        unsent = write(self.sock, memoryview(data)) if data else memoryview(data)
+        while unsent:
+            self.time(RESPONSE_WRITE_TIMEOUT_MS)
             yield WRITE
-            if self.late:
+            if self.timed_out:
                 return False
-            rest = write(self.sock, rest)
-            if not rest:
+            unsent = write(self.sock, unsent)
+            if not unsent:
                 self.time()
         return True
 
     def linger(self) -> Coroutine:
-        """End the stream, and read away the rest of what comes, lest a reset overtake the answer."""
+        """Shut down the write side and discard input, so that no TCP reset destroys the response."""
         self.sock.shutdown(socket.SHUT_WR)
-        self.time(LINGER)
-        self.stand(self.clients.spent)
-        while not self.late:
+        self.time(LINGER_MS)
+        self.stand(self.listener.lingering)
+        while not self.timed_out:
             yield READ
             try:
-                if not self.clients.buffers.receive(self.sock, len):
+                if not self.listener.buffers.receive(self.sock, len):
                     return
             except BlockingIOError:
                 pass
 
-    def time(self, span: float | None = None) -> None:
-        """Set the time limit anew, or take it away."""
-        deadlines = self.clients.loop.deadlines
-        deadlines.remove(self.limit)
-        self.late, self.limit = False, None
-        if span is not None:
-            self.limit = deadlines.add(clock() + span, self.too_late)
-
-    def too_late(self) -> None:
-        self.limit = None
-        due = self.due()
+    def time(self, timeout_ms: float | None = None) -> None:
+        """Restart the timer, or cancel it."""
+        deadlines = self.listener.loop.deadlines
+        deadlines.remove(self.timer)
+        self.timed_out, self.timer = False, None
+        if timeout_ms is not None:
+            self.timer = deadlines.add(clock() + timeout_ms, self.on_timer)
+
+    def on_timer(self) -> None:
+        self.timer = None
+        due = self.effective_deadline()
         if due > clock():
-            self.limit = self.clients.loop.deadlines.add(due, self.too_late)
+            self.timer = self.listener.loop.deadlines.add(due, self.on_timer)
             return
-        self.late = not (self.resting and self.stays)
-        if self.late:
+        self.timed_out = not (self.resting and self.exempt_from_idle_timeout)
+        if self.timed_out:
             self.task.wake()
 
-    def give_up(self) -> None:
-        """Wait no longer for what it is writing."""
+    def time_out_now(self) -> None:
+        """Time out the request that is being received now."""
         self.time()
-        self.late = True
+        self.timed_out = True
         self.task.wake()
 
-    def due(self) -> float:
-        """When what is waited for is really too late: a body that goes on has more time."""
-        machine = self.machine
+    def effective_deadline(self) -> float:
+        """The effective deadline: a body that makes progress has it extended."""
+        protocol = self.protocol
         if self.transaction is not None:
-            seen, self.seen = self.seen, machine.body_come
-            goes_on = machine.upload is None or machine.full or machine.body_come > seen
-            return clock() + BODY_TIME if goes_on else 0.0
-        if self.stands is self.clients.partial and machine.body_come:
-            begun = self.opened_at if self.place is self.clients.silent else self.since
-            return begun + REQUEST_TIME + machine.body_come / PACE
+            seen_before, self.seen_body_bytes = self.seen_body_bytes, protocol.body_received
+            progresses = protocol.upload is None or protocol.full or protocol.body_received > seen_before
+            return clock() + BODY_STALL_TIMEOUT_MS if progresses else 0.0
+        if self.group is self.listener.partial and protocol.body_received:
+            begun_at = (
+                self.opened_at
+                if self.idle_group is self.listener.awaiting_first_request
+                else self.group_since
+            )
+            return begun_at + REQUEST_TIMEOUT_MS + protocol.body_received / MIN_BODY_BYTES_PER_MS
         return 0.0
 
     @property
-    def stays(self) -> bool:
-        """Whether it is kept however long it rests: once the program stops, clients can open no other."""
-        return self.clients.admission.shutdown is not None and self.place is self.clients.kept
+    def exempt_from_idle_timeout(self) -> bool:
+        """Whether the idle time-out is waived: during shutdown clients cannot open another connection."""
+        return self.listener.admission.shutdown is not None and self.idle_group is self.listener.kept
--- a/brackenusher/fronts/http2/__init__.py
+++ b/brackenusher/fronts/http2/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/2 in cleartext toward clients (RFC 9113, prior knowledge)."""
+"""HTTP/2 for clients, in cleartext with prior knowledge (RFC 9113)."""
--- a/brackenusher/fronts/http2/clients.py
+++ b/brackenusher/fronts/http2/clients.py
@@ -1,4 +1,4 @@
-"""The driver of HTTP/2 toward clients: its listener, and sockets round the connections' machines."""
+"""HTTP/2 client connections: the listener, and the socket I/O around the protocol state machine."""
 
 import socket
 from collections.abc import Callable
@@ -7,233 +7,245 @@
 from brackenusher.config.operators import Http2Settings
 from brackenusher.core.admission import Admission, Bar, Verdict
 from brackenusher.core.transaction import Answer, Transaction
-from brackenusher.fronts.http import Front, final, worded
-from brackenusher.fronts.http2.connection import Connection, Event
-from brackenusher.fronts.http2.streams import Asked, Counts, Held
+from brackenusher.fronts.http import Front, final_response, worded
+from brackenusher.fronts.http2.connection import Event, Http2Protocol
+from brackenusher.fronts.http2.streams import Counters, MemoryBudget, RequestReady
 from brackenusher.fronts.listener import Listener, Room
 from brackenusher.runtime.buffers import Buffers
 from brackenusher.runtime.driver import write
 from brackenusher.runtime.loop import READ, WRITE, Coroutine, Loop, clock
 from brackenusher.runtime.timers import Entry
 
-MOST_UNSENT = 64 * 1024  # bytes made for a socket that does not take them yet; more is not read meanwhile
-LINGER = (
-    500.0  # ms: so long the rest of a stream that ends is read away, so that no reset overtakes the answers
-)
+MAX_UNSENT_BYTES = 64 * 1024  # bytes waiting for the socket's send buffer; input is not read above this
+LINGER_MS = 500.0  # input is discarded before the close, so that no TCP reset destroys the responses
 
 
 class Http2Clients(Listener):
-    """Accepts HTTP/2 connections and keeps count of them."""
+    """Accepts HTTP/2 connections and tracks their states for eviction and shutdown."""
 
     def __init__(
         self,
         loop: Loop,
         settings: Http2Settings,
-        front: Front,
+        classifier: Front,
         admission: Admission,
-        ready: Callable[[], bool],
-        room: Room,
+        is_ready: Callable[[], bool],
+        connection_limit: Room,
         buffers: Buffers,
     ) -> None:
-        super().__init__(loop, room)
-        self.settings, self.front, self.admission, self.ready = settings, front, admission, ready
-        self.buffers, self.counts, self.held = buffers, Counts(), Held(settings.held_kb * 1024)
-        self.links: set[Http2Link] = set()
-        self.resting: dict[Http2Link, None] = {}  # without a stream; the one that rests longest first
-        self.lingering: dict[Http2Link, None] = {}  # over, the rest is read away
-
-    def begin(self, sock: socket.socket, address: str) -> "Http2Link":
-        return Http2Link(self, sock, address)
-
-    def spare(self) -> bool:
-        """Close a connection on which nothing is owed: one that is over, that never asked, or that rests."""
-        link = next(iter(self.lingering), None)
-        link = link or next(
-            (each for each in self.resting if not each.machine.asked and each.unheard()), None
+        super().__init__(loop, connection_limit)
+        self.settings, self.classifier, self.admission, self.is_ready = (
+            settings,
+            classifier,
+            admission,
+            is_ready,
         )
-        link = link or next((each for each in self.resting if each.unheard()), None)
-        if link is not None:
-            link.part()
-        return link is not None
+        self.buffers, self.counts, self.memory = buffers, Counters(), MemoryBudget(settings.held_kb * 1024)
+        self.links: set[Http2Connection] = set()
+        self.idle: dict[Http2Connection, None] = {}  # without open streams; longest idle first
+        self.lingering: dict[Http2Connection, None] = {}  # closed for writing, remaining input is discarded
+
+    def open_connection(self, sock: socket.socket, address: str) -> "Http2Connection":
+        return Http2Connection(self, sock, address)
+
+    def evict_one(self) -> bool:
+        """Close a connection without open streams: a lingering one, an unused one, or the longest idle."""
+        connection = next(iter(self.lingering), None)
+        connection = connection or next(
+            (each for each in self.idle if not each.protocol.had_request and each.no_unread_data()), None
+        )
+        connection = connection or next((each for each in self.idle if each.no_unread_data()), None)
+        if connection is not None:
+            connection.close_now()
+        return connection is not None
 
     def told(self) -> None:
-        """Ask clients to go elsewhere with new streams; those that come all the same are served."""
-        for link in self.links:
-            link.machine.announce(clock())
-            link.task.wake()
+        """Send a first GOAWAY; streams that clients open all the same are served."""
+        for connection in self.links:
+            connection.protocol.announce_shutdown(clock())
+            connection.task.wake()
 
     def drain(self, idle: bool) -> None:
-        for link in self.links:
-            if not link.machine.closing:
-                link.machine.close(clock())  # GOAWAY: what was taken is answered, others open a connection
-                link.task.wake()
+        for connection in self.links:
+            if not connection.protocol.closing:
+                # final GOAWAY: open streams are answered, clients reconnect for others
+                connection.protocol.close(clock())
+                connection.task.wake()
 
     def resume(self) -> None:
-        pass  # who was told to go away goes; newcomers are served as ever
+        pass  # a GOAWAY cannot be taken back; new connections are served as usual
 
     def hurry(self) -> None:
-        for link in self.links:
-            if link.machine.coming:
-                link.machine.hurry(clock())
-                link.task.wake()
-
-
-class Http2Link:
-    """A client's connection."""
-
-    def __init__(self, clients: Http2Clients, sock: socket.socket, address: str) -> None:
-        self.clients, self.sock, self.address = clients, sock, address
-        self.machine = Connection(
-            clients.front, clients.ready, clients.settings, clients.held, clients.counts, clock()
+        for connection in self.links:
+            if connection.protocol.receiving:
+                connection.protocol.refuse_incomplete(clock())
+                connection.task.wake()
+
+
+class Http2Connection:
+    """One client connection."""
+
+    def __init__(self, listener: Http2Clients, sock: socket.socket, address: str) -> None:
+        self.listener, self.sock, self.address = listener, sock, address
+        self.protocol = Http2Protocol(
+            listener.classifier,
+            listener.is_ready,
+            listener.settings,
+            listener.memory,
+            listener.counts,
+            clock(),
         )
-        self.open: dict[int, Transaction] = {}  # by the id of its stream
-        self.replies: list[tuple[int, Answer]] = []  # final answers that the machine was not given yet
-        self.unsent, self.moved_at = b"", clock()  # made and not written; when the socket last took some
-        self.limit: Entry | None = None
-        self.gone = False
-        clients.links.add(self)
-        self.beyond = clients.enter()  # taken only to be refused
-        self.task = clients.loop.spawn(self.run(), sock)
-
-    def unheard(self) -> bool:
-        """Whether nothing has come that is not read yet."""
+        self.transactions: dict[int, Transaction] = {}  # by stream id
+        self.pending_answers: list[
+            tuple[int, Answer]
+        ] = []  # final answers not yet passed to the state machine
+        # encoded and not written yet; when the socket last accepted data
+        self.unsent, self.written_at = b"", clock()
+        self.timer: Entry | None = None
+        self.peer_closed = False
+        listener.links.add(self)
+        self.over_limit = listener.register_connection()  # accepted only to be refused
+        self.task = listener.loop.spawn(self.run(), sock)
+
+    def no_unread_data(self) -> bool:
+        """Whether the socket has no unread data."""
         try:
             return not self.sock.recv(1, socket.MSG_PEEK)
         except OSError:
             return True
 
-    def part(self) -> None:
-        """End a connection without a stream at once; the client learns what never ran, if it still reads."""
-        self.machine.close(clock())
+    def close_now(self) -> None:
+        """Close a connection without streams at once; GOAWAY tells the client what was not processed."""
+        self.protocol.close(clock())
         try:
-            write(self.sock, self.unsent + self.machine.output(MOST_UNSENT, clock()))
+            write(self.sock, self.unsent + self.protocol.output(MAX_UNSENT_BYTES, clock()))
         except OSError:
             pass
         self.task.stop()
 
     def run(self) -> Coroutine:
-        machine = self.machine
+        protocol = self.protocol
         try:
             while True:
-                self.deliver()
+                self.deliver_answers()
                 blocked = self.flush()
-                if machine.over and not self.unsent and not machine.out:
+                if protocol.finished and not self.unsent and not protocol.out:
                     break
-                self.rest()
-                self.time()
+                self.update_idle_state()
+                self.set_timer()
                 events = yield (WRITE if self.unsent else 0) | (0 if blocked else READ)
                 now = clock()
-                if self.unsent and now >= self.moved_at + self.clients.settings.answer_ms:
-                    self.clients.counts.stuck += len(machine.sending)
+                if self.unsent and now >= self.written_at + self.listener.settings.answer_ms:
+                    self.listener.counts.stuck += len(protocol.sending)
                     return
                 if events & ~WRITE:
                     self.read()
-                if self.gone:
+                if self.peer_closed:
                     return
-                self.act(machine.expire(now))
+                self.handle_events(protocol.expire(now))
             yield from self.linger()
         except OSError:
             pass  # the client broke the connection
         finally:
-            self.clients.loop.deadlines.remove(self.limit)
-            self.clients.resting.pop(self, None)
-            self.clients.lingering.pop(self, None)
-            self.clients.links.discard(self)
-            self.clients.leave()
-            machine.forget()
-            for transaction in self.open.values():
-                self.clients.admission.left(transaction)
+            self.listener.loop.deadlines.remove(self.timer)
+            self.listener.idle.pop(self, None)
+            self.listener.lingering.pop(self, None)
+            self.listener.links.discard(self)
+            self.listener.unregister_connection()
+            protocol.remove_all_streams()
+            for transaction in self.transactions.values():
+                self.listener.admission.left(transaction)
 
     def read(self) -> None:
         try:
-            if not self.clients.buffers.receive(self.sock, self.receive):
-                self.gone = True
+            if not self.listener.buffers.receive(self.sock, self.receive):
+                self.peer_closed = True
         except BlockingIOError:
             pass
 
     def receive(self, data: memoryview) -> None:
-        self.act(self.machine.receive(data, clock()))
+        self.handle_events(self.protocol.receive(data, clock()))
 
-    def act(self, events: list[Event]) -> None:
+    def handle_events(self, events: list[Event]) -> None:
         for event in events:
-            if isinstance(event, Asked):
+            if isinstance(event, RequestReady):
                 self.serve(event)
-            elif event.stream in self.open:
-                self.clients.admission.left(self.open.pop(event.stream))
-
-    def serve(self, asked: Asked) -> None:
-        """Have a request answered."""
-        number, request = asked.stream, asked.request
-        request.address, request.beyond = self.address, self.beyond
-        taken = self.clients.admission.admit(request, partial(self.reply, number))
-        if not isinstance(taken, Verdict):
-            self.open[number] = taken
+            elif event.stream_id in self.transactions:
+                self.listener.admission.left(self.transactions.pop(event.stream_id))
+
+    def serve(self, ready: RequestReady) -> None:
+        """Pass a request to admission control; answer it at once if it is rejected."""
+        stream_id, request = ready.stream_id, ready.request
+        request.address, request.beyond = self.address, self.over_limit
+        admitted = self.listener.admission.admit(request, partial(self.on_answer, stream_id))
+        if not isinstance(admitted, Verdict):
+            self.transactions[stream_id] = admitted
             return
-        rejection, now = worded(taken), clock()
+        rejection, now = worded(admitted), clock()
         body = rejection.text.encode() + b"\n"
-        self.machine.answer(number, rejection.status, body, rejection.headers, now)
-        if taken.bar is Bar.ROOM:  # its descriptor is needed
-            self.machine.close(now)
+        self.protocol.answer(stream_id, rejection.status, body, rejection.headers, now)
+        if admitted.bar is Bar.ROOM:  # descriptors are short
+            self.protocol.close(now)
 
-    def reply(self, number: int, answer: Answer) -> None:
-        """Take a final answer, maybe while its request is still being admitted."""
-        self.replies.append((number, answer))
+    def on_answer(self, stream_id: int, answer: Answer) -> None:
+        """Queue a final answer; may be called while the request is still being admitted."""
+        self.pending_answers.append((stream_id, answer))
         self.task.wake()
 
-    def deliver(self) -> None:
-        """Hand final answers to the machine."""
-        replies, self.replies = self.replies, []
-        for number, answer in replies:
-            transaction = self.open.pop(number, None)
-            if transaction is not None:  # else its stream went while the answer waited for this turn
-                self.clients.admission.answered(transaction, answer)
-                self.machine.answer(number, *final(answer), clock())
+    def deliver_answers(self) -> None:
+        """Pass queued final answers to the state machine."""
+        answers, self.pending_answers = self.pending_answers, []
+        for stream_id, answer in answers:
+            transaction = self.transactions.pop(stream_id, None)
+            if transaction is not None:  # else the stream ended while the answer was queued
+                self.listener.admission.answered(transaction, answer)
+                self.protocol.answer(stream_id, *final_response(answer), clock())
 
     def flush(self) -> bool:
-        """Write what the socket takes; True where so much is left that nothing is to be read meanwhile."""
-        machine = self.machine
+        """Write what the socket accepts; True if so much is left that reading is paused."""
+        protocol = self.protocol
         while True:
-            now, room = clock(), MOST_UNSENT - len(self.unsent)
-            before = self.unsent + (machine.output(room, now) if room > 0 else b"")
-            self.unsent = write(self.sock, before) if before else b""
-            if not before or len(self.unsent) < len(before):
-                self.moved_at = now
-            if not before or self.unsent:
-                return len(self.unsent) + len(machine.out) >= MOST_UNSENT
-
-    def rest(self) -> None:
-        """Be counted among those that may make room while there is no stream."""
-        if self.machine.streams:
-            self.clients.resting.pop(self, None)
+            now, capacity = clock(), MAX_UNSENT_BYTES - len(self.unsent)
+            data = self.unsent + (protocol.output(capacity, now) if capacity > 0 else b"")
+            self.unsent = write(self.sock, data) if data else b""
+            if not data or len(self.unsent) < len(data):
+                self.written_at = now
+            if not data or self.unsent:
+                return len(self.unsent) + len(protocol.out) >= MAX_UNSENT_BYTES
+
+    def update_idle_state(self) -> None:
+        """Update the membership in the listener's idle connections."""
+        if self.protocol.streams:
+            self.listener.idle.pop(self, None)
         else:
-            self.clients.resting.setdefault(self)
+            self.listener.idle.setdefault(self)
 
-    def time(self) -> None:
-        """Be woken when something is due. An entry that comes too early is kept: most times only move on."""
-        due = self.machine.due()
+    def set_timer(self) -> None:
+        """Set the timer. A timer that fires too early is kept, as deadlines are mostly moved later."""
+        deadline = self.protocol.next_deadline()
         if self.unsent:
-            due = min(due, self.moved_at + self.clients.settings.answer_ms)
-        if self.limit is None or self.limit[0] > due:
-            deadlines = self.clients.loop.deadlines
-            deadlines.remove(self.limit)
-            self.limit = deadlines.add(due, self.wake) if due < float("inf") else None
-
-    def wake(self) -> None:
-        self.limit = None
+            deadline = min(deadline, self.written_at + self.listener.settings.answer_ms)
+        if self.timer is None or self.timer[0] > deadline:
+            deadlines = self.listener.loop.deadlines
+            deadlines.remove(self.timer)
+            self.timer = deadlines.add(deadline, self.on_timer) if deadline < float("inf") else None
+
+    def on_timer(self) -> None:
+        self.timer = None
         self.task.wake()
 
     def linger(self) -> Coroutine:
-        """End the stream, and read away the rest of what comes, lest a reset overtake the answers."""
+        """Shut down the write side and discard input, so that no TCP reset destroys the responses."""
         self.sock.shutdown(socket.SHUT_WR)
-        self.clients.resting.pop(self, None)
-        self.clients.lingering[self] = None
-        end = clock() + LINGER
-        self.clients.loop.deadlines.remove(self.limit)
-        self.limit = self.clients.loop.deadlines.add(end, self.wake)
+        self.listener.idle.pop(self, None)
+        self.listener.lingering[self] = None
+        end = clock() + LINGER_MS
+        self.listener.loop.deadlines.remove(self.timer)
+        self.timer = self.listener.loop.deadlines.add(end, self.on_timer)
         while clock() < end:
             yield READ
             try:
-                if not self.clients.buffers.receive(self.sock, len):
+                if not self.listener.buffers.receive(self.sock, len):
                     return
             except BlockingIOError:
                 pass
--- a/brackenusher/fronts/http2/streams.py
+++ b/brackenusher/fronts/http2/streams.py
@@ -1,4 +1,4 @@
-"""What a connection keeps of its streams, and the events that it gives; nothing here reads or writes."""
+"""Per-stream state, events and counters of an HTTP/2 connection, and adapters for h2; no I/O."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass, field
@@ -11,59 +11,57 @@
 from brackenusher.core.message import LONGEST_BODY
 from brackenusher.fronts.http import Headers
 from brackenusher.fronts.http2.heads import (
-    Head,
+    RequestHead,
 )
 
-MOST_CLOSED = 1024  # streams that h2 remembers for telling how they ended: its 65,536 would take 6 MB
+CLOSED_STREAM_HISTORY = 1024  # closed streams whose state h2 remembers; its default of 65,536 would take 6 MB
 
 
 @dataclass(slots=True)
-class Asked:
-    """A request has come whole; `Connection.answer` is to be called once."""
+class RequestReady:
+    """A request is complete; the connection expects exactly one answer for it."""
 
-    stream: int
+    stream_id: int
     request: Request
 
 
 @dataclass(slots=True)
-class Gone:
-    """The client, or a fault of its own, ended a stream whose request was handed out."""
+class StreamAborted:
+    """A stream whose request was reported ended early, by a client reset or a client error."""
 
-    stream: int
+    stream_id: int
 
 
-class State(Enum):
-    COMING = 1
-    ASKED = 2
+class StreamState(Enum):
+    RECEIVING = 1
+    PROCESSING = 2
     SENDING = 3
 
 
 @dataclass(slots=True)
-class Counts:
-    """What became of streams and connections, over all connections."""
+class Counters:
+    """Counters over all connections."""
 
     streams: int = 0
-    refused: int = 0  # streams told that they never ran: too many, no room, the end
-    reset: int = 0  # by their clients, before their answer was sent; also before they were taken
-    stuck: int = 0  # answers dropped, as the client did not take them in time or others needed the room
-    late: int = 0  # requests that did not come whole in time
-    floods: int = 0  # connections ended for what asks for nothing
-    faults: int = 0  # connections ended for other errors
+    refused: int = 0  # streams reset as not processed: stream limit, memory limit, shutdown
+    reset: int = 0  # reset by clients before the response was sent
+    stuck: int = 0  # responses dropped as the client did not read them in time, or for memory
+    late: int = 0  # requests that were not complete in time
+    floods: int = 0  # connections closed for too many frames that request nothing
+    faults: int = 0  # connections closed for other errors
 
 
-class Held:
-    """Bytes of bodies and answers that are held, over all connections; `most` is their bound."""
+class MemoryBudget:
+    """Memory used for bodies and responses over all connections, with its limit."""
 
-    def __init__(self, most: int) -> None:
-        self.most, self.size, self.peak = most, 0, 0
-        self.aside, self.most_aside = (
-            0,
-            max(most * 3 // 4, LONGEST_BODY),
-        )  # for bodies; the rest for new streams
+    def __init__(self, limit: int) -> None:
+        self.limit, self.used, self.peak = limit, 0, 0
+        # reserved for bodies; the rest is left to new streams
+        self.reserved, self.reservation_limit = 0, max(limit * 3 // 4, LONGEST_BODY)
 
     def add(self, size: int) -> None:
-        self.size += size
-        self.peak = max(self.peak, self.size)
+        self.used += size
+        self.peak = max(self.peak, self.used)
 
 
 @dataclass(slots=True, eq=False)
@@ -71,29 +69,29 @@
     """An open stream."""
 
     id: int
-    since: float  # its head came; or, once it sends, its answer was there
+    since: float  # when the head arrived, or when the response was ready
     urgency: int
-    head: Head | None = None
-    state: State = State.COMING
-    ended: bool = False  # the client has sent its last byte of it
+    head: RequestHead | None = None
+    state: StreamState = StreamState.RECEIVING
+    input_ended: bool = False  # the client has sent END_STREAM
     body: bytearray = field(default_factory=bytearray)
-    held: int = 0  # bytes counted for it
-    owed: int = 0  # bytes taken, for which its window was not opened again
-    roomy: bool = False  # there is room for its whole body
-    aside: int = 0  # bytes set aside for that, while it comes
-    answer: memoryview = memoryview(b"")  # what is still to be sent
-    fault: bool = False  # malformed: what it sends still is a protocol error
+    charged: int = 0  # bytes charged for it
+    unreturned_window: int = 0  # bytes received and not yet returned to its window
+    body_reserved: bool = False  # memory is reserved for its whole body
+    reserved: int = 0  # bytes reserved for the body while it is received
+    unsent: memoryview = memoryview(b"")  # the part of the response not sent yet
+    malformed: bool = False  # malformed: further frames are a protocol error
 
 
-class Reader(Decoder):
-    """Keeps the header list from h2, which would end the connection for one stream's malformed head."""
+class RawHeaderDecoder(Decoder):
+    """Hides header lists from h2, which would close the connection for one stream's malformed head."""
 
-    block: Headers = ()
+    headers: Headers = ()
 
     def decode(self, data: bytes, raw: bool = False) -> Iterable[HeaderTuple]:
-        self.block = tuple((bytes(name), bytes(value)) for name, value in super().decode(data, raw=True))
+        self.headers = tuple((bytes(name), bytes(value)) for name, value in super().decode(data, raw=True))
         return []
 
 
-class Library(H2Connection):
-    MAX_CLOSED_STREAMS = MOST_CLOSED
+class H2ServerConnection(H2Connection):
+    MAX_CLOSED_STREAMS = CLOSED_STREAM_HISTORY
--- a/brackenusher/fronts/listener.py
+++ b/brackenusher/fronts/listener.py
@@ -1,6 +1,6 @@
-"""What every front's listener does alike: accept, share the descriptors out, and close the door at the end.
+"""Listener base class: accepting connections, the shared descriptor limit, and closing at shutdown.
 
-It knows no protocol: a front says how a connection is begun and which one may go.
+It is independent of the protocol: subclasses create connections and choose which one to evict.
 """
 
 import logging
@@ -16,101 +16,110 @@
 
 log = logging.getLogger(__name__)
 
-OVERFLOW = 16  # client connections beyond their part that are taken only to be refused
-BACKLOG = 1024  # connections that wait to be accepted
-ACCEPTS = 64  # connections accepted in a row before the others get their turn
-ATTACH_FILTER = 26  # the socket option SO_ATTACH_FILTER, which the standard library does not name
-DROP_ALL = 0x06  # a socket filter's instruction BPF_RET: with 0, nothing of a packet is let in
-WARN_AGAIN = 1000.0  # ms: a shortage is logged no more often
+OVERFLOW = 16  # connections over the limit that are accepted only to be sent a refusal
+ACCEPT_BACKLOG = 1024  # length of the kernel's accept queue
+MAX_ACCEPTS_PER_WAKEUP = 64  # per wake-up, so that other tasks get to run
+SO_ATTACH_FILTER = 26  # the standard library does not define it
+BPF_RET = 0x06  # socket filter instruction; returning 0 drops the packet
+WARNING_INTERVAL_MS = 1000.0  # minimum time between two log lines on a descriptor shortage
 
 
-def keep_out(sock: socket.socket) -> None:
-    """Have the kernel drop what comes to a listener from now on, where it can.
+def attach_drop_filter(sock: socket.socket) -> None:
+    """Have the kernel drop new packets to a listening socket, if it supports socket filters.
 
-    Whoever connects between the last accept and the close would have his request reset unread. So he gets
-    no answer, and his kernel tries again after a second, by when somebody else may listen there. A filter on
-    the listener does not touch the connections that were let in before. A shorter queue, by listen(2), would
-    still let one in.
+    A client that connects between the last accept and the close would have its request reset unread. With
+    the filter its SYN is dropped, and its kernel retransmits after a second, when another process may be
+    listening there. The filter does not affect connections that are already established. Shortening the
+    queue with listen(2) would still let one connection in.
     """
-    program = array("B", struct.pack("HBBI", DROP_ALL, 0, 0, 0))
+    program = array("B", struct.pack("HBBI", BPF_RET, 0, 0, 0))
     try:
-        sock.setsockopt(socket.SOL_SOCKET, ATTACH_FILTER, struct.pack("HP", 1, program.buffer_info()[0]))
-    except OSError as error:  # not every kernel has filters; the gap is some microseconds then
-        say(log, logging.INFO, "no_filter", "the listener takes no filter: %(why)s", why=error)
+        sock.setsockopt(socket.SOL_SOCKET, SO_ATTACH_FILTER, struct.pack("HP", 1, program.buffer_info()[0]))
+    except OSError as error:  # without filters the race window is some microseconds
+        say(
+            log,
+            logging.INFO,
+            "no_filter",
+            "cannot attach a socket filter to the listener: %(why)s",
+            why=error,
+        )
 
 
-Heir = Callable[[Sequence[socket.socket]], bool]  # takes connections; False where it takes none just now
+# sends sockets to the successor process; False if it takes none now
+TransferConnections = Callable[[Sequence[socket.socket]], bool]
 
 
 class Room:
-    """The clients' part of the descriptors, counted over all listeners."""
+    """Limit on client connections, derived from the descriptor limit and shared by all listeners."""
 
-    def __init__(self, most: int) -> None:
-        self.most, self.held = most, 0
+    def __init__(self, limit: int) -> None:
+        self.most, self.held = limit, 0
         self.listeners: list[Listener] = []
 
     @property
-    def spent(self) -> bool:
-        """Whether not even one more can be taken only to be refused."""
+    def exhausted(self) -> bool:
+        """Whether no connection can be accepted any more, not even to be refused."""
         return self.held >= self.most + OVERFLOW
 
-    def spare(self, first: "Listener") -> bool:
-        """Have a connection closed on which nothing is owed, one of the asker's own if it can be."""
-        return first.spare() or any(other.spare() for other in self.listeners if other is not first)
+    def evict_one(self, preferred: "Listener") -> bool:
+        """Close one connection without a pending response, preferably one of the listener `preferred`."""
+        return preferred.evict_one() or any(
+            other.evict_one() for other in self.listeners if other is not preferred
+        )
 
 
 class Listener:
-    """Accepts the connections of one front."""
+    """Accepts the connections of one listening address."""
 
-    links: Sized  # the front's connections
+    links: Sized  # the open connections
 
-    def __init__(self, loop: Loop, room: Room) -> None:
-        self.loop, self.room = loop, room
-        room.listeners.append(self)
-        self.shut = False  # the door is closed
-        self.shared = False  # another process has the same listening socket
-        self.handed = False  # it accepts there in the place of this one
-        self.warned_at = -WARN_AGAIN
-        self.task: Task  # the listener's
+    def __init__(self, loop: Loop, connection_limit: Room) -> None:
+        self.loop, self.connection_limit = loop, connection_limit
+        connection_limit.listeners.append(self)
+        self.shut = False  # accepts no more connections
+        self.shared = False  # another process listens on the same socket
+        self.handed_over = False  # that process accepts instead of this one
+        self.warned_at = -WARNING_INTERVAL_MS
+        self.task: Task  # the accept loop
 
-    # what each front brings
+    # implemented by each protocol
 
-    def begin(self, sock: socket.socket, address: str) -> Any:
-        """Serve a connection, with `enter` at its start and `leave` at its end."""
+    def open_connection(self, sock: socket.socket, address: str) -> Any:
+        """Start serving a connection; it must be counted in the shared limit for as long as it is open."""
         raise NotImplementedError
 
-    def spare(self) -> bool:
-        """Close a connection on which nothing is owed; False where there is none."""
+    def evict_one(self) -> bool:
+        """Close a connection without a pending response; False if there is none."""
         raise NotImplementedError
 
     def told(self) -> None:
-        """The word to stop has come; requests go on being taken."""
+        """Shutdown has been requested; requests are still accepted."""
 
     def drain(self, idle: bool) -> None:
-        """Have answers end their connections, and with `idle` close those between requests; called again."""
+        """Close connections after their response; with `idle`, also those between requests. Repeatable."""
         raise NotImplementedError
 
     def resume(self) -> None:
-        """A drain is over."""
+        """Draining was cancelled."""
         raise NotImplementedError
 
     def hurry(self) -> None:
-        """All that was taken is answered: turn away who still sends his request. Called again and again."""
+        """All accepted requests are answered: reject those still being received. Called repeatedly."""
         raise NotImplementedError
 
-    # what they share
+    # shared by all protocols
 
-    def enter(self) -> bool:
-        """Count a connection; True where it is beyond the clients' part, and taken only to be refused."""
-        self.room.held += 1
-        return self.room.held > self.room.most
+    def register_connection(self) -> bool:
+        """Count a new connection; True if it exceeds the limit and was accepted only to be refused."""
+        self.connection_limit.held += 1
+        return self.connection_limit.held > self.connection_limit.most
 
-    def leave(self) -> None:
-        self.room.held -= 1
+    def unregister_connection(self) -> None:
+        self.connection_limit.held -= 1
 
     def listen(self, address: Address, shared: bool = False, sock: socket.socket | None = None) -> None:
-        """Listen on an address; `shared` with another process, `sock` being what that one listens on."""
-        sock = sock or open_listener(address, BACKLOG, shared)
+        """Listen on an address. `shared`: another process listens too; `sock`: its socket, if handed over."""
+        sock = sock or open_listener(address, ACCEPT_BACKLOG, shared)
         sock.setblocking(False)
         self.task = self.loop.spawn(self.accept(sock), sock)
 
@@ -122,13 +131,13 @@
                 self.loop.deadlines.add(clock() + 10.0, self.task.wake)
                 yield 0
             else:
-                yield 0 if self.handed else READ
-            pause = not self.handed and not self.take_in(sock)
+                yield 0 if self.handed_over else READ
+            pause = not self.handed_over and not self.accept_pending(sock)
 
-    def take_in(self, sock: socket.socket) -> bool:
-        """Accept what waits; False where there is no room for more just now."""
-        for _ in range(ACCEPTS):
-            if self.room.spent and not self.room.spare(self):
+    def accept_pending(self, sock: socket.socket) -> bool:
+        """Accept pending connections; False if the limit allows no more for now."""
+        for _ in range(MAX_ACCEPTS_PER_WAKEUP):
+            if self.connection_limit.exhausted and not self.connection_limit.evict_one(self):
                 return False
             try:
                 client, peer = sock.accept()
@@ -139,60 +148,60 @@
             except OSError as error:
                 if error.errno not in SHORTAGE:
                     raise
-                if clock() >= self.warned_at + WARN_AGAIN:
+                if clock() >= self.warned_at + WARNING_INTERVAL_MS:
                     self.warned_at = clock()
-                    say(log, logging.WARNING, "accept_failed", "accept: %(why)s", why=error)
-                return self.room.spare(self)
-            if self.room.held >= self.room.most:
-                self.room.spare(self)  # only now: there may have been nobody to make room for
-            self.welcome(client, peer[0])
+                    say(log, logging.WARNING, "accept_failed", "accept failed: %(why)s", why=error)
+                return self.connection_limit.evict_one(self)
+            if self.connection_limit.held >= self.connection_limit.most:
+                self.connection_limit.evict_one(self)  # evicts only once a client is there to make room for
+            self.start_connection(client, peer[0])
         return True
 
-    def welcome(self, client: socket.socket, address: str) -> None:
+    def start_connection(self, client: socket.socket, address: str) -> None:
         client.setblocking(False)
         client.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self.begin(client, address)
+        self.open_connection(client, address)
 
     def take_over(self, client: socket.socket) -> None:
-        """Serve a connection that the process before this one accepted, with what is unread on it."""
+        """Serve a connection accepted by the previous process; its unread data is still in the socket."""
         try:
             address = client.getpeername()[0]
-            if self.room.held >= self.room.most:
-                self.room.spare(self)
-            self.welcome(client, address)
+            if self.connection_limit.held >= self.connection_limit.most:
+                self.connection_limit.evict_one(self)
+            self.start_connection(client, address)
         except OSError:
-            client.close()  # the client has left
+            client.close()  # the client has disconnected
 
-    def hand_over(self, heir: Heir) -> None:
-        """Another process accepts from now on; `heir` gives it connections, False where it takes none now."""
-        self.handed = True
+    def hand_over(self, transfer: TransferConnections) -> None:
+        """Another process accepts from now on; `transfer` sends it connections, if it takes any now."""
+        self.handed_over = True
         self.task.wake()
 
     def take_back(self) -> None:
-        """That process has gone: accept again."""
+        """The successor process is gone: accept again."""
         self.shared = False
-        if self.handed and not self.shut:
-            self.handed = False
+        if self.handed_over and not self.shut:
+            self.handed_over = False
             self.task.wake()
 
     def pass_idle(self) -> None:
-        """Give what stands between requests to the other process; called again and again."""
+        """Transfer connections between requests to the other process; called repeatedly."""
 
     def stop_accepting(self) -> None:
-        """Let nobody in any more, and close the listener once all are taken in who had been let in.
+        """Admit no new connections, accept those already established, then close the listening socket.
 
-        Where there is no room for them just now, the listener stays for another call.
+        If the connection limit does not allow this yet, the socket stays open until a later call.
         """
         if self.shut:
             return
-        if self.shared:  # what shuts the door here would shut it there
+        if self.shared:  # a filter on the shared socket would affect the other process
             self.shut = True
             return self.task.stop()
-        keep_out(self.task.sock)
-        before = -1
-        while before != len(self.links):
-            before = len(self.links)
-            if not self.take_in(self.task.sock):
+        attach_drop_filter(self.task.sock)
+        count_before = -1
+        while count_before != len(self.links):
+            count_before = len(self.links)
+            if not self.accept_pending(self.task.sock):
                 return
         self.shut = True
         self.task.stop()
--- a/brackenusher/fronts/rpc/__init__.py
+++ b/brackenusher/fronts/rpc/__init__.py
@@ -1,6 +1,6 @@
-"""The plug-in for RPC callers: the daemon's decisions in the caller's process, under grpcio and httpx.
+"""Client-side load balancing: the proxy's policy in the process of an RPC caller, for grpcio and httpx.
 
-Nothing is imported until it is asked for, so that each library is needed by its own users alone.
+Exports are imported on first use, so that each library is required only by its own users.
 """
 
 from importlib import import_module
--- a/brackenusher/fronts/rpc/calls.py
+++ b/brackenusher/fronts/rpc/calls.py
@@ -1,4 +1,4 @@
-"""Calls as generated stubs know them: a transaction until it is answered, then the library's call."""
+"""Call objects of `BalancedChannel`: a transaction until it is answered, then the library's call."""
 
 import asyncio
 import math
@@ -10,20 +10,20 @@
 
 from brackenusher.core.message import Content
 from brackenusher.core.transaction import Answer, Failed, Refused, Served
-from brackenusher.fronts.rpc.config import Method, RpcConfig
-from brackenusher.fronts.rpc.host import Ticket
-from brackenusher.fronts.rpc.picture import Picture
-from brackenusher.fronts.rpc.statuses import PUSHBACK
-from brackenusher.fronts.rpc.sub_channel import EOF, Code, Metadata, Order, Reply, Stream
+from brackenusher.fronts.rpc.config import MethodRule, RpcConfig
+from brackenusher.fronts.rpc.host import PendingCall
+from brackenusher.fronts.rpc.picture import TargetState
+from brackenusher.fronts.rpc.statuses import PUSHBACK_METADATA
+from brackenusher.fronts.rpc.sub_channel import EOF, CallSpec, Code, Metadata, ResponseStream, UnaryResponse
 
-LOCALLY_CANCELLED = "Locally cancelled by application!"  # as grpcio words it
+LOCALLY_CANCELLED = "Locally cancelled by application!"  # grpcio's text
 
 
 class CallRefused(grpc.aio.AioRpcError):
-    """The call was refused and never ran: UNAVAILABLE, and coming back is harmless after `retry_after` ms."""
+    """The call was refused and not executed: UNAVAILABLE; it may be retried after `retry_after` ms."""
 
     def __init__(self, retry_after: float, details: str) -> None:
-        trailing = Metadata((PUSHBACK, str(math.ceil(retry_after))))
+        trailing = Metadata((PUSHBACK_METADATA, str(math.ceil(retry_after))))
         super().__init__(Code.UNAVAILABLE, Metadata(), trailing, details, "refused by the caller's plug-in")
         self.retry_after = retry_after
 
@@ -31,175 +31,181 @@
         return type(self), (self.retry_after, self.details())
 
 
-def failure(code: grpc.StatusCode, details: str) -> grpc.aio.AioRpcError:
+def make_error(code: grpc.StatusCode, details: str) -> grpc.aio.AioRpcError:
     return grpc.aio.AioRpcError(code, Metadata(), Metadata(), details, "made by the caller's plug-in")
 
 
-class CallOwner(Protocol):
-    """What calls ask of the channel that they are made on."""
+class ParentChannel(Protocol):
+    """What calls need of their channel."""
 
-    calls: "dict[int, Call]"
+    open_calls: "dict[int, Call]"
 
     @property
     def config(self) -> RpcConfig: ...
 
     @property
-    def picture(self) -> Picture: ...
+    def target_state(self) -> TargetState: ...
 
     def open(self) -> None:
-        """Enter the picture of the target, if that was not done yet."""
+        """Acquire the target's state, if not done yet."""
 
-    def forget(self, call: "Call") -> None:
-        """The call is over."""
+    def remove_call(self, call: "Call") -> None:
+        """Remove a finished call."""
 
-    def tenant(self, method: Method, metadata: Sequence[tuple[str, Any]]) -> int:
-        """The index of a call's tenant; -1 for one that the settings lack."""
+    def tenant_index(self, method: MethodRule, metadata: Sequence[tuple[str, Any]]) -> int:
+        """Index of a call's tenant; -1 if it is not in the settings."""
 
 
 class Call(grpc.aio.Call):
-    """What the four kinds of calls share: a transaction until it is answered, then the library's call."""
-
-    def __init__(self, channel: CallOwner, order: Order, decode: Callable[[bytes], Any] | None) -> None:
-        self.channel, self.order, self.decode = channel, order, decode
-        self.host = channel.picture.host
-        self.chosen: asyncio.Future[None] = self.host.loop.create_future()
-        self.under: Any = None  # the library's call
+    """Base class of the four kinds of calls."""
+
+    def __init__(
+        self, channel: ParentChannel, spec: CallSpec, deserializer: Callable[[bytes], Any] | None
+    ) -> None:
+        self.channel, self.spec, self.deserializer = channel, spec, deserializer
+        self.runner = channel.target_state.runner
+        self.answered: asyncio.Future[None] = self.runner.loop.create_future()
+        self.library_call: Any = None  # the library's call, once there is an answer
         self.error: grpc.aio.AioRpcError | None = None
-        self.given_up = False
-        self.ticket: Ticket | None = None
-
-    def begin(self, method: Method | None, timeout: float | None, wrong: str) -> None:
-        """Hand the call to the core, or end it at once where it cannot be taken."""
-        host = self.host
-        if method is None or wrong:
-            path = self.order.path
+        self.cancelled_locally = False
+        self.pending: PendingCall | None = None
+
+    def start(self, method: MethodRule | None, timeout: float | None, fault: str) -> None:
+        """Start the transaction, or fail the call at once if it is invalid."""
+        runner = self.runner
+        if method is None or fault:
+            path = self.spec.path
             code = Code.INVALID_ARGUMENT if method else Code.UNIMPLEMENTED
-            self.fail(failure(code, wrong or f"{path} is not in the table of methods"))
+            self.fail(make_error(code, fault or f"{path} is not in the table of methods"))
             return
-        span = host.settings.classes[method.klass].deadline
+        timeout_ms = runner.settings.classes[method.klass].deadline
         if timeout is not None:
-            span = min(span, timeout * 1000.0)
-        tenant = self.channel.tenant(method, self.order.metadata)
+            timeout_ms = min(timeout_ms, timeout * 1000.0)
+        tenant = self.channel.tenant_index(method, self.spec.metadata)
         if tenant < 0:
-            self.fail(failure(Code.INVALID_ARGUMENT, f"{method.tenant}: the tenant is unknown"))
+            self.fail(make_error(Code.INVALID_ARGUMENT, f"{method.tenant}: the tenant is unknown"))
             return
-        self.channel.calls[id(self)] = self
-        self.add_done_callback(self.channel.forget)
-        self.ticket = host.arrive(method.klass, span, self.order, self.answer, tenant)
+        self.channel.open_calls[id(self)] = self
+        self.add_done_callback(self.channel.remove_call)
+        self.pending = runner.start_call(method.klass, timeout_ms, self.spec, self.on_answer, tenant)
 
-    def answer(self, answer: Answer) -> None:
-        """The core's final answer."""
+    def on_answer(self, answer: Answer) -> None:
+        """Handle the final answer of the transaction."""
         if isinstance(answer, Served):
-            self.served(answer.content)
+            self.on_served(answer.content)
         elif isinstance(answer, Refused):
             self.fail(CallRefused(answer.retry_after, "refused: no server could take it in its time"))
         else:
-            self.fail(self.order.said or self.unsaid(answer))
+            self.fail(self.spec.last_error or self.no_status_error(answer))
 
-    def served(self, content: Content) -> None:
-        assert isinstance(content, Reply | Stream)
-        self.under = content.call
-        if isinstance(content, Reply) and content.error is not None:
+    def on_served(self, content: Content) -> None:
+        assert isinstance(content, UnaryResponse | ResponseStream)
+        self.library_call = content.call
+        if isinstance(content, UnaryResponse) and content.error is not None:
             self.fail(content.error)
         else:
-            self.settle()
+            self.mark_answered()
 
-    def unsaid(self, _: Failed) -> grpc.aio.AioRpcError:
-        """No server said anything."""
-        return failure(Code.DEADLINE_EXCEEDED, "failed: no server answered in time; it may have run")
+    def no_status_error(self, _: Failed) -> grpc.aio.AioRpcError:
+        """The error if no server returned a status."""
+        return make_error(Code.DEADLINE_EXCEEDED, "failed: no server answered in time; it may have run")
 
     def fail(self, error: grpc.aio.AioRpcError) -> None:
         self.error = error
-        self.settle()
+        self.mark_answered()
 
-    def settle(self) -> None:
-        if not self.chosen.done():
-            self.chosen.set_result(None)
+    def mark_answered(self) -> None:
+        if not self.answered.done():
+            self.answered.set_result(None)
 
-    async def choice(self) -> None:
-        """Wait until it is known what became of the call; giving up the wait gives up the call."""
+    async def wait_answered(self) -> None:
+        """Wait for the answer of the transaction; cancelling the wait cancels the call."""
         try:
-            await self.chosen
+            await self.answered
         except asyncio.CancelledError:
             self.cancel()
             raise
 
-    async def peek(self) -> None:
-        """Wait for the same, but without a say in it."""
-        await asyncio.wait([self.chosen])
+    async def observe_answered(self) -> None:
+        """Wait for the answer of the transaction; cancelling the wait does not affect the call."""
+        await asyncio.wait([self.answered])
 
     # grpc.aio.RpcContext and grpc.aio.Call
 
     def cancelled(self) -> bool:
-        return self.given_up or bool(self.under is not None and self.under.cancelled())
+        return self.cancelled_locally or bool(self.library_call is not None and self.library_call.cancelled())
 
     def done(self) -> bool:
-        return self.given_up or self.error is not None or (self.under is not None and self.ended())
+        return (
+            self.cancelled_locally
+            or self.error is not None
+            or (self.library_call is not None and self.library_call_done())
+        )
 
-    def ended(self) -> bool:
+    def library_call_done(self) -> bool:
         """Whether the library's call is over."""
-        return bool(self.under.done())
+        return bool(self.library_call.done())
 
     def time_remaining(self) -> float | None:
-        if self.order.until is None:
+        if self.spec.caller_deadline is None:
             return None
-        return max(0.0, self.order.until - self.host.clock()) / 1000.0
+        return max(0.0, self.spec.caller_deadline - self.runner.clock()) / 1000.0
 
     def cancel(self) -> bool:
-        if self.given_up or self.error is not None:
+        if self.cancelled_locally or self.error is not None:
             return False
-        if self.under is not None:
-            return bool(self.under.cancel())
-        self.given_up = True
-        if self.ticket is not None:
-            self.host.leave(self.ticket)
-        if not self.chosen.done():
-            self.chosen.cancel()
+        if self.library_call is not None:
+            return bool(self.library_call.cancel())
+        self.cancelled_locally = True
+        if self.pending is not None:
+            self.runner.cancel_call(self.pending)
+        if not self.answered.done():
+            self.answered.cancel()
         return True
 
     def add_done_callback(self, callback: Callable[[Any], None]) -> None:
         def settled(_: Any) -> None:
-            if self.under is None or self.error is not None or self.ended():
+            if self.library_call is None or self.error is not None or self.library_call_done():
                 callback(self)
             else:
-                self.under.add_done_callback(lambda _: callback(self))
+                self.library_call.add_done_callback(lambda _: callback(self))
 
-        self.chosen.add_done_callback(settled)
+        self.answered.add_done_callback(settled)
 
     async def initial_metadata(self) -> Any:
-        await self.peek()
-        if self.under is not None:
-            return await self.under.initial_metadata()
+        await self.observe_answered()
+        if self.library_call is not None:
+            return await self.library_call.initial_metadata()
         return (self.error and self.error.initial_metadata()) or Metadata()
 
     async def trailing_metadata(self) -> Any:
-        await self.peek()
+        await self.observe_answered()
         if self.error is not None:
             return self.error.trailing_metadata() or Metadata()
-        return Metadata() if self.under is None else await self.under.trailing_metadata()
+        return Metadata() if self.library_call is None else await self.library_call.trailing_metadata()
 
     async def code(self) -> grpc.StatusCode:
-        await self.peek()
+        await self.observe_answered()
         if self.error is not None:
             return self.error.code()
-        if self.under is None:
+        if self.library_call is None:
             return Code.CANCELLED
-        return await self.under.code()
+        return await self.library_call.code()
 
     async def details(self) -> str:
-        await self.peek()
+        await self.observe_answered()
         if self.error is not None:
             return self.error.details() or ""
-        return LOCALLY_CANCELLED if self.under is None else await self.under.details()
+        return LOCALLY_CANCELLED if self.library_call is None else await self.library_call.details()
 
     async def wait_for_connection(self) -> None:
-        await self.choice()
+        await self.wait_answered()
         if self.error is not None:
             raise self.error
 
 
-class UnaryAnswer(Call):
-    """Calls that are awaited for one message."""
+class UnaryResponseCall(Call):
+    """Calls with a single response message."""
 
     async def message(self) -> Any:
         raise NotImplementedError
@@ -208,116 +214,116 @@
         return self.message().__await__()
 
 
-class StreamedAnswer(Call):
-    """Calls whose answer is a stream; `async for` and `read` work as the library's do, and do not mix."""
+class StreamResponseCall(Call):
+    """Calls with a response stream; as in the library, `async for` and `read` cannot be mixed."""
 
-    stash: Any = None
-    has_stash = False
-    style = ""
+    first_message: Any = None
+    has_first_message = False
+    read_style = ""
 
-    def served(self, content: Content) -> None:
-        if isinstance(content, Stream):
-            self.stash, self.has_stash = content.first, content.has_first
-        super().served(content)
+    def on_served(self, content: Content) -> None:
+        if isinstance(content, ResponseStream):
+            self.first_message, self.has_first_message = content.first, content.has_first
+        super().on_served(content)
 
-    def use(self, style: str) -> None:
-        if self.style not in ("", style):
+    def check_read_style(self, style: str) -> None:
+        if self.read_style not in ("", style):
             raise grpc.aio.UsageError("The iterator and read/write APIs may not be mixed on a single RPC.")
-        self.style = style
+        self.read_style = style
 
     async def next_message(self) -> Any:
-        await self.choice()
+        await self.wait_answered()
         if self.error is not None:
             raise self.error
-        if self.has_stash:
-            message, self.stash, self.has_stash = self.stash, None, False
+        if self.has_first_message:
+            message, self.first_message, self.has_first_message = self.first_message, None, False
             return message
-        return await self.under.read()
+        return await self.library_call.read()
 
     async def read(self) -> Any:
-        self.use("read")
+        self.check_read_style("read")
         return await self.next_message()
 
-    async def messages(self) -> AsyncIterator[Any]:
+    async def iterate_messages(self) -> AsyncIterator[Any]:
         while (message := await self.next_message()) is not EOF:
             yield message
 
     def __aiter__(self) -> AsyncIterator[Any]:
-        self.use("iterate")
-        return self.messages()
+        self.check_read_style("iterate")
+        return self.iterate_messages()
 
 
-class StreamedRequest(Call):
-    """Calls whose request is a stream: it is written to the server that was chosen, and to no other."""
+class StreamRequestCall(Call):
+    """Calls with a request stream: it is written to the selected server and not retried elsewhere."""
 
-    def use_writes(self) -> None:
-        if self.order.request is not None:
+    def check_writable(self) -> None:
+        if self.spec.request is not None:
             raise grpc.aio.UsageError("The iterator and read/write APIs may not be mixed on a single RPC.")
 
     async def write(self, request: Any) -> None:
-        self.use_writes()
-        await self.choice()
+        self.check_writable()
+        await self.wait_answered()
         if self.error is not None:
             raise self.error
-        await self.under.write(request)
+        await self.library_call.write(request)
 
     async def done_writing(self) -> None:
-        self.use_writes()
-        await self.choice()
+        self.check_writable()
+        await self.wait_answered()
         if self.error is None:
-            await self.under.done_writing()
+            await self.library_call.done_writing()
 
 
-class UnaryUnaryCall(UnaryAnswer, grpc.aio.UnaryUnaryCall):
-    """A call of one message each way; it may be attempted at several servers."""
+class UnaryUnaryCall(UnaryResponseCall, grpc.aio.UnaryUnaryCall):
+    """A unary call; it may be attempted on several servers."""
 
     body = b""
 
     async def code(self) -> grpc.StatusCode:
-        await self.peek()
+        await self.observe_answered()
         if self.error is not None:
             return self.error.code()
-        return Code.CANCELLED if self.under is None else Code.OK
+        return Code.CANCELLED if self.library_call is None else Code.OK
 
-    def served(self, content: Content) -> None:
-        if isinstance(content, Reply):
+    def on_served(self, content: Content) -> None:
+        if isinstance(content, UnaryResponse):
             self.body = content.body
-        super().served(content)
+        super().on_served(content)
 
-    def ended(self) -> bool:
+    def library_call_done(self) -> bool:
         return True
 
     async def message(self) -> Any:
-        await self.choice()
+        await self.wait_answered()
         if self.error is not None:
             raise self.error
-        if self.decode is None:
+        if self.deserializer is None:
             return self.body
         try:
-            return self.decode(self.body)
+            return self.deserializer(self.body)
         except Exception as error:
-            raise failure(Code.INTERNAL, f"the answer cannot be deserialized: {error}") from error
+            raise make_error(Code.INTERNAL, f"the answer cannot be deserialized: {error}") from error
 
 
-class UnaryStreamCall(StreamedAnswer, grpc.aio.UnaryStreamCall):
-    """A call whose answer is a stream; it may be attempted again until its first message has come."""
+class UnaryStreamCall(StreamResponseCall, grpc.aio.UnaryStreamCall):
+    """A call with a response stream; it may be retried until its first message is received."""
 
 
-class StreamUnaryCall(StreamedRequest, UnaryAnswer, grpc.aio.StreamUnaryCall):
-    """A call whose request is a stream."""
+class StreamUnaryCall(StreamRequestCall, UnaryResponseCall, grpc.aio.StreamUnaryCall):
+    """A call with a request stream."""
 
     async def message(self) -> Any:
-        await self.choice()
+        await self.wait_answered()
         if self.error is not None:
             raise self.error
-        return await self.under
+        return await self.library_call
 
 
-class StreamStreamCall(StreamedRequest, StreamedAnswer, grpc.aio.StreamStreamCall):
-    """A call of streams both ways."""
+class StreamStreamCall(StreamRequestCall, StreamResponseCall, grpc.aio.StreamStreamCall):
+    """A call with request and response streams."""
 
 
-CALLS: dict[str, Any] = {
+CALL_TYPES: dict[str, Any] = {
     "unary_unary": UnaryUnaryCall,
     "unary_stream": UnaryStreamCall,
     "stream_unary": StreamUnaryCall,
--- a/brackenusher/fronts/rpc/channel.py
+++ b/brackenusher/fronts/rpc/channel.py
@@ -1,6 +1,6 @@
-"""`BalancedChannel`: a grpc.aio.Channel that generated stubs take unchanged, over the core's decisions.
+"""`BalancedChannel`: a grpc.aio.Channel for generated stubs, which balances calls over a target's servers.
 
-A call is a transaction; its attempts go over sub-channels, one for each server, without the library's own
+A call is a transaction; its attempts use sub-channels, one for each server, without the library's own
 retries.
 """
 
@@ -14,21 +14,21 @@
 import grpc.aio
 
 from brackenusher.config.platform import ConfigError
-from brackenusher.fronts.rpc import picture as pictures
+from brackenusher.fronts.rpc import picture as target_states
 from brackenusher.fronts.rpc.calls import Call, CallRefused
-from brackenusher.fronts.rpc.config import Method, RpcConfig, read_config
+from brackenusher.fronts.rpc.config import MethodRule, RpcConfig, read_config
 from brackenusher.fronts.rpc.metrics import Metrics
 from brackenusher.fronts.rpc.multi_callables import StreamStream, StreamUnary, UnaryStream, UnaryUnary
-from brackenusher.fronts.rpc.picture import Members, Picture
+from brackenusher.fronts.rpc.picture import Members, TargetState
 from brackenusher.fronts.rpc.sub_channel import SubChannel
 from brackenusher.upstream.pool import Member
 
 PROTOCOL = "grpc"
 Dial = Callable[[str], grpc.aio.Channel]
-OPTIONS = (
-    ("grpc.enable_retries", 0),  # no attempt that the core does not count, transparent ones included
-    ("grpc.use_local_subchannel_pool", 1),  # a connection and its back-off belong to one sub-channel
-    ("grpc.enable_http_proxy", 0),  # a proxy from the environment would choose servers of its own
+FIXED_OPTIONS = (
+    ("grpc.enable_retries", 0),  # the policy must count all attempts, transparent retries included
+    ("grpc.use_local_subchannel_pool", 1),  # sub-channels share no connections and no back-off
+    ("grpc.enable_http_proxy", 0),  # a proxy from the environment would bypass the policy's choice of server
 )
 
 
@@ -37,11 +37,11 @@
 
     `config`: an RpcConfig, a mapping or the path of a TOML file. `credentials`, `options`, `compression` and
     `interceptors` go to each sub-channel as to `grpc.aio.secure_channel`; an interceptor sees each attempt.
-    `dial` replaces the making of sub-channels. `members`: the first list, where the caller hands it in. The
-    first of a target's channels on a loop decides on `dial` and its kin and on the metrics. It opens with its
-    first call or `async with`, on the loop that runs then, and is closed by `close` or by leaving the block.
+    `dial` replaces the creation of sub-channels. `members`: an initial list of servers. `dial`, the options
+    for sub-channels and `metrics` are taken from the first channel of a target on a loop. A channel opens
+    with its first call or `async with`, on the running loop; `close` or leaving the block closes it.
 
-    Raises ConfigError where the configuration cannot be used.
+    Raises ConfigError if the configuration is invalid.
     """
 
     def __init__(
@@ -58,67 +58,67 @@
     ) -> None:
         self.config = read_config(config)
         self.metrics, self.members = metrics, members
-        self.secured = credentials, (*options, *OPTIONS), compression, list(interceptors)
-        self.dial = dial or self.sub_channel
-        self.entered: Picture | None = None
+        self.channel_options = credentials, (*options, *FIXED_OPTIONS), compression, list(interceptors)
+        self.dial = dial or self.create_sub_channel
+        self.acquired: TargetState | None = None
         self.closed = False
-        self.calls: dict[int, Call] = {}  # that are open, by their id()
-        self.tenants = {name: i for i, name in enumerate(self.config.settings.tenants)}
+        self.open_calls: dict[int, Call] = {}  # open calls, by id()
+        self.tenant_indexes = {name: i for i, name in enumerate(self.config.settings.tenants)}
 
-    def sub_channel(self, address: str) -> grpc.aio.Channel:
-        credentials, options, compression, interceptors = self.secured
+    def create_sub_channel(self, address: str) -> grpc.aio.Channel:
+        credentials, options, compression, interceptors = self.channel_options
         if credentials is None:
             return grpc.aio.insecure_channel(address, options, compression, interceptors)
         return grpc.aio.secure_channel(address, credentials, options, compression, interceptors)
 
-    def line(self, picture: Picture, member: Member) -> SubChannel:
+    def create_connection(self, state: TargetState, member: Member) -> SubChannel:
         host, port = member.address
         address = f"[{host}]:{port}" if ":" in host and not host.startswith("[") else f"{host}:{port}"
-        return SubChannel(picture.host, self.dial(address))
+        return SubChannel(state.runner, self.dial(address))
 
-    def forget(self, call: Call) -> None:
-        self.calls.pop(id(call), None)
+    def remove_call(self, call: Call) -> None:
+        self.open_calls.pop(id(call), None)
 
     def open(self) -> None:
-        """Enter the picture of the target on the running loop; in a forked child, anew.
+        """Acquire the target's state on the running loop; again in a forked child.
 
-        Raises UsageError on a closed channel, RuntimeError on another loop than that of the first call.
+        Raises UsageError on a closed channel, RuntimeError on a loop other than that of the first call.
         """
         if self.closed:
             raise grpc.aio.UsageError("Channel is closed.")
-        entered = self.entered
-        if entered is not None and entered.pid == os.getpid():
-            if entered.loop is not asyncio.get_running_loop():
+        state = self.acquired
+        if state is not None and state.pid == os.getpid():
+            if state.loop is not asyncio.get_running_loop():
                 raise RuntimeError("the channel is open on another event loop")
             return
-        self.calls.clear()  # those of the parent, in a forked child
-        self.entered = pictures.enter(PROTOCOL, self.config, self.line, self.metrics)
+        self.open_calls.clear()  # in a forked child, the parent's calls
+        self.acquired = target_states.acquire(PROTOCOL, self.config, self.create_connection, self.metrics)
         if self.members is not None:
-            self.entered.set_members(self.members)
+            self.acquired.set_members(self.members)
 
     @property
-    def picture(self) -> Picture:
-        """What is known of the servers, shared with the other channels of the target."""
+    def target_state(self) -> TargetState:
+        """State of the servers, shared with the other channels of the target."""
         self.open()
-        assert self.entered is not None
-        return self.entered
+        assert self.acquired is not None
+        return self.acquired
 
     def set_members(self, members: Members) -> None:
-        """Hand in a list of the servers: discovery's form, whole or changes, or addresses as host:port.
+        """Set the list of servers: in the format of discovery, full or changes, or host:port addresses.
 
-        A later list of addresses is whole: what it does not name is gone. Raises ConfigError.
+        A list of addresses replaces the previous one: servers not in it are removed. Raises ConfigError.
         """
-        if self.entered is None:
+        if self.acquired is None:
             self.members = members
         else:
-            self.picture.set_members(members)
+            self.target_state.set_members(members)
 
-    def tenant(self, method: Method, metadata: Sequence[tuple[str, Any]]) -> int:
-        """The tenant's index; -1 for one that the settings lack."""
-        if not method.tenant or not self.tenants:
+    def tenant_index(self, method: MethodRule, metadata: Sequence[tuple[str, Any]]) -> int:
+        """Index of the tenant; -1 if it is not in the settings."""
+        if not method.tenant or not self.tenant_indexes:
             return 0
         names = [value for name, value in metadata if name.lower() == method.tenant]
-        return self.tenants.get(names[0], -1) if names else 0
+        return self.tenant_indexes.get(names[0], -1) if names else 0
 
     # grpc.aio.Channel
 
@@ -130,40 +130,40 @@
         await self.close()
 
     async def close(self, grace: float | None = None) -> None:
-        """Take no more calls, wait `grace` seconds for those that are open, cancel the rest, close all."""
+        """Reject new calls, wait `grace` seconds for open ones, cancel the rest, and close."""
         if self.closed:
             return
-        self.closed, entered = True, self.entered
-        if entered is None or entered.pid != os.getpid():
+        self.closed, state = True, self.acquired
+        if state is None or state.pid != os.getpid():
             return
-        if grace and self.calls:
-            codes = [asyncio.ensure_future(call.code()) for call in self.calls.values()]
+        if grace and self.open_calls:
+            codes = [asyncio.ensure_future(call.code()) for call in self.open_calls.values()]
             _, late = await asyncio.wait(codes, timeout=grace)
             for each in late:
                 each.cancel()
-        for call in list(self.calls.values()):
+        for call in list(self.open_calls.values()):
             call.cancel()
-        await pictures.leave(PROTOCOL, entered)
+        await target_states.release(PROTOCOL, state)
 
     def get_state(self, try_to_connect: bool = False) -> grpc.ChannelConnectivity:
-        """READY where some server may be sent something, CONNECTING before the first list."""
+        """READY if any server may be sent calls, CONNECTING before the first list of servers."""
         if self.closed:
             return grpc.ChannelConnectivity.SHUTDOWN
-        if self.entered is None and not try_to_connect:
+        if self.acquired is None and not try_to_connect:
             return grpc.ChannelConnectivity.IDLE
-        picture = self.picture
-        if picture.live:
+        state = self.target_state
+        if state.live_count:
             return grpc.ChannelConnectivity.READY
-        listed = picture.host.listed
-        return grpc.ChannelConnectivity.TRANSIENT_FAILURE if listed else grpc.ChannelConnectivity.CONNECTING
+        has_list = state.runner.has_list
+        return grpc.ChannelConnectivity.TRANSIENT_FAILURE if has_list else grpc.ChannelConnectivity.CONNECTING
 
     async def wait_for_state_change(self, last_observed_state: grpc.ChannelConnectivity) -> None:
         while self.get_state() is last_observed_state:
-            await self.picture.changed.wait()
+            await self.target_state.list_changed.wait()
 
     async def channel_ready(self) -> None:
         while self.get_state(try_to_connect=True) is not grpc.ChannelConnectivity.READY:
-            await self.picture.changed.wait()
+            await self.target_state.list_changed.wait()
 
     def unary_unary(
         self,
--- a/brackenusher/fronts/rpc/config.py
+++ b/brackenusher/fronts/rpc/config.py
@@ -1,6 +1,6 @@
-"""The plug-in's configuration: a mapping or a TOML file, the settings as the operators word them, checked.
+"""Configuration of the RPC plug-in: reads and validates a mapping or a TOML file.
 
-What is wrong is one `ConfigError` that names the key; nothing that is not known is passed over.
+An error is raised as one `ConfigError` that names the key; unknown keys are errors.
 """
 
 import secrets
@@ -16,14 +16,14 @@
 from brackenusher.config.platform import ConfigError, read_address
 from brackenusher.runtime.driver import Address
 
-MOST_OPEN = 1000  # calls at once where the settings name no `limits.mostHeld`: some 3 MB
-MOST_MEMBERS = 10_000  # in a fixed list
-KEY = "idempotency-key"  # metadata or header that carries the key of a keyed call
-NAMES = "names"  # kinds of values, beside Python's own types: a list of texts
-OPEN = "open"  # an object whose keys are not ours to know
+DEFAULT_MAX_OPEN_CALLS = 1000  # concurrent calls, if the settings have no `limits.mostHeld`: some 3 MB
+MAX_STATIC_MEMBERS = 10_000  # in a static list
+DEFAULT_KEY_METADATA = "idempotency-key"  # metadata or header that carries the idempotency key
+STRING_LIST = "names"  # schema type besides Python's own: a list of strings
+ANY_TABLE = "open"  # schema type: a table with arbitrary keys
 
-# The platform's settings, as the configuration of the daemon holds them; most are read by the module alone.
-CLASS = {
+# The platform's settings, as in the configuration of the proxy; most are read by the policy alone.
+CLASS_SCHEMA = {
     "name": str,
     "slo": float,
     "deadline": float,
@@ -35,14 +35,14 @@
     "streamed": bool,
     "aimStretch": float,
 }
-SETTINGS: dict[str, Any] = {
-    "classes": [CLASS],
-    "clients": OPEN,
+SETTINGS_SCHEMA: dict[str, Any] = {
+    "classes": [CLASS_SCHEMA],
+    "clients": ANY_TABLE,
     "countedBy": str,
-    "familyInfo": OPEN,
+    "familyInfo": ANY_TABLE,
     "goal": {"whole": float, "worstClass": float, "worstTenant": float, "worstWindow": float},
     "instances": int,
-    "layers": NAMES,
+    "layers": STRING_LIST,
     "limits": {
         "attemptsCap": int,
         "cancelling": bool,
@@ -58,13 +58,13 @@
         "retryAfter": bool,
         "streamsPerConn": int,
     },
-    "localities": NAMES,
+    "localities": STRING_LIST,
     "me": int,
     "membershipMode": str,
     "myZone": int,
     "overShareWorth": float,
-    "prices": OPEN,
-    "report": {"fields": NAMES, "how": str},
+    "prices": ANY_TABLE,
+    "report": {"fields": STRING_LIST, "how": str},
     "rules": {
         "answerSlack": float,
         "askWithin": float,
@@ -76,113 +76,116 @@
         "tipMultiple": float,
     },
     "serviceType": str,
-    "shapes": NAMES,
+    "shapes": STRING_LIST,
     "stage": int,
     "tenants": [{"name": str, "portion": float, "quotaPerS": float}],
     "tick": float,
     "weightKind": str,
 }
-CONFIG: dict[str, Any] = {
+CONFIG_SCHEMA: dict[str, Any] = {
     "target": str,
     "seed": str,
-    "settings": SETTINGS,
-    "members": {"discovery": str, "fixed": NAMES},
-    "methods": OPEN,
+    "settings": SETTINGS_SCHEMA,
+    "members": {"discovery": str, "fixed": STRING_LIST},
+    "methods": ANY_TABLE,
 }
-METHOD = {"class": str, "key": str, "tenant": str}
+METHOD_SCHEMA = {"class": str, "key": str, "tenant": str}
 
 
 @dataclass(frozen=True)
-class Method:
-    """How a method is treated."""
+class MethodRule:
+    """The class of a method, and where its metadata carry the key and the tenant."""
 
     klass: int
     effect: Effect
-    key: str = ""  # metadata that must carry the call's key; for keyed classes
-    tenant: str = ""  # metadata that names the tenant
+    key: str = ""  # metadata with the idempotency key; required for keyed classes
+    tenant: str = ""  # metadata with the tenant
 
 
 @dataclass(frozen=True)
 class RpcConfig:
-    """The configuration, checked.
+    """The validated configuration.
 
-    `target` names the servers: channels of one target share one picture of them. `discovery`, or `fixed`, or
-    neither, where the caller hands the members in. `methods` is by path, "*" stands for all others.
+    `target` names the set of servers: channels of one target share their state. Members come from
+    `discovery`, from `fixed`, or, with neither, from the caller. `methods` is by path; "*" stands for all
+    others.
     """
 
     target: str
     settings: face.Settings
     seed: int
-    most_open: int
+    max_open_calls: int
     discovery: Address | None = None
     fixed: tuple[str, ...] = ()
-    methods: Mapping[str, Method] = field(default_factory=dict)
-    worded: Mapping[str, Any] = field(default_factory=dict, repr=False)  # as it was given
+    methods: Mapping[str, MethodRule] = field(default_factory=dict)
+    document: Mapping[str, Any] = field(default_factory=dict, repr=False)  # the source document
 
-    def method(self, path: str) -> Method | None:
-        """How the method of that path is treated; None where the table has no word on it."""
+    def method(self, path: str) -> MethodRule | None:
+        """The entry for a path; None if there is neither one nor a default."""
         return self.methods.get(path) or self.methods.get("*")
 
     def same_servers(self, other: "RpcConfig") -> bool:
-        """Whether both can share a picture."""
-        return all(self.worded.get(key) == other.worded.get(key) for key in ("seed", "settings", "members"))
+        """Whether two configurations of a target agree, so that channels can share its state."""
+        return all(
+            self.document.get(key) == other.document.get(key) for key in ("seed", "settings", "members")
+        )
 
 
 def read_config(source: "RpcConfig | Mapping[str, Any] | str | Path") -> RpcConfig:
-    """Read a mapping, or the TOML file of that path.
+    """Read a mapping, or the TOML file at a path.
 
     Raises ConfigError, which names the key.
     """
     if isinstance(source, RpcConfig):
         return source
     if isinstance(source, Mapping):
-        return read(source)
+        return parse(source)
     try:
         document = tomllib.loads(Path(source).read_text(encoding="utf-8"))
     except (OSError, ValueError) as error:
         raise ConfigError(f"{source}: {error}") from error
     try:
-        return read(document)
+        return parse(document)
     except ConfigError as error:
         raise ConfigError(f"{source}: {error}") from error
 
 
-def read(document: Mapping[str, Any]) -> RpcConfig:
-    check(document, CONFIG, "")
-    target = need(document, "target")
-    settings = read_module_settings(need(document, "settings"))
+def parse(document: Mapping[str, Any]) -> RpcConfig:
+    validate(document, CONFIG_SCHEMA, "")
+    target = require(document, "target")
+    settings = read_policy_settings(require(document, "settings"))
     members = document.get("members", {})
     if "discovery" in members and "fixed" in members:
         raise ConfigError("members: discovery and fixed exclude each other")
     fixed = tuple(members.get("fixed", ()))
-    if len(fixed) > MOST_MEMBERS or len(set(fixed)) != len(fixed):
-        raise ConfigError(f"members.fixed: at most {MOST_MEMBERS} different addresses expected")
+    if len(fixed) > MAX_STATIC_MEMBERS or len(set(fixed)) != len(fixed):
+        raise ConfigError(f"members.fixed: at most {MAX_STATIC_MEMBERS} different addresses expected")
     for address in fixed:
         read_address(address, "members.fixed")
     discovery = read_address(members["discovery"], "members.discovery") if "discovery" in members else None
-    most_open = document["settings"].get("limits", {}).get("mostHeld", MOST_OPEN)
-    if most_open < 1:
+    max_open_calls = document["settings"].get("limits", {}).get("mostHeld", DEFAULT_MAX_OPEN_CALLS)
+    if max_open_calls < 1:
         raise ConfigError("settings.limits.mostHeld: 1 or more expected")
     return RpcConfig(
         target=target,
         settings=settings,
         seed=read_seed(document.get("seed")),
-        most_open=most_open,
+        max_open_calls=max_open_calls,
         discovery=discovery,
         fixed=fixed,
         methods=read_methods(document.get("methods", {}), settings),
-        worded=dict(document),
+        document=dict(document),
     )
 
 
-def need(document: Mapping[str, Any], key: str) -> Any:
+def require(document: Mapping[str, Any], key: str) -> Any:
     if not document.get(key):
         raise ConfigError(f"{key}: is missing")
     return document[key]
 
 
 def read_seed(text: str | None) -> int:
-    """Processes that share servers must not draw the same numbers: each draws its own if none is given."""
+    """Processes must not use the same random numbers: without a configured seed each picks its own."""
     if text is None:
         return secrets.randbits(64)
     try:
@@ -191,8 +194,8 @@
         raise ConfigError(f"seed: hexadecimal digits expected, not {text!r}") from None
 
 
-def read_module_settings(conf: Mapping[str, Any]) -> face.Settings:
-    for i, c in enumerate(conf.get("classes") or ()):
+def read_policy_settings(document: Mapping[str, Any]) -> face.Settings:
+    for i, c in enumerate(document.get("classes") or ()):
         for key in ("name", "slo", "deadline", "repeat"):
             if key not in c:
                 raise ConfigError(f"settings.classes[{i}].{key}: is missing")
@@ -200,9 +203,9 @@
             raise ConfigError(f"settings.classes[{i}].repeat: one of {', '.join(EFFECTS)} expected")
         if c.get("group") not in (None, "", "all", "zone", "cell"):
             raise ConfigError(f"settings.classes[{i}].group: all, zone or cell expected")
-    if not conf.get("classes"):
+    if not document.get("classes"):
         raise ConfigError("settings.classes: is missing")
-    settings = read_settings(dict(conf))
+    settings = read_settings(dict(document))
     try:
         settings.check()
     except face.SettingsError as error:
@@ -213,7 +216,7 @@
     return settings
 
 
-def read_methods(table: Mapping[str, Any], settings: face.Settings) -> dict[str, Method]:
+def read_methods(table: Mapping[str, Any], settings: face.Settings) -> dict[str, MethodRule]:
     classes = {c.name: (i, c.effect) for i, c in enumerate(settings.classes)}
     methods = {}
     for path, entry in table.items():
@@ -223,46 +226,46 @@
         entry = {"class": entry} if isinstance(entry, str) else entry
         if not isinstance(entry, Mapping):
             raise ConfigError(f"{where}: a class's name or a table expected")
-        check(entry, METHOD, where)
+        validate(entry, METHOD_SCHEMA, where)
         if entry.get("class") not in classes:
             raise ConfigError(f"{where}.class: {entry.get('class')!r} is no class of the settings")
         klass, effect = classes[entry["class"]]
         keyed = effect is Effect.KEYED
         if "key" in entry and not keyed:
             raise ConfigError(f"{where}.key: the class {entry['class']} is not guarded by a key")
-        key = entry.get("key", KEY).lower() if keyed else ""
-        methods[path] = Method(klass, effect, key, entry.get("tenant", "").lower())
+        key = entry.get("key", DEFAULT_KEY_METADATA).lower() if keyed else ""
+        methods[path] = MethodRule(klass, effect, key, entry.get("tenant", "").lower())
     return methods
 
 
-def check(value: Any, shape: Any, where: str) -> None:
-    """Compare a value with the shape it should have."""
-    if isinstance(shape, dict):
+def validate(value: Any, schema: Any, where: str) -> None:
+    """Validate a value against a schema."""
+    if isinstance(schema, dict):
         if not isinstance(value, Mapping):
             raise ConfigError(f"{where or 'configuration'}: a table expected")
         for key, each in value.items():
             name = f"{where}.{key}" if where else str(key)
-            if key not in shape:
+            if key not in schema:
                 raise ConfigError(f"{name}: is not known")
-            check(each, shape[key], name)
-    elif isinstance(shape, list):
-        for i, each in enumerate(listed(value, where)):
-            check(each, shape[0], f"{where}[{i}]")
-    elif shape is NAMES:
-        if not all(isinstance(each, str) for each in listed(value, where)):
+            validate(each, schema[key], name)
+    elif isinstance(schema, list):
+        for i, each in enumerate(require_list(value, where)):
+            validate(each, schema[0], f"{where}[{i}]")
+    elif schema is STRING_LIST:
+        if not all(isinstance(each, str) for each in require_list(value, where)):
             raise ConfigError(f"{where}: a list of texts expected")
-    elif shape is OPEN:
+    elif schema is ANY_TABLE:
         if not isinstance(value, Mapping):
             raise ConfigError(f"{where}: a table expected")
-    elif shape is float:
+    elif schema is float:
         if isinstance(value, bool) or not isinstance(value, int | float) or not value >= 0:
             raise ConfigError(f"{where}: a number, 0 or more, expected, not {value!r}")
-    elif not isinstance(value, shape) or (shape is int and isinstance(value, bool)):
-        word = {str: "a text", int: "a whole number", bool: "true or false"}[shape]
-        raise ConfigError(f"{where}: {word} expected, not {value!r}")
+    elif not isinstance(value, schema) or (schema is int and isinstance(value, bool)):
+        expected = {str: "a text", int: "a whole number", bool: "true or false"}[schema]
+        raise ConfigError(f"{where}: {expected} expected, not {value!r}")
 
 
-def listed(value: Any, where: str) -> Sequence[Any]:
+def require_list(value: Any, where: str) -> Sequence[Any]:
     if isinstance(value, str) or not isinstance(value, Sequence):
         raise ConfigError(f"{where}: a list expected")
     return value
--- a/brackenusher/fronts/rpc/host.py
+++ b/brackenusher/fronts/rpc/host.py
@@ -1,6 +1,6 @@
-"""The core on the caller's asyncio loop: its deadlines by one `call_at`, its clock the loop's, no thread.
+"""Runs transactions on the caller's asyncio loop: uses the loop's clock and one `call_at` timer, no thread.
 
-It must never block the loop, and must survive that the caller does: see `LoopDeadlines`.
+It must never block the loop, and must cope with a caller that does: see `LoopDeadlines`.
 """
 
 import asyncio
@@ -31,26 +31,26 @@
 
 log = logging.getLogger("brackenusher.rpc")
 
-PULSE = 25.0  # milliseconds between two looks while attempts are out: a block is known to this precision
-LATE = 50.0  # milliseconds: a timer that fires later than this shows that the caller blocked the loop
-TURNS = 8  # of the loop, after a block: an answer needs some four to get from its socket to us
-SHARE = 1 / 4  # of the time measured: where a block takes more of it, it teaches nothing
-STEP = 1e-6  # seconds: a timer fires this much after its time, lest rounding bring it before
+PULSE_INTERVAL_MS = 25.0  # between timers while attempts are in flight: resolution of blocked-loop detection
+BLOCK_THRESHOLD_MS = 50.0  # a timer that fires later than this shows that the caller blocked the loop
+GRACE_ITERATIONS = 8  # loop iterations after a block: a response needs about four from its socket to here
+MAX_BLOCKED_SHARE = 1 / 4  # of a measured latency: above this share of blocked time the sample is discarded
+TIMER_MARGIN_S = 1e-6  # added to a timer, so that rounding does not fire it before its deadline
 
 
 class LoopDeadlines(Deadlines):
-    """Deadlines in milliseconds on a loop's clock, swept by the loop itself when the first falls due.
+    """Deadlines in milliseconds on a loop's clock, with one loop timer at the earliest.
 
-    A sweep that comes late, as the caller blocked the loop, waits for a few turns of the loop: what came in
-    meanwhile is taken first. `late` holds by how many milliseconds while that goes on, 0 otherwise.
+    If the caller blocked the loop, the sweep waits a few iterations, so that data received meanwhile is
+    processed first. `late_ms` is the delay in milliseconds during that time, 0 otherwise.
     """
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         super().__init__()
         self.loop = loop
-        self.handle: asyncio.Handle | None = None
-        self.armed = inf  # when the timer fires; -inf while it must not be set, as a sweep is under way
-        self.late, self.turns, self.blocks = 0.0, 0, 0
+        self.timer: asyncio.Handle | None = None
+        self.armed_for = inf  # when the timer fires; -inf during a sweep, when it must not be set
+        self.late_ms, self.iterations_left, self.block_count = 0.0, 0, 0
         self.closed = False
 
     def clock(self) -> float:
@@ -59,64 +59,66 @@
 
     def add(self, when: float, action: Callable[[], None]) -> Entry:
         entry = super().add(when, action)
-        if when < self.armed:
+        if when < self.armed_for:
             self.arm()
         return entry
 
     def arm(self) -> None:
         """Set the timer to the earliest deadline."""
-        if self.handle is not None:
-            self.handle.cancel()
-        due = None if self.closed else self.next()
-        self.armed = inf if due is None else due
-        self.handle = None if due is None else self.loop.call_at(due / 1000.0 + STEP, self.fire)
-
-    def fire(self) -> None:
-        late, self.armed = self.clock() - self.armed, -inf
-        if late > LATE:
-            self.blocks += 1
-            self.late, self.turns = late, TURNS
-            self.handle = self.loop.call_soon(self.turn)
+        if self.timer is not None:
+            self.timer.cancel()
+        earliest = None if self.closed else self.next()
+        self.armed_for = inf if earliest is None else earliest
+        self.timer = (
+            None if earliest is None else self.loop.call_at(earliest / 1000.0 + TIMER_MARGIN_S, self.on_timer)
+        )
+
+    def on_timer(self) -> None:
+        late_ms, self.armed_for = self.clock() - self.armed_for, -inf
+        if late_ms > BLOCK_THRESHOLD_MS:
+            self.block_count += 1
+            self.late_ms, self.iterations_left = late_ms, GRACE_ITERATIONS
+            self.timer = self.loop.call_soon(self.on_iteration)
         else:
-            self.finish()
+            self.run_sweep()
 
-    def turn(self) -> None:
-        """One turn of the loop after a block."""
-        self.turns -= 1
-        if self.turns > 0:
-            self.handle = self.loop.call_soon(self.turn)
+    def on_iteration(self) -> None:
+        """One loop iteration after a block."""
+        self.iterations_left -= 1
+        if self.iterations_left > 0:
+            self.timer = self.loop.call_soon(self.on_iteration)
         else:
-            self.finish()
+            self.run_sweep()
 
-    def finish(self) -> None:
+    def run_sweep(self) -> None:
         self.sweep(self.clock())
-        self.late = 0.0
+        self.late_ms = 0.0
         if not self.closed:
             self.arm()
 
     def close(self) -> None:
-        """Forget everything."""
+        """Drop all deadlines."""
         self.closed = True
         self.entries.clear()
         self.arm()
 
 
 @dataclass(slots=True, eq=False)
-class Ticket:
-    """A call that was taken in; what the front needs to give it up."""
+class PendingCall:
+    """An accepted call, with what is needed to cancel it."""
 
     klass: int
-    reply: Callable[[Answer], None] | None  # none once it was called or is not wanted: it holds the call
-    message: Any  # what the carrier's line reads
+    reply: Callable[[Answer], None] | None  # None once called or cancelled, as it references the call
+    message: Any  # read by the connection
     tenant: int
-    repeated: bool
-    until: float  # clock time in milliseconds
+    is_retry: bool
+    deadline: float  # clock time in milliseconds
     transaction: Transaction | None = None
-    guard: Entry | None = None
+    wait_timer: Entry | None = None
 
 
-class Host:
-    """Transactions on a loop, with what the callers' side needs: a bound, and a wait for the first list."""
+class TransactionRunner:
+    """Transactions on a loop, with a limit on open calls and a queue until the first list of servers."""
 
     def __init__(
         self,
@@ -124,115 +126,117 @@
         seed: int,
         loop: asyncio.AbstractEventLoop,
         carrier: Carrier,
-        most_open: int,
+        max_open_calls: int,
     ) -> None:
-        self.settings, self.loop, self.most_open = settings, loop, most_open
+        self.settings, self.loop, self.max_open_calls = settings, loop, max_open_calls
         self.deadlines = LoopDeadlines(loop)
         self.clock = self.deadlines.clock
         balancer = Balancer(settings, seed, self.clock())
         self.transactions = Transactions(balancer, self.clock, self.deadlines, carrier)
         self.admission = Admission(self.transactions, settings)
-        self.waiting: dict[int, Ticket] = {}  # for the first list, in the order of their arrival
-        self.listed = self.closed = False
-        self.serial = self.out = self.refused_open = 0
-        self.pulse: Entry | None = None
-        self.attempted: Callable[[Attempt, Outcome], None] | None = None  # looks on
+        self.waiting_for_list: dict[int, PendingCall] = {}  # waiting for the first list, in order of arrival
+        self.has_list = self.closed = False
+        self.last_number = self.in_flight = self.refused_count = 0
+        self.pulse_timer: Entry | None = None
+        self.on_attempt_ended: Callable[[Attempt, Outcome], None] | None = None  # metrics callback
 
-    # the callers' side
+    # called by channels and transports
 
-    def arrive(
+    def start_call(
         self,
         klass: int,
-        span: float,
+        timeout_ms: float,
         message: Any,
         reply: Callable[[Answer], None],
         tenant: int = 0,
-        repeated: bool = False,
-    ) -> Ticket:
-        """Take a call whose client waits for `span` milliseconds; `reply` gets its one final answer.
+        is_retry: bool = False,
+    ) -> PendingCall:
+        """Start a call; `reply` gets its one final answer.
 
-        That may be before this returns: beyond the bound of open calls it is a refusal. Before the first
-        list the call waits for it up to its own deadline.
+        `reply` may be called before this returns: with a refusal if too many calls are open. Before the
+        first list of servers the call waits for one, up to its deadline.
         """
-        ticket = Ticket(klass, reply, message, tenant, repeated, self.clock() + span)
-        if self.closed or len(self.transactions.open) + len(self.waiting) >= self.most_open:
-            self.refused_open += 1
-            self.enter(ticket, beyond=True)
-        elif self.listed:
-            self.enter(ticket)
-        elif span <= RESERVE:
-            self.refuse_waiting(ticket)
+        pending = PendingCall(klass, reply, message, tenant, is_retry, self.clock() + timeout_ms)
+        if self.closed or len(self.transactions.open) + len(self.waiting_for_list) >= self.max_open_calls:
+            self.refused_count += 1
+            self.admit(pending, over_limit=True)
+        elif self.has_list:
+            self.admit(pending)
+        elif timeout_ms <= RESERVE:
+            self.refuse_without_list(pending)
         else:
-            self.serial += 1
-            number = self.serial
-            self.waiting[number] = ticket
-            ticket.guard = self.deadlines.add(ticket.until - RESERVE, lambda: self.no_list(number))
-        return ticket
-
-    def enter(self, ticket: Ticket, beyond: bool = False) -> None:
-        """Through admission into the transactions, or back."""
-        self.serial += 1
+            self.last_number += 1
+            number = self.last_number
+            self.waiting_for_list[number] = pending
+            pending.wait_timer = self.deadlines.add(
+                pending.deadline - RESERVE, lambda: self.on_list_timeout(number)
+            )
+        return pending
+
+    def admit(self, pending: PendingCall, over_limit: bool = False) -> None:
+        """Pass a call to admission control; answer it at once if it is rejected."""
+        self.last_number += 1
         request = Request(
-            name=b"%d" % self.serial,
-            klass=ticket.klass,
-            span=ticket.until - self.clock(),
-            tenant=ticket.tenant,
-            repeated=ticket.repeated,
-            message=ticket.message,
-            beyond=beyond,
+            name=b"%d" % self.last_number,
+            klass=pending.klass,
+            span=pending.deadline - self.clock(),
+            tenant=pending.tenant,
+            repeated=pending.is_retry,
+            message=pending.message,
+            beyond=over_limit,
         )
-        admitted = self.admission.admit(request, lambda answer: self.give(ticket, answer))
+        admitted = self.admission.admit(request, lambda answer: self.deliver(pending, answer))
         if isinstance(admitted, Verdict):
-            self.give(ticket, Refused(admitted.retry_after))
+            self.deliver(pending, Refused(admitted.retry_after))
         else:
-            ticket.transaction = admitted
+            pending.transaction = admitted
 
-    def give(self, ticket: Ticket, answer: Answer) -> None:
-        reply, ticket.reply = ticket.reply, None
+    def deliver(self, pending: PendingCall, answer: Answer) -> None:
+        reply, pending.reply = pending.reply, None
         if reply is not None:
             reply(answer)
 
-    def no_list(self, number: int) -> None:
-        ticket = self.waiting.pop(number, None)
-        if ticket is not None:
-            self.refuse_waiting(ticket)
+    def on_list_timeout(self, number: int) -> None:
+        pending = self.waiting_for_list.pop(number, None)
+        if pending is not None:
+            self.refuse_without_list(pending)
 
-    def refuse_waiting(self, ticket: Ticket) -> None:
-        self.transactions.turn_away(ticket.message, f"list {self.settings.max_retry_after:.0f} refused")
-        self.give(ticket, Refused(self.settings.max_retry_after))
+    def refuse_without_list(self, pending: PendingCall) -> None:
+        self.transactions.turn_away(pending.message, f"list {self.settings.max_retry_after:.0f} refused")
+        self.deliver(pending, Refused(self.settings.max_retry_after))
 
-    def leave(self, ticket: Ticket) -> None:
-        """The caller wants no answer any more."""
-        if ticket.reply is None:
+    def cancel_call(self, pending: PendingCall) -> None:
+        """The caller has cancelled the call."""
+        if pending.reply is None:
             return
-        ticket.reply = None
-        if ticket.transaction is not None:
-            self.admission.left(ticket.transaction)
+        pending.reply = None
+        if pending.transaction is not None:
+            self.admission.left(pending.transaction)
             return
-        self.deadlines.remove(ticket.guard)
-        for number, waiting in self.waiting.items():
-            if waiting is ticket:
-                del self.waiting[number]
+        self.deadlines.remove(pending.wait_timer)
+        for number, waiting in self.waiting_for_list.items():
+            if waiting is pending:
+                del self.waiting_for_list[number]
                 break
 
-    # the members' side
+    # called with updates of the list of servers
 
-    def tell(self, event: face.ListChanged) -> None:
-        """Hand a list to the module; with the first one, those that waited for it enter."""
+    def update_list(self, event: face.ListChanged) -> None:
+        """Report a list to the policy; the first one starts the calls that waited for it."""
         self.transactions.post(event)
-        if not self.listed and event.scope is not face.ListScope.LOST:
-            self.listed = True
-            waiting, self.waiting = self.waiting, {}
-            for ticket in waiting.values():
-                self.deadlines.remove(ticket.guard)
-                self.enter(ticket)
+        if not self.has_list and event.scope is not face.ListScope.LOST:
+            self.has_list = True
+            waiting, self.waiting_for_list = self.waiting_for_list, {}
+            for pending in waiting.values():
+                self.deadlines.remove(pending.wait_timer)
+                self.admit(pending)
 
-    # the carrier's side
+    # called by the carrier
 
-    def began(self, attempt: Attempt, stream: Any) -> bool:
-        """A streamed answer has begun: it is the client's, and nothing is repeated after this.
+    def stream_began(self, attempt: Attempt, stream: Any) -> bool:
+        """A streamed response has begun and is handed to the caller; it is not retried after this.
 
-        False where the client has gone: nobody will read it.
+        False if the caller has cancelled, so that nobody will read it.
         """
         transaction = attempt.transaction
         if transaction.over:
@@ -241,48 +245,50 @@
         self.transactions.answer(transaction.id, Served(stream))
         return True
 
-    def started(self) -> None:
-        """An attempt is out."""
-        self.out += 1
-        if self.pulse is None:
-            self.pulse = self.deadlines.add(self.clock() + PULSE, self.beat)
+    def attempt_started(self) -> None:
+        """An attempt is in flight."""
+        self.in_flight += 1
+        if self.pulse_timer is None:
+            self.pulse_timer = self.deadlines.add(self.clock() + PULSE_INTERVAL_MS, self.on_pulse)
 
-    def beat(self) -> None:
-        """Nothing but a deadline that is always near: how late it is swept shows a block."""
-        self.pulse = self.deadlines.add(self.clock() + PULSE, self.beat) if self.out else None
+    def on_pulse(self) -> None:
+        """Renew a deadline that is always near: the delay of its sweep shows a blocked loop."""
+        self.pulse_timer = (
+            self.deadlines.add(self.clock() + PULSE_INTERVAL_MS, self.on_pulse) if self.in_flight else None
+        )
 
-    def ended(self, attempt: Attempt, outcome: Outcome, served: Served | None = None) -> None:
-        """An attempt that was started has ended; where a block has spoilt its time, it teaches nothing."""
-        self.out -= 1
-        self.note(attempt, outcome)
+    def attempt_ended(self, attempt: Attempt, outcome: Outcome, served: Served | None = None) -> None:
+        """A started attempt has ended; if a blocked loop distorted its latency, the policy ignores it."""
+        self.in_flight -= 1
+        self.report_attempt(attempt, outcome)
         if outcome in (Outcome.SERVED, Outcome.TIMEOUT):
-            if self.deadlines.late > SHARE * (self.clock() - attempt.sent_at):
+            if self.deadlines.late_ms > MAX_BLOCKED_SHARE * (self.clock() - attempt.sent_at):
                 outcome = Outcome.CANCELLED
         self.transactions.finished(attempt, outcome, served)
 
-    def not_started(self, attempt: Attempt, outcome: Outcome) -> None:
-        """An attempt came to nothing before it set out."""
-        self.note(attempt, outcome)
+    def attempt_not_started(self, attempt: Attempt, outcome: Outcome) -> None:
+        """An attempt failed before it was started."""
+        self.report_attempt(attempt, outcome)
         attempt.ended(attempt, outcome, None)
 
-    def cancelled(self, attempt: Attempt) -> None:
-        """An attempt was given up by the module, which knows."""
-        self.out -= 1
-        self.note(attempt, Outcome.CANCELLED)
+    def attempt_cancelled(self, attempt: Attempt) -> None:
+        """The policy has cancelled an attempt."""
+        self.in_flight -= 1
+        self.report_attempt(attempt, Outcome.CANCELLED)
 
-    def note(self, attempt: Attempt, outcome: Outcome) -> None:
-        if self.attempted is not None:
+    def report_attempt(self, attempt: Attempt, outcome: Outcome) -> None:
+        if self.on_attempt_ended is not None:
             try:
-                self.attempted(attempt, outcome)
+                self.on_attempt_ended(attempt, outcome)
             except Exception:
-                fault(log, "metrics_failed", "metrics failed")
+                fault(log, "metrics_failed", "metrics collector raised an exception")
 
     def close(self) -> None:
-        """Answer all that is open, and take nothing more."""
+        """Answer all open calls and reject new ones."""
         self.closed = True
-        for ticket in self.waiting.values():
-            self.give(ticket, Refused(self.settings.max_retry_after))
-        self.waiting.clear()
+        for pending in self.waiting_for_list.values():
+            self.deliver(pending, Refused(self.settings.max_retry_after))
+        self.waiting_for_list.clear()
         for transaction in list(self.transactions.open.values()):
             if not transaction.over:
                 transaction.reply(Failed())
--- a/brackenusher/fronts/rpc/lines.py
+++ b/brackenusher/fronts/rpc/lines.py
@@ -1,6 +1,6 @@
-"""Carries attempts over lines, one for each server: the carrier under both libraries. It decides nothing.
+"""Executes attempts over per-server connections, for both libraries. All decisions are the policy's.
 
-A line is a library's way to one process of one server: a sub-channel of grpcio, a pool of httpx.
+A connection leads to one process of one server: a sub-channel of grpcio or a pool of httpx.
 """
 
 import asyncio
@@ -12,241 +12,260 @@
 from barleybarrow import interface as face
 from barleybarrow.interface import Outcome
 from brackenusher.core.transaction import Attempt, Served
-from brackenusher.fronts.rpc.host import Host
+from brackenusher.fronts.rpc.host import TransactionRunner
 from brackenusher.runtime.log import fault
 from brackenusher.runtime.timers import Entry
 from brackenusher.upstream.pool import Member, Pool
 
 log = logging.getLogger("brackenusher.rpc")
 
-CONNECT_TIME = 1000.0  # milliseconds, where the settings name none
-HANDSHAKE_WEIGHT = 1 / 4  # of a new connect in the usual time of one: few are made
+DEFAULT_CONNECT_TIMEOUT_MS = 1000.0  # if the settings have no connect time-out
+HANDSHAKE_SMOOTHING = 1 / 4  # smoothing factor of the handshake time; large, as connects are few
 
 
 @dataclass(slots=True, eq=False)
-class Trip:
-    """One attempt on its way."""
+class InFlightAttempt:
+    """An attempt in flight."""
 
-    line: "Line"
+    connection: "ServerConnection"
     task: "asyncio.Task[None] | None" = None
     expiry: Entry | None = None
-    written: bool = False  # from here on it may have run
-    over: bool = False
+    written: bool = False  # from here on it may have been executed
+    finished: bool = False
 
 
-class Line(Protocol):
-    """A library's way to one process of one server."""
+class ServerConnection(Protocol):
+    """A library's connection to one process of one server."""
 
     def ready(self) -> bool:
-        """Whether a call can start without a handshake; True where the library connects by itself."""
+        """Whether a call can start without a handshake; True if the library connects by itself."""
 
     async def connect(self) -> bool:
-        """Make it ready; False where that failed. It is given up by cancelling it."""
+        """Connect; False if that failed. May be cancelled."""
 
-    async def exchange(self, attempt: Attempt, trip: Trip, left: float) -> tuple[Outcome, Served | None]:
-        """Make the attempt within `left` milliseconds, setting `trip.written` once it may run."""
+    async def execute(
+        self, attempt: Attempt, flight: InFlightAttempt, remaining_ms: float
+    ) -> tuple[Outcome, Served | None]:
+        """Execute the attempt in the remaining time; sets `flight.written` once it may have been executed."""
 
     async def probe(self) -> tuple[Outcome, dict[str, float] | None]:
-        """Ask the server whether it lives, and for its report if there is one."""
+        """Run a health check, and fetch the load report if there is one."""
 
     async def close(self) -> None:
-        """Close it at once."""
+        """Close immediately."""
 
 
-class Held:
-    """A line with who uses it."""
+class ManagedConnection:
+    """A connection with its usage."""
 
-    def __init__(self, line: Line, member: Member) -> None:
-        self.line, self.address, self.born_ms = line, member.address, member.born_ms
+    def __init__(self, connection: ServerConnection, member: Member) -> None:
+        self.connection, self.address, self.born_ms = connection, member.address, member.born_ms
         self.users, self.retired = 0, False
-        self.heard_at = 0.0  # when something last came over it
-        self.connecting: asyncio.Task[bool] | None = None
+        self.received_at = 0.0  # when data was last received over it
+        self.connect_task: asyncio.Task[bool] | None = None
 
 
-class Lines:
-    """Carries out what the module asks for: `Transactions` calls it as its carrier."""
+class ConnectionManager:
+    """Executes the policy's actions: the carrier of `Transactions`."""
 
     def __init__(
-        self, dial: Callable[[Member], Line], settings: face.Settings, loop: asyncio.AbstractEventLoop
+        self,
+        dial: Callable[[Member], ServerConnection],
+        settings: face.Settings,
+        loop: asyncio.AbstractEventLoop,
     ) -> None:
         self.dial, self.settings, self.loop = dial, settings, loop
-        self.connect_time = settings.connect_timeout or CONNECT_TIME
-        self.handshake = 0.0  # milliseconds that a connect usually takes
-        self.held: dict[str, Held] = {}
+        self.connect_timeout_ms = settings.connect_timeout or DEFAULT_CONNECT_TIMEOUT_MS
+        self.handshake_ms = 0.0  # smoothed connect time in milliseconds
+        self.connections: dict[str, ManagedConnection] = {}
         self.tasks: set[asyncio.Task[None]] = set()
         self.closed = False
-        self.host: Host
+        self.runner: TransactionRunner
         self.pool: Pool
-        self.asked: Callable[[], None] = lambda: None  # the module asks for the list
+        self.on_list_requested: Callable[[], None] = lambda: (
+            None
+        )  # called when the policy requests the list of servers
 
-    # what `Transactions` calls
+    # carrier interface
 
     def start(self, attempt: Attempt) -> None:
-        """Set out with an attempt; one that cannot come to an end in its time is not sent."""
-        member, left = self.pool.members.get(attempt.backend), attempt.deadline - self.host.clock()
-        if member is None or left <= 0 or self.closed:
-            self.host.not_started(attempt, Outcome.NOT_SENT)
+        """Start an attempt; one that cannot finish before its deadline is not sent."""
+        member, remaining_ms = self.pool.members.get(attempt.backend), attempt.deadline - self.runner.clock()
+        if member is None or remaining_ms <= 0 or self.closed:
+            self.runner.attempt_not_started(attempt, Outcome.NOT_SENT)
             return
         if not self.pool.may_begin(member):
-            self.host.not_started(attempt, Outcome.CONNECT_FAILED)
+            self.runner.attempt_not_started(attempt, Outcome.CONNECT_FAILED)
             return
-        held = self.line(member)
-        if not held.line.ready():
-            self.begin_connect(member.name, held)
-            if left <= self.handshake:
-                self.host.not_started(attempt, Outcome.NOT_SENT)
+        managed = self.connection_to(member)
+        if not managed.connection.ready():
+            self.start_connect(member.name, managed)
+            if remaining_ms <= self.handshake_ms:
+                self.runner.attempt_not_started(attempt, Outcome.NOT_SENT)
                 return
-        trip = attempt.carriage = Trip(held.line)
-        held.users += 1
-        self.host.started()
-        trip.expiry = self.host.deadlines.add(attempt.deadline, lambda: self.expired(attempt, held))
-        trip.task = self.spawn(self.carry(attempt, trip, held, member))
-        trip.task.add_done_callback(lambda _: self.let_go(held))  # also where it never came to run
+        flight = attempt.carriage = InFlightAttempt(managed.connection)
+        managed.users += 1
+        self.runner.attempt_started()
+        flight.expiry = self.runner.deadlines.add(
+            attempt.deadline, lambda: self.on_deadline(attempt, managed)
+        )
+        flight.task = self.spawn(self.run_attempt(attempt, flight, managed, member))
+        # also if the task is cancelled before it runs
+        flight.task.add_done_callback(lambda _: self.release(managed))
 
     def cancel(self, attempt: Attempt) -> None:
-        trip: Trip | None = attempt.carriage
-        if trip is not None and not trip.over:
-            self.over(trip, attempt)
-            self.host.cancelled(attempt)
-            self.stop(trip)
+        flight: InFlightAttempt | None = attempt.carriage
+        if flight is not None and not flight.finished:
+            self.mark_finished(flight, attempt)
+            self.runner.attempt_cancelled(attempt)
+            self.cancel_task(flight)
 
     def disconnect(self, backend: str) -> None:
-        held = self.held.pop(backend, None)
-        if held is not None:
-            self.retire(held)
+        managed = self.connections.pop(backend, None)
+        if managed is not None:
+            self.retire(managed)
 
     def watch(self) -> None:
-        self.asked()
+        self.on_list_requested()
 
     def probe(self, backend: str) -> None:
         member = self.pool.members.get(backend)
         if member is not None and not self.closed:
-            self.spawn(self.ask(backend, self.line(member)))
+            self.spawn(self.run_probe(backend, self.connection_to(member)))
 
-    # lines
+    # connections
 
-    def line(self, member: Member) -> Held:
-        """The line to a member's present process."""
-        held = self.held.get(member.name)
-        if held is not None and (held.address, held.born_ms) != (member.address, member.born_ms):
+    def connection_to(self, member: Member) -> ManagedConnection:
+        """The connection to the current process of a member."""
+        managed = self.connections.get(member.name)
+        if managed is not None and (managed.address, managed.born_ms) != (member.address, member.born_ms):
             self.disconnect(member.name)
-            held = None
-        if held is None:
-            held = self.held[member.name] = Held(self.dial(member), member)
-        return held
-
-    def review(self) -> None:
-        """After a list: let go of the lines to those that left or were started anew."""
-        for name, held in list(self.held.items()):
+            managed = None
+        if managed is None:
+            managed = self.connections[member.name] = ManagedConnection(self.dial(member), member)
+        return managed
+
+    def close_outdated(self) -> None:
+        """After a list update: close connections to members that left, moved or restarted."""
+        for name, managed in list(self.connections.items()):
             member = self.pool.members.get(name)
-            if member is None or member.left_at is not None or held.address != member.address:
+            if member is None or member.left_at is not None or managed.address != member.address:
                 self.disconnect(name)
-            elif held.born_ms != member.born_ms:
+            elif managed.born_ms != member.born_ms:
                 self.disconnect(name)
 
-    def retire(self, held: Held) -> None:
-        """Close a line once the last of its users is through."""
-        held.retired = True
-        if not held.users:
-            if held.connecting is not None:
-                held.connecting.cancel()
-            self.spawn(held.line.close())
-
-    def let_go(self, held: Held) -> None:
-        held.users -= 1
-        if held.retired and not held.users:
-            self.spawn(held.line.close())
-
-    def begin_connect(self, name: str, held: Held) -> "asyncio.Task[bool]":
-        """Connect, once for all who wait; it goes on though they give up, for those who come after."""
-        if held.connecting is None or held.connecting.done():
-            held.connecting = self.loop.create_task(self.connect(name, held))
-        return held.connecting
-
-    async def connect(self, name: str, held: Held) -> bool:
-        began = self.host.clock()
+    def retire(self, managed: ManagedConnection) -> None:
+        """Close a connection once its last user has finished."""
+        managed.retired = True
+        if not managed.users:
+            if managed.connect_task is not None:
+                managed.connect_task.cancel()
+            self.spawn(managed.connection.close())
+
+    def release(self, managed: ManagedConnection) -> None:
+        managed.users -= 1
+        if managed.retired and not managed.users:
+            self.spawn(managed.connection.close())
+
+    def start_connect(self, name: str, managed: ManagedConnection) -> "asyncio.Task[bool]":
+        """Start a connect, shared by all waiting attempts; it continues if they are cancelled."""
+        if managed.connect_task is None or managed.connect_task.done():
+            managed.connect_task = self.loop.create_task(self.connect(name, managed))
+        return managed.connect_task
+
+    async def connect(self, name: str, managed: ManagedConnection) -> bool:
+        started_at = self.runner.clock()
         try:
-            done = await asyncio.wait_for(held.line.connect(), self.connect_time / 1000.0)
+            connected = await asyncio.wait_for(managed.connection.connect(), self.connect_timeout_ms / 1000.0)
         except TimeoutError:
-            done = False
+            connected = False
         except Exception:
-            fault(log, "connect_failed", "a connect failed in an unforeseen way")
-            done = False
-        if done:
-            took = self.host.clock() - began
-            weight = HANDSHAKE_WEIGHT if self.handshake else 1.0
-            self.handshake += weight * (took - self.handshake)
-        elif self.held.get(name) is held:
-            self.disconnect(name)  # the next attempt makes a new one: the library's back-off is not ours
-        return done
+            fault(log, "connect_failed", "unexpected error while connecting")
+            connected = False
+        if connected:
+            duration_ms = self.runner.clock() - started_at
+            weight = HANDSHAKE_SMOOTHING if self.handshake_ms else 1.0
+            self.handshake_ms += weight * (duration_ms - self.handshake_ms)
+        elif self.connections.get(name) is managed:
+            self.disconnect(name)  # the next attempt creates a new one, which avoids the library's back-off
+        return connected
 
     # attempts
 
-    async def carry(self, attempt: Attempt, trip: Trip, held: Held, member: Member) -> None:
+    async def run_attempt(
+        self, attempt: Attempt, flight: InFlightAttempt, managed: ManagedConnection, member: Member
+    ) -> None:
         outcome, served = Outcome.RESET, None
         try:
-            if not held.line.ready() and not await asyncio.shield(self.begin_connect(member.name, held)):
+            if not managed.connection.ready() and not await asyncio.shield(
+                self.start_connect(member.name, managed)
+            ):
                 outcome = Outcome.CONNECT_FAILED
-            elif (left := attempt.deadline - self.host.clock()) <= 0:
+            elif (remaining_ms := attempt.deadline - self.runner.clock()) <= 0:
                 outcome = Outcome.NOT_SENT
             elif not self.pool.may_begin(member):
                 outcome = Outcome.CONNECT_FAILED
             else:
-                outcome, served = await held.line.exchange(attempt, trip, left)
+                outcome, served = await managed.connection.execute(attempt, flight, remaining_ms)
                 if outcome is not Outcome.TIMEOUT:
-                    held.heard_at = self.host.clock()
+                    managed.received_at = self.runner.clock()
         except asyncio.CancelledError:
-            if not trip.over:  # not by us: the library closed it
-                outcome = Outcome.RESET if trip.written else Outcome.CONNECT_FAILED
+            if not flight.finished:  # not cancelled here: the library closed it
+                outcome = Outcome.RESET if flight.written else Outcome.CONNECT_FAILED
         except Exception:
-            fault(log, "attempt_failed", "an attempt failed in an unforeseen way")
-            outcome = Outcome.RESET if trip.written else Outcome.NOT_SENT
-        self.done(attempt, trip, held, outcome, served)
-
-    def done(
-        self, attempt: Attempt, trip: Trip, held: Held, outcome: Outcome, served: Served | None = None
+            fault(log, "attempt_failed", "unexpected error in an attempt")
+            outcome = Outcome.RESET if flight.written else Outcome.NOT_SENT
+        self.finish(attempt, flight, managed, outcome, served)
+
+    def finish(
+        self,
+        attempt: Attempt,
+        flight: InFlightAttempt,
+        managed: ManagedConnection,
+        outcome: Outcome,
+        served: Served | None = None,
     ) -> None:
-        if not trip.over:
-            self.over(trip, attempt)
+        if not flight.finished:
+            self.mark_finished(flight, attempt)
             if outcome is Outcome.TIMEOUT:
-                self.unheard(attempt, held)
-            self.host.ended(attempt, outcome, served)
+                self.drop_if_silent(attempt, managed)
+            self.runner.attempt_ended(attempt, outcome, served)
 
-    def over(self, trip: Trip, attempt: Attempt) -> None:
-        trip.over = True
-        self.host.deadlines.remove(trip.expiry)
+    def mark_finished(self, flight: InFlightAttempt, attempt: Attempt) -> None:
+        flight.finished = True
+        self.runner.deadlines.remove(flight.expiry)
 
-    def stop(self, trip: Trip) -> None:
-        if trip.task is not None:
-            trip.task.cancel()
+    def cancel_task(self, flight: InFlightAttempt) -> None:
+        if flight.task is not None:
+            flight.task.cancel()
 
-    def expired(self, attempt: Attempt, held: Held) -> None:
-        """The attempt's time is up; it has not run unless it was written."""
-        trip: Trip = attempt.carriage
-        self.done(attempt, trip, held, Outcome.TIMEOUT if trip.written else Outcome.NOT_SENT)
-        self.stop(trip)
+    def on_deadline(self, attempt: Attempt, managed: ManagedConnection) -> None:
+        """The attempt's deadline has passed; it was executed only if it was written."""
+        flight: InFlightAttempt = attempt.carriage
+        self.finish(attempt, flight, managed, Outcome.TIMEOUT if flight.written else Outcome.NOT_SENT)
+        self.cancel_task(flight)
 
-    def unheard(self, attempt: Attempt, held: Held) -> None:
-        """A connection over which nothing came since may be dead without a reset: use another next time."""
+    def drop_if_silent(self, attempt: Attempt, managed: ManagedConnection) -> None:
+        """Drop a connection that received nothing since the attempt was sent: it may be half-open."""
         name = attempt.backend
-        if held.heard_at < attempt.sent_at and self.held.get(name) is held:
+        if managed.received_at < attempt.sent_at and self.connections.get(name) is managed:
             self.disconnect(name)
 
-    async def ask(self, backend: str, held: Held) -> None:
-        began, outcome, report = self.host.clock(), Outcome.TIMEOUT, None
-        held.users += 1
+    async def run_probe(self, backend: str, managed: ManagedConnection) -> None:
+        started_at, outcome, report = self.runner.clock(), Outcome.TIMEOUT, None
+        managed.users += 1
         try:
-            async with asyncio.timeout(self.connect_time / 1000.0):
-                if held.line.ready() or await asyncio.shield(self.begin_connect(backend, held)):
-                    outcome, report = await held.line.probe()
+            async with asyncio.timeout(self.connect_timeout_ms / 1000.0):
+                if managed.connection.ready() or await asyncio.shield(self.start_connect(backend, managed)):
+                    outcome, report = await managed.connection.probe()
                 else:
                     outcome = Outcome.CONNECT_FAILED
         except TimeoutError:
             pass
         finally:
-            self.let_go(held)
-        elapsed = self.host.clock() - began
-        self.host.transactions.post(face.Probed(backend, outcome, elapsed, report))
+            self.release(managed)
+        elapsed = self.runner.clock() - started_at
+        self.runner.transactions.post(face.Probed(backend, outcome, elapsed, report))
 
     def spawn(self, coroutine: Coroutine[Any, Any, None]) -> "asyncio.Task[None]":
         task = self.loop.create_task(coroutine)
@@ -255,14 +274,14 @@
         return task
 
     async def close(self) -> None:
-        """Close all lines; whatever is on its way ends here."""
-        held = list(self.held.values())
-        self.held.clear()
+        """Close all connections and cancel what is in flight."""
+        connections = list(self.connections.values())
+        self.connections.clear()
         tasks = list(self.tasks)
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
-        for each in held:
-            if each.connecting is not None:
-                each.connecting.cancel()
-            await each.line.close()
+        for each in connections:
+            if each.connect_task is not None:
+                each.connect_task.cancel()
+            await each.connection.close()
--- a/brackenusher/fronts/rpc/metrics.py
+++ b/brackenusher/fronts/rpc/metrics.py
@@ -1,6 +1,6 @@
-"""Figures of the plug-in: a small protocol, and one way to carry it out with prometheus-client.
+"""Metrics of the RPC plug-in: a small protocol, and its implementation with prometheus-client.
 
-They look on and change nothing; a fault in one is logged and costs nobody an answer.
+Collectors observe and change nothing; their exceptions are logged and do not affect calls.
 """
 
 from collections.abc import Callable
@@ -18,34 +18,34 @@
 )
 from brackenusher.fronts.rpc.config import RpcConfig
 
-BUCKETS = (0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0)  # seconds
+LATENCY_BUCKETS_S = (0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0)  # seconds
 
 
 class Metrics(Protocol):
-    """What a collector of figures is told. Spans are in milliseconds; words are from small fixed sets."""
+    """Interface of a metrics collector. Times are in milliseconds; labels are from small fixed sets."""
 
     def answered(self, target: str, klass: str, answer: str, span: float, attempts: int) -> None:
-        """A call has its answer: served, refused, failed, or left (the caller gave it up)."""
+        """A call has ended: served, refused, failed, or left (cancelled by the caller)."""
 
     def attempted(self, target: str, klass: str, outcome: str, span: float) -> None:
-        """An attempt has ended, with an outcome of the module's interface."""
+        """An attempt has ended, with an outcome of the policy's interface."""
 
     def turned_away(self, target: str, reason: str) -> None:
-        """A call was not taken: room (too many open) or list (no list came in its time)."""
+        """A call was rejected: room (too many are open) or list (no list of servers arrived in time)."""
 
 
-def look_on(metrics: Metrics, config: RpcConfig, owner: Transactions) -> Observers:
-    """Observers that tell the metrics of what happens to the transactions."""
+def transaction_observers(metrics: Metrics, config: RpcConfig, transactions: Transactions) -> Observers:
+    """Observers that report the ends of transactions to the collector."""
     names, target = [c.name for c in config.settings.classes], config.target
 
     def answered(transaction: Transaction, answer: Answer | None) -> None:
-        word = "left" if answer is None else "failed"
+        label = "left" if answer is None else "failed"
         if isinstance(answer, Served):
-            word = "served"
+            label = "served"
         elif isinstance(answer, Refused):
-            word = "refused"
-        span = owner.clock() - transaction.arrived
-        metrics.answered(target, names[transaction.klass], word, span, len(transaction.attempts))
+            label = "refused"
+        duration_ms = transactions.clock() - transaction.arrived
+        metrics.answered(target, names[transaction.klass], label, duration_ms, len(transaction.attempts))
 
     def turned_away(request: Any, verdict: str) -> None:
         metrics.turned_away(target, verdict.partition(" ")[0])
@@ -53,10 +53,10 @@
     return Observers(answered=(answered,), turned_away=(turned_away,))
 
 
-def look_on_attempts(
+def attempt_observer(
     metrics: Metrics, config: RpcConfig, clock: Callable[[], float]
 ) -> Callable[[Attempt, Outcome], None]:
-    """What the host is to call at the end of each attempt."""
+    """Callback for the end of each attempt."""
     names, target = [c.name for c in config.settings.classes], config.target
 
     def attempted(attempt: Attempt, outcome: Outcome) -> None:
@@ -68,30 +68,38 @@
 class PrometheusMetrics:
     """Metrics as counters and histograms of prometheus-client.
 
-    One for a registry: prometheus-client refuses names that are there twice. Labels are the target, the class
-    and words from fixed sets, so their number is bounded by the configuration.
+    Create one per registry: prometheus-client rejects duplicate names. Labels are the target, the class and
+    values from fixed sets, so the configuration bounds their cardinality.
     """
 
     def __init__(self, registry: Any = None, prefix: str = "brackenusher_rpc") -> None:
         import prometheus_client
 
-        where: dict[str, Any] = {} if registry is None else {"registry": registry}
-        make: Callable[..., Any] = prometheus_client.Counter
-        self.calls = make(f"{prefix}_calls", "Calls by their answer", ["target", "class", "answer"], **where)
-        self.attempts = make(
-            f"{prefix}_attempts", "Attempts by outcome", ["target", "class", "outcome"], **where
+        options: dict[str, Any] = {} if registry is None else {"registry": registry}
+        counter: Callable[..., Any] = prometheus_client.Counter
+        self.calls = counter(
+            f"{prefix}_calls", "Calls by their answer", ["target", "class", "answer"], **options
         )
-        self.away = make(f"{prefix}_turned_away", "Calls that were not taken", ["target", "reason"], **where)
-        self.spans = prometheus_client.Histogram(
-            f"{prefix}_call_seconds", "From call to answer", ["target", "class"], buckets=BUCKETS, **where
+        self.attempts = counter(
+            f"{prefix}_attempts", "Attempts by outcome", ["target", "class", "outcome"], **options
+        )
+        self.rejections = counter(
+            f"{prefix}_turned_away", "Calls that were not taken", ["target", "reason"], **options
+        )
+        self.durations = prometheus_client.Histogram(
+            f"{prefix}_call_seconds",
+            "From call to answer",
+            ["target", "class"],
+            buckets=LATENCY_BUCKETS_S,
+            **options,
         )
 
     def answered(self, target: str, klass: str, answer: str, span: float, attempts: int) -> None:
         self.calls.labels(target, klass, answer).inc()
-        self.spans.labels(target, klass).observe(span / 1000.0)
+        self.durations.labels(target, klass).observe(span / 1000.0)
 
     def attempted(self, target: str, klass: str, outcome: str, span: float) -> None:
         self.attempts.labels(target, klass, outcome).inc()
 
     def turned_away(self, target: str, reason: str) -> None:
-        self.away.labels(target, reason).inc()
+        self.rejections.labels(target, reason).inc()
--- a/brackenusher/fronts/rpc/multi_callables.py
+++ b/brackenusher/fronts/rpc/multi_callables.py
@@ -1,4 +1,4 @@
-"""What a stub calls: it makes an order of a request, and a call of the order."""
+"""The multi-callables of `BalancedChannel`, which generated stubs invoke to start calls."""
 
 from collections.abc import Callable, Sequence
 from typing import Any
@@ -7,16 +7,16 @@
 import grpc.aio
 
 from barleybarrow.interface import Effect
-from brackenusher.fronts.rpc.calls import CALLS, Call, CallOwner
-from brackenusher.fronts.rpc.sub_channel import Order
+from brackenusher.fronts.rpc.calls import CALL_TYPES, Call, ParentChannel
+from brackenusher.fronts.rpc.sub_channel import CallSpec
 
 
 class MultiCallable:
-    """What a stub calls."""
+    """Starts calls of one method."""
 
     def __init__(
         self,
-        channel: CallOwner,
+        channel: ParentChannel,
         kind: str,
         path: str,
         serializer: Callable[[Any], bytes] | None,
@@ -26,7 +26,7 @@
         self.serializer, self.deserializer = serializer, deserializer
         self.method = channel.config.method(path)
 
-    def make(
+    def start_call(
         self,
         request: Any,
         timeout: float | None,
@@ -36,31 +36,31 @@
     ) -> Call:
         channel = self.channel
         channel.open()
-        pairs = tuple(metadata or ())
-        until = None if timeout is None else channel.picture.host.clock() + timeout * 1000.0
-        order = Order(
+        metadata_pairs = tuple(metadata or ())
+        deadline = None if timeout is None else channel.target_state.runner.clock() + timeout * 1000.0
+        spec = CallSpec(
             b"POST",
             self.path.encode(),
             kind=self.kind,
             path=self.path,
             request=request,
-            metadata=pairs,
+            metadata=metadata_pairs,
             credentials=credentials,
             compression=compression,
-            until=until,
+            caller_deadline=deadline,
         )
         if self.kind in ("unary_unary", "unary_stream") and self.serializer is not None:
-            order.request = self.serializer(request)  # once, for all attempts
+            spec.request = self.serializer(request)  # serialized once for all attempts
         if self.kind.startswith("stream"):
-            order.serializer = self.serializer
+            spec.serializer = self.serializer
         if self.kind != "unary_unary":
-            order.deserializer = self.deserializer
-        call: Call = CALLS[self.kind](channel, order, self.deserializer)
-        call.begin(self.method, timeout, self.lacks(pairs))
+            spec.deserializer = self.deserializer
+        call: Call = CALL_TYPES[self.kind](channel, spec, self.deserializer)
+        call.start(self.method, timeout, self.key_error(metadata_pairs))
         return call
 
-    def lacks(self, metadata: Sequence[tuple[str, Any]]) -> str:
-        """What is wrong with a keyed call's metadata; nothing as a rule."""
+    def key_error(self, metadata: Sequence[tuple[str, Any]]) -> str:
+        """The fault in the metadata of a keyed call, or an empty string."""
         method = self.method
         if method is None or method.effect is not Effect.KEYED:
             return ""
@@ -70,8 +70,8 @@
         return ""
 
 
-class UnaryRequest(MultiCallable):
-    """What a stub calls with one message."""
+class UnaryRequestMultiCallable(MultiCallable):
+    """Multi-callable for a single request message."""
 
     def __call__(
         self,
@@ -83,12 +83,12 @@
         wait_for_ready: bool | None = None,
         compression: grpc.Compression | None = None,
     ) -> Any:
-        """Start a call; `timeout` in seconds. `wait_for_ready` means nothing: the core decides what waits."""
-        return self.make(request, timeout, metadata, credentials, compression)
+        """Start a call; `timeout` in seconds. `wait_for_ready` is ignored: the policy decides what waits."""
+        return self.start_call(request, timeout, metadata, credentials, compression)
 
 
-class StreamRequest(MultiCallable):
-    """What a stub calls with a stream of messages, or with none where it writes them."""
+class StreamRequestMultiCallable(MultiCallable):
+    """Multi-callable for a stream of request messages; without an iterator, the caller writes them."""
 
     def __call__(
         self,
@@ -99,21 +99,21 @@
         wait_for_ready: bool | None = None,
         compression: grpc.Compression | None = None,
     ) -> Any:
-        """Start a call; see `UnaryRequest`."""
-        return self.make(request_iterator, timeout, metadata, credentials, compression)
+        """Start a call; see `UnaryRequestMultiCallable`."""
+        return self.start_call(request_iterator, timeout, metadata, credentials, compression)
 
 
-class UnaryUnary(UnaryRequest, grpc.aio.UnaryUnaryMultiCallable):
+class UnaryUnary(UnaryRequestMultiCallable, grpc.aio.UnaryUnaryMultiCallable):
     pass
 
 
-class UnaryStream(UnaryRequest, grpc.aio.UnaryStreamMultiCallable):
+class UnaryStream(UnaryRequestMultiCallable, grpc.aio.UnaryStreamMultiCallable):
     pass
 
 
-class StreamUnary(StreamRequest, grpc.aio.StreamUnaryMultiCallable):
+class StreamUnary(StreamRequestMultiCallable, grpc.aio.StreamUnaryMultiCallable):
     pass
 
 
-class StreamStream(StreamRequest, grpc.aio.StreamStreamMultiCallable):
+class StreamStream(StreamRequestMultiCallable, grpc.aio.StreamStreamMultiCallable):
     pass
