--- a/brackenusher/fronts/rpc/picture.py
+++ b/brackenusher/fronts/rpc/picture.py
@@ -1,6 +1,6 @@
-"""One picture of a target's servers for all channels of a loop: members, module, transactions, lines.
+"""State of a target, shared by all channels of a loop: members, policy, transactions and connections.
 
-asyncio's objects belong to one loop; a process with two loops has two pictures, and so has a forked child.
+asyncio objects belong to one loop: a process with two loops has two states, and a forked child its own.
 """
 
 import asyncio
@@ -15,10 +15,10 @@
 from barleybarrow import interface as face
 from brackenusher.config.platform import ConfigError
 from brackenusher.fronts.rpc.config import RpcConfig
-from brackenusher.fronts.rpc.host import Host
-from brackenusher.fronts.rpc.lines import Line, Lines
-from brackenusher.fronts.rpc.metrics import Metrics, look_on, look_on_attempts
-from brackenusher.fronts.rpc.watch import Watch
+from brackenusher.fronts.rpc.host import TransactionRunner
+from brackenusher.fronts.rpc.lines import ConnectionManager, ServerConnection
+from brackenusher.fronts.rpc.metrics import Metrics, attempt_observer, transaction_observers
+from brackenusher.fronts.rpc.watch import DiscoveryWatch
 from brackenusher.membership.discovery import DiscoveryError, read_listing
 from brackenusher.upstream.listing import Listing
 from brackenusher.upstream.pool import Member, Pool
@@ -28,46 +28,50 @@
 Members = Listing | Mapping[str, Any] | Iterable[str]
 
 
-class Picture:
-    """What this loop knows of one target's servers."""
+class TargetState:
+    """A target's servers, with the policy and the transactions that use them, on one event loop."""
 
     def __init__(
         self,
         config: RpcConfig,
-        dial: Callable[["Picture", Member], Line],
+        dial: Callable[["TargetState", Member], ServerConnection],
         loop: asyncio.AbstractEventLoop,
         metrics: Metrics | None = None,
     ) -> None:
         settings = config.settings
         self.config, self.loop, self.pid, self.users = config, loop, os.getpid(), 0
-        self.lines = Lines(lambda member: dial(self, member), settings, loop)
-        self.host = Host(settings, config.seed, loop, self.lines, config.most_open)
-        clock = self.host.clock
+        self.connection_manager = ConnectionManager(lambda member: dial(self, member), settings, loop)
+        self.runner = TransactionRunner(
+            settings, config.seed, loop, self.connection_manager, config.max_open_calls
+        )
+        clock = self.runner.clock
         self.pool = Pool(settings, clock, time.time() * 1000.0 - clock())
-        self.lines.host, self.lines.pool = self.host, self.pool
-        self.changed = asyncio.Event()  # set, and made anew, with each list
+        self.connection_manager.runner, self.connection_manager.pool = self.runner, self.pool
+        self.list_changed = asyncio.Event()  # set and replaced with each list of servers
         self.seq = 0
         if metrics is not None:
-            self.host.transactions.observers = look_on(metrics, config, self.host.transactions)
-            self.host.attempted = look_on_attempts(metrics, config, clock)
-        self.watch: Watch | None = None
+            self.runner.transactions.observers = transaction_observers(
+                metrics, config, self.runner.transactions
+            )
+            self.runner.on_attempt_ended = attempt_observer(metrics, config, clock)
+        self.watch: DiscoveryWatch | None = None
         if config.discovery is not None:
             rng = random.Random(config.seed)
-            self.watch = Watch(config.discovery, self.take, self.lost, rng)
-            self.lines.asked = self.watch.start
+            self.watch = DiscoveryWatch(config.discovery, self.apply, self.on_discovery_lost, rng)
+            self.connection_manager.on_list_requested = self.watch.start
 
-    def begin(self) -> None:
-        """Start what runs by itself."""
-        self.host.transactions.begin()
+    def start(self) -> None:
+        """Start the policy and the source of the list of servers."""
+        self.runner.transactions.begin()
         if self.watch is not None:
             self.watch.start()
         if self.config.fixed:
             self.set_members(self.config.fixed)
 
     def set_members(self, members: Members) -> None:
-        """Take a list from the caller: in discovery's form, whole or changes, or addresses as host:port.
+        """Apply a list from the caller: in the format of discovery, full or changes, or host:port addresses.
 
-        Raises ConfigError where it cannot be read; the list stays as it was then.
+        Raises ConfigError if it is malformed; the list stays unchanged then.
         """
         if isinstance(members, Listing):
             listing = members
@@ -77,38 +81,38 @@
             except DiscoveryError as error:
                 raise ConfigError(f"members: {error}") from error
         else:
-            listing = plain(members, self.seq + 1)
-        self.take(listing)
+            listing = static_listing(members, self.seq + 1)
+        self.apply(listing)
 
-    def take(self, listing: Listing) -> None:
-        """Apply a list and tell the module of it."""
+    def apply(self, listing: Listing) -> None:
+        """Apply a list and report it to the policy."""
         self.seq = listing.seq
         event = self.pool.take(listing)
-        self.lines.review()
-        self.host.tell(event)
-        changed, self.changed = self.changed, asyncio.Event()
-        changed.set()
+        self.connection_manager.close_outdated()
+        self.runner.update_list(event)
+        previous, self.list_changed = self.list_changed, asyncio.Event()
+        previous.set()
 
-    def lost(self) -> None:
-        """A call for the list failed."""
+    def on_discovery_lost(self) -> None:
+        """The connection to discovery failed."""
         if self.config.settings.must_ask:
-            self.host.tell(face.ListChanged(face.ListScope.LOST, []))
+            self.runner.update_list(face.ListChanged(face.ListScope.LOST, []))
 
     @property
-    def live(self) -> int:
-        """How many members may be sent something."""
+    def live_count(self) -> int:
+        """Number of members that may be sent requests."""
         return sum(member.left_at is None for member in self.pool.members.values())
 
     async def close(self) -> None:
         if self.watch is not None:
             self.watch.close()
-        self.lines.closed = True
-        self.host.close()
-        await self.lines.close()
+        self.connection_manager.closed = True
+        self.runner.close()
+        await self.connection_manager.close()
 
 
-def plain(addresses: Iterable[str], seq: int) -> Listing:
-    """A whole list of servers that have run for long, each named by its address."""
+def static_listing(addresses: Iterable[str], seq: int) -> Listing:
+    """A full list of servers named by their addresses, none of them newly started."""
     hosts = []
     for address in addresses:
         entry = {"host": address, "dial": address, "health": "ready"}
@@ -119,48 +123,48 @@
     return listing
 
 
-class Pictures:
-    """The pictures of one loop, by protocol and target; counted, the last user closes one."""
+class LoopTargets:
+    """The targets of one loop, by protocol and name; reference-counted, closed with the last user."""
 
     def __init__(self) -> None:
         self.pid = os.getpid()
-        self.by_key: WeakValueDictionary[tuple[str, str], Picture] = WeakValueDictionary()
+        self.by_key: WeakValueDictionary[tuple[str, str], TargetState] = WeakValueDictionary()
 
 
-# By loop, and held by their users alone, so that nothing outlives its loop; a forked child runs another loop.
-_pictures: "WeakKeyDictionary[asyncio.AbstractEventLoop, Pictures]" = WeakKeyDictionary()
+# By loop and with weak values, so that nothing outlives its loop; a forked child runs another loop.
+_targets_by_loop: "WeakKeyDictionary[asyncio.AbstractEventLoop, LoopTargets]" = WeakKeyDictionary()
 
 
-def enter(
+def acquire(
     protocol: str,
     config: RpcConfig,
-    dial: Callable[[Picture, Member], Line],
+    dial: Callable[[TargetState, Member], ServerConnection],
     metrics: Metrics | None = None,
-) -> Picture:
-    """The picture of a target on the running loop, made if there is none; each enter needs one leave.
+) -> TargetState:
+    """Get or create the state of a target on the running loop; must be balanced by one release.
 
-    Raises ConfigError where another channel of that target was configured otherwise.
+    Raises ConfigError if another channel of the target has a different configuration.
     """
     loop = asyncio.get_running_loop()
-    pictures = _pictures.get(loop)
-    if pictures is None or pictures.pid != os.getpid():
-        pictures = _pictures[loop] = Pictures()
+    targets = _targets_by_loop.get(loop)
+    if targets is None or targets.pid != os.getpid():
+        targets = _targets_by_loop[loop] = LoopTargets()
     key = protocol, config.target
-    picture = pictures.by_key.get(key)
-    if picture is None:
-        picture = pictures.by_key[key] = Picture(config, dial, loop, metrics)
-        picture.begin()
-    elif not picture.config.same_servers(config):
+    state = targets.by_key.get(key)
+    if state is None:
+        state = targets.by_key[key] = TargetState(config, dial, loop, metrics)
+        state.start()
+    elif not state.config.same_servers(config):
         raise ConfigError(f"target: {config.target!r} is open with other settings or members")
-    picture.users += 1
-    return picture
-
-
-async def leave(protocol: str, picture: Picture) -> None:
-    """One user less; the last one closes the picture."""
-    picture.users -= 1
-    if picture.users == 0:
-        pictures = _pictures.get(picture.loop)
-        if pictures is not None:
-            pictures.by_key.pop((protocol, picture.config.target), None)
-        await picture.close()
+    state.users += 1
+    return state
+
+
+async def release(protocol: str, state: TargetState) -> None:
+    """Drop a reference; the last one closes the target."""
+    state.users -= 1
+    if state.users == 0:
+        targets = _targets_by_loop.get(state.loop)
+        if targets is not None:
+            targets.by_key.pop((protocol, state.config.target), None)
+        await state.close()
--- a/brackenusher/fronts/rpc/statuses.py
+++ b/brackenusher/fronts/rpc/statuses.py
@@ -1,17 +1,17 @@
-"""What a gRPC status means for the module: answered, turned away, failed; and whether it proves anything.
+"""Maps gRPC statuses to the outcomes of the policy: answered, declined or failed.
 
 Sources, by the names used below:
 
 - codes: "Status codes and their use in gRPC", doc/statuscodes.md of the grpc project.
 - A6: gRPC proposal A6, "gRPC Retry Design": what commits a call, transparent retries, pushback.
 - H2: RFC 9113, sections 5.1.2, 6.8 and 8.7: streams refused or beyond GOAWAY's last id did not run.
-- site: the platform's protocol, where `srv-declined: 1` says that a request was turned away and never ran.
+- site: the platform's protocol, where `srv-declined: 1` says that a request was declined and not executed.
 
-One thing alone proves that a started call never ran: `srv-declined: 1` in its trailing metadata (site).
-No status does. `codes` lists UNAVAILABLE and RESOURCE_EXHAUSTED for servers that turn a call away as well as
-for ones that broke off in the middle, and warns that repeating is "not always safe". H2 gives proofs, but
-grpcio reports them as the same UNAVAILABLE, with a text that a server may send too; see docs/design/rpc.md.
-Pushback (A6) says when to come back, not that nothing ran.
+Only `srv-declined: 1` in the trailing metadata proves that a started call was not executed (site). No status
+does. `codes` lists UNAVAILABLE and RESOURCE_EXHAUSTED both for servers that decline a call and for ones that
+failed in the middle, and warns that retrying is "not always safe". H2 gives proofs, but grpcio reports them
+as the same UNAVAILABLE, with a text that a server may send too; see docs/design/rpc.md. Pushback (A6) says
+when to retry, not that nothing was executed.
 """
 
 import grpc
@@ -20,12 +20,12 @@
 
 Code = grpc.StatusCode
 
-DECLINED = "srv-declined"  # trailing metadata, "1": turned away, never ran (site)
-PUSHBACK = "grpc-retry-pushback-ms"  # trailing metadata of a refusal (A6)
-PREVIOUS = "grpc-previous-rpc-attempts"  # metadata of an attempt that is not the first (A6)
+DECLINED_METADATA = "srv-declined"  # trailing metadata, "1": declined, not executed (site)
+PUSHBACK_METADATA = "grpc-retry-pushback-ms"  # trailing metadata of a refusal (A6)
+PREVIOUS_ATTEMPTS_METADATA = "grpc-previous-rpc-attempts"  # metadata of an attempt that is not the first (A6)
 
-# The server has dealt with the call and says so; another would say the same. The answer is the caller's.
-ANSWERS = {
+# The server has processed the call, and any other would return the same. The status goes to the caller.
+FINAL_STATUSES = {
     Code.OK: "codes: returned on success",
     Code.INVALID_ARGUMENT: "codes: the arguments are wrong regardless of the state of the system",
     Code.NOT_FOUND: "codes: the entity asked for is not there",
@@ -38,8 +38,8 @@
     Code.UNIMPLEMENTED: "codes: the method is not known there; as a rule nowhere in the fleet",
 }
 
-# The server failed at it, or what is between did. It may have run.
-FAILURES = {
+# The server or an intermediary failed. The call may have been executed.
+FAILURE_STATUSES = {
     Code.UNKNOWN: "codes: an exception in the server's application, or an error space that is not known",
     Code.INTERNAL: "codes: invariants broken; also a flow-control or parse error in the library",
     Code.DATA_LOSS: "codes: unrecoverable loss or corruption",
@@ -49,33 +49,35 @@
     Code.DEADLINE_EXCEEDED: "codes: may come even if the operation has completed; here the server's own",
 }
 
-# In the details of a status that the library made as a connection went, over its versions. A server can say
-# the same, so they prove nothing; they tell of a process that went, a little sooner than the state does.
-GONE = ("Socket closed", "Connection reset", "Broken pipe", "GOAWAY received")
+# Details of a status that grpcio generates when a connection is lost, over its versions. A server can send
+# the same texts, so they prove nothing; they show the loss a little sooner than the connectivity state.
+CONNECTION_LOST_DETAILS = ("Socket closed", "Connection reset", "Broken pipe", "GOAWAY received")
 
 
-def declined(metadata: object) -> bool:
-    """Whether trailing metadata say that the call was turned away and never ran."""
+def is_declined(metadata: object) -> bool:
+    """Whether trailing metadata say that the call was declined and not executed."""
     pairs = list(metadata) if metadata is not None else []  # type: ignore[call-overload]
-    return any(name == DECLINED and value == "1" for name, value in pairs)
+    return any(name == DECLINED_METADATA and value == "1" for name, value in pairs)
 
 
-def judge(
-    code: grpc.StatusCode, details: str | None, trailing: object, time_up: bool, broken: bool
+def classify_status(
+    code: grpc.StatusCode, details: str | None, trailing: object, deadline_passed: bool, connection_lost: bool
 ) -> Outcome:
     """The outcome of a call that was started.
 
-    `time_up`: the attempt's own time has passed. `broken`: the connection has gone meanwhile, which tells a
-    server that went from one that said UNAVAILABLE; both may have run the call.
+    `deadline_passed`: the attempt's own deadline. `connection_lost`: it was lost meanwhile, which
+    distinguishes a crash from a server that returned UNAVAILABLE; either may have executed the call.
 
-    Outcome.SERVED means that what the server said is the caller's answer, whatever its status.
+    Outcome.SERVED means that the server's reply goes to the caller, whatever its status.
     """
-    if code is not Code.OK and declined(trailing):
+    if code is not Code.OK and is_declined(trailing):
         return Outcome.FULL
-    if code in ANSWERS:
+    if code in FINAL_STATUSES:
         return Outcome.SERVED
-    if code is Code.DEADLINE_EXCEEDED and time_up:
+    if code is Code.DEADLINE_EXCEEDED and deadline_passed:
         return Outcome.TIMEOUT
-    if code is Code.UNAVAILABLE and (broken or any(text in (details or "") for text in GONE)):
+    if code is Code.UNAVAILABLE and (
+        connection_lost or any(text in (details or "") for text in CONNECTION_LOST_DETAILS)
+    ):
         return Outcome.RESET
     return Outcome.ERROR
--- a/brackenusher/fronts/rpc/sub_channel.py
+++ b/brackenusher/fronts/rpc/sub_channel.py
@@ -1,4 +1,4 @@
-"""The line to one server under `BalancedChannel`: a channel of the library, and what goes over it."""
+"""The connection to one server under `BalancedChannel`: a grpc.aio channel and the calls over it."""
 
 import asyncio
 from collections.abc import Callable
@@ -11,46 +11,52 @@
 from barleybarrow.interface import Outcome
 from brackenusher.core.message import Content, Message
 from brackenusher.core.transaction import Attempt, Served
-from brackenusher.fronts.rpc.host import Host
-from brackenusher.fronts.rpc.lines import Trip
-from brackenusher.fronts.rpc.statuses import PREVIOUS, judge
+from brackenusher.fronts.rpc.host import TransactionRunner
+from brackenusher.fronts.rpc.lines import InFlightAttempt
+from brackenusher.fronts.rpc.statuses import PREVIOUS_ATTEMPTS_METADATA, classify_status
 
 Code = grpc.StatusCode
 Metadata = grpc.aio.Metadata
 EOF = grpc.aio.EOF
-HEALTH = "/grpc.health.v1.Health/Check"  # the health checking protocol of gRPC, with the empty service name
-SERVING = b"\x08\x01"  # HealthCheckResponse{status: SERVING}
-REPORT = "srv-stats"  # trailing metadata of a health check: the load report, as name=value,name=value
-MOST_METHODS = 256  # multi-callables kept for each sub-channel; stubs made anew for each call have new ones
+HEALTH_CHECK_PATH = (
+    "/grpc.health.v1.Health/Check"  # gRPC health checking protocol, with the empty service name
+)
+SERVING_RESPONSE = b"\x08\x01"  # HealthCheckResponse{status: SERVING}
+LOAD_REPORT_METADATA = (
+    "srv-stats"  # trailing metadata of a health check with the load report: name=value,name=value
+)
+MAX_MULTI_CALLABLES = (
+    256  # cached multi-callables of a sub-channel; a stub created per call has new ones each time
+)
 
 
 @dataclass(slots=True, eq=False)
-class Order(Message):
-    """What a call asks for; the message of its transaction."""
+class CallSpec(Message):
+    """A call's request and options; the message of its transaction."""
 
-    kind: str = ""  # the channel's method that makes the multi-callable
+    kind: str = ""  # name of the channel method that creates the multi-callable
     path: str = ""
-    request: Any = None  # bytes; for streams of requests, what the caller gave, or None if it writes
+    request: Any = None  # bytes; for request streams, the caller's iterator, or None if it writes
     metadata: tuple[tuple[str, Any], ...] = ()
     credentials: grpc.CallCredentials | None = None
     compression: grpc.Compression | None = None
-    until: float | None = None  # clock time in milliseconds at which the caller gives up
+    caller_deadline: float | None = None  # the caller's deadline, clock time in milliseconds
     serializer: Callable[[Any], bytes] | None = None
     deserializer: Callable[[bytes], Any] | None = None
-    said: grpc.aio.AioRpcError | None = None  # by the last attempt that failed
+    last_error: grpc.aio.AioRpcError | None = None  # error of the last failed attempt
 
 
 @dataclass(slots=True, eq=False)
-class Reply(Content):
-    """A unary answer: its bytes, or the status that is the answer; the sub-channel's call has the rest."""
+class UnaryResponse(Content):
+    """A unary response: its bytes or an error status; the sub-channel's call has the rest."""
 
     call: Any = None
     error: grpc.aio.AioRpcError | None = None
 
 
 @dataclass(slots=True, eq=False)
-class Stream(Content):
-    """A stream that belongs to the caller from here on, and the message that made it so."""
+class ResponseStream(Content):
+    """A stream handed to the caller, with its first message if that was read already."""
 
     call: Any = None
     first: Any = None
@@ -58,18 +64,18 @@
 
 
 class SubChannel:
-    """The line to one server: a channel of the library."""
+    """A connection to one server, over a grpc.aio channel."""
 
-    def __init__(self, host: Host, channel: grpc.aio.Channel) -> None:
-        self.host = host
-        self.channel: grpc.aio.Channel | None = channel  # none once it is closed
-        self.methods: dict[tuple[Any, ...], Any] = {}
+    def __init__(self, runner: TransactionRunner, channel: grpc.aio.Channel) -> None:
+        self.runner = runner
+        self.channel: grpc.aio.Channel | None = channel  # None once closed
+        self.multi_callables: dict[tuple[Any, ...], Any] = {}
 
     def ready(self) -> bool:
         return self.channel is not None and self.channel.get_state() is grpc.ChannelConnectivity.READY
 
     def open_channel(self) -> grpc.aio.Channel:
-        """The channel; raises UsageError once the line is closed, as the library's own channel does."""
+        """The channel; raises UsageError once closed, as the library's own channel does."""
         if self.channel is None:
             raise grpc.aio.UsageError("Channel is closed.")
         return self.channel
@@ -84,84 +90,91 @@
                 return False
         return True
 
-    def method(self, order: Order) -> Any:
-        key = order.kind, order.path, order.serializer, order.deserializer
-        method = self.methods.get(key)
-        if method is None:
-            if len(self.methods) >= MOST_METHODS:
-                self.methods.clear()
-            make = getattr(self.open_channel(), order.kind)
-            method = self.methods[key] = make(order.path, order.serializer, order.deserializer)
-        return method
-
-    def call(self, attempt: Attempt, order: Order, left: float | None) -> Any:
-        """Start a call; `left` in milliseconds."""
-        metadata = order.metadata
+    def multi_callable(self, spec: CallSpec) -> Any:
+        key = spec.kind, spec.path, spec.serializer, spec.deserializer
+        multi_callable = self.multi_callables.get(key)
+        if multi_callable is None:
+            if len(self.multi_callables) >= MAX_MULTI_CALLABLES:
+                self.multi_callables.clear()
+            factory = getattr(self.open_channel(), spec.kind)
+            multi_callable = self.multi_callables[key] = factory(
+                spec.path, spec.serializer, spec.deserializer
+            )
+        return multi_callable
+
+    def start_call(self, attempt: Attempt, spec: CallSpec, remaining_ms: float | None) -> Any:
+        """Start a call; None for no deadline."""
+        metadata = spec.metadata
         if attempt.number:
-            metadata += ((PREVIOUS, str(attempt.number)),)
-        return self.method(order)(
-            order.request,
-            timeout=None if left is None else max(left, 0.0) / 1000.0,
+            metadata += ((PREVIOUS_ATTEMPTS_METADATA, str(attempt.number)),)
+        return self.multi_callable(spec)(
+            spec.request,
+            timeout=None if remaining_ms is None else max(remaining_ms, 0.0) / 1000.0,
             metadata=Metadata(*metadata),
-            credentials=order.credentials,
-            compression=order.compression,
+            credentials=spec.credentials,
+            compression=spec.compression,
         )
 
-    async def exchange(self, attempt: Attempt, trip: Trip, left: float) -> tuple[Outcome, Served | None]:
-        order = attempt.message
-        assert isinstance(order, Order)
-        if order.kind == "unary_unary":
-            return await self.unary(attempt, trip, order, left)
-        until = None if order.until is None else order.until - self.host.clock()
-        call = self.call(attempt, order, until)
-        trip.written = True
-        if order.kind == "unary_stream":
-            return await self.server_stream(attempt, trip, order, call)
-        self.belong(attempt, trip, Stream(b"", call=call))  # messages that are gone cannot be sent again
-        return await self.outcome(call, attempt, order), None
-
-    async def unary(
-        self, attempt: Attempt, trip: Trip, order: Order, left: float
+    async def execute(
+        self, attempt: Attempt, flight: InFlightAttempt, remaining_ms: float
     ) -> tuple[Outcome, Served | None]:
-        call = self.call(attempt, order, left)
-        trip.written = True
+        spec = attempt.message
+        assert isinstance(spec, CallSpec)
+        if spec.kind == "unary_unary":
+            return await self.execute_unary(attempt, flight, spec, remaining_ms)
+        remaining_call_ms = (
+            None if spec.caller_deadline is None else spec.caller_deadline - self.runner.clock()
+        )
+        call = self.start_call(attempt, spec, remaining_call_ms)
+        flight.written = True
+        if spec.kind == "unary_stream":
+            return await self.execute_server_stream(attempt, flight, spec, call)
+        # messages taken from the iterator cannot be sent again
+        self.hand_to_caller(attempt, flight, ResponseStream(b"", call=call))
+        return await self.stream_outcome(call, attempt, spec), None
+
+    async def execute_unary(
+        self, attempt: Attempt, flight: InFlightAttempt, spec: CallSpec, remaining_ms: float
+    ) -> tuple[Outcome, Served | None]:
+        call = self.start_call(attempt, spec, remaining_ms)
+        flight.written = True
         try:
             body = await call
         except grpc.aio.AioRpcError as error:
-            outcome = self.judge(error.code(), error.details(), error.trailing_metadata(), attempt)
+            outcome = self.classify(error.code(), error.details(), error.trailing_metadata(), attempt)
             if outcome is Outcome.SERVED:
-                return outcome, Served(Reply(b"", call=call, error=error))
-            order.said = error
+                return outcome, Served(UnaryResponse(b"", call=call, error=error))
+            spec.last_error = error
             return outcome, None
-        return Outcome.SERVED, Served(Reply(body, call=call))
+        return Outcome.SERVED, Served(UnaryResponse(body, call=call))
 
-    async def server_stream(
-        self, attempt: Attempt, trip: Trip, order: Order, call: Any
+    async def execute_server_stream(
+        self, attempt: Attempt, flight: InFlightAttempt, spec: CallSpec, call: Any
     ) -> tuple[Outcome, Served | None]:
         try:
             first = await call.read()
         except grpc.aio.AioRpcError as error:
-            outcome = self.judge(error.code(), error.details(), error.trailing_metadata(), attempt)
+            outcome = self.classify(error.code(), error.details(), error.trailing_metadata(), attempt)
             if outcome is Outcome.SERVED:
-                return outcome, Served(Reply(b"", call=call, error=error))
-            order.said = error
+                return outcome, Served(UnaryResponse(b"", call=call, error=error))
+            spec.last_error = error
             return outcome, None
         except asyncio.CancelledError:
             call.cancel()
             raise
         if first is EOF:
-            return Outcome.SERVED, Served(Stream(b"", call=call))
-        self.belong(attempt, trip, Stream(b"", call=call, first=first, has_first=True))
-        return await self.outcome(call, attempt, order), None
-
-    def belong(self, attempt: Attempt, trip: Trip, stream: Stream) -> None:
-        """The attempt is the caller's from here on: no time limit of ours, and no other attempt."""
-        self.host.deadlines.remove(trip.expiry)
-        if not self.host.began(attempt, stream):
+            return Outcome.SERVED, Served(ResponseStream(b"", call=call))
+        self.hand_to_caller(attempt, flight, ResponseStream(b"", call=call, first=first, has_first=True))
+        return await self.stream_outcome(call, attempt, spec), None
+
+    def hand_to_caller(self, attempt: Attempt, flight: InFlightAttempt, stream: ResponseStream) -> None:
+        """Hand the attempt to the caller: from here on no attempt deadline and no retry."""
+        self.runner.deadlines.remove(flight.expiry)
+        if not self.runner.stream_began(attempt, stream):
             stream.call.cancel()
 
-    async def outcome(self, call: Any, attempt: Attempt, order: Order) -> Outcome:
-        """How a stream that belongs to the caller ended."""
+    async def stream_outcome(self, call: Any, attempt: Attempt, spec: CallSpec) -> Outcome:
+        """Wait for the end of a stream handed to the caller; returns its outcome."""
         try:
             code = await call.code()
         except asyncio.CancelledError:
@@ -169,36 +182,44 @@
             raise
         if code is Code.CANCELLED and call.cancelled():
             return Outcome.CANCELLED
-        outcome = self.judge(code, await call.details(), await call.trailing_metadata(), attempt)
-        if order.until is not None and code is Code.DEADLINE_EXCEEDED and self.host.clock() >= order.until:
-            return Outcome.CANCELLED  # the caller's own limit, which says nothing of the server
+        outcome = self.classify(code, await call.details(), await call.trailing_metadata(), attempt)
+        if (
+            spec.caller_deadline is not None
+            and code is Code.DEADLINE_EXCEEDED
+            and self.runner.clock() >= spec.caller_deadline
+        ):
+            return Outcome.CANCELLED  # the caller's own deadline, which says nothing about the server
         return Outcome.ERROR if outcome is Outcome.FULL else outcome
 
-    def judge(self, code: grpc.StatusCode, details: str | None, trailing: Any, attempt: Attempt) -> Outcome:
-        time_up = self.host.clock() >= attempt.deadline - 1.0  # a library's timers are a millisecond coarse
-        return judge(code, details, trailing, time_up, broken=not self.ready())
+    def classify(
+        self, code: grpc.StatusCode, details: str | None, trailing: Any, attempt: Attempt
+    ) -> Outcome:
+        # the library's timers have a resolution of 1 ms
+        deadline_passed = self.runner.clock() >= attempt.deadline - 1.0
+        return classify_status(code, details, trailing, deadline_passed, connection_lost=not self.ready())
 
     async def probe(self) -> tuple[Outcome, dict[str, float] | None]:
-        from brackenusher.upstream.connections import read_report  # needs epoll; most sites have no probes
+        # imported here, as it needs epoll and most sites have no probes
+        from brackenusher.upstream.connections import read_report
 
-        call = self.open_channel().unary_unary(HEALTH)(b"")
+        call = self.open_channel().unary_unary(HEALTH_CHECK_PATH)(b"")
         try:
             body = await call
         except grpc.aio.AioRpcError as error:
             return (Outcome.RESET if error.code() is Code.UNAVAILABLE else Outcome.ERROR), None
         report = None
         for name, value in await call.trailing_metadata():
-            if name == REPORT:
+            if name == LOAD_REPORT_METADATA:
                 report = read_report(value.encode() if isinstance(value, str) else value)
-        return (Outcome.SERVED if body[:2] == SERVING else Outcome.ERROR), report
+        return (Outcome.SERVED if body[:2] == SERVING_RESPONSE else Outcome.ERROR), report
 
     async def close(self) -> None:
-        """Close the channel and let go of it.
+        """Close the channel and drop the reference to it.
 
-        Whoever still knows the line must not keep the library alive: its threads end with the last of its
-        objects, and a child forked before that waits for them for ever when it collects its garbage.
+        Remaining references to this object must not keep grpcio's objects alive: its threads end with the
+        last of them, and a child forked before that waits for the threads for ever in its garbage collector.
         """
         channel, self.channel = self.channel, None
-        self.methods.clear()
+        self.multi_callables.clear()
         if channel is not None:
             await channel.close()
--- a/brackenusher/fronts/rpc/watch.py
+++ b/brackenusher/fronts/rpc/watch.py
@@ -1,4 +1,4 @@
-"""The driver toward discovery's agent on asyncio: the daemon's machine, round asyncio's streams."""
+"""Client of the discovery agent: the proxy's protocol state machine over asyncio streams."""
 
 import asyncio
 import logging
@@ -12,29 +12,29 @@
 
 log = logging.getLogger("brackenusher.rpc")
 
-SILENCE = 3500.0  # milliseconds; discovery sends a line every 2 s
-FIRST_WORD = 1500.0  # milliseconds; the agent is on this machine and answers at once, if at all
-BACK_OFF, LONGEST_BACK_OFF = 100.0, 1000.0  # milliseconds; as the daemon's
-PIECE = 64 * 1024
+SILENCE_TIMEOUT_MS = 3500.0  # discovery sends a line every 2 s
+FIRST_RESPONSE_TIMEOUT_MS = 1500.0  # the agent is on this machine and answers at once, if at all
+INITIAL_BACKOFF_MS, MAX_BACKOFF_MS = 100.0, 1000.0  # same as in the proxy
+READ_SIZE_BYTES = 64 * 1024
 
 
-class Watch:
-    """Keeps a list up to date: `take` gets each listing, `lost` is called when a connection ends."""
+class DiscoveryWatch:
+    """Watches the list of servers: `on_list` gets each update, `on_lost` is called when a connection ends."""
 
     def __init__(
         self,
         address: Address,
-        take: Callable[[Listing], None],
-        lost: Callable[[], None],
+        on_list: Callable[[Listing], None],
+        on_lost: Callable[[], None],
         rng: random.Random,
     ) -> None:
-        self.address, self.take, self.lost, self.rng = address, take, lost, rng
+        self.address, self.on_list, self.on_lost, self.rng = address, on_list, on_lost, rng
         self.seq: int | None = None
-        self.back_off = BACK_OFF
+        self.backoff_ms = INITIAL_BACKOFF_MS
         self.task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Watch from now on, unless that is done already."""
+        """Start the watch unless it is running."""
         if self.task is None or self.task.done():
             self.task = asyncio.get_running_loop().create_task(self.run())
 
@@ -45,43 +45,43 @@
     async def run(self) -> None:
         while True:
             try:
-                await self.connection()
-                why = "closed"
+                await self.run_connection()
+                reason = "closed"
             except TimeoutError:
-                why = "silent"
+                reason = "silent"
             except (OSError, DiscoveryError) as error:
-                why = str(error)
+                reason = str(error)
             except asyncio.CancelledError:
                 raise
             except Exception:
-                fault(log, "discovery_failed", "discovery: failed in an unforeseen way")
-                why = "failed"
-            say(log, logging.WARNING, "discovery_lost", "discovery: %(why)s", why=why)
-            self.lost()
-            wait = self.back_off * (0.5 + self.rng.random())
-            self.back_off = min(2 * self.back_off, LONGEST_BACK_OFF)
-            await asyncio.sleep(wait / 1000.0)
+                fault(log, "discovery_failed", "discovery: unexpected error")
+                reason = "failed"
+            say(log, logging.WARNING, "discovery_lost", "discovery: %(why)s", why=reason)
+            self.on_lost()
+            wait_ms = self.backoff_ms * (0.5 + self.rng.random())
+            self.backoff_ms = min(2 * self.backoff_ms, MAX_BACKOFF_MS)
+            await asyncio.sleep(wait_ms / 1000.0)
 
-    async def connection(self) -> None:
-        """One connection, until it ends."""
+    async def run_connection(self) -> None:
+        """Run one connection until it ends."""
         host, port = self.address
-        async with asyncio.timeout(FIRST_WORD / 1000.0):
+        async with asyncio.timeout(FIRST_RESPONSE_TIMEOUT_MS / 1000.0):
             reader, writer = await asyncio.open_connection(host, port)
         try:
-            machine = Discovery(f"{host}:{port}", self.seq)
-            writer.write(machine.start())
-            limit = FIRST_WORD
+            protocol = Discovery(f"{host}:{port}", self.seq)
+            writer.write(protocol.start())
+            timeout_ms = FIRST_RESPONSE_TIMEOUT_MS
             while True:
-                async with asyncio.timeout(limit / 1000.0):
-                    data = await reader.read(PIECE)
-                limit = SILENCE
-                listings, call = machine.receive(data)
-                self.back_off = BACK_OFF
+                async with asyncio.timeout(timeout_ms / 1000.0):
+                    data = await reader.read(READ_SIZE_BYTES)
+                timeout_ms = SILENCE_TIMEOUT_MS
+                listings, request = protocol.receive(data)
+                self.backoff_ms = INITIAL_BACKOFF_MS
                 for listing in listings:
                     self.seq = listing.seq
-                    self.take(listing)
-                if call:
-                    writer.write(call)
+                    self.on_list(listing)
+                if request:
+                    writer.write(request)
                 if not data:
                     return
         finally:
--- a/tests/rpc_world.py
+++ b/tests/rpc_world.py
@@ -17,7 +17,7 @@
 from brackenusher.core.message import Content, Message
 from brackenusher.core.transaction import Observers, Served, Transactions
 from brackenusher.fronts.rpc import AsyncBalancedTransport, BalancedChannel
-from brackenusher.fronts.rpc.host import STEP
+from brackenusher.fronts.rpc.host import TIMER_MARGIN_S
 from examples.rpc.model import DECLINED, FAILED, SERVED, SILENT
 
 if "pytest" in sys.modules:  # held to the end: else whoever lets go last waits for its poller, maybe in the
@@ -172,8 +172,8 @@
     def run(self):
         while self.heap:
             due = self.deadlines.next()
-            if due is not None and due / 1000.0 + STEP <= self.heap[0][0]:
-                self.now = due / 1000.0 + STEP
+            if due is not None and due / 1000.0 + TIMER_MARGIN_S <= self.heap[0][0]:
+                self.now = due / 1000.0 + TIMER_MARGIN_S
                 self.deadlines.sweep(self.ms())
             else:
                 self.now, _, action = heapq.heappop(self.heap)
@@ -218,7 +218,7 @@
         dial = lambda address: FakeSubChannel(loop, models[address])  # noqa: E731
         document = {"target": "t", "seed": f"{seed:x}", "methods": METHODS, "settings": worded}
         async with BalancedChannel(document, members=list(models), dial=dial) as channel:
-            tape.watch(channel.picture.host.transactions)
+            tape.watch(channel.target_state.runner.transactions)
             read = channel.unary_unary("/examples.Turns/ReadBoard")
             submit = channel.unary_unary("/examples.Turns/SubmitTurn")
 
@@ -246,7 +246,7 @@
         document = {"target": "t", "seed": f"{seed:x}", "settings": worded}
         transport = AsyncBalancedTransport(document, members=list(models), dial=dial)
         transport.open()
-        tape.watch(transport.picture.host.transactions)
+        tape.watch(transport.target_state.runner.transactions)
         async with httpx.AsyncClient(transport=transport, base_url="http://turn-servers") as client:
 
             async def one(at, klass, span):
--- a/tests/test_http2.py
+++ b/tests/test_http2.py
@@ -35,8 +35,8 @@
 from barleybarrow.settings import read_settings
 from brackenusher.config.operators import Http2Settings
 from brackenusher.fronts.http import Front
-from brackenusher.fronts.http2.connection import Connection
-from brackenusher.fronts.http2.streams import Asked, Counts, Held
+from brackenusher.fronts.http2.connection import Http2Protocol
+from brackenusher.fronts.http2.streams import Counters, MemoryBudget, RequestReady
 
 MAX = 2**31 - 1
 
@@ -46,9 +46,13 @@
 
     def __init__(self, held=None, **changes):
         self.settings = Http2Settings(("127.0.0.1", 0), **changes)
-        self.now, self.held, self.counts = 1000.0, held or Held(self.settings.held_kb * 1024), Counts()
+        self.now, self.held, self.counts = (
+            1000.0,
+            held or MemoryBudget(self.settings.held_kb * 1024),
+            Counters(),
+        )
         front = Front(read_settings(SETTINGS))
-        self.machine = Connection(front, lambda: True, self.settings, self.held, self.counts, self.now)
+        self.machine = Http2Protocol(front, lambda: True, self.settings, self.held, self.counts, self.now)
         self.reader, self.requests = Reader(), {}
         assert self.words() == ["settings"]
 
@@ -60,9 +64,9 @@
 
     def tell(self, events):
         for event in events:
-            if isinstance(event, Asked):
-                self.requests[event.stream] = event.request
-        return [("?" if isinstance(event, Asked) else "~") + str(event.stream) for event in events]
+            if isinstance(event, RequestReady):
+                self.requests[event.stream_id] = event.request
+        return [("?" if isinstance(event, RequestReady) else "~") + str(event.stream_id) for event in events]
 
     def answer(self, stream, size=2, status=200):
         self.machine.answer(stream, status, b"x" * size, (), self.now)
@@ -334,7 +338,7 @@
         moot = {word[1:] for word in found if word[0] == "~"}  # reset in the same read, it is not handed out
         found = [word for word in found if word[0] not in "?~" or word[1:] not in moot]
         assert sorted(found) == sorted(expected.split())
-        assert not server.machine.streams or server.machine.held.size <= 20480
+        assert not server.machine.streams or server.machine.memory.used <= 20480
 
 
 def test_what_is_passed_on_is_what_http1_would_pass_on():
@@ -377,9 +381,9 @@
     assert server.answer(1, 60_000) == ["1=200"]  # its window stays shut
     for number in range(3, 201, 2):
         assert server.answer(number, 20_000) == [f"{number}=200", f"{number}+16384", f"{number}+3616."]
-    assert server.held.size == 60_000 + 4096
+    assert server.held.used == 60_000 + 4096
     assert server.wait(9_999) == [] and server.wait(1) == ["1!CANCEL"]
-    assert server.held.size == 0 and server.counts.stuck == 1
+    assert server.held.used == 0 and server.counts.stuck == 1
 
 
 def test_a_window_opened_byte_by_byte_gets_bytes_until_that_is_too_much():
@@ -387,7 +391,7 @@
     server.say(HELLO + settings((4, 0)) + head(1) + head(3))
     server.answer(1, 60_000)
     found = server.say(b"".join(window(1, 1) for _ in range(30)))
-    assert found[:2] == ["~3", "bye"] and found[-1] == "ENHANCE_YOUR_CALM" and server.held.size == 0
+    assert found[:2] == ["~3", "bye"] and found[-1] == "ENHANCE_YOUR_CALM" and server.held.used == 0
     server = Server(frames=100)
     server.say(HELLO + settings((4, 0)) + head(1))
     server.answer(1, 60_000)
@@ -421,7 +425,7 @@
     server.say(HELLO + settings((4, 0)) + b"".join(head(n) for n in (1, 3, 5)))
     for number in (1, 3, 5):
         server.answer(number, 64 * 1024)
-    assert server.held.size == 3 * 68 * 1024
+    assert server.held.used == 3 * 68 * 1024
     assert server.say(head(7)) == ["7!REFUSED_STREAM"]
     assert server.wait(999) == [] and server.wait(1) == ["1!ENHANCE_YOUR_CALM", "3!ENHANCE_YOUR_CALM"]
     assert server.say(head(9)) == ["?9"] and (server.counts.refused, server.counts.stuck) == (1, 2)
@@ -431,7 +435,7 @@
 
 
 def test_bodies_are_bounded_over_all_connections_and_go_on_when_there_is_room():
-    held = Held(100 * 1024)
+    held = MemoryBudget(100 * 1024)
     one, two = Server(held), Server(held)
     for server in (one, two):
         server.say(HELLO + settings(ack=True) + head(1, POST, end=False))
@@ -442,8 +446,8 @@
     assert two.say(body(5, bytes(8))) == ["?5"] and two.wait(100) == []
     assert one.say(reset(1)) == [] and two.wait(50) == ["1^69632"]
     for server in (one, two):
-        server.machine.forget()
-    assert held.size == 0
+        server.machine.remove_all_streams()
+    assert held.used == 0
 
 
 def test_a_hundred_bodies_at_once_do_not_wait_for_each_other_in_a_ring():
@@ -461,14 +465,14 @@
             found += server.say(body(number, bytes(15_904)))
             server.answer(number)
         found += server.wait(20)
-    assert not left and server.held.size == 0 and server.held.peak <= 1024 * 1024
+    assert not left and server.held.used == 0 and server.held.peak <= 1024 * 1024
 
 
 def test_what_was_sent_before_our_settings_came_is_taken_or_never_ran():
     server = Server(connection_kb=160, streams=4)
     server.say(HELLO + head(1, POST, end=False) + head(3, POST, end=False) + head(5, POST, end=False))
     found = [word for n in (1, 3, 5) for word in server.say(body(n, bytes(16_000), end=False))]
-    assert found[-1] == "5!REFUSED_STREAM" and server.held.size <= 160 * 1024
+    assert found[-1] == "5!REFUSED_STREAM" and server.held.used <= 160 * 1024
     assert server.say(body(1, b"x")) == ["?1"] and server.say(body(3, b"x")) == ["?3"]
 
 
@@ -478,7 +482,7 @@
     for number in range(3, 83, 2):  # the connection's window is opened all the same
         server.say(head(number, POST, end=False) + body(number, bytes(4096)))
         assert server.answer(number) == [f"{number}=200", f"{number}+2."]
-    assert server.held.size == 8192
+    assert server.held.used == 8192
 
 
 def test_more_than_the_window_is_a_flow_control_error():
@@ -491,7 +495,7 @@
     server = Server()
     server.say(HELLO + OPEN)
     said = [word for _ in range(5) for word in server.say(body(1, bytes(15_000), end=False))]
-    assert said[-2:] == ["1=413.", "1!NO_ERROR"] and server.held.size == 0
+    assert said[-2:] == ["1=413.", "1!NO_ERROR"] and server.held.used == 0
 
 
 # time
@@ -503,13 +507,15 @@
     server = Server(idle_ms=60_000)
     server.say(HELLO + OPEN)
     assert server.wait(2_500) == ["1=408.", "1!NO_ERROR"]  # the request is not whole
-    assert server.wait(59_999) == [] and server.wait(1) == ["bye", "1", "NO_ERROR"] and server.machine.over
+    assert (
+        server.wait(59_999) == [] and server.wait(1) == ["bye", "1", "NO_ERROR"] and server.machine.finished
+    )
     server = Server()
     server.say(HELLO + head(1) + head(3)[:-1])
     assert server.wait(2_500) == ["~1", "bye", "1", "PROTOCOL_ERROR"]  # a frame is not whole
     server = Server()
     server.say(HELLO + head(1, whole=False))
-    assert server.machine.due() <= server.now + 2_500 and server.wait(2_500)[-1] == "PROTOCOL_ERROR"
+    assert server.machine.next_deadline() <= server.now + 2_500 and server.wait(2_500)[-1] == "PROTOCOL_ERROR"
 
 
 def test_pings_do_not_keep_a_connection_that_asks_nothing():
@@ -527,27 +533,27 @@
 def test_the_end_in_two_steps_loses_no_stream_and_runs_none_unsaid():
     server = Server()
     server.say(HELLO + b"".join(head(n) for n in range(1, 101, 2)))
-    server.machine.announce(server.now)
+    server.machine.announce_shutdown(server.now)
     assert server.words() == ["bye", str(MAX), "NO_ERROR"]
     assert server.say(head(101)) == ["?101"] and server.say(head(103, POST, end=False)) == []
     server.machine.close(server.now)
     assert server.words() == ["bye", "103", "NO_ERROR"]
     late = server.say(b"".join(head(n) for n in range(105, 205, 2)))
     assert late == [f"{n}!REFUSED_STREAM" for n in range(105, 205, 2)]
-    server.machine.hurry(server.now)
-    assert server.words() == ["103!REFUSED_STREAM"] and not server.machine.over
+    server.machine.refuse_incomplete(server.now)
+    assert server.words() == ["103!REFUSED_STREAM"] and not server.machine.finished
     for number in range(1, 102, 2):
         assert server.answer(number) == [f"{number}=200", f"{number}+2."]
-    assert server.machine.over and server.machine.due() == float("inf")
+    assert server.machine.finished and server.machine.next_deadline() == float("inf")
 
 
 def test_a_connection_that_was_asked_to_part_is_closed_once_it_rests():
     server = Server()
     server.say(HELLO + head(1))
-    server.machine.announce(server.now)
+    server.machine.announce_shutdown(server.now)
     assert server.wait(1_000) == ["bye", str(MAX), "NO_ERROR"]
     server.answer(1)
-    assert server.wait(249) == [] and server.wait(1) == ["bye", "1", "NO_ERROR"] and server.machine.over
+    assert server.wait(249) == [] and server.wait(1) == ["bye", "1", "NO_ERROR"] and server.machine.finished
 
 
 def test_a_reset_that_crosses_the_answer_changes_nothing():
@@ -580,7 +586,7 @@
     server = Server(frames=50)
     found = [word for n in range(400) for word in server.say((HELLO if n == 0 else b"") + FLOODS[name](n))]
     assert found[-1] == "ENHANCE_YOUR_CALM" and found.count("ENHANCE_YOUR_CALM") == 1
-    assert server.counts.floods == 1 and server.held.size == 0 and not server.machine.streams
+    assert server.counts.floods == 1 and server.held.used == 0 and not server.machine.streams
     assert sum("?" in word for word in found) == sum("~" in word for word in found) <= 101
 
 
@@ -598,7 +604,7 @@
     server.say(HELLO + made(hf.HeadersFrame, 1, data=block(GET)))
     frame = made(hf.ContinuationFrame, 1, data=bytes(size))
     found = [word for _ in range(40) for word in server.say(frame)]
-    assert found[-1] == "ENHANCE_YOUR_CALM" and len(server.machine.gate.buffer) == 0
+    assert found[-1] == "ENHANCE_YOUR_CALM" and len(server.machine.frame_parser.buffer) == 0
 
 
 def test_an_hpack_bomb_is_not_unpacked():
@@ -639,14 +645,14 @@
                 assert (number := int(word[1:])) in asked and number not in gone
                 gone.add(number)
                 open_.discard(number)
-        assert server.machine.own == server.held.size <= 128 * 1024 + 4 * 70_000
-        assert 0 <= server.machine.aside == server.held.aside <= server.machine.most_aside
-        assert sum(stream.held for stream in server.machine.streams.values()) == server.held.size
-        assert len(server.machine.streams) <= 4 and len(server.machine.gate.buffer) <= 16393
+        assert server.machine.charged == server.held.used <= 128 * 1024 + 4 * 70_000
+        assert 0 <= server.machine.reserved == server.held.reserved <= server.machine.reservation_limit
+        assert sum(stream.charged for stream in server.machine.streams.values()) == server.held.used
+        assert len(server.machine.streams) <= 4 and len(server.machine.frame_parser.buffer) <= 16393
         assert open_ <= set(server.machine.streams)
-        assert not server.machine.over or not server.machine.streams
-    server.machine.forget()
-    assert server.held.size == server.held.aside == 0
+        assert not server.machine.finished or not server.machine.streams
+    server.machine.remove_all_streams()
+    assert server.held.used == server.held.reserved == 0
     return len(asked)
 
 
--- a/tests/test_rpc.py
+++ b/tests/test_rpc.py
@@ -148,7 +148,7 @@
     channel = BalancedChannel(document, members=[server.address for server in servers])
     channel.open()
     if tape is not None:
-        tape.watch(channel.picture.host.transactions)
+        tape.watch(channel.target_state.runner.transactions)
     return channel
 
 
@@ -257,8 +257,10 @@
                 error = await outcome_of(ch.unary_unary("/examples.Turns/Once")(b"m", timeout=0.15))
                 assert isinstance(error, CallRefused) and time.monotonic() - began < 5.0
                 assert set(outcomes(tape)) == {"not_sent"}
-                assert ch.picture.host.transactions.balancer.live[0].busy_until == 0.0
-                ch.picture.lines.handshake = 400.0  # as measured, had one come up: no attempt sets out now
+                assert ch.target_state.runner.transactions.balancer.live[0].busy_until == 0.0
+                ch.target_state.connection_manager.handshake_ms = (
+                    400.0  # as measured, had one come up: no attempt sets out now
+                )
                 tape.lines.clear()
                 call = ch.unary_unary("/examples.Turns/Once")(b"m", timeout=0.15)
                 assert isinstance(await outcome_of(call), CallRefused) and outcomes(tape) == ["not_sent"]
@@ -279,7 +281,7 @@
             channel.set_members([good.address])
             watch = stub.WatchBoard("m")
             assert await watch.read() == "move 0 of m"
-            assert len(channel.picture.host.transactions.open) == 1  # it is out until the stream ends
+            assert len(channel.target_state.runner.transactions.open) == 1  # it is out until the stream ends
             assert watch.cancel() and await watch.code() is Code.CANCELLED and watch.cancelled()
 
             async def moves():
@@ -331,7 +333,9 @@
                 before = len(one.seen)
                 for _ in range(10):
                     await stub.ReadBoard("m", timeout=1.4)
-                assert len(one.seen) == before and set(channel.picture.lines.held) == {"s2"}
+                assert len(one.seen) == before and set(
+                    channel.target_state.connection_manager.connections
+                ) == {"s2"}
                 agent.watchers.pop().shutdown(socket.SHUT_RDWR)
                 await asyncio.to_thread(until, lambda: agent.watchers, "the next watch")
                 assert any("from=2" in call for call in agent.calls)
@@ -352,15 +356,17 @@
             await outcome_of(two.unary_unary("/examples.Turns/SubmitTurn")(b"m", metadata=KEY))
             == b"board of m"
         )
-        assert one.picture is two.picture and len(one.picture.lines.held) == 1
+        assert (
+            one.target_state is two.target_state and len(one.target_state.connection_manager.connections) == 1
+        )
         with pytest.raises(ConfigError, match="turn-servers"):
             other.open()
-        picture = one.picture
+        target = one.target_state
         await one.close()
-        assert not picture.host.closed and two.get_state() is grpc.ChannelConnectivity.READY
+        assert not target.runner.closed and two.get_state() is grpc.ChannelConnectivity.READY
         pending = two.unary_unary("/examples.Turns/SubmitTurn")(b"m", metadata=KEY)
         await two.close()
-        assert pending.cancelled() and picture.host.closed and not picture.lines.tasks
+        assert pending.cancelled() and target.runner.closed and not target.connection_manager.tasks
         with pytest.raises(grpc.aio.UsageError):
             two.unary_unary("/examples.Turns/SubmitTurn")(b"m")
         await server.stop()
@@ -458,7 +464,7 @@
 assert ask()
 child = os.fork()
 if not child:
-    os._exit(7 if ask() and transport.thread.pid == os.getpid() else 1)
+    os._exit(7 if ask() and transport.loop_thread.pid == os.getpid() else 1)
 assert os.waitstatus_to_exitcode(os.waitpid(child, 0)[1]) == 7
 assert ask()
 client.close()
@@ -543,15 +549,15 @@
             read, hosts = channel.unary_unary("/examples.Turns/ReadBoard"), []
             assert await read(b"m") and (await client.get("/board-read?k=1")).status_code == 200  # connects
             for ask in (lambda: read(b"m", timeout=0.5), lambda: client.get("/board-read?k=1", timeout=0.5)):
-                picture = channel.picture if not hosts else transport.picture
-                hosts.append(picture.host)
+                target = channel.target_state if not hosts else transport.target_state
+                hosts.append(target.runner)
                 call = asyncio.ensure_future(until_answered(ask()))
-                while not picture.host.out:
+                while not target.runner.in_flight:
                     await asyncio.sleep(0.001)
                 await asyncio.sleep(0.02)
                 time.sleep(1.0)  # the caller computes something: the answer is here, and so is the deadline
                 assert await call
-                assert picture.host.deadlines.blocks >= 1
+                assert target.runner.deadlines.block_count >= 1
 
     async def until_answered(call):
         answer = await call
--- a/tests/test_rpc_cold.py
+++ b/tests/test_rpc_cold.py
@@ -129,7 +129,7 @@
             ]
         )
         for channel in channels:
-            born = cold.born + channel.picture.pool.unix_offset
+            born = cold.born + channel.target_state.pool.unix_offset
             hosts = [{"host": n, "dial": n, "health": "ready"} for n in warm]
             hosts.append(
                 {"host": "10.0.0.9:9000", "dial": "10.0.0.9:9000", "health": "ready", "born_ms": born}
--- a/tests/test_rpc_core.py
+++ b/tests/test_rpc_core.py
@@ -62,7 +62,7 @@
         )
         self.channel.open()
         self.tape = Tape()
-        self.tape.watch(self.channel.picture.host.transactions)
+        self.tape.watch(self.channel.target_state.runner.transactions)
         self.stub = self.channel.unary_unary("/examples.Turns/ReadBoard")
         self.submit = self.channel.unary_unary("/examples.Turns/SubmitTurn")
 
@@ -147,14 +147,14 @@
         key = (("idempotency-key", "k"),)
         waiter = asyncio.ensure_future(until_done(world.submit(b"m", timeout=1.0, metadata=key)))
         await world.after(5.0)
-        brain = world.channel.picture.host.transactions.balancer
-        before = [(b.limit, b.busy_until, b.lost, b.seen) for b in brain.live]
+        balancer = world.channel.target_state.runner.transactions.balancer
+        before = [(b.limit, b.busy_until, b.lost, b.seen) for b in balancer.live]
         waiter.cancel()
         await world.after(1000.0)
         assert world.sent() == 1 and world.outcomes() == ["cancelled"] and waiter.cancelled()
-        assert [(b.limit, b.busy_until, b.lost, b.seen) for b in brain.live] == before
-        host = world.channel.picture.host
-        assert not host.transactions.open and not host.out and not world.channel.calls
+        assert [(b.limit, b.busy_until, b.lost, b.seen) for b in balancer.live] == before
+        runner = world.channel.target_state.runner
+        assert not runner.transactions.open and not runner.in_flight and not world.channel.open_calls
 
     async def until_done(call):
         return await call
@@ -174,7 +174,7 @@
         assert size < 30_000_000
         codes = await asyncio.gather(*[call.code() for call in calls])
         assert grpc.StatusCode.OK in codes and len(codes) == 10_000
-        host = world.channel.picture.host
-        assert not host.transactions.open and not host.waiting and not world.channel.calls
+        runner = world.channel.target_state.runner
+        assert not runner.transactions.open and not runner.waiting_for_list and not world.channel.open_calls
 
     play(main)
