--- a/tests/rpc_world.py
+++ b/tests/rpc_world.py
@@ -134,17 +134,17 @@
     """Records all events with the resulting actions, and all answers, in order."""
 
     def __init__(self):
-        self.lines = []
+        self.entries = []
 
-    def watch(self, owner):
-        owner.observers = Observers(handled=(self.handled,), answered=(self.answered,))
+    def watch(self, transactions):
+        transactions.observers = Observers(handled=(self.handled,), answered=(self.answered,))
 
     def handled(self, now, event, actions):
         if not isinstance(event, face.ListChanged):
-            self.lines.append((round(now, 4), repr_rounded(event), [repr_rounded(a) for a in actions]))
+            self.entries.append((round(now, 4), repr_rounded(event), [repr_rounded(a) for a in actions]))
 
     def answered(self, transaction, answer):
-        self.lines.append((transaction.id, type(answer).__name__))
+        self.entries.append((transaction.id, type(answer).__name__))
 
 
 def repr_rounded(item):
@@ -156,22 +156,22 @@
     """The proxy's core in virtual time, with its own Deadlines, swept when one is due."""
 
     def __init__(self, models, settings_document, seed):
-        self.now, self.heap, self.count, self.models = START_S, [], 0, models
+        self.now, self.heap, self.event_count, self.models = START_S, [], 0, models
         self.deadlines = Deadlines()
         settings = read_settings(settings_document)
-        self.owner = Transactions(
+        self.transactions = Transactions(
             Balancer(settings, seed, self.clock_ms()), self.clock_ms, self.deadlines, self
         )
         entries = [face.Entry(name, face.State.LIVE) for name in models]
-        self.owner.begin()
-        self.owner.post(face.ListChanged(face.ListScope.COMPLETE, entries, 1))
+        self.transactions.begin()
+        self.transactions.post(face.ListChanged(face.ListScope.COMPLETE, entries, 1))
 
     def clock_ms(self):
         return self.now * 1000.0
 
     def schedule(self, when, action):
-        self.count += 1
-        heapq.heappush(self.heap, (when, self.count, action))
+        self.event_count += 1
+        heapq.heappush(self.heap, (when, self.event_count, action))
 
     def run(self):
         while self.heap:
@@ -202,18 +202,18 @@
 
 def run_core(models, settings_document, seed, arrivals):
     core, recorder = CoreHarness(models, settings_document, seed), EventRecorder()
-    recorder.watch(core.owner)
-    for n, (at, klass, span) in enumerate(arrivals):
+    recorder.watch(core.transactions)
+    for n, (at, klass, timeout_ms) in enumerate(arrivals):
         index = [c["name"] for c in settings_document["classes"]].index(klass)
         message = Message(b"GET", klass)
         core.schedule(
             at / 1000.0,
-            lambda n=n, i=index, m=message, s=span: core.owner.arrive(
+            lambda n=n, i=index, m=message, s=timeout_ms: core.transactions.arrive(
                 b"%d" % n, i, s, m, lambda answer: None
             ),
         )
     core.run()
-    return recorder.lines
+    return recorder.entries
 
 
 def run_channel(models, settings_document, seed, arrivals):
@@ -231,16 +231,16 @@
             read = channel.unary_unary("/examples.Turns/ReadBoard")
             submit = channel.unary_unary("/examples.Turns/SubmitTurn")
 
-            async def send_call(at, klass, span):
+            async def send_call(at, klass, timeout_ms):
                 await wait_until(loop, at)
                 if klass == "board-read":
-                    call = read(b"m", timeout=span / 1000.0)
+                    call = read(b"m", timeout=timeout_ms / 1000.0)
                 else:
-                    call = submit(b"m", timeout=span / 1000.0, metadata=(("idempotency-key", "k"),))
+                    call = submit(b"m", timeout=timeout_ms / 1000.0, metadata=(("idempotency-key", "k"),))
                 await asyncio.wait([asyncio.ensure_future(call.code())])
 
             await asyncio.gather(*[send_call(*arrival) for arrival in arrivals])
-        return recorder.lines
+        return recorder.entries
 
     return run_in_virtual_time(main)
 
@@ -258,9 +258,9 @@
         recorder.watch(transport.target_state.runner.transactions)
         async with httpx.AsyncClient(transport=transport, base_url="http://turn-servers") as client:
 
-            async def send_call(at, klass, span):
+            async def send_call(at, klass, timeout_ms):
                 await wait_until(loop, at)
-                headers = {"Req-Deadline": f"{span:.0f}m"}
+                headers = {"Req-Deadline": f"{timeout_ms:.0f}m"}
                 if klass == "board-read":
                     await client.get("/board-read?k=1", headers=headers)
                 else:
@@ -268,6 +268,6 @@
                     await client.post("/turn-submit?k=1", content=b"m", headers=headers)
 
             await asyncio.gather(*[send_call(*arrival) for arrival in arrivals])
-        return recorder.lines
+        return recorder.entries
 
     return run_in_virtual_time(main)
--- a/tests/test_http2.py
+++ b/tests/test_http2.py
@@ -82,8 +82,8 @@
 
     def output_tokens(self):
         data = b""
-        while part := self.protocol.output(50_000, self.now):
-            data += part
+        while chunk := self.protocol.output(50_000, self.now):
+            data += chunk
         output = " ".join(self.decoder.feed(data))
         # bodies of error responses are not compared
         return re.sub(r"(\d+)=(4\d\d) \1\+\d+\.", r"\1=\2.", output).split(" ") if output else []
@@ -105,7 +105,7 @@
     data = block((*GET, ("req-id", f"id{stream_id}")))
     parts = [data[n * size : (n + 1) * size] for n in range(count)] + [data[count * size :]]
     frames = [serialize_frame(hf.HeadersFrame, stream_id, ["END_STREAM"], data=parts[0])]
-    frames += [serialize_frame(hf.ContinuationFrame, stream_id, data=cut) for cut in parts[1:-1]]
+    frames += [serialize_frame(hf.ContinuationFrame, stream_id, data=part) for part in parts[1:-1]]
     return b"".join(frames) + serialize_frame(
         hf.ContinuationFrame, stream_id, ["END_HEADERS"], data=parts[-1]
     )
@@ -479,18 +479,18 @@
     # guards against a deadlock in which streams hold parts of the memory limit and none can finish
     server = Http2Harness()
     server.feed(HELLO + settings(ack=True))
-    left, tokens = {n: 20_000 for n in range(1, 201, 2)}, []
-    for stream_id in left:
+    remaining, tokens = {n: 20_000 for n in range(1, 201, 2)}, []
+    for stream_id in remaining:
         tokens += server.feed(head(stream_id, POST, end=False) + body(stream_id, bytes(4096), end=False))
     for _ in range(100):
         opened = {int(token.split("^")[0]) for token in tokens if "^" in token} - {0}
         tokens = []
-        for stream_id in opened & set(left):
-            del left[stream_id]
+        for stream_id in opened & set(remaining):
+            del remaining[stream_id]
             tokens += server.feed(body(stream_id, bytes(15_904)))
             server.answer(stream_id)
         tokens += server.advance(20)
-    assert not left and server.memory.used == 0 and server.memory.peak <= 1024 * 1024
+    assert not remaining and server.memory.used == 0 and server.memory.peak <= 1024 * 1024
 
 
 def test_data_sent_before_settings_arrive_is_accepted_or_refused():
@@ -669,30 +669,30 @@
 def fuzz_run(seed):
     rng = random.Random(seed)
     server = Http2Harness(streams=4, connection_kb=128, frames=rng.choice((20, 10_000)))
-    open_, aborted, reported = set(), set(), set()
+    in_progress, aborted, reported = set(), set(), set()
     for step in range(60):
         data = b"".join(random_frame(rng, server) for _ in range(rng.randint(1, 5)))
         tokens = server.feed(data if step else HELLO, rng.choice((None, 1, 5, 50)))
         if rng.random() < 0.3:
             tokens += server.advance(rng.choice((1.0, 300.0, 2_600.0)))
-        if open_ and rng.random() < 0.5:
-            stream_id = rng.choice(sorted(open_))
-            open_.discard(stream_id)
+        if in_progress and rng.random() < 0.5:
+            stream_id = rng.choice(sorted(in_progress))
+            in_progress.discard(stream_id)
             tokens += server.answer(stream_id, rng.choice((0, 5, 70_000)))
         for token in tokens:
             if token[0] == "?":
                 assert (stream_id := int(token[1:])) not in reported
                 reported.add(stream_id)
-                open_.add(stream_id)
+                in_progress.add(stream_id)
             elif token[0] == "~":
                 assert (stream_id := int(token[1:])) in reported and stream_id not in aborted
                 aborted.add(stream_id)
-                open_.discard(stream_id)
+                in_progress.discard(stream_id)
         assert server.protocol.charged == server.memory.used <= 128 * 1024 + 4 * 70_000
         assert 0 <= server.protocol.reserved == server.memory.reserved <= server.protocol.reservation_limit
         assert sum(stream.charged for stream in server.protocol.streams.values()) == server.memory.used
         assert len(server.protocol.streams) <= 4 and len(server.protocol.frame_parser.buffer) <= 16393
-        assert open_ <= set(server.protocol.streams)
+        assert in_progress <= set(server.protocol.streams)
         assert not server.protocol.finished or not server.protocol.streams
     server.protocol.remove_all_streams()
     assert server.memory.used == server.memory.reserved == 0
--- a/tests/test_http2_program.py
+++ b/tests/test_http2_program.py
@@ -33,12 +33,12 @@
 class DualProtocolProxy(Program):
     """The proxy with HTTP/1.1 and HTTP/2 listeners."""
 
-    def __init__(self, tmp_path, *servers, more="", **options):
+    def __init__(self, tmp_path, *servers, extra_settings="", **options):
         self.reserved_socket = socket.socket()  # reserves the port for this proxy
         self.reserved_socket.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         self.reserved_socket.bind(("127.0.0.1", 0))
         self.http2_port = self.reserved_socket.getsockname()[1]
-        operator = f"http2.enabled = true\nhttp2.listen = 127.0.0.1:{self.http2_port}\n{more}"
+        operator = f"http2.enabled = true\nhttp2.listen = 127.0.0.1:{self.http2_port}\n{extra_settings}"
         super().__init__(tmp_path, *servers, operator=operator, **options)
 
     def __exit__(self, *_):
@@ -99,13 +99,14 @@
         async with httpx.AsyncClient(
             http1=False, http2=True, limits=httpx.Limits(max_connections=1)
         ) as client:
-            head = {"Req-Owner": "kente-wars", "Req-Kind": "board-read"}
+            headers = {"Req-Owner": "kente-wars", "Req-Kind": "board-read"}
             requests = [
-                client.get(f"{url}/board-read?k=big", headers={**head, "Req-Id": f"i{n}"}) for n in range(100)
+                client.get(f"{url}/board-read?k=big", headers={**headers, "Req-Id": f"i{n}"})
+                for n in range(100)
             ]
             answers = await asyncio.gather(*requests)
-            head = {"Req-Id": "post", "Idempotency-Key": "key"}
-            return answers, await client.post(f"{url}/turn-submit?k=1", headers=head, content=bytes(65536))
+            headers = {"Req-Id": "post", "Idempotency-Key": "key"}
+            return answers, await client.post(f"{url}/turn-submit?k=1", headers=headers, content=bytes(65536))
 
     with DualProtocolProxy(
         tmp_path, *(TurnServer(behave) for _ in range(3)), settings=LONG_DEADLINES
@@ -148,21 +149,26 @@
                 continue
             except OSError:
                 break
-            byes = [int(token.split()[1]) for token in client.tokens if token.startswith("bye")]
-            last_stream_id = min(byes) if byes and min(byes) < 2**31 - 1 else None
+            last_stream_ids = [int(token.split()[1]) for token in client.tokens if token.startswith("bye")]
+            last_stream_id = (
+                min(last_stream_ids) if last_stream_ids and min(last_stream_ids) < 2**31 - 1 else None
+            )
         sent.update(names_by_stream.values())
-        for at, name in names_by_stream.items():
-            status = [w.split("=")[1] for w in client.tokens if w.startswith(f"{at}=")]
-            whole = any(re.fullmatch(rf"{at}\+\d+\.", w) for w in client.tokens)
+        for stream_id, name in names_by_stream.items():
+            status = [w.split("=")[1] for w in client.tokens if w.startswith(f"{stream_id}=")]
+            complete = any(re.fullmatch(rf"{stream_id}\+\d+\.", w) for w in client.tokens)
             if status:
-                assert len(status) == 1 and whole, (at, [w for w in client.tokens if w.startswith(f"{at}")])
+                assert len(status) == 1 and complete, (
+                    stream_id,
+                    [w for w in client.tokens if w.startswith(f"{stream_id}")],
+                )
                 answered[name] = status[0]
             else:  # refused or above the last stream id: not processed
                 assert (
-                    f"{at}!REFUSED_STREAM" in client.tokens
+                    f"{stream_id}!REFUSED_STREAM" in client.tokens
                     or last_stream_id is not None
-                    and at > last_stream_id
-                ), (at, last_stream_id)
+                    and stream_id > last_stream_id
+                ), (stream_id, last_stream_id)
                 not_processed.add(name)
 
     errors = []
@@ -180,8 +186,8 @@
         threads = [
             threading.Thread(target=load_recording_errors, args=(program, n, started_at)) for n in range(3)
         ]
-        for caller in threads:
-            caller.start()
+        for thread in threads:
+            thread.start()
         until(lambda: len(program.servers[0].requests) > 5, "the load")
         program.process.send_signal(signal.SIGTERM)
         try:
@@ -189,8 +195,8 @@
         except subprocess.TimeoutExpired:  # as the platform does
             program.process.kill()
             code = -9
-        for caller in threads:
-            caller.join(20)
+        for thread in threads:
+            thread.join(20)
         seen = [m[1]["req-id"] for server in program.servers for m in server.requests]
         log = program.log
     assert not errors, (errors, log)
@@ -217,9 +223,13 @@
             release.wait(20)
         return response(200, b"board")
 
-    more = "capture.enabled = true\nfigures.enabled = true\nfigures.flush_ms = 20\n"
+    extra_settings = "capture.enabled = true\nfigures.enabled = true\nfigures.flush_ms = 20\n"
     with DualProtocolProxy(
-        tmp_path, TurnServer(behave), TurnServer(behave), more=more, settings=LONG_DEADLINES
+        tmp_path,
+        TurnServer(behave),
+        TurnServer(behave),
+        extra_settings=extra_settings,
+        settings=LONG_DEADLINES,
     ) as program:
         client = RawClient(program, HELLO + head(1, (*POST, ("req-owner", "kente-wars"))))
         until(lambda: sum(len(s.requests) for s in program.servers), "the attempt")
@@ -233,7 +243,7 @@
         assert len(posts) == 1
         assert re.search(r"^id1 turn-submit kente-wars k=m1 - forward s\d left ", program.log, re.M)
         until(lambda: re.search(r"^id3 board-read kente-wars k=m1 - forward s\d served ", program.log, re.M))
-        until(lambda: "latency_ms:" in program.log, "the figures")
+        until(lambda: "latency_ms:" in program.log, "the metrics")
         assert "requests:1|c|#class:turn-submit,tenant:kente-wars" in program.log
 
 
@@ -289,7 +299,7 @@
         return response(200, bytes(65_536))
 
     with DualProtocolProxy(
-        tmp_path, TurnServer(behave), more="http2.answer_ms = 1000\n", settings=LONG_DEADLINES
+        tmp_path, TurnServer(behave), extra_settings="http2.answer_ms = 1000\n", settings=LONG_DEADLINES
     ) as program:
         slow_client = socket.socket()
         slow_client.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
@@ -302,7 +312,7 @@
             client.sock.sendall(head(stream_id, (*GET, ("req-id", f"b{stream_id}")), with_req_id=False))
             client.read_until(f"{stream_id}=200")
         assert program.has_connection(client.sock)
-        until(lambda: not program.has_connection(slow_client), "the cut")
+        until(lambda: not program.has_connection(slow_client), "the disconnection")
         client.sock.sendall(head(101))
         client.read_until("101=200")
         program.process.terminate()
--- a/tests/test_rpc.py
+++ b/tests/test_rpc.py
@@ -62,64 +62,66 @@
     async def serve(self, reader, writer):
         self.connections += 1
         self.tasks.append(asyncio.current_task())
-        machine = h2.connection.H2Connection(h2.config.H2Configuration(client_side=False))
-        machine.initiate_connection()
-        writer.write(machine.data_to_send())
+        connection = h2.connection.H2Connection(h2.config.H2Configuration(client_side=False))
+        connection.initiate_connection()
+        writer.write(connection.data_to_send())
         with contextlib.suppress(OSError, h2.exceptions.ProtocolError, asyncio.CancelledError):
             while data := await reader.read(65536):
-                for event in machine.receive_data(data):
+                for event in connection.receive_data(data):
                     if isinstance(event, h2.events.RequestReceived):
                         self.streams += 1
                     if isinstance(event, h2.events.StreamEnded):
                         mode = self.mode(self.streams) if callable(self.mode) else self.mode
-                        await getattr(self, mode)(machine, event.stream_id, writer)
-                writer.write(machine.data_to_send())
+                        await getattr(self, mode)(connection, event.stream_id, writer)
+                writer.write(connection.data_to_send())
         writer.close()
 
-    def headers(self, machine, stream, *pairs, end=False):
+    def headers(self, connection, stream, *pairs, end=False):
         head = [(":status", "200"), ("content-type", "application/grpc")]
-        machine.send_headers(stream, [*head, *pairs], end_stream=end)
+        connection.send_headers(stream, [*head, *pairs], end_stream=end)
 
-    async def ok(self, machine, stream, writer):
-        self.headers(machine, stream)
-        machine.send_data(stream, b"\0\0\0\0\x05board")
-        machine.send_headers(stream, [("grpc-status", "0")], end_stream=True)
+    async def ok(self, connection, stream, writer):
+        self.headers(connection, stream)
+        connection.send_data(stream, b"\0\0\0\0\x05board")
+        connection.send_headers(stream, [("grpc-status", "0")], end_stream=True)
 
-    async def silent(self, machine, stream, writer):
+    async def silent(self, connection, stream, writer):
         pass
 
-    async def slow(self, machine, stream, writer):
+    async def slow(self, connection, stream, writer):
         await asyncio.sleep(0.1)
-        await self.ok(machine, stream, writer)
+        await self.ok(connection, stream, writer)
 
-    async def declined(self, machine, stream, writer):
-        self.headers(machine, stream, ("grpc-status", "14"), ("srv-declined", "1"), end=True)
+    async def declined(self, connection, stream, writer):
+        self.headers(connection, stream, ("grpc-status", "14"), ("srv-declined", "1"), end=True)
 
-    async def unavailable(self, machine, stream, writer):
-        self.headers(machine, stream, ("grpc-status", "14"), ("grpc-message", "no"), ("x-why", "7"), end=True)
+    async def unavailable(self, connection, stream, writer):
+        self.headers(
+            connection, stream, ("grpc-status", "14"), ("grpc-message", "no"), ("x-why", "7"), end=True
+        )
 
-    async def unavailable_after_headers(self, machine, stream, writer):
-        self.headers(machine, stream)
-        machine.send_headers(stream, [("grpc-status", "14"), ("grpc-message", "no")], end_stream=True)
+    async def unavailable_after_headers(self, connection, stream, writer):
+        self.headers(connection, stream)
+        connection.send_headers(stream, [("grpc-status", "14"), ("grpc-message", "no")], end_stream=True)
 
-    async def exhausted(self, machine, stream, writer):
-        self.headers(machine, stream, ("grpc-status", "8"), ("grpc-message", "no"), end=True)
+    async def exhausted(self, connection, stream, writer):
+        self.headers(connection, stream, ("grpc-status", "8"), ("grpc-message", "no"), end=True)
 
-    async def not_found(self, machine, stream, writer):
-        self.headers(machine, stream, ("grpc-status", "5"), ("grpc-message", "no such match"), end=True)
+    async def not_found(self, connection, stream, writer):
+        self.headers(connection, stream, ("grpc-status", "5"), ("grpc-message", "no such match"), end=True)
 
-    async def refused_stream(self, machine, stream, writer):
-        machine.reset_stream(stream, h2.errors.ErrorCodes.REFUSED_STREAM)
+    async def refused_stream(self, connection, stream, writer):
+        connection.reset_stream(stream, h2.errors.ErrorCodes.REFUSED_STREAM)
 
-    async def goaway_before(self, machine, stream, writer):
-        machine.close_connection(last_stream_id=0)
+    async def goaway_before(self, connection, stream, writer):
+        connection.close_connection(last_stream_id=0)
 
-    async def closes(self, machine, stream, writer):
+    async def closes(self, connection, stream, writer):
         writer.close()
 
-    async def resets_after_headers(self, machine, stream, writer):
-        self.headers(machine, stream)
-        writer.write(machine.data_to_send())
+    async def resets_after_headers(self, connection, stream, writer):
+        self.headers(connection, stream)
+        writer.write(connection.data_to_send())
         await writer.drain()
         linger = struct.pack("ii", 1, 0)
         writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
@@ -153,7 +155,7 @@
 
 
 def attempt_outcomes(recorder):
-    return [line[1][3].value for line in recorder.lines if line[1][0] == "Finished"]
+    return [entry[1][3].value for entry in recorder.entries if entry[1][0] == "Finished"]
 
 
 # mode of the first server, the outcome, and whether that proves that the call was not executed
@@ -180,20 +182,20 @@
             return mode if first["seen"] == 1 else "ok"
 
         async with FakeGrpcServer(behave) as one, FakeGrpcServer(behave) as two:
-            for path, meta, again in (("SubmitTurn", KEY_METADATA, True), ("Once", (), proof)):
+            for path, meta, retried in (("SubmitTurn", KEY_METADATA, True), ("Once", (), proof)):
                 first["seen"] = one.streams = two.streams = 0
                 recorder = EventRecorder()
                 async with open_channel(one, two, recorder=recorder) as channel:
                     call = channel.unary_unary(f"/examples.Turns/{path}")(b"m", timeout=1.4, metadata=meta)
-                    ended = await result_of(call)
-                    assert attempt_outcomes(recorder) == [outcome, "served"][: 1 + again]
-                    assert one.streams + two.streams == 1 + again
-                    if again:
-                        assert ended == b"board"
+                    result = await result_of(call)
+                    assert attempt_outcomes(recorder) == [outcome, "served"][: 1 + retried]
+                    assert one.streams + two.streams == 1 + retried
+                    if retried:
+                        assert result == b"board"
                     else:  # a failure returns the server's status
-                        assert ended.code() in (Code.UNAVAILABLE, Code.RESOURCE_EXHAUSTED)
-                        assert not isinstance(ended, CallRefused)
-                        assert mode != "unavailable" or dict(list(ended.trailing_metadata())) == {
+                        assert result.code() in (Code.UNAVAILABLE, Code.RESOURCE_EXHAUSTED)
+                        assert not isinstance(result, CallRefused)
+                        assert mode != "unavailable" or dict(list(result.trailing_metadata())) == {
                             "x-why": "7"
                         }
 
@@ -238,10 +240,10 @@
             stopping = asyncio.ensure_future(server.stop(grace=10.0))
             assert await call == b"board of m"
             await stopping
-            again = await GrpcStandin(Model(slow)).start(server.port)
+            restarted = await GrpcStandin(Model(slow)).start(server.port)
             assert await result_of(read(b"n", timeout=20.0)) == b"board of n"
-            assert [len(s.seen) for s in (server, again)] == [1, 1]
-            await again.stop()
+            assert [len(s.seen) for s in (server, restarted)] == [1, 1]
+            await restarted.stop()
 
     asyncio.run(main())
 
@@ -260,7 +262,7 @@
                 assert channel.target_state.runner.transactions.balancer.live[0].busy_until == 0.0
                 # as if measured: longer than the deadline, so nothing is sent
                 channel.target_state.connection_manager.handshake_ms = 400.0
-                recorder.lines.clear()
+                recorder.entries.clear()
                 call = channel.unary_unary("/examples.Turns/Once")(b"m", timeout=0.15)
                 assert isinstance(await result_of(call), CallRefused) and attempt_outcomes(recorder) == [
                     "not_sent"
--- a/tests/test_rpc_cold.py
+++ b/tests/test_rpc_cold.py
@@ -47,21 +47,21 @@
     """A proxy as servers see it: the same core, with a carrier of its own."""
 
     def __init__(self, loop, models, settings, seed):
-        self.loop, self.models, self.served = loop, models, 0
+        self.loop, self.models, self.served_count = loop, models, 0
         deadlines = LoopDeadlines(loop)
-        self.owner = Transactions(
+        self.transactions = Transactions(
             Balancer(settings, seed, deadlines.clock()), deadlines.clock, deadlines, self
         )
-        self.count = 0
+        self.call_count = 0
 
     def set_members(self, entries):
-        self.owner.post(face.ListChanged(face.ListScope.COMPLETE, entries))
+        self.transactions.post(face.ListChanged(face.ListScope.COMPLETE, entries))
 
     def start(self, attempt):
         verdict, at = self.models[attempt.backend].ask(self.loop.ms, attempt.message.target)
         outcome = Outcome.SERVED if verdict == SERVED else Outcome.FULL
         served = Served(Content(b"")) if verdict == SERVED else None
-        attempt.carriage = self.owner.deadlines.add(
+        attempt.carriage = self.transactions.deadlines.add(
             attempt.deadline, lambda: attempt.ended(attempt, Outcome.TIMEOUT, None)
         )
         self.loop.call_at(at / 1000.0, lambda: attempt.ended(attempt, outcome, served))
@@ -69,17 +69,17 @@
     def cancel(self, attempt):
         pass
 
-    def send(self, klass, index, span):
-        self.count += 1
+    def send(self, klass, index, timeout_ms):
+        self.call_count += 1
 
         def reply(answer):
-            self.served += isinstance(answer, Served)
+            self.served_count += isinstance(answer, Served)
 
-        self.owner.arrive(b"%d" % self.count, index, span, Message(b"GET", klass), reply)
+        self.transactions.arrive(b"%d" % self.call_count, index, timeout_ms, Message(b"GET", klass), reply)
 
 
 def measure_peak_load(proxies, configured_instances, rate):
-    """Run one proxy and `proxies` - 1 plug-ins, each configured with `told` instances.
+    """Run one proxy and `proxies` - 1 plug-ins, each configured with that many instances.
 
     Returns the cold server's peak load as a share of its budget, the requests sent to it, and the share of
     all calls that was served.
@@ -92,8 +92,8 @@
     rng = random.Random(5)
 
     async def main(loop):
-        daemon = ProxyCore(loop, models, read_settings(settings_document), 1)
-        daemon.set_members([face.Entry(name, face.State.LIVE) for name in warm])
+        proxy = ProxyCore(loop, models, read_settings(settings_document), 1)
+        proxy.set_members([face.Entry(name, face.State.LIVE) for name in warm])
         dial = lambda address: FakeSubChannel(loop, models[address])  # noqa: E731
         channels, stubs, served, arrival_count = [], [], 0, 0
         for n in range(proxies - 1):
@@ -122,16 +122,16 @@
             while (now := now + rng.expovariate(rate)) < end:
                 await wait_until(loop, now)
                 arrival_count += 1
-                who = rng.randrange(proxies)
-                if who:
-                    calls.append(asyncio.ensure_future(send_call(stubs[who - 1])))
+                proxy_index = rng.randrange(proxies)
+                if proxy_index:
+                    calls.append(asyncio.ensure_future(send_call(stubs[proxy_index - 1])))
                 else:
-                    daemon.send("board-read", 0, 1400.0)
+                    proxy.send("board-read", 0, 1400.0)
             await asyncio.gather(*calls)
 
         await run_load(6.0)
         cold.started_at = loop.ms
-        daemon.set_members(
+        proxy.set_members(
             [
                 *(face.Entry(n, face.State.LIVE) for n in warm),
                 face.Entry("10.0.0.9:9000", face.State.LIVE, cold.started_at),
@@ -147,15 +147,15 @@
         await run_load(6.0)
         for channel in channels:
             await channel.close()
-        return cold.peak_load, cold.request_count, (served + daemon.served) / arrival_count
+        return cold.peak_load, cold.request_count, (served + proxy.served_count) / arrival_count
 
     return run_in_virtual_time(main)
 
 
-@pytest.mark.parametrize(("proxies", "told"), [(2, 2), (2, 1), (40, 40)])
-def test_cold_server_is_not_overloaded_by_proxy_and_plug_ins_together(proxies, told):
+@pytest.mark.parametrize(("proxies", "configured_instances"), [(2, 2), (2, 1), (40, 40)])
+def test_cold_server_is_not_overloaded_by_proxy_and_plug_ins_together(proxies, configured_instances):
     # guards against a plug-in that counts as less or more than one proxy: at twice the fleet's capacity, all
     # together stay below the overload limit; one too few in `instances` is harmless (figures in docs/rpc.md)
-    peak, sent, served = measure_peak_load(proxies, told, rate=0.4)
+    peak, sent, served = measure_peak_load(proxies, configured_instances, rate=0.4)
     assert sent > 100 and served > 0.6  # the cold server is used
     assert peak < 0.75
--- a/tests/test_rpc_core.py
+++ b/tests/test_rpc_core.py
@@ -39,25 +39,25 @@
 
 
 def arrivals(rate=0.2, count=2000, seed=7):
-    rng, now, out = random.Random(seed), START_MS, []
+    rng, now, result = random.Random(seed), START_MS, []
     for _ in range(count):
         now += rng.expovariate(rate)
         klass = rng.choice(("board-read", "turn-submit"))
-        out.append((now, klass, float(rng.choice((500, 800, 1100, 1400)))))
-    return out
+        result.append((now, klass, float(rng.choice((500, 800, 1100, 1400)))))
+    return result
 
 
 def test_core_channel_and_transport_produce_identical_events():
     # guards against a plug-in that reorders, delays or adds events on the way to the policy
     calls = arrivals()
-    recordings = [play(fleet(), SETTINGS, 0x8C1F, calls) for play in (run_core, run_channel, run_transport)]
-    lines = recordings[0]
-    outcomes = {line[1][3].value for line in lines if len(line) == 3 and line[1][0] == "Finished"}
-    answers = {line[1] for line in lines if len(line) == 2}
+    recordings = [run(fleet(), SETTINGS, 0x8C1F, calls) for run in (run_core, run_channel, run_transport)]
+    core_entries = recordings[0]
+    outcomes = {line[1][3].value for line in core_entries if len(line) == 3 and line[1][0] == "Finished"}
+    answers = {line[1] for line in core_entries if len(line) == 2}
     assert {"served", "error", "full", "timeout"} <= outcomes and {"Served", "Refused"} <= answers
-    assert len(lines) > 3 * len(calls)
-    assert recordings[1] == lines
-    assert recordings[2] == lines
+    assert len(core_entries) > 3 * len(calls)
+    assert recordings[1] == core_entries
+    assert recordings[2] == core_entries
 
 
 class ChannelHarness:
@@ -81,7 +81,7 @@
         return sum(len(sub.sent) for sub in self.sub_channels.values())
 
     def outcomes(self):
-        return [line[1][3].value for line in self.recorder.lines if line[1][0] == "Finished"]
+        return [entry[1][3].value for entry in self.recorder.entries if entry[1][0] == "Finished"]
 
     async def advance(self, duration_ms):
         await wait_until(self.loop, self.loop.ms + duration_ms)
@@ -105,14 +105,14 @@
     async def main(loop):
         harness = ChannelHarness(loop, Model(WORK_MS), instances=2)
         lost = ChannelHarness(loop, silent_model(), target="lost")
-        served, held = harness.stub(b"m", timeout=0.5), harness.stub(b"n", timeout=0.5)
+        served, waiting = harness.stub(b"m", timeout=0.5), harness.stub(b"n", timeout=0.5)
         late = lost.submit(b"m", timeout=0.5, metadata=(("idempotency-key", "k"),))
         await harness.advance(10.0)
         assert harness.sent_count() == 1 and lost.sent_count() == 1
         loop.now += 1.0  # the caller blocks the loop
         blocked_until = loop.ms
         assert await served == b"m"
-        for call in (held, late):
+        for call in (waiting, late):
             with pytest.raises(CallRefused):
                 await call
         assert loop.ms - blocked_until < 2.0
@@ -130,8 +130,8 @@
         call = harness.stub(b"m", timeout=0.8)
         short = harness.stub(b"m", timeout=0.2)
         await harness.assert_refused(short, 200.0)
-        gone = harness.stub(b"m", timeout=0.8)
-        gone.cancel()
+        cancelled = harness.stub(b"m", timeout=0.8)
+        cancelled.cancel()
         await harness.advance(400.0)
         harness.channel.set_members(["a:1"])
         assert await call == b"m" and harness.sent_count() == 1
