--- a/brackenusher/__main__.py
+++ b/brackenusher/__main__.py
@@ -1,6 +1,6 @@
-"""``python -m brackenusher``: the one binary. Runs a role or a command of the fleet, or the older program.
+"""``python -m brackenusher``: runs a role or a command of the fleet, or the older daemon's command line.
 
-The first argument decides, before anything heavy is imported: a role must start quickly on a small machine.
+The first argument decides before anything large is imported: a role must start quickly on a small machine.
 """
 
 import sys
@@ -8,11 +8,11 @@
 
 ROLES = ("proxy", "control")
 FLEET_COMMANDS = ("status", "config", "members", "servers", "explain", "check-settings")
-OLD_MEMBERS = ("show", "-h", "--help")  # `members show` belongs to the older program
+OLD_MEMBERS = ("show", "-h", "--help")  # `members show` belongs to the older daemon
 
 
 def main(arguments: Sequence[str] | None = None) -> int:
-    """Run what the first argument names; the exit code."""
+    """Run the role or command that the first argument names; returns the exit code."""
     given = list(sys.argv[1:] if arguments is None else arguments)
     first = given[0] if given else ""
     if first in ROLES:
--- a/brackenusher/config/__init__.py
+++ b/brackenusher/config/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's file and the operators' file, checked."""
+"""Reading and validation of the platform's and the operators' configuration files."""
--- a/brackenusher/config/operators.py
+++ b/brackenusher/config/operators.py
@@ -1,4 +1,4 @@
-"""The operators' file: which features are on, and their settings, in properties format."""
+"""The operators' file: enabled features and their settings, in properties format."""
 
 import re
 from collections.abc import Callable, Mapping
@@ -16,13 +16,13 @@
 from brackenusher.runtime.driver import Address
 from brackenusher.runtime.log import FORMATS
 
-MOST_SEEDS = 32  # each is asked in turn until somebody answers
-LEAST_KEY = 16  # bytes; a shorter one is used, but named
+MOST_SEEDS = 32  # tried in turn until one answers
+LEAST_KEY = 16  # bytes; a shorter key is accepted with a warning
 
 
 @dataclass(frozen=True)
 class CaptureSettings:
-    """Where the records go: without a folder, to standard error."""
+    """Where captures are written; without a folder, to standard error."""
 
     folder: str | None = None
     files: int = 8
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True)
 class FiguresSettings:
-    """What is sent where; the target is an address, a path, or None for standard error."""
+    """Format and destination of metrics; the target is an address, a path, or None for standard error."""
 
     influx: bool = False
     target: Address | str | None = None
@@ -41,13 +41,13 @@
 
 @dataclass(frozen=True)
 class PeersSettings:
-    """Other proxies to share knowledge with: where this one is found, whom it knows, the keys of all."""
+    """Peering with other proxies to share knowledge: addresses, seeds and keys."""
 
-    listen: Address = ("", 0)  # an IP address and a port, for datagrams and for questions
-    advertise: Address = ("", 0)  # where the others find it; `listen` where that is left out
+    listen: Address = ("", 0)  # IP address and port, for datagrams and requests of peers
+    advertise: Address = ("", 0)  # address given to peers; defaults to `listen`
     seeds: tuple[Address, ...] = ()
     keys: Mapping[str, bytes] = field(default_factory=dict, repr=False)
-    sign: str = ""  # the id of the key that seals what this proxy sends
+    sign: str = ""  # id of the key that authenticates outgoing messages
     period_ms: int = 1000
     warm_ms: int = 300
     ask: int = 3
@@ -59,7 +59,7 @@
 
 @dataclass(frozen=True)
 class PolicySettings:
-    """A policy that the group agrees on: by whose votes, kept where, and what to do about who is silent."""
+    """Policy replicated by the group: voters, storage, and what to do about unreachable proxies."""
 
     voters: tuple[str, ...] = ()
     folder: str = ""
@@ -69,21 +69,21 @@
 
 @dataclass(frozen=True)
 class ReplicaSettings:
-    """State that the proxies hold together: who keeps it on disk, where, and what to do until caught up."""
+    """Replicated state: which proxies store it on disk, where, and what to do until caught up."""
 
     keepers: tuple[str, ...] = ()
     folder: str = ""
-    from_empty: bool = False  # leave aside what the folder holds: the disk was lost, or is not to be trusted
-    refuse: bool = False  # admit nothing until caught up; else serve with a warning after a while
+    from_empty: bool = False  # set the folder's contents aside: the disk was lost or cannot be trusted
+    refuse: bool = False  # refuse requests until caught up; otherwise serve with a warning after within_s
     within_s: int = 5
-    limits: bool = True  # the door's limits of tenants are over all proxies
-    fates: bool = True  # fates of keyed requests are told, in a group of ten proxies at most
+    limits: bool = True  # rate limits of tenants apply to all proxies together
+    fates: bool = True  # replicate idempotency records; for groups of up to ten proxies
     entries: int = 20_000
 
 
 @dataclass(frozen=True)
 class SnapshotSettings:
-    """Where knowledge is saved, and how often."""
+    """Where knowledge is saved, and at what interval."""
 
     file: str = ""
     every_s: int = 10
@@ -91,21 +91,23 @@
 
 @dataclass(frozen=True)
 class Http2Settings:
-    """HTTP/2 toward clients; docs/http2.md gives the reason of each default."""
+    """HTTP/2 for clients; docs/http2.md explains each default."""
 
     listen: Address
-    streams: int = 100  # open at once on a connection; the least that RFC 9113 6.5.2 recommends
-    head_bytes: int = 16 * 1024  # of a request's header list, as HTTP/1.1 takes here
-    frames: int = 100  # a second, of those that cost and ask nothing; twice as many in one go
-    connection_kb: int = 1024  # bodies and answers that one connection may have held
-    held_kb: int = 8 * 1024  # the same of all connections
-    idle_ms: int = 30_000  # a connection without a stream is kept so long
-    answer_ms: int = 10_000  # an answer must be taken in this time, as over HTTP/1.1
+    streams: int = (
+        100  # concurrent streams per connection; the minimum that RFC 9113, section 6.5.2, recommends
+    )
+    head_bytes: int = 16 * 1024  # size of a request's header list; same limit as for HTTP/1.1
+    frames: int = 100  # per second, of frames that cost work but carry no request; burst of twice as many
+    connection_kb: int = 1024  # buffered request and response bodies per connection
+    held_kb: int = 8 * 1024  # the same for all connections together
+    idle_ms: int = 30_000  # how long a connection without streams is kept
+    answer_ms: int = 10_000  # time for a client to read a response, as for HTTP/1.1
 
 
 @dataclass(frozen=True)
 class Operator:
-    """The features that are on; None for one that is off."""
+    """Settings of the enabled features; None if a feature is off."""
 
     door: RateLimiterSettings | None = None
     capture: CaptureSettings | None = None
@@ -125,10 +127,10 @@
 
 
 class Entries:
-    """The file's entries; each is asked for once, and what nobody asked for is not known."""
+    """Entries of the file, each read once; those left over are unknown keys."""
 
     def __init__(self, path: str, text: str) -> None:
-        import javaproperties  # 50 ms and 3 MB, XML and TLS among them: only for who gives a file
+        import javaproperties  # 50 ms and 3 MB, as it imports XML and TLS: only if there is a file
 
         self.path = path
         self.values: dict[str, str] = {}
@@ -145,7 +147,7 @@
         return ConfigError(f"{self.path}: {key} {what}")
 
     def take(self, key: str, read: Callable[[str], Any], default: Any = None) -> Any:
-        """The value of a key, or the default where the file lacks it."""
+        """The value of a key, or the default if the file lacks it."""
         if key not in self.values:
             return default
         try:
@@ -154,7 +156,7 @@
             raise self.error(key, str(error)) from error
 
     def family(self, prefix: str, read: Callable[[str], Any]) -> dict[str, Any]:
-        """The values of all keys with a prefix, by what follows it."""
+        """The values of all keys with a prefix, by the rest of the key."""
         keys = [key for key in self.values if key.startswith(prefix) and len(key) > len(prefix)]
         return {key.removeprefix(prefix): self.take(key, read) for key in keys}
 
@@ -179,7 +181,7 @@
 
 
 def whole(least: int, most: int) -> Callable[[str], int]:
-    """A whole number within bounds."""
+    """A reader of integers within bounds."""
 
     def read(text: str) -> int:
         if not re.fullmatch(r"[0-9]{1,12}", text, re.ASCII) or not least <= int(text) <= most:
@@ -190,7 +192,7 @@
 
 
 def rate(text: str) -> float:
-    """Requests a second; so little that the wait for one has no end in sight is no rate."""
+    """Requests per second; 0, or large enough that the wait for a token is bounded."""
     number = float(text) if re.fullmatch(r"[0-9]{1,9}(\.[0-9]{1,9})?", text, re.ASCII) else -1.0
     if number and not 0.001 <= number <= 1_000_000:
         raise ValueError(f"must be 0 or a number from 0.001 to 1000000, not {text!r}")
@@ -235,7 +237,7 @@
 
 
 def key(text: str) -> bytes:
-    """A key in hex; what is wrong with it is said without showing it."""
+    """A key in hexadecimal; error messages do not show it."""
     if not re.fullmatch(r"([0-9A-Fa-f]{2})+", text, re.ASCII):
         raise ValueError("must be hexadecimal, two digits a byte")
     return bytes.fromhex(text)
@@ -250,14 +252,14 @@
 
 
 def target(text: str) -> Address | str | None:
-    """Where figures go: standard error (None), a file (its path), or a UDP port (its address)."""
+    """The target of metrics: standard error (None), a file (its path), or a UDP port (its address)."""
     form, _, rest = text.partition(":")
     if text == "stderr":
         return None
     if form == "file" and rest:
         return path(rest)
     if form == "udp" and rest:
-        host, port = read_address(rest, "udp")  # a name would have to be looked up, and that could wait
+        host, port = read_address(rest, "udp")  # no host names: resolving one could block
         return str(ip_address(host.removeprefix("[").removesuffix("]"))), whole(1, 65_535)(str(port))
     raise ValueError(f"must be stderr, file:<path> or udp:<addr:port>, not {text!r}")
 
@@ -273,7 +275,7 @@
 
 
 def ip_port(text: str) -> Address:
-    """An address that needs no look-up, as that could wait."""
+    """An IP address and port; host names are rejected, as resolving one could block."""
     host, port = read_address(text, "an address")
     ip = ip_address(host.removeprefix("[").removesuffix("]"))
     if ip.is_unspecified or ip.is_multicast:
@@ -394,7 +396,7 @@
 
 
 def read_operator(path: str, text: str) -> Operator:
-    """Read the whole file; a feature that is off has its settings checked all the same."""
+    """Parse the whole file; settings of disabled features are validated too."""
     entries = Entries(path, text)
     on = {name: entries.take(f"{name}.enabled", switch, False) for name in FEATURES}
     features = {name: read(entries) for name, read in FEATURES.items()}
@@ -424,7 +426,7 @@
 
 
 def read_subset(operator: Operator, worded: Mapping[str, Any]) -> Subset | None:
-    """The subset of the list that this proxy sees; the platform's settings say which of how many it is."""
+    """The subset of servers that this proxy uses; index and number of proxies default to the platform's."""
     wanted = operator.connections
     if wanted is None or not wanted.subset:
         return None
@@ -438,7 +440,7 @@
 
 
 def doubts(operator: Operator, settings: face.Settings) -> list[str]:
-    """What the file says that can have no effect: not wrong, as tenants come and go, but maybe a slip."""
+    """Warnings on settings that are valid, as tenants come and go, but may be mistakes."""
     tenants = operator.door.tenants if operator.door and settings.tenants else ()
     keys = operator.token.keys if operator.token else {}
     found = [f"door: the settings name no tenant {name}" for name in tenants if name not in settings.tenants]
@@ -455,19 +457,19 @@
 
 
 def load_operator(name: str | None) -> Operator:
-    """Read the operators' file; without one every feature is off."""
+    """Read the operators' file; without one all features are off."""
     return Operator() if name is None else read_operator(name, read_text(name))
 
 
 def load_peers(name: str) -> PeersSettings:
-    """The file's settings of peers, whether they are on or not: who asks a proxy need not be one."""
+    """The settings of peers, even if they are disabled: commands that query a proxy need them too."""
     text = read_text(name)
     read_operator(name, text)
     return read_peers(Entries(name, text))
 
 
 def load_tokens(name: str) -> TokenSettings:
-    """The file's settings of tokens, whether they are on or not: who issues tokens need not serve."""
+    """The settings of tokens, even if they are disabled: the issuer of tokens need not be a proxy."""
     text = read_text(name)
     read_operator(name, text)
     return read_token(Entries(name, text))
--- a/brackenusher/config/platform.py
+++ b/brackenusher/config/platform.py
@@ -1,4 +1,4 @@
-"""What a proxy is told at its start: the variables GW_* and the JSON file that one of them names."""
+"""The platform's configuration of a proxy: the variables GW_* and the JSON file named by GW_CONFIG."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -15,12 +15,12 @@
 
 
 class ConfigError(ValueError):
-    """The configuration cannot be worked with."""
+    """The configuration is invalid."""
 
 
 @dataclass(slots=True)
 class Config:
-    """The configuration, checked."""
+    """The validated configuration."""
 
     name: str
     listen: Address
@@ -29,14 +29,14 @@
     sockets: int
     known: dict[str, Any]
     settings: face.Settings
-    worded: dict[str, Any]  # the settings as the operators word them
-    cores: float = 1.0  # the part of a core that the program may use
-    memory_mb: float = 64.0  # that the program may take
-    control: Address | None = None  # the second address; older deployments have none
+    worded: dict[str, Any]  # the settings as written in the file
+    cores: float = 1.0  # CPU limit of the process
+    memory_mb: float = 64.0  # memory limit of the process
+    control: Address | None = None  # address of the control interface; older deployments have none
 
 
 def read_address(text: Any, what: str) -> Address:
-    """Take ``host:port`` apart."""
+    """Parse ``host:port``."""
     host, _, port = str(text).rpartition(":")
     if not host or not port.isascii() or not port.isdigit() or int(port) > 65535:
         raise ConfigError(f"{what}: host:port expected, not {text!r}")
@@ -44,7 +44,7 @@
 
 
 def load(environ: Mapping[str, str]) -> Config:
-    """Read the configuration; a variable wins over the same entry of the file."""
+    """Read the configuration; variables take precedence over entries of the file."""
     path = environ.get("GW_CONFIG")
     if not path:
         raise ConfigError("GW_CONFIG is not set")
@@ -63,15 +63,15 @@
 
 
 def load_again(environ: Mapping[str, str]) -> Config:
-    """Read the configuration while the program runs: the file says where discovery is now.
+    """Read the configuration at a reload, with the discovery address of the file.
 
-    The variable still holds what was so at the start.
+    GW_DISCOVERY still has the address from the start of the process.
     """
     return load({name: value for name, value in environ.items() if name != "GW_DISCOVERY"})
 
 
 def read(conf: dict[str, Any], environ: Mapping[str, str]) -> Config:
-    """Translate the configuration's object."""
+    """Convert and validate the parsed JSON object."""
     settings = read_settings(conf["settings"])
     settings.check()
     if not all(c.name for c in settings.classes):
--- a/brackenusher/daemon.py
+++ b/brackenusher/daemon.py
@@ -1,4 +1,4 @@
-"""Puts the parts together, runs them, and stops them in good order."""
+"""Builds the components of a proxy, runs them, and shuts them down gracefully."""
 
 import gc
 import logging
@@ -49,19 +49,22 @@
 
 log = logging.getLogger(__name__)
 
-SPARE_SOCKETS = 24  # listener, epoll, discovery, standard streams, and some to refuse with
-PEERS_SOCKETS = 18  # two to listen on, eight questions of others, eight of one's own
-CLIENT_PART = 0.625  # of the other descriptors: a held request has a client connection and no flow
-OWN_MB = 25.0  # of memory that the program takes without long bodies
-KEPT_PART = 0.2  # of all, between requests: clients hold a third at most, and some ask once and stay
-CHECK = 10.0  # milliseconds: how often it is looked, once the program is to stop, what is to be done
-DRAINED_CHECK = 100.0  # the same while it is drained
+SPARE_SOCKETS = 24  # listener, epoll, discovery, standard streams, and some for rejecting clients
+PEERS_SOCKETS = 18  # two listeners, eight requests of peers, eight to peers
+CLIENT_PART = (
+    0.625  # share of the other descriptors: a queued request has a client connection but no upstream one
+)
+OWN_MB = 25.0  # memory of the process without large bodies
+KEPT_PART = 0.2  # of all, for idle clients: clients hold a third at most, and some stay after one request
+CHECK = 10.0  # milliseconds between steps of a shutdown or drain
+DRAINED_CHECK = 100.0  # the same once drained
 
 
 def budget_for(memory_mb: float) -> int:
-    """Bytes for long bodies and answers: a third of what the program itself does not take, 2 MB at least.
+    """The buffer budget in bytes for large request and response bodies, at least 2 MB.
 
-    It takes some 25 MB, and beside a process that is to take its place there are two of them.
+    A third of the memory left beside two processes of about 25 MB each, as a successor runs beside this
+    process during a handover.
     """
     return int(max(memory_mb - 2 * OWN_MB, 6.0) / 3 * 1024 * 1024)
 
@@ -70,8 +73,8 @@
     """One proxy."""
 
     def __init__(self, config: Config, load: Callable[[], Config], operator: Operator) -> None:
-        self.load = load  # reads the configuration anew
-        self.told_at: float | None = None  # when the first signal to stop came
+        self.load = load  # reads the configuration again, for a reload
+        self.told_at: float | None = None  # when the first stop signal came
         self.shutdown: GracefulShutdown | None = None
         self.lifecycle = Lifecycle()
         settings = config.settings
@@ -100,7 +103,7 @@
         )
         self.fronts: list[tuple[Listener, Address]] = [(self.clients, config.listen)]
         self.http2 = None
-        if operator.http2:  # h2 and what it needs takes memory: only for who wants it
+        if operator.http2:  # imported only if enabled: h2 and its dependencies take memory
             try:
                 from brackenusher.fronts.http2.clients import Http2Clients
             except ImportError as error:
@@ -153,7 +156,7 @@
         self.look_on(began)
 
     def serve_in_its_place(self) -> None:
-        """Once this process can serve, say so to the one whose place it takes."""
+        """Once this process is ready, tell its predecessor in a handover."""
         if self.replacement is None:
             return
         if not self.clients.ready() and self.lifecycle.stage is Stage.READY:
@@ -162,9 +165,9 @@
             self.replacement.serves()
 
     def share(self, buffers: Buffers) -> None:
-        """Share knowledge with peers, or with the next start by a file."""
+        """Set up sharing of knowledge with peers, or with the next start through a snapshot file."""
         try:
-            from brackenusher.membership.peers import Peers  # with msgspec: only for who shares
+            from brackenusher.membership.peers import Peers  # imported only if needed, as it imports msgspec
         except ImportError as error:
             needs = "peers and snapshot need the extra knowledge: pip install 'brackenusher[knowledge]'"
             raise ConfigError(f"{needs} ({error})") from error
@@ -178,7 +181,7 @@
             raise ConfigError(str(error)) from error
 
     def gather(self, buffers: Buffers) -> None:
-        """Act upon what the group agrees on, and on what it holds together."""
+        """Set up the group's policy and replicated state."""
         from brackenusher.group.group_parts import GroupParts
         from brackenusher.group.streams import Streams
 
@@ -188,7 +191,7 @@
         peers.group = house
         parts = (self.loop, self.transactions, self.pool, self.config.name)
         if operator.policy is not None:
-            from brackenusher.group.node import Node  # with sqlite3: only for who wants it
+            from brackenusher.group.node import Node  # imported only if needed, as it imports sqlite3
 
             self.node = Node(*parts, operator.policy, house)
             self.admission.gates.append((Bar.POLICY, self.node))
@@ -208,7 +211,7 @@
             self.clients.gates.append(self.replicator.ready)
 
     def look_on(self, began: float) -> None:
-        """Start what observes the transactions, where the operators want it."""
+        """Set up the observers of transactions that the operators enabled."""
         operator, config = self.operator, self.config
         self.capture = None
         if operator.capture:
@@ -248,14 +251,14 @@
         self.outlet.take_log()
 
     def run(self) -> int:
-        """Serve until SIGTERM or SIGINT and until all is answered then."""
+        """Serve until SIGTERM or SIGINT, then shut down gracefully."""
         self.catch_signals()
         self.start()
         self.loop.run()
         return self.end()
 
     def start(self) -> None:
-        """Take up what is known, listen, and ask discovery; from then on the loop's turns do all."""
+        """Load the known server list, listen, and connect to discovery; the event loop does the rest."""
         taken = self.replacement.take() if self.replacement else None
         self.take_known(taken)
         self.transactions.begin()
@@ -279,7 +282,7 @@
         self.serve_in_its_place()
         self.agent.connect()
         gc.collect()
-        gc.freeze()  # what is here stays: later collections need not look at it
+        gc.freeze()  # objects created so far stay; later collections skip them
         for doubt in doubts(self.operator, self.config.settings):
             say(log, logging.WARNING, "operators_file_doubt", "operators' file: %(what)s", what=doubt)
         for _, (host, port) in self.fronts:
@@ -294,7 +297,7 @@
             )
 
     def end(self) -> int:
-        """Say how it went, and let go of what is held."""
+        """Log a summary and release resources."""
         say(
             log,
             logging.INFO,
@@ -354,7 +357,7 @@
         return 0
 
     def take_known(self, taken: Taken | None = None) -> None:
-        """Take up the list as last held; the agent is then asked for no more than what changed since."""
+        """Load the last known server list, so that discovery is asked only for changes since then."""
         known = self.config.known
         if taken is not None and taken.hosts:
             known = {"seq": taken.state["seq"], "whole": True, "hosts": taken.hosts}
@@ -363,7 +366,7 @@
         try:
             listing = read_listing(known)
         except DiscoveryError as error:
-            text = "the known list is left aside: %(why)s"
+            text = "ignoring the known server list: %(why)s"
             say(log, logging.WARNING, "known_list_unusable", text, why=error)
             return
         if listing.whole and len(listing.hosts) == len(known["hosts"]):
@@ -371,16 +374,16 @@
         self.transactions.post(self.pool.take(listing))
 
     def warm(self) -> None:
-        """What others know has been taken up, or comes too late."""
+        """Knowledge of peers has been loaded, or the wait for it is over."""
         self.clients.warming = False
 
     @property
     def connections(self) -> int:
-        """Clients' connections, of all fronts."""
+        """The number of client connections of all listeners."""
         return sum(len(front.links) for front, _ in self.fronts)
 
     def catch_signals(self) -> None:
-        """Have signals wake the loop through a socket of its own."""
+        """Deliver signals to the loop through a socket pair."""
         ours, theirs = socket.socketpair()
         ours.setblocking(False)
         theirs.setblocking(False)
@@ -392,7 +395,7 @@
         self.loop.spawn(self.listen_to_signals(ours), ours)
 
     def note(self, number: int, _frame: FrameType | None) -> None:
-        """Note when the program was first told to stop: the loop may take it up a turn later."""
+        """Record the time of the first stop signal, as the loop handles it only in its next iteration."""
         if number != signal.SIGHUP and self.told_at is None:
             self.told_at = clock()
 
@@ -409,11 +412,17 @@
                 self.stop()
 
     def reload(self) -> None:
-        """Take up what the configuration's file says now; one that cannot be used changes nothing."""
+        """Reload the configuration file; an invalid one changes nothing."""
         try:
             config = self.load()
         except ConfigError as error:
-            say(log, logging.ERROR, "reload_unusable", "reload: left as it was: %(why)s", why=error)
+            say(
+                log,
+                logging.ERROR,
+                "reload_unusable",
+                "reload: kept the old configuration: %(why)s",
+                why=error,
+            )
             return
         for name in ("listen", "sockets", "settings", "control"):
             if getattr(config, name) != getattr(self.config, name):
@@ -421,7 +430,7 @@
                     log,
                     logging.WARNING,
                     "reload_waits",
-                    "reload: %(entry)s counts from the next start on",
+                    "reload: a change of %(entry)s takes effect at the next start",
                     entry=name,
                 )
         host, port = config.discovery
@@ -439,7 +448,7 @@
         return 200, self.tally.worded()
 
     def drain(self) -> Reply:
-        """Send clients elsewhere, with the way back left open."""
+        """Direct clients to other proxies; can be undone by resume."""
         before = self.lifecycle.stage
         if not self.lifecycle.drain(clock()):
             return 409, b"the process ends\n"
@@ -448,7 +457,7 @@
                 log,
                 logging.INFO,
                 "draining",
-                "draining: %(connections)d connections, %(in_hand)d in hand",
+                "draining: %(connections)d connections, %(in_hand)d open requests",
                 connections=self.connections,
                 in_hand=len(self.transactions.open),
             )
@@ -460,13 +469,13 @@
         if not self.lifecycle.resume():
             return 409, b"the process ends\n"
         if before.away:
-            say(log, logging.INFO, "resumed", "resumed: serving as ever")
+            say(log, logging.INFO, "resumed", "resumed: serving normally")
             for front, _ in self.fronts:
                 front.resume()
         return 200, b"ready\n"
 
     def tend_drain(self, number: int) -> None:
-        """Do what a drain asks for by now, until it or the process ends."""
+        """Advance a drain at intervals, until it or the process ends."""
         life, now = self.lifecycle, clock()
         if not life.stage.away or number != life.drains:
             return
@@ -482,14 +491,16 @@
         self.later(wait, partial(self.tend_drain, number))
 
     def stop(self) -> None:
-        """Serve on as long as the deployment allows, then end with all answered; asked again, go on so."""
+        """Begin a graceful shutdown, serving as long as the deployment allows; further calls do nothing."""
         if self.shutdown is not None:
             say(log, logging.INFO, "stopping_already", "stopping already")
             return
         settings = self.config.settings
         handed = self.replacement is not None and self.replacement.handed
         longest, alone = max(c.deadline for c in settings.classes), settings.proxies <= 1 and not handed
-        least = self.transactions.balancer.margin + RESERVE  # the module refuses at once what has less
+        least = (
+            self.transactions.balancer.margin + RESERVE
+        )  # the balancer refuses requests with less time at once
         plan = GracefulShutdown(self.told_at or clock(), longest, self.config.cores, least, alone)
         self.shutdown = self.admission.shutdown = plan
         self.lifecycle.end()
@@ -509,7 +520,7 @@
         self.later(CHECK, partial(self.attend, plan, clock() + CHECK))
 
     def attend(self, plan: GracefulShutdown, due: float) -> None:
-        """Do what the plan of the end says."""
+        """Advance the graceful shutdown."""
         now, before = clock(), plan.phase
         phase = plan.step(now, now - due, self.connections, all(front.shut for front, _ in self.fronts))
         if phase != before:
@@ -517,7 +528,7 @@
                 log,
                 logging.INFO,
                 "stop_phase",
-                "%(phase)s %(after_ms).0f ms after the signal: %(taken)d taken, %(in_hand)d in hand, "
+                "%(phase)s %(after_ms).0f ms after the signal: %(taken)d taken, %(in_hand)d open, "
                 "%(connections)d connections, stalled %(stall_ms).0f ms at most",
                 phase=phase.name.lower().replace("_", " "),
                 after_ms=now - plan.told_at,
@@ -541,7 +552,7 @@
                     log,
                     logging.WARNING,
                     "given_up",
-                    "%(count)d transactions were given up at the end",
+                    "failed %(count)d open transactions at shutdown",
                     count=given_up,
                 )
             for front, _ in self.fronts:
--- a/brackenusher/records/__init__.py
+++ b/brackenusher/records/__init__.py
@@ -1,1 +1,1 @@
-"""What looks on and changes nothing: capture, its replay, figures."""
+"""Observers of requests, which change nothing: capture and replay, metrics, request counts."""
--- a/brackenusher/records/capture.py
+++ b/brackenusher/records/capture.py
@@ -1,8 +1,8 @@
-"""Capture: one line for each change of the list and for each request, with all that a replay needs.
+"""Capture: one line per request and per change of the server list, with all inputs that a replay needs.
 
-A line's first words are the operators': what came, what was decided, what came of it. After them stand
-name=value pairs for the replay. Every event that the module is told has a number, its clock time and a place
-on exactly one line, so that a missing line shows as a gap in the numbers.
+The first words of a line are for operators: the request, the decision and its outcome. They are followed by
+name=value pairs for the replay. Every event passed to the balancer has a number and its clock time, and is on
+exactly one line, so that a missing line shows as a gap in the numbers.
 """
 
 import hashlib
@@ -25,11 +25,11 @@
 from brackenusher.core.transaction import Answer, Failed, Refused, Served, Transaction
 from brackenusher.runtime.outlet import Outlet, to_stderr, write_whole
 
-ROOM = 256 * 1024  # bytes that wait to be written
-MOST_OPEN = 1000  # requests whose line is not finished
-MOST_WAITING = 500  # timers and probes that wait for a line; where none comes, they decided on nothing
+ROOM = 256 * 1024  # bytes waiting to be written
+MOST_OPEN = 1000  # requests whose line is not written yet
+MOST_WAITING = 500  # timers and probes waiting for the next line; while none is written, they decide nothing
 MOST_ON_A_LINE = 100
-LONGEST_TEXT = 64  # of what a client words
+LONGEST_TEXT = 64  # of a value chosen by a client
 PLAIN = re.compile(rb"[A-Za-z0-9_.+=@-]{1,64}\Z")
 WORD = rb"[A-Za-z0-9_.+=@][A-Za-z0-9_.+=@-]{0,63}"
 ALL_PLAIN = re.compile(rb"(?!list )%s %s k=%s %s\Z" % (WORD, WORD, WORD, WORD))
@@ -38,11 +38,11 @@
 OUTCOMES = {outcome: outcome.value for outcome in face.Outcome}
 ANSWERS = {Served: "served", Refused: "refused", Failed: "failed", type(None): "left"}
 HEAD = "# "
-FORM = 1  # of the lines; another form gets another number
+FORM = 1  # version of the line format
 
 
 def escape(text: bytes | None, safe: str = "") -> str:
-    """Words of a client that can neither end a line nor pass for another one, cut at 64 bytes; - for none."""
+    """Client text, escaped so that it cannot end or forge a line, and cut at 64 bytes; "-" if absent."""
     if not text:
         return "-" if text is None else "%"
     if PLAIN.match(text) and text not in (b"-", b"list"):
@@ -54,18 +54,20 @@
 
 
 def module_digest() -> str:
-    """Tells one text of the module from another."""
+    """A digest of the balancer's source code, to recognize another version of it."""
     texts = [Path(str(part.__file__)).read_bytes() for part in (brain, state)]
-    texts.append(Path(str(brain.__file__)).with_name("knowledge.py").read_bytes())  # weighs what it is told
+    texts.append(
+        Path(str(brain.__file__)).with_name("knowledge.py").read_bytes()
+    )  # weighs the evidence of other proxies
     return hashlib.sha256(b"".join(texts)).hexdigest()[:16]
 
 
 def columns(name: bytes, klass: str, message: Message) -> str:
-    """The request's part of its line."""
+    """The columns of a line that describe the request."""
     key = KEY.search(message.target)
     if key and message.owner and message.deadline:
         words = b"%s %s k=%s %s" % (name, message.owner, key[1], message.deadline)
-        if ALL_PLAIN.match(words):  # as nearly all are; their form is looked at once
+        if ALL_PLAIN.match(words):  # fast path of nearly all requests: one match instead of one per column
             plain, _, rest = words.decode().partition(" ")
             return f"{plain} {klass} {rest}"
     about = escape(key[1], "%/") if key else "-"
@@ -73,27 +75,27 @@
 
 
 def charged(message: Message) -> str:
-    """The door's part of a request's line."""
+    """The rate limiter's pair on a request's line: when and under which key it was charged."""
     if message.charged is None:
         return ""
     return f" door={message.charged[1]!r},{quote(message.charged[0], safe='')}"
 
 
 class Ring:
-    """The files of a folder, written one after the other; the oldest is overwritten first."""
+    """A ring of files in a folder; the oldest is overwritten first."""
 
     def __init__(self, settings: CaptureSettings) -> None:
         folder = Path(settings.folder or ".")
         folder.mkdir(parents=True, exist_ok=True)
         self.paths = [folder / f"capture-{n}.log" for n in range(settings.files)]
         self.ages = [self.count(path) for path in self.paths]
-        self.file = max(self.ages)  # counts the files ever begun, over restarts too
+        self.file = max(self.ages)  # files started so far, across restarts
         self.fd = -1
         self.next()
 
     @staticmethod
     def count(path: Path) -> int:
-        """What a file's head says of its age; one that is not there, or has no head, is the oldest."""
+        """The sequence number in a file's header; 0, the oldest, if the file or its header is missing."""
         try:
             with path.open("rb") as file:
                 return int(ujson.loads(file.readline(1024 * 1024)[len(HEAD) :])["file"])
@@ -101,7 +103,7 @@
             return 0
 
     def next(self) -> None:
-        """Go on to the file that is the oldest now; called by the writer, but for the first time."""
+        """Start over the oldest file; called by the writer thread, except for the first time."""
         if self.fd >= 0:
             os.close(self.fd)
             self.fd = -1
@@ -111,7 +113,7 @@
         self.fd = os.open(self.paths[at], os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o640)
 
     def write(self, pieces: list[bytes]) -> None:
-        """Write whole lines, or nothing of what could not be written whole."""
+        """Write whole lines; truncates the file to its former size if they cannot be written in full."""
         end = os.fstat(self.fd).st_size
         try:
             write_whole(self.fd, b"".join(pieces))
@@ -122,7 +124,7 @@
 
 
 class Record:
-    """What has become of a request so far."""
+    """A request whose line is not written yet."""
 
     __slots__ = (
         "transaction",
@@ -145,20 +147,20 @@
         self.closed, self.answer = False, ""
 
     def decision(self) -> str:
-        """What was decided on it in the end."""
+        """The final decision, as it is written on the line."""
         if self.final:
             return self.final
         if not self.tries:
             return "hold -"
         host = self.tries[-1].host
-        for attempt in self.tries:  # the one that served it, if one did
+        for attempt in self.tries:  # prefer the attempt that served the request
             if attempt.end is not None and attempt.end.outcome is face.Outcome.SERVED:
                 host = attempt.host
         return "forward " + host
 
 
 class Try:
-    """An attempt."""
+    """One attempt of a request."""
 
     __slots__ = ("host", "chosen", "number", "now", "end")
 
@@ -175,7 +177,7 @@
 
 
 class Capture:
-    """Looks on, and writes down what the module was told and what it decided."""
+    """Records the events passed to the balancer and its decisions."""
 
     def __init__(
         self,
@@ -195,16 +197,16 @@
         self.base = {"capture": FORM, "version": __version__, "module": module_digest()}
         self.tail = {"seed": f"{config.seed:x}", "began": repr(began), "settings": config.worded}
         self.open: dict[int, Record] = {}
-        self.hosts: dict[str, str] = {}  # escaped, by name
-        self.standing: dict[str, str] = {}  # the list as it stands: each host's line, less its number
-        self.timers: deque[str] = deque(maxlen=MOST_WAITING)  # what is no request's waits for a line
+        self.hosts: dict[str, str] = {}  # escaped names, by name
+        self.standing: dict[str, str] = {}  # the current server list: each host's line without its number
+        self.timers: deque[str] = deque(maxlen=MOST_WAITING)  # events of no request go out with the next line
         self.probes: deque[str] = deque(maxlen=MOST_WAITING)
         self.serial = self.event = self.left_out = 0
         self.file = self.ring.file if self.ring else 0
         self.space = self.most
         self.space -= self.put(self.head())
 
-    # writing
+    # output
 
     @property
     def dropped(self) -> int:
@@ -212,7 +214,7 @@
         return self.left_out + self.channel.dropped
 
     def head(self) -> bytes:
-        """What a file begins with, so that it can be read without the others."""
+        """The header of a file, with which it can be read without the others."""
         facts = {"file": self.file, "n": self.serial, "event": self.event, "dropped": self.dropped}
         lines = [HEAD + ujson.dumps(self.base | facts | self.tail, escape_forward_slashes=False)]
         lines += [f"{line} standing=1" for line in self.standing.values()]
@@ -222,7 +224,7 @@
         return len(data) if self.channel.put(data) else 0
 
     def write(self, line: str) -> None:
-        """Write a record, on the next file if this one has no space for it."""
+        """Write a line, to the next file if this one is full."""
         data, ring = f"{line} n={self.serial + 1}\n".encode(), self.ring
         head = self.head() if ring and len(data) > self.space else b""
         self.serial += 1
@@ -236,12 +238,12 @@
         self.space -= self.put(data)
 
     def close(self) -> None:
-        """Write down what is open still."""
+        """Write the lines of requests that are still open."""
         for record in self.open.values():
             self.emit(record)
         self.open.clear()
 
-    # observing
+    # observer interface
 
     def answered(self, transaction: Transaction, answer: Answer | None) -> None:
         record = self.open.get(transaction.id)
@@ -285,13 +287,13 @@
                 self.given_up(action.request, "fail -", number)
 
     def given_up(self, request: int, decision: str, number: int) -> None:
-        """The module refused a request or failed it."""
+        """The balancer refused or failed a request."""
         record = self.open.get(request)
         if record is not None:
             record.final, record.by, record.closed = decision, f" by={number}", True
 
     def host(self, backend: str) -> str:
-        """A host's name as it stands on the list's lines."""
+        """A host's name, escaped as on the lines of the server list."""
         return self.hosts.get(backend) or quote(backend)
 
     def arrived(self, number: int, now: float, event: face.Arrived) -> None:
@@ -302,7 +304,7 @@
             self.open[event.request] = Record(transaction, number, now, event)
 
     def changed(self, number: int, now: float, event: face.Finished | face.Left) -> None:
-        """An attempt has ended, or the client has left."""
+        """An attempt has ended, or the client has disconnected."""
         record = self.open.get(event.request)
         if record is None:
             return
@@ -317,7 +319,7 @@
             self.settle(record)
 
     def listed(self, number: int, now: float, event: face.ListChanged) -> None:
-        """A line for each entry; one for a list without any."""
+        """Write a line for each entry, or one for an empty list."""
         scope, many = event.scope.value, len(event.entries)
         if event.scope is face.ListScope.COMPLETE:
             self.standing.clear()
@@ -336,12 +338,12 @@
             self.write(f"list {event.version} - - at={number},{now!r} scope={scope} part=0/0")
 
     def settle(self, record: Record) -> None:
-        """Write a line, as nothing more can come for it."""
+        """Write the line of a request that no further event can concern."""
         del self.open[record.event.request]
         self.emit(record)
 
     def emit(self, record: Record) -> None:
-        """Write a request's line, with what happened since the last one."""
+        """Write a request's line, with timers and probes since the last one."""
         event, transaction = record.event, record.transaction
         words = columns(transaction.name, self.classes[event.klass], transaction.message)
         about = f"{event.request},{event.klass},{event.tenant},{event.repeated:d},{event.deadline!r}"
--- a/brackenusher/records/figures.py
+++ b/brackenusher/records/figures.py
@@ -1,7 +1,8 @@
-"""Figures: counters, gauges and timers of the transactions, in lines for a collector.
+"""Metrics of transactions, pushed to a collector in statsd or influx lines.
 
-Counters are summed until the flush, gauges sampled then, and each served request has a timer. Lines go out in
-batches, when one is full or at the flush; a batch that cannot go out at once is dropped and counted.
+Counters are summed until the flush, gauges are sampled at the flush, and each served request gets a timer.
+Lines are sent in batches, when one is full or at the flush; a batch that cannot be sent at once is dropped
+and counted.
 """
 
 import os
@@ -17,15 +18,15 @@
 from brackenusher.runtime.outlet import Channel, Outlet, to_stderr, write_whole
 from brackenusher.runtime.timers import Timers
 
-ROOM = 96 * 1024  # bytes that wait to be written
-LONGEST_NAME = 64  # of a tag's value
+ROOM = 96 * 1024  # bytes waiting to be written
+LONGEST_NAME = 64  # characters of a tag's value
 NO_TENANT = -1
-Tags = tuple[int, int]  # positions of class and tenant
-Figure = tuple[str, int, str, list[tuple[str, str]]]  # name, value, statsd's kind, tags
+Tags = tuple[int, int]  # indexes of class and tenant
+Figure = tuple[str, int, str, list[tuple[str, str]]]  # name, value, statsd type, tags
 
 
 class Statsd:
-    """Lines as statsd reads them, with tags."""
+    """Statsd lines with tags."""
 
     @staticmethod
     def tags(pairs: list[tuple[str, str]]) -> str:
@@ -38,7 +39,7 @@
 
 
 class Influx:
-    """Lines as influx reads them; it tells the kinds apart by the names alone."""
+    """Influx line protocol, which has no metric types."""
 
     @staticmethod
     def tags(pairs: list[tuple[str, str]]) -> str:
@@ -51,7 +52,7 @@
 
 
 class Datagrams:
-    """A collector on a UDP port; nothing waits for it."""
+    """Sends batches to a collector over UDP without blocking."""
 
     def __init__(self, address: Address) -> None:
         self.address, self.dropped = address, 0
@@ -60,7 +61,7 @@
     def put(self, batch: bytes) -> None:
         try:
             self.send(batch)
-        except ConnectionRefusedError:  # that is the answer to the batch before: there was nobody
+        except ConnectionRefusedError:  # ICMP port unreachable, caused by the previous batch
             self.dropped += 1
             try:
                 self.send(batch)
@@ -76,13 +77,13 @@
 
 
 class Appended:
-    """A file that lines are appended to; whatever it is, opening and writing do not wait."""
+    """Appends batches to a file; opening and writing do not block, whatever kind of file it is."""
 
     def __init__(self, path: str) -> None:
         self.path = path
 
     def write(self, pieces: list[bytes]) -> int:
-        """Append batches; returns how many could not be. The file may be moved away in between."""
+        """Append batches; returns how many failed. Opens the file anew, as it may have been rotated."""
         flags = os.O_WRONLY | os.O_APPEND | os.O_CREAT | os.O_NONBLOCK | os.O_CLOEXEC
         fd = os.open(self.path, flags, 0o640)
         try:
@@ -96,14 +97,14 @@
         try:
             write_whole(fd, piece)
         except OSError:
-            if os.fstat(fd).st_size > end:  # no line is left cut
+            if os.fstat(fd).st_size > end:  # remove the truncated line
                 os.ftruncate(fd, end)
             return False
         return True
 
 
 class Figures:
-    """Looks on and counts."""
+    """Counts the outcomes of transactions and sends them at intervals."""
 
     def __init__(
         self,
@@ -121,17 +122,19 @@
             self.sink: Datagrams | Channel = Datagrams(settings.target)
         else:
             write = to_stderr if settings.target is None else Appended(settings.target).write
-            self.sink = outlet.channel(write, ROOM, piece=0)  # each batch by itself
+            self.sink = outlet.channel(
+                write, ROOM, piece=0
+            )  # chunks are not merged: a batch is the unit of drops
         self.requests: Counter[Tags] = Counter()
         self.refused: Counter[Tags] = Counter()
-        self.seen: dict[Tags, str] = {}  # with their wording
-        self.timers: dict[Tags, tuple[str, str]] = {}  # a timer's line before and after its value
-        self.also: list[Callable[[], Iterable[Figure]]] = []  # asked for more at each flush
+        self.seen: dict[Tags, str] = {}  # each with its formatted tags
+        self.timers: dict[Tags, tuple[str, str]] = {}  # text of a timer's line before and after the value
+        self.also: list[Callable[[], Iterable[Figure]]] = []  # called for further gauges at each flush
         self.batch = bytearray()
         self.due = clock() + settings.flush_ms
         self.limit = deadlines.add(self.due, self.tick)
 
-    # observing
+    # observer interface
 
     def answered(self, transaction: Transaction, answer: Answer | None) -> None:
         key = transaction.klass, transaction.tenant if transaction.message.owner else NO_TENANT
@@ -149,10 +152,10 @@
         if verdict.endswith(" refused"):
             self.refused[key] += 1
 
-    # sending
+    # output
 
     def tags(self, key: Tags) -> str:
-        """The wording of tags; names come from the settings alone, so there are no more than they have."""
+        """The formatted tags; names come from the settings alone, which bounds their number."""
         if key not in self.seen:
             pairs = [("class", self.conf.classes[key[0]].name)]
             if self.conf.tenants:
@@ -176,7 +179,7 @@
             self.batch.clear()
 
     def flush(self) -> None:
-        """Send the sums, the gauges and what is left of the timers."""
+        """Send counters, gauges and the remaining timers."""
         inflight = Counter(
             (t.klass, t.tenant if t.message.owner else NO_TENANT)
             for t in self.transactions.values()
@@ -197,7 +200,7 @@
         self.send()
 
     def tick(self) -> None:
-        """Flush, and again after the interval; a late one moves the later ones on."""
+        """Flush and schedule the next flush; a late flush delays the following ones."""
         self.due += self.settings.flush_ms
         if self.due <= self.clock():
             self.due = self.clock() + self.settings.flush_ms
--- a/brackenusher/records/insight.py
+++ b/brackenusher/records/insight.py
@@ -1,4 +1,4 @@
-"""Gauges of what the decision module thinks of the fleet, for a collector. It looks, and changes nothing."""
+"""Gauges of the balancer's view of its servers. Read only."""
 
 from collections.abc import Callable
 from math import inf
@@ -8,22 +8,22 @@
 
 
 class Insight:
-    """What one module holds just now; called at each flush of the figures."""
+    """The state of one balancer, read at each flush of metrics."""
 
     def __init__(self, balancer: Balancer, clock: Callable[[], float]) -> None:
         self.balancer, self.clock = balancer, clock
 
     def hosts(self, listed: int, now: float) -> tuple[int, int]:
-        """How many servers are listed, and how many of them get nothing new at a time, whatever its class.
+        """The number of servers listed, and of those that get no new requests of any class.
 
-        Those are the ones that drain, and those left alone after failures.
+        The latter are draining, or ejected after failures.
         """
         live = self.balancer.live
         alone = sum(max(b.busy_until, min(b.rests)) > now for b in live)
         return listed, max(0, listed - len(live)) + alone
 
     def figures(self) -> list[Figure]:
-        """Room for what is out (in requests; none where probes bound it), and who is left alone or cold."""
+        """Gauges: attempts, their capacity (absent while probes limit it), ejected and cold servers."""
         balancer, now = self.balancer, self.clock()
         alone = sum(max(b.busy_until, *b.rests) > now for b in balancer.live)
         found = {
--- a/brackenusher/records/replay.py
+++ b/brackenusher/records/replay.py
@@ -1,8 +1,9 @@
-"""Replay: feeds a capture back into the module and tells where it decides otherwise.
+"""Replay: feeds a capture into a balancer and reports where its decisions differ.
 
-Each event is told at its recorded time, in its recorded order; what the module decides on it is held against
-what was recorded. Up to the first difference that is exact. From there on the module follows its own
-decisions, while outcomes are known only of what was sent then: each such line says so.
+Events are replayed at their recorded times in their recorded order, and the balancer's decisions are compared
+with the recorded ones. Up to the first difference the comparison is exact. After it the balancer follows its
+own decisions, while outcomes are known only of the attempts that were made at the time: lines after it are
+marked so.
 """
 
 import re
@@ -33,26 +34,26 @@
 
 @dataclass
 class Line:
-    """A record."""
+    """A line of the capture."""
 
-    place: int  # its number in the file
+    place: int  # line number in the file
     words: list[str]
     pairs: dict[str, list[str]]
 
     def one(self, name: str) -> list[str]:
-        """The parts of a value that stands there once."""
+        """The comma-separated fields of a pair that occurs once."""
         return self.pairs[name][0].split(",")
 
     @property
     def decisions(self) -> list[str]:
-        """What was decided on a request, in order."""
+        """The recorded decisions on a request, in order."""
         sent = [f"forward {unquote(value.partition(',')[0])}" for value in self.pairs.get("try", [])]
         return sent + ([" ".join(self.words[5:7])] if "by" in self.pairs else [])
 
 
 @dataclass
 class Run:
-    """What was captured of one start of the program."""
+    """The capture of one process."""
 
     head: dict[str, Any]
     standing: list[face.Entry] = field(default_factory=list)
@@ -73,9 +74,9 @@
 
 
 def read_runs(lines: Iterable[str]) -> tuple[list[Run], int]:
-    """Take a capture apart; also how many lines are none of it, such as the log's.
+    """Parse a capture; also returns the number of other lines, such as log lines.
 
-    Files of a ring may follow each other in any order: of the heads of one start the earliest counts.
+    Files of a ring may follow each other in any order: the earliest header of a process counts.
     """
     runs: dict[tuple[str, str], Run] = {}
     run: Run | None = None
@@ -102,24 +103,30 @@
 
 
 class Replay:
-    """One run, fed to a module of its own."""
+    """One run, replayed on a balancer of its own."""
 
     def __init__(self, run: Run, door: RateLimiterSettings | None) -> None:
         self.run, self.head, self.door = run, run.head, RateLimiter(door) if door else None
-        self.events: dict[int, tuple[float, Any]] = {}  # by number: clock time, and what to do
-        self.expected: dict[int, list[tuple[int, str]]] = defaultdict(list)  # by number: request, decision
-        self.made: dict[int, list[str]] = defaultdict(list)  # by request, what is decided now
-        self.out: dict[int, list[tuple[int, str]]] = defaultdict(list)  # attempts with their hosts
+        self.events: dict[
+            int, tuple[float, Any]
+        ] = {}  # by event number: clock time, and the event or a call that replays it
+        self.expected: dict[int, list[tuple[int, str]]] = defaultdict(
+            list
+        )  # by event number: request, decision
+        self.made: dict[int, list[str]] = defaultdict(list)  # by request: the decisions of the replay
+        self.out: dict[int, list[tuple[int, str]]] = defaultdict(
+            list
+        )  # by request: attempts in flight, with their hosts
         self.over: set[int] = set()
-        self.apart: dict[int, int] = {}  # by request: on which event it was first decided otherwise
-        self.at_door: dict[int, str] = {}  # by place: what the door says now
-        self.parted: int | None = None  # on which event anything was
+        self.apart: dict[int, int] = {}  # by request: the event with the first difference
+        self.at_door: dict[int, str] = {}  # by line number: the rate limiter's decision in the replay
+        self.parted: int | None = None  # the event with the first difference of all
         self.missing: list[tuple[int, int]] = []
         conf = read_settings(self.head["settings"])
         self.balancer = Balancer(conf, int(self.head["seed"], 16), float(self.head["began"]))
         self.balancer.begin()
 
-    # laying out what was captured
+    # ordering the events
 
     def lay_out(self) -> None:
         lists: dict[int, list[Line]] = defaultdict(list)
@@ -170,7 +177,7 @@
 
     def lay_out_request(self, line: Line) -> None:
         if "at" not in line.pairs:
-            return  # it was dropped before the module heard of it
+            return  # rejected before it reached the balancer
         number, now = line.one("at")
         name, klass, tenant, repeated, deadline = line.one("req")
         request = int(name)
@@ -197,9 +204,9 @@
             self.events[int(number)] = (float(now), partial(self.leave, face.Left(request)))
             last = max(last, int(number))
         if line.words[7] != "open":
-            self.expected[last].append((request, ""))  # nothing more can come for it
+            self.expected[last].append((request, ""))  # the request is closed
 
-    # feeding it
+    # replaying
 
     def play(self) -> None:
         self.lay_out()
@@ -224,10 +231,10 @@
                 self.let_go(number, now, request)
 
     def feed(self, now: float, event: face.Event) -> list[tuple[int, str]]:
-        """Tell the module an event; return what it decides."""
+        """Pass an event to the balancer; return its decisions."""
         try:
             actions = self.balancer.handle(now, event)
-        except Exception:  # in service it is logged, and the request failed
+        except Exception:  # as in service, where the error is logged and the request fails
             return []
         made = []
         for action in actions:
@@ -253,7 +260,7 @@
         return self.feed(now, event)
 
     def ask_door(self, line: Line, now: float) -> list[tuple[int, str]]:
-        """Have the door decide again, where it did."""
+        """Replay the rate limiter's decision, if there was one."""
         if self.door is not None and "door" in line.pairs:
             clock, key = line.one("door")
             wait = self.door.ask(unquote(key), float(clock))
@@ -261,7 +268,7 @@
         return []
 
     def finish(self, event: face.Finished, host: str, now: float) -> list[tuple[int, str]]:
-        """An attempt ended then; what another server would have done is not known."""
+        """Replay the end of an attempt, as a cancellation if the replay chose another server."""
         request = event.request
         here = next((place for place in self.out[request] if place[0] == event.attempt), None)
         if here is None:
@@ -281,7 +288,7 @@
         return self.feed(now, event)
 
     def let_go(self, number: int, now: float, request: int) -> None:
-        """End what goes on here though it was over then."""
+        """End a request that is still open in the replay but was closed in the capture."""
         out, self.out[request] = self.out[request], []
         events: list[face.Event] = [
             face.Finished(request, n, face.Outcome.CANCELLED, 0.0, True) for n, _ in out
@@ -293,21 +300,21 @@
             for other, _ in self.feed(now, event):
                 self.apart.setdefault(other, number)
 
-    # telling what came of it
+    # reporting
 
     def mark(self, number: int, parted: int | None) -> str:
-        """How far a difference on some event can be relied on."""
+        """How reliable a difference at an event is."""
         if self.head["event"] or any(first <= number for first, _ in self.missing):
             return "guess: input is missing before it"
         return "exact" if number == parted else "follows from an earlier difference"
 
     def differences(self) -> Iterable[tuple[Line, str, str, str]]:
-        """The lines on which the decision differs: as recorded, as it is now, and how far that counts."""
+        """The differing lines: recorded decision, replayed decision and reliability."""
         door_parted = None
         for line in sorted(self.run.lines, key=number_of):
             number = number_of(line)
             if number <= self.head["event"]:
-                continue  # a list change, or taken before what is here begins
+                continue  # a list change, or from before the start of this capture
             if line.place in self.at_door:
                 recorded = " ".join(line.words[5:7]) if line.words[5] == "door" else "let in"
                 if recorded != self.at_door[line.place]:
@@ -321,7 +328,7 @@
                     yield line, before, now, self.mark(self.apart.get(request, number), self.parted)
 
     def moments(self) -> int:
-        """How many requests were decided on alike, but at another moment."""
+        """The number of requests with the same decisions at other events."""
         alike = {
             int(line.one("req")[0])
             for line in self.run.lines
@@ -331,14 +338,14 @@
 
 
 def number_of(line: Line) -> int:
-    """The event on which a request was first decided; 0 for what is none."""
+    """The event at which a request was first decided; 0 for other lines."""
     if line.words[0] == "list" or not {"event", "at"} & line.pairs.keys():
         return 0
     return int(line.one("event" if "event" in line.pairs else "at")[0])
 
 
 def replay_capture(path: str, operator: Operator, out: TextIO) -> int:
-    """Replay a file and print what differs: 0 where nothing does, 1 where something does."""
+    """Replay a file and print the differences; the exit code is 1 if there are any."""
     try:
         with sys.stdin if path == "-" else open(path, encoding="utf-8", errors="replace") as file:
             runs, others = read_runs(file)
@@ -366,7 +373,7 @@
 
 
 def notes(replay: Replay, operator: Operator) -> Iterable[str]:
-    """What has to be known to judge the differences, or that there are none."""
+    """Remarks on how complete and comparable the replay is."""
     run = replay.run
     for first, last in sorted(set(replay.missing)):
         which = f"event {first} is" if first == last else f"events {first} to {last} are"
--- a/brackenusher/records/tally.py
+++ b/brackenusher/records/tally.py
@@ -1,7 +1,6 @@
-"""What the second address reports: each request counted once, by what its client was given.
+"""Request counts for the control address: each request is counted once, by the response its client got.
 
-It looks on and changes nothing. A call costs no walk over servers or requests; the servers that are avoided
-are counted anew at most every `STALE` milliseconds.
+A report does not iterate over requests, and over servers at most once per refresh interval.
 """
 
 from collections.abc import Callable
@@ -14,14 +13,14 @@
 from brackenusher.core.pipe import End
 from brackenusher.core.transaction import Answer, Failed, Refused, Served, Transaction
 
-STALE = 250.0  # ms: a count of servers is used again so long
+STALE = 250.0  # milliseconds: how long a count of servers is cached
 
 
 class Tally:
-    """Counts from 0 at the start of the process.
+    """Counts since the start of the process.
 
-    `hosts` says how many servers are listed and how many of them get nothing new now, `taken` how many
-    requests were taken, `attempts` how many attempts were written whole.
+    `hosts` returns the number of servers listed and of those that get no new requests, `taken` the number of
+    accepted requests, `attempts` the number of attempts written in full.
     """
 
     def __init__(
@@ -36,23 +35,23 @@
         self.classes = [c.name for c in settings.classes]
         none = [0] * len(self.classes)
         self.success, self.busy, self.failure, self.abandoned = none[:], none[:], none[:], none[:]
-        self.ended = 0  # of the requests that were taken
+        self.ended = 0  # of the accepted requests
         self.counted_at, self.count = -STALE, (0, 0)
 
     @property
     def inflight(self) -> int:
-        """Requests taken and not ended."""
+        """Requests accepted and not ended."""
         return self.taken() - self.ended
 
     def answered(self, transaction: Transaction, answer: Answer | None) -> None:
-        """A request has its final answer; None where its client left without one."""
+        """A request has its final response, or None if its client left without one."""
         if isinstance(answer, Served) and answer.content.rest is not None:
             answer.content.rest.tell.append(partial(self.passed, transaction.klass, answer))
         else:
             self.end(transaction.klass, answer)
 
     def passed(self, klass: int, answer: Answer, end: End) -> None:
-        """An answer that was passed on in pieces has come to its end, one way or another."""
+        """A streamed response has ended."""
         self.end(klass, answer if end is End.WHOLE else Failed() if end is End.BROKEN else None)
 
     def end(self, klass: int, answer: Answer | None) -> None:
@@ -68,11 +67,11 @@
             self.failure[klass] += 1
 
     def turned_away(self, request: Request, verdict: str) -> None:
-        """A request that could be read is not taken."""
+        """A well-formed request was rejected."""
         (self.busy if verdict.endswith(" refused") else self.failure)[request.klass] += 1
 
     def worded(self) -> bytes:
-        """The figures as one JSON object."""
+        """The counts as a JSON object."""
         now = self.clock()
         if now >= self.counted_at + STALE:
             self.counted_at, self.count = now, self.hosts(now)
--- a/brackenusher/runtime/__init__.py
+++ b/brackenusher/runtime/__init__.py
@@ -1,1 +1,1 @@
-"""Loop, buffers, sockets and the way out for lines."""
+"""Event loop, buffer pool, sockets, logging and metrics."""
--- a/brackenusher/runtime/buffers.py
+++ b/brackenusher/runtime/buffers.py
@@ -1,14 +1,14 @@
-"""Receive buffers of one size, used again from a pool."""
+"""A pool of receive buffers of one size."""
 
 import socket
 from collections.abc import Callable
 
 SIZE = 16 * 1024
-KEPT = 32  # more than this are never lent at once, as each is given back before the next is asked for
+KEPT = 32  # each buffer is released before the next is acquired, so more are never in use
 
 
 class Buffers:
-    """Lends buffers and takes them back."""
+    """A free list of receive buffers."""
 
     def __init__(self, size: int = SIZE) -> None:
         self.size = size
@@ -22,9 +22,9 @@
             self.free.append(buffer)
 
     def receive(self, sock: socket.socket, sink: Callable[[memoryview], object]) -> int:
-        """Read once from a socket into a lent buffer, hand the bytes to `sink`, return their number.
+        """Read once from a socket into a pooled buffer, pass the bytes to `sink` and return their number.
 
-        `sink` must have copied what it needs when it returns. At the end of the stream it gets b"".
+        `sink` must copy what it needs before it returns. At end of stream it is called with no bytes.
         """
         buffer = self.take()
         try:
--- a/brackenusher/runtime/driver.py
+++ b/brackenusher/runtime/driver.py
@@ -1,16 +1,16 @@
-"""What the drivers of the three kinds of connection share."""
+"""Socket helpers shared by the drivers of client, server and discovery connections."""
 
 import errno
 import socket
 import struct
 from typing import TypeVar
 
-Address = tuple[str, int]  # an IP address or a host's name, and a port
+Address = tuple[str, int]  # IP address or host name, and port
 SHORTAGE = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 
 
 def open_socket(address: Address) -> tuple[socket.socket, bool]:
-    """Start to connect; True where that was done at once."""
+    """Start a non-blocking connect; also returns whether it is complete already."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK | socket.SOCK_CLOEXEC)
     try:
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -25,7 +25,7 @@
 
 
 def open_listener(address: Address, backlog: int, shared: bool = False) -> socket.socket:
-    """A listening socket that never waits; `shared` where another process may listen there as well."""
+    """A non-blocking listening socket; with `shared`, SO_REUSEPORT lets another process listen there too."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK | socket.SOCK_CLOEXEC)
     try:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -40,7 +40,7 @@
 
 
 def open_datagrams(address: Address) -> socket.socket:
-    """A UDP socket that sends to one address and never waits."""
+    """A non-blocking UDP socket connected to one address."""
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
     sock = socket.socket(family, socket.SOCK_DGRAM | socket.SOCK_NONBLOCK | socket.SOCK_CLOEXEC)
     try:
@@ -52,7 +52,7 @@
 
 
 def abort(sock: socket.socket) -> None:
-    """Have the close of a connection reset it, so that nobody takes what came for whole."""
+    """Make close() send a reset, so that the peer cannot take a truncated message for a complete one."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
 
 
@@ -60,7 +60,7 @@
 
 
 def write(sock: socket.socket, data: Data) -> Data:
-    """Write what the socket takes now; return the rest."""
+    """Write what the socket accepts without blocking; return the rest."""
     try:
         return data[sock.send(data) :]
     except BlockingIOError:
--- a/brackenusher/runtime/fleet_log.py
+++ b/brackenusher/runtime/fleet_log.py
@@ -1,10 +1,10 @@
-"""Log lines of the fleet's processes, on absl.logging: one event a line, key=value, to standard error.
+"""Structured logging of proxies and control nodes, on absl.logging: key=value lines on standard error.
 
-`set_up` is called once at start; until then, and in tests, the standard library's loggers do as they always
-do. Modules log through `logging.getLogger(__name__)` with messages of the form "what happened: key=%s
-other=%d": they come out as fields. Each event is bounded in its rate, since writing takes time on a small
-machine; how many lines were left out is told with the next one. No value can break a line or add a field:
-it is quoted and escaped.
+The set-up function is called once at start; until then, and in tests, the standard library's loggers are
+unchanged. Modules log through `logging.getLogger(__name__)` with messages of the form "what happened: key=%s
+other=%d", whose keys become fields. Each event is rate limited, since writing is expensive on a small
+machine; the next line of the event says how many were suppressed. Values are quoted and escaped, so that none
+can break a line or add a field.
 """
 
 import logging
@@ -14,11 +14,11 @@
 from pathlib import PurePath
 from types import TracebackType
 
-BURST = 20  # lines of one event at once
-LINES_PER_S = 1.0  # of one event, after the burst
-MAX_EVENTS = 256  # tracked apart; all others share one bound
+BURST = 20  # lines per event
+LINES_PER_S = 1.0  # per event, after the burst
+MAX_EVENTS = 256  # each with a limit of its own; all others share one
 LONGEST_VALUE = 300  # characters
-FRAMES_SHOWN = 6  # of a traceback, the innermost
+FRAMES_SHOWN = 6  # innermost frames of a traceback
 OTHER = "(other)"
 LEVELS = ("debug", "info", "warning", "error")
 
@@ -26,15 +26,15 @@
     r"(?:event=(?P<word>\w+)|(?P<event>[^=%]+?):?)(?: (?P<fields>\w+=%[a-z](?:[ ,;]+\w+=%[a-z])*))?"
 )
 _FIELD = re.compile(r"(\w+)=%[a-z]")
-_PLAIN = re.compile(r"[!#-<>-\[\]-~]+")  # no blank, quote, equals sign or backslash
+_PLAIN = re.compile(r"[!#-<>-\[\]-~]+")  # no space, quote, equals sign or backslash
 
 
 def set_up(role: str, level: str = "info") -> None:
-    """Send all log lines of this process to standard error by absl.logging. The level is one of LEVELS."""
-    from absl import flags  # here: tests and commands need none of it
+    """Route all logging of this process to standard error through absl.logging. `level` is one of LEVELS."""
+    from absl import flags  # imported here: tests and commands do not need it
     from absl import logging as absl_logging
 
-    flags.FLAGS.mark_as_parsed()  # the flags of absl are not ours: all stay as they are
+    flags.FLAGS.mark_as_parsed()  # absl's own flags are not used: all keep their defaults
     handler = absl_logging.get_absl_handler().python_handler
     handler.setFormatter(EventFormatter(role))
     handler.addFilter(RateBound())
@@ -43,14 +43,14 @@
 
 
 class EventFormatter(logging.Formatter):
-    """A record as one line of fields."""
+    """Formats a record as one line of key=value fields."""
 
     def __init__(self, role: str) -> None:
         super().__init__()
         self.role = role
 
     def format(self, record: logging.LogRecord) -> str:
-        """time, level, role, module, event, then the fields of the message."""
+        """The line: time, level, role, module, event, then the fields of the message."""
         fields: list[tuple[str, object]] = [
             ("time", _timestamp(record.created)),
             ("level", record.levelname.lower()),
@@ -69,7 +69,7 @@
 
 
 def fields_of(record: logging.LogRecord) -> list[tuple[str, object]]:
-    """The event and the fields of a record, by the template of its message where that has the usual form."""
+    """The event and fields of a record; a message without the usual form becomes the event as a whole."""
     template, arguments = str(record.msg), record.args
     match = _TEMPLATE.fullmatch(template)
     if match is not None and isinstance(arguments, tuple):
@@ -80,7 +80,7 @@
 
 
 def quote(value: object) -> str:
-    """A value as one word: quoted and escaped where it is not plain already, and cut where it is long."""
+    """A value as one token: truncated if too long, quoted and escaped if it is not plain."""
     text = str(value)
     if len(text) > LONGEST_VALUE:
         text = text[:LONGEST_VALUE] + "..."
@@ -109,7 +109,7 @@
 
 
 class _Allowance:
-    """How many lines of one event may still be written."""
+    """Token bucket of one event."""
 
     __slots__ = ("left", "at", "suppressed")
 
@@ -127,7 +127,7 @@
 
 
 class RateBound(logging.Filter):
-    """Lets each event through at a bounded rate; the next line tells how many were left out."""
+    """Rate limits each event; its next line carries the number of suppressed ones."""
 
     def __init__(self, clock: Callable[[], float] = time.monotonic) -> None:
         super().__init__()
@@ -135,7 +135,7 @@
         self._allowances: dict[str, _Allowance] = {}
 
     def filter(self, record: logging.LogRecord) -> bool:
-        """Whether this record is written."""
+        """Whether to write this record."""
         now = self.clock()
         key = f"{record.name} {record.msg}"
         if key not in self._allowances and len(self._allowances) >= MAX_EVENTS:
--- a/brackenusher/runtime/log.py
+++ b/brackenusher/runtime/log.py
@@ -1,8 +1,7 @@
-"""The daemon's log: one event name and named fields for each thing that happens, whatever the format.
+"""Structured logging of the daemon: each record has an event name and named fields, whatever the format.
 
-As text a line is worded for people, and the formatting is the standard library's own; as logfmt or JSON it
-carries the same event and fields for programs. structlog is imported only where one of those two is asked
-for.
+The text format is the standard library's, with a message for people; logfmt and JSON carry the same event and
+fields for programs. structlog is imported only for these two.
 """
 
 import logging
@@ -11,25 +10,25 @@
 
 FORMATS = ("text", "logfmt", "json")
 TEXT = "%(asctime)s %(levelname)s %(name)s: %(message)s"
-LONGEST = 1000  # characters of a field: what comes from outside must not swell the log
-UNNAMED = "note"  # the event of a line that a library logged in its own words
+LONGEST = 1000  # characters of a field: bounds what clients and peers can add to the log
+UNNAMED = "note"  # event of records logged by libraries, which have none
 
 
 class LogFormatError(ValueError):
-    """The format cannot be had."""
+    """The log format is not available."""
 
 
 def say(log: logging.Logger, level: int, event: str, text: str, /, **fields: Any) -> None:
-    """Log that something happened. `text` words it and names fields as `%(name)s`.
+    """Log an event. `text` is the message for people and refers to fields as `%(name)s`.
 
-    The event is a name in lower case with underscores, the same wherever the thing happens.
+    The event is in snake case, and the same wherever it occurs.
     """
     if log.isEnabledFor(level):
         log.log(level, text, *((fields,) if fields else ()), extra={"event": event}, stacklevel=2)
 
 
 def fault(log: logging.Logger, event: str, text: str, /, **fields: Any) -> None:
-    """Log an exception that is being handled, with its trace."""
+    """Log the exception being handled, with its traceback."""
     if log.isEnabledFor(logging.ERROR):
         arguments = (fields,) if fields else ()
         log.log(logging.ERROR, text, *arguments, exc_info=True, extra={"event": event}, stacklevel=2)
@@ -42,7 +41,7 @@
 
 
 def take_form(form: str) -> None:
-    """Have every line written in a format from now on. Raises LogFormatError without structlog."""
+    """Write all records in this format from now on. Raises LogFormatError if structlog is missing."""
     if form == "text":
         return
     try:
@@ -53,7 +52,7 @@
     def word(_: Any, __: str, given: MutableMapping[str, Any]) -> MutableMapping[str, Any]:
         record: logging.LogRecord = given["_record"]
         event, fields = getattr(record, "event", None), given["positional_args"]
-        if event is None:  # a library's own words
+        if event is None:  # logged by a library
             event, fields = UNNAMED, {"text": given["event"]}
         line = {"timestamp": given["timestamp"], "level": record.levelname.lower(), "logger": record.name}
         line["event"] = event
--- a/brackenusher/runtime/loop.py
+++ b/brackenusher/runtime/loop.py
@@ -1,7 +1,7 @@
 """The event loop: epoll, with generators as coroutines.
 
 A coroutine owns one socket. It yields the epoll mask that it waits for, and is resumed with the events that
-came, or with 0 when somebody woke it. When it ends, its socket is closed.
+occurred, or with 0 if it was woken. When it ends, its socket is closed.
 """
 
 import logging
@@ -20,13 +20,13 @@
 READ, WRITE = select.EPOLLIN, select.EPOLLOUT
 HANGUP = select.EPOLLRDHUP
 LONGEST_WAIT = 1000.0  # milliseconds
-MOST_EVENTS = 64  # a turn takes no more, so that what comes first is looked at every few milliseconds
+MOST_EVENTS = 64  # per iteration, so that priority tasks are polled every few milliseconds
 
 Coroutine = Generator[int, int, None]
 
 
 def clock() -> float:
-    """The one clock: monotonic milliseconds."""
+    """Monotonic time in milliseconds; the only clock of the daemon."""
     return time.monotonic() * 1000.0
 
 
@@ -37,18 +37,20 @@
 
     def __init__(self, loop: "Loop", coroutine: Coroutine, sock: socket.socket, epoll: select.epoll) -> None:
         self.loop, self.coroutine, self.sock, self.fd = loop, coroutine, sock, sock.fileno()
-        self.epoll = epoll  # where it is registered
-        self.since = loop.turns  # news of this turn is of another that had the same descriptor before
+        self.epoll = epoll  # where the socket is registered
+        self.since = (
+            loop.turns
+        )  # events polled in this iteration belong to an earlier socket with the same descriptor
         self.mask, self.woken, self.stopped, self.ended = 0, False, False, False
 
     def wake(self) -> None:
-        """Resume the coroutine in this turn though its socket has no news."""
+        """Resume the coroutine in this iteration although its socket has no events."""
         if not self.woken and not self.ended:
             self.woken = True
             self.loop.woken.append(self)
 
     def stop(self) -> None:
-        """End the coroutine where it waits; one that runs at this moment ends where it waits next."""
+        """Close the coroutine where it waits; one that is running is closed at its next yield."""
         if getgeneratorstate(self.coroutine) is GEN_RUNNING:
             self.stopped = True
         elif not self.ended:
@@ -57,7 +59,7 @@
 
 
 class Loop:
-    """Runs the tasks and sweeps the deadlines, turn by turn."""
+    """Runs the tasks and the due timers, one iteration after the other."""
 
     def __init__(self, deadlines: Timers) -> None:
         self.epoll = select.epoll()
@@ -66,12 +68,14 @@
         self.woken: deque[Task] = deque()
         self.running = True
         self.turns = 0
-        self.first: select.epoll | None = None  # what comes first in each turn; made for the first such task
+        self.first: select.epoll | None = (
+            None  # polled first in each iteration; created for the first priority task
+        )
 
     def spawn(self, coroutine: Coroutine, sock: socket.socket, first: bool = False) -> Task:
-        """Start a coroutine that owns a socket, and run it to where it first waits.
+        """Start a coroutine that owns a socket, and run it to its first yield.
 
-        With `first` its events come before all others of a turn.
+        With `first`, its events are handled before all others of an iteration.
         """
         epoll = self.epoll
         if first:
@@ -96,7 +100,7 @@
             mask = next(task.coroutine) if events is None else task.coroutine.send(events)
         except StopIteration:
             self.end(task)
-        except Exception:  # a fault costs the connection on which it showed, and no other
+        except Exception:  # an error ends only the connection on which it occurred
             fault(log, "coroutine_failed", "a coroutine failed")
             self.end(task)
         else:
@@ -107,7 +111,7 @@
                 task.epoll.modify(task.fd, mask)
 
     def turn(self) -> None:
-        """Wait for news, resume whom it concerns, then sweep the deadlines."""
+        """Poll for events, resume their tasks, then run the due timers."""
         self.turns += 1
         due = self.deadlines.next()
         wait = LONGEST_WAIT if due is None else min(max(due - clock(), 0.0), LONGEST_WAIT)
--- a/brackenusher/runtime/metrics.py
+++ b/brackenusher/runtime/metrics.py
@@ -1,8 +1,7 @@
-"""Figures of a process in the text format of Prometheus: counters, gauges and histograms. No I/O here.
+"""Metrics of a process in the Prometheus text format: counters, gauges and histograms. No I/O here.
 
-An own small implementation: importing prometheus-client takes 90 ms or more, which every start on a small
-machine would pay. Each figure has a bounded number of series: values of labels beyond it are counted as
-"other".
+Importing prometheus-client takes 90 ms or more, which would slow down every start on a small machine. Each
+metric has a bounded number of series; label values beyond it are counted as "other".
 """
 
 import threading
@@ -11,7 +10,7 @@
 from typing import Any, Generic, TypeVar
 
 CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
-MAX_SERIES = 64  # of one figure
+MAX_SERIES = 64  # per metric
 OTHER = "other"
 SECONDS_BUCKETS = (0.001, 0.0025, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5, 5.0, 10.0)
 
@@ -19,7 +18,7 @@
 
 
 class Counter:
-    """One series that only rises."""
+    """A series that only increases."""
 
     __slots__ = ("value", "_lock")
 
@@ -27,17 +26,17 @@
         self.value, self._lock = 0.0, lock
 
     def inc(self, amount: float = 1.0) -> None:
-        """Add an amount of 0 or more."""
+        """Add a non-negative amount."""
         with self._lock:
             self.value += amount
 
     def samples(self) -> Iterator[tuple[str, str, float]]:
-        """Suffix of the name, further label, value."""
+        """Name suffix, additional label and value of each sample."""
         yield "", "", self.value
 
 
 class Gauge:
-    """One series that goes up and down; may be read from a function at the time it is asked for."""
+    """A series that goes up and down; its value may come from a function called at each scrape."""
 
     __slots__ = ("value", "read", "_lock")
 
@@ -51,18 +50,18 @@
             self.value = value
 
     def samples(self) -> Iterator[tuple[str, str, float]]:
-        """Suffix of the name, further label, value."""
+        """Name suffix, additional label and value of each sample."""
         yield "", "", self.value if self.read is None else float(self.read())
 
 
 class Histogram:
-    """One series that counts observations by buckets."""
+    """A series that counts observations in buckets."""
 
     __slots__ = ("bounds", "counts", "total", "_lock")
 
     def __init__(self, lock: threading.Lock, bounds: Sequence[float]) -> None:
         self.bounds, self._lock = tuple(bounds), lock
-        self.counts = [0] * (len(self.bounds) + 1)  # the last: above all bounds
+        self.counts = [0] * (len(self.bounds) + 1)  # the last one: above all bounds
         self.total = 0.0
 
     def observe(self, value: float) -> None:
@@ -73,7 +72,7 @@
             self.total += value
 
     def samples(self) -> Iterator[tuple[str, str, float]]:
-        """Suffix of the name, further label, value; the buckets are cumulative."""
+        """Name suffix, additional label and value of each sample; buckets are cumulative."""
         with self._lock:
             counts, total = list(self.counts), self.total
         count = 0
@@ -89,17 +88,17 @@
 
 
 class Figure(Generic[AnySeries]):
-    """All series of one name; hold on to what `labels` gives where it is used often."""
+    """A metric and its series; keep the result of `labels` where it is used often."""
 
     def __init__(self, name: str, help_text: str, names: LabelValues, make: Callable[[], AnySeries]) -> None:
         self.name, self.help_text, self.names = name, help_text, names
         self._make: Callable[[], AnySeries] = make
         self._series: dict[LabelValues, AnySeries] = {}
         if not names:
-            self._series[()] = make()  # told as 0 from the start
+            self._series[()] = make()  # exported as 0 from the start
 
     def labels(self, *values: str) -> AnySeries:
-        """The series of these label values; those of "other" where there are too many already."""
+        """The series of these label values, or of "other" once there are too many."""
         if len(values) != len(self.names):
             raise ValueError(f"{self.name} has the labels {self.names}, not {values}")
         series = self._series.get(values)
@@ -110,12 +109,12 @@
         return self._series.setdefault(values, self._make())
 
     def series(self) -> list[tuple[LabelValues, AnySeries]]:
-        """All series as they stand."""
+        """The current series."""
         return list(self._series.items())
 
 
 class Readings:
-    """A figure with one label that is read from a function at the time it is asked for."""
+    """A metric with one label whose series come from a function called at each scrape."""
 
     def __init__(
         self, name: str, help_text: str, names: LabelValues, read: Callable[[], Mapping[str, float]]
@@ -123,7 +122,7 @@
         self.name, self.help_text, self.names, self.read = name, help_text, names, read
 
     def series(self) -> list[tuple[LabelValues, Gauge]]:
-        """All series as they stand, by name; of many, those beyond the bound are added up."""
+        """The current series in order of label value; those beyond the bound are summed as "other"."""
         values = sorted(self.read().items())
         series: list[tuple[LabelValues, Gauge]] = []
         for name, value in values[:MAX_SERIES]:
@@ -135,7 +134,7 @@
 
 
 class Metrics:
-    """The figures of one process, by name. Making a figure again gives the one that is there."""
+    """The registry of one process. Registering a metric again returns the existing one."""
 
     def __init__(self, prefix: str = "brackenusher_") -> None:
         self.prefix = prefix
@@ -143,36 +142,36 @@
         self._figures: dict[str, tuple[str, Figure[Any] | Readings]] = {}
 
     def counter(self, name: str, help_text: str, *labels: str) -> Figure[Counter]:
-        """A figure that only rises; its name ends in _total."""
+        """Register a counter; its name ends in _total."""
         return self._figure("counter", name, help_text, labels, lambda: Counter(self._lock))
 
     def gauge(self, name: str, help_text: str, *labels: str) -> Figure[Gauge]:
-        """A figure that goes up and down."""
+        """Register a gauge."""
         return self._figure("gauge", name, help_text, labels, lambda: Gauge(self._lock))
 
     def gauge_function(self, name: str, help_text: str, read: Callable[[], float]) -> None:
-        """A figure without labels that is read at the time it is asked for."""
+        """Register a gauge without labels whose value is read at each scrape."""
         self.gauge(name, help_text).labels().read = read
 
     def counter_function(self, name: str, help_text: str, read: Callable[[], float]) -> None:
-        """A figure without labels that only rises, read at the time it is asked for."""
+        """Register a counter without labels whose value is read at each scrape."""
         self._figure("counter", name, help_text, (), lambda: Gauge(self._lock)).labels().read = read
 
     def histogram(
         self, name: str, help_text: str, *labels: str, bounds: Sequence[float] = SECONDS_BUCKETS
     ) -> Figure[Histogram]:
-        """A figure that counts observations by buckets, of seconds if not said otherwise."""
+        """Register a histogram; the default buckets are in seconds."""
         return self._figure("histogram", name, help_text, labels, lambda: Histogram(self._lock, bounds))
 
     def readings(
         self, kind: str, name: str, help_text: str, label: str, read: Callable[[], Mapping[str, float]]
     ) -> None:
-        """A figure of the kind "counter" or "gauge" whose series are read at the time it is asked for.
+        """Register a "counter" or "gauge" with one label whose series are read at each scrape.
 
-        The keys of the mapping are the values of the label; of many, those beyond the bound are added up.
+        The keys of the mapping are the label values; series beyond the bound are summed as "other".
         """
         if name in self._figures:
-            raise ValueError(f"the figure {name} is there already")
+            raise ValueError(f"metric {name} is registered already")
         self._figures[name] = (kind, Readings(name, help_text, (label,), read))
 
     def _figure(
@@ -184,15 +183,15 @@
             self._figures[name] = (kind, figure)
             return figure
         if present[0] != kind or present[1].names != labels or not isinstance(present[1], Figure):
-            raise ValueError(f"the figure {name} is there already, of another kind or with other labels")
+            raise ValueError(f"metric {name} is registered already with another type or other labels")
         return present[1]
 
     def names(self) -> list[str]:
-        """The names of all figures, without the prefix."""
+        """The names of all metrics, without the prefix."""
         return list(self._figures)
 
     def render(self) -> bytes:
-        """All figures in the text format, version 0.0.4."""
+        """All metrics in the text format, version 0.0.4."""
         lines: list[str] = []
         for kind, figure in self._figures.values():
             name = self.prefix + figure.name
--- a/brackenusher/runtime/outlet.py
+++ b/brackenusher/runtime/outlet.py
@@ -1,7 +1,8 @@
-"""The one way out for lines: a bounded outlet whose only thread writes, so that the loop never waits.
+"""Asynchronous writing of lines: one thread writes from bounded queues, so that the event loop never blocks.
 
-Epoll cannot watch a regular file, and standard error is shared with others who must not find it non-blocking.
-What is full drops and counts. Only the loop's thread puts lines in; each counter is changed by one thread.
+Epoll cannot watch regular files, and standard error is shared with processes that expect it to block. A full
+queue drops lines and counts them. Only the event loop's thread adds lines; each counter is changed by one
+thread only.
 """
 
 import logging
@@ -13,13 +14,13 @@
 
 from brackenusher.runtime.timers import Entry, Timers
 
-PIECE = 4096  # a pipe takes so much in one go or not at all: no line is cut, or mixed with somebody else's
-BATCH = 32 * 1024  # handed over at once
-SPAN = 100.0  # milliseconds that a line waits for others at most
-LAST_SPAN = 0.3  # seconds that the program's end waits for what is not written yet
+PIECE = 4096  # PIPE_BUF: writes up to this size are atomic, so that no line is split or interleaved
+BATCH = 32 * 1024  # passed to the writer without delay
+SPAN = 100.0  # milliseconds that a line may wait to be batched
+LAST_SPAN = 0.3  # seconds that shutdown waits for unwritten lines
 LOG_ROOM = 64 * 1024
 
-# takes whole lines in pieces; raises where none can be written, or returns how many could not
+# Takes chunks of whole lines; raises if none could be written, or returns how many could not.
 Write = Callable[[list[bytes]], int | None]
 
 
@@ -29,22 +30,26 @@
 
 
 def to_stderr(pieces: list[bytes]) -> None:
-    if sys.stderr is None:  # closed from the start: the number may be anybody's now
+    if sys.stderr is None:  # closed at start: descriptor 2 may be another file by now
         raise OSError("no standard error")
     for piece in pieces:
         write_whole(2, piece)
 
 
 class Channel:
-    """A bounded share of the outlet, toward one target."""
+    """A bounded queue of lines for one target."""
 
     def __init__(self, outlet: "Outlet", write: Write, room: int, piece: int = PIECE) -> None:
         self.outlet, self.write, self.room, self.piece = outlet, write, room, piece
         self.pieces: list[bytearray] = []
         self.size, self.count = 0, 0
         self.limit: Entry | None = None
-        self.taken = self.refused = 0  # bytes, and items for which there was no room: the loop's thread
-        self.done = self.failed = 0  # bytes, and items that could not be written: the writer's
+        self.taken = self.refused = (
+            0  # bytes queued, and items dropped as the queue was full; changed by the loop's thread
+        )
+        self.done = self.failed = (
+            0  # bytes written, and items that could not be; changed by the writer's thread
+        )
 
     @property
     def dropped(self) -> int:
@@ -54,7 +59,7 @@
         return self.size + self.taken - self.done + size <= self.room
 
     def put(self, lines: bytes) -> bool:
-        """Take whole lines as one item; False, and counted, where there is no room."""
+        """Queue whole lines as one item; False, and counted, if they do not fit."""
         if not self.fits(len(lines)):
             self.refused += 1
             return False
@@ -71,7 +76,7 @@
         return True
 
     def flush(self, before: Callable[[], None] | None = None) -> None:
-        """Hand over what is here; `before` is called by the writer ahead of what comes after it."""
+        """Pass the queued lines to the writer, which then calls `before` ahead of any later lines."""
         self.outlet.deadlines.remove(self.limit)
         self.limit = None
         if self.pieces:
@@ -83,7 +88,7 @@
 
 
 class Outlet:
-    """Serves standard error and files with one daemon thread."""
+    """Writes to standard error and files from one daemon thread."""
 
     def __init__(self, deadlines: Timers, clock: Callable[[], float]) -> None:
         self.deadlines, self.clock = deadlines, clock
@@ -92,7 +97,7 @@
         self.ended = threading.Event()
 
     def channel(self, write: Write, room: int, piece: int = PIECE) -> Channel:
-        """Open a channel; the first one starts the thread."""
+        """Open a channel; the first one starts the writer thread."""
         if not self.channels:
             threading.Thread(target=self.run, name="outlet", daemon=True).start()
         channel = Channel(self, write, room, piece)
@@ -104,13 +109,13 @@
             channel, write, pieces, size, count = item
             try:
                 channel.failed += write(pieces) or 0
-            except Exception:  # whatever it was, the next batch has its own chance
+            except Exception:  # a failed batch must not stop the writer
                 channel.failed += count
             channel.done += size
         self.ended.set()
 
     def close(self) -> None:
-        """Have the rest written, but wait no longer than a moment: a reader may be stuck."""
+        """Write the remaining lines; gives up after a short time, as the reader of a pipe may be stuck."""
         if self.channels:
             for channel in self.channels:
                 channel.flush()
@@ -118,7 +123,7 @@
             self.ended.wait(LAST_SPAN)
 
     def take_log(self) -> None:
-        """Lead the log through here: beside what else fills standard error it could block the loop."""
+        """Write the log through a channel if standard error has one: a direct write could block the loop."""
         if any(channel.write is to_stderr for channel in self.channels):
             root = logging.getLogger()
             handler = LogHandler(self.channel(to_stderr, LOG_ROOM))
@@ -129,7 +134,7 @@
 
 
 class LogHandler(logging.Handler):
-    """Puts the log's lines into a channel."""
+    """Writes log lines to a channel."""
 
     def __init__(self, channel: Channel) -> None:
         super().__init__()
--- a/brackenusher/runtime/points.py
+++ b/brackenusher/runtime/points.py
@@ -1,6 +1,6 @@
-"""Named points in the code at which the testbed may end the process, or have its disk fail.
+"""Failpoints: named places in the code where the testbed can kill the process or make its disk fail.
 
-The environment variable names a file; its lines are `kill NAME`, `disk full` and `disk slow SECONDS`.
+BRACKENUSHER_POINTS names a file whose lines are `kill NAME`, `disk full` or `disk slow SECONDS`.
 """
 
 import os
@@ -19,13 +19,13 @@
 
 
 def reach(name: str) -> None:
-    """The process has come to a point of this name."""
+    """Kill the process if the failpoint of this name is armed."""
     if SCRIPT and ["kill", name] in lines():
         os.kill(os.getpid(), signal.SIGKILL)
 
 
 def disk() -> None:
-    """Something is about to be made durable. Raises OSError where the disk is to be full."""
+    """Called before each write to disk: delays it, or raises OSError if the disk is to be full."""
     if not SCRIPT:
         return
     for line in lines():
--- a/brackenusher/runtime/process_metrics.py
+++ b/brackenusher/runtime/process_metrics.py
@@ -1,4 +1,4 @@
-"""Figures that every process has: what it uses of its machine."""
+"""Metrics of every process: processor time and memory."""
 
 import resource
 import time
@@ -7,18 +7,18 @@
 from brackenusher.runtime.metrics import Metrics
 
 PAGE_BYTES = resource.getpagesize()
-MEMORY_FILE = Path("/proc/self/statm")  # pages: in all, resident, ...
+MEMORY_FILE = Path("/proc/self/statm")  # in pages: total, resident, ...
 
 
 def add_process_metrics(metrics: Metrics) -> None:
-    """Add processor time and memory."""
+    """Register metrics of processor time and memory."""
     metrics.counter_function("process_cpu_seconds_total", "Processor time used.", time.process_time)
     metrics.gauge_function("process_resident_memory_bytes", "Memory in use.", resident_bytes)
     metrics.gauge_function("process_peak_memory_bytes", "Most memory in use at once.", peak_bytes)
 
 
 def resident_bytes() -> float:
-    """The memory in use; 0 where the system does not say."""
+    """Resident memory; 0 if the system does not report it."""
     try:
         return float(MEMORY_FILE.read_text(encoding="ascii").split()[1]) * PAGE_BYTES
     except (OSError, ValueError, IndexError):
@@ -26,5 +26,5 @@
 
 
 def peak_bytes() -> float:
-    """The most memory that was in use at once; not less than now, as the kernel notes its figure late."""
+    """Peak resident memory; at least the current value, as the kernel updates its maximum late."""
     return max(resource.getrusage(resource.RUSAGE_SELF).ru_maxrss * 1024.0, resident_bytes())
--- a/brackenusher/runtime/request_journal.py
+++ b/brackenusher/runtime/request_journal.py
@@ -1,19 +1,19 @@
-"""What became of the newest requests, for `explain`: a bounded memory of short events, by the client's id.
+"""Recent requests and their events for `explain`, by request id; bounded and kept in memory only.
 
-Cheap enough for the ordinary path: one look-up and one append an event. Nothing is written anywhere.
+Cheap enough for the request path: one look-up and one append per event.
 """
 
 from collections.abc import Callable
 
-MAX_REQUESTS = 1000  # the oldest give way; about 1 KB each
-MAX_EVENTS = 24  # of one request; further ones are only counted
+MAX_REQUESTS = 1000  # the oldest are evicted; about 1 KB each
+MAX_EVENTS = 24  # per request; further ones are only counted
 EXPLAIN = "explain:"
 
 Event = tuple[float, str, tuple[object, ...]]
 
 
 class RequestJournal:
-    """Events of requests. Times are seconds of the clock that is handed in."""
+    """Events of requests. `clock` returns seconds."""
 
     def __init__(self, clock: Callable[[], float], max_requests: int = MAX_REQUESTS) -> None:
         self._clock = clock
@@ -22,7 +22,7 @@
         self._left_out: dict[str, int] = {}
 
     def note(self, request_id: str, event: str, *details: object) -> None:
-        """Remember an event of a request, as "arrived", "sent", "refused", with details as they are."""
+        """Record an event such as "arrived", "sent" or "refused", with its details."""
         events = self._events.get(request_id)
         if events is None:
             events = self._events[request_id] = []
@@ -36,7 +36,7 @@
             self._left_out[request_id] = self._left_out.get(request_id, 0) + 1
 
     def explain(self, request_id: str) -> list[dict[str, object]] | None:
-        """The events of a request, in milliseconds after the first; None where it is not known."""
+        """The events of a request, in milliseconds after the first; None if it is unknown."""
         events = self._events.get(request_id)
         if not events:
             return None
@@ -55,5 +55,5 @@
         return rows
 
     def tell(self, topic: str) -> object | None:
-        """Answers the topic explain:REQUEST-ID; for a StatusResponder."""
+        """The status document of the topic explain:REQUEST-ID; for a StatusResponder."""
         return self.explain(topic.removeprefix(EXPLAIN)) if topic.startswith(EXPLAIN) else None
--- a/brackenusher/runtime/timers.py
+++ b/brackenusher/runtime/timers.py
@@ -1,13 +1,13 @@
-"""What the runtime asks of whatever keeps the time limits; `core.deadlines` is the one that serves."""
+"""The interface of timers that the runtime needs; `core.deadlines` implements it."""
 
 from collections.abc import Callable
 from typing import Protocol
 
-Entry = tuple[float, int, Callable[[], None]]  # when in milliseconds, a number that breaks ties, what to call
+Entry = tuple[float, int, Callable[[], None]]  # due time in milliseconds, tie breaker, callback
 
 
 class Timers(Protocol):
-    """Calls actions at their times, in milliseconds of the loop's clock."""
+    """Calls actions when they are due, in milliseconds of the loop's clock."""
 
     def add(self, when: float, action: Callable[[], None]) -> Entry: ...
     def remove(self, entry: Entry | None) -> None: ...
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -63,7 +63,9 @@
         rests = [re.sub(line, "", text) for text in logged[form]]
         assert all(re.match(line, text) for text in logged[form])
         assert re.fullmatch(r"n0 serves on 127\.0\.0\.1:\d+", rests[0])
-        assert rests[1].startswith("reload: left as it was: ") and rests[2].startswith("stopping: killed in ")
+        assert rests[1].startswith("reload: kept the old configuration: ") and rests[2].startswith(
+            "stopping: killed in "
+        )
         assert all(
             re.match(r"(closing|ended) \d+ ms after the signal: 0 taken", rest) for rest in rests[3:-2]
         )
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -119,7 +119,7 @@
         for text in ("{broken", json.dumps(config | {"discovery": agent.address})):
             path.write_text(text, encoding="utf-8")
             program.process.send_signal(signal.SIGHUP)
-            until(lambda: "reload: left as it was" in program.log, "the complaint")
+            until(lambda: "reload: kept the old configuration" in program.log, "the complaint")
             assert program.ask(read_request())[0] == 200
         until(lambda: agent.watchers, "the new watch")
         assert program.agent.watchers[0].recv(1) == b"" and "discovery: silent" not in program.log
