--- a/brackenusher/daemon.py
+++ b/brackenusher/daemon.py
@@ -248,7 +248,7 @@
             answered=tuple(each.answered for each in looking),
             turned_away=tuple(each.turned_away for each in (self.capture, self.figures, self.tally) if each),
         )
-        self.outlet.take_log()
+        self.outlet.redirect_log()
 
     def run(self) -> int:
         """Serve until SIGTERM or SIGINT, then shut down gracefully."""
--- a/brackenusher/records/capture.py
+++ b/brackenusher/records/capture.py
@@ -23,7 +23,7 @@
 from brackenusher.core.admission import Request
 from brackenusher.core.message import Message
 from brackenusher.core.transaction import Answer, Failed, Refused, Served, Transaction
-from brackenusher.runtime.outlet import Outlet, to_stderr, write_whole
+from brackenusher.runtime.outlet import Outlet, write_all, write_stderr
 
 ROOM = 256 * 1024  # bytes waiting to be written
 MOST_OPEN = 1000  # requests whose line is not written yet
@@ -116,7 +116,7 @@
         """Write whole lines; truncates the file to its former size if they cannot be written in full."""
         end = os.fstat(self.fd).st_size
         try:
-            write_whole(self.fd, b"".join(pieces))
+            write_all(self.fd, b"".join(pieces))
         except OSError:
             os.ftruncate(self.fd, end)
             os.lseek(self.fd, end, os.SEEK_SET)
@@ -192,7 +192,7 @@
             [quote(c.name, safe="") for c in config.settings.classes],
         )
         self.ring = Ring(settings) if settings.folder else None
-        self.channel = outlet.channel(self.ring.write if self.ring else to_stderr, ROOM)
+        self.channel = outlet.channel(self.ring.write if self.ring else write_stderr, ROOM)
         self.most = settings.file_kb * 1024 if self.ring else 0
         self.base = {"capture": FORM, "version": __version__, "module": module_digest()}
         self.tail = {"seed": f"{config.seed:x}", "began": repr(began), "settings": config.worded}
--- a/brackenusher/records/figures.py
+++ b/brackenusher/records/figures.py
@@ -14,8 +14,8 @@
 from brackenusher.config.operators import FiguresSettings
 from brackenusher.core.admission import Request
 from brackenusher.core.transaction import Answer, Refused, Served, Transaction
-from brackenusher.runtime.driver import Address, open_datagrams
-from brackenusher.runtime.outlet import Channel, Outlet, to_stderr, write_whole
+from brackenusher.runtime.driver import Address, open_udp_socket
+from brackenusher.runtime.outlet import Channel, Outlet, write_all, write_stderr
 from brackenusher.runtime.timers import Timers
 
 ROOM = 96 * 1024  # bytes waiting to be written
@@ -72,7 +72,7 @@
 
     def send(self, batch: bytes) -> None:
         if self.sock is None:
-            self.sock = open_datagrams(self.address)
+            self.sock = open_udp_socket(self.address)
         self.sock.send(batch)
 
 
@@ -95,7 +95,7 @@
     def append(fd: int, piece: bytes) -> bool:
         end = os.fstat(fd).st_size
         try:
-            write_whole(fd, piece)
+            write_all(fd, piece)
         except OSError:
             if os.fstat(fd).st_size > end:  # remove the truncated line
                 os.ftruncate(fd, end)
@@ -121,9 +121,9 @@
         if isinstance(settings.target, tuple):
             self.sink: Datagrams | Channel = Datagrams(settings.target)
         else:
-            write = to_stderr if settings.target is None else Appended(settings.target).write
+            write = write_stderr if settings.target is None else Appended(settings.target).write
             self.sink = outlet.channel(
-                write, ROOM, piece=0
+                write, ROOM, chunk_bytes=0
             )  # chunks are not merged: a batch is the unit of drops
         self.requests: Counter[Tags] = Counter()
         self.refused: Counter[Tags] = Counter()
--- a/brackenusher/runtime/buffers.py
+++ b/brackenusher/runtime/buffers.py
@@ -3,22 +3,22 @@
 import socket
 from collections.abc import Callable
 
-SIZE = 16 * 1024
-KEPT = 32  # each buffer is released before the next is acquired, so more are never in use
+BUFFER_BYTES = 16 * 1024
+MAX_FREE_BUFFERS = 32  # each buffer is released before the next is acquired, so more are never in use
 
 
 class Buffers:
     """A free list of receive buffers."""
 
-    def __init__(self, size: int = SIZE) -> None:
+    def __init__(self, size: int = BUFFER_BYTES) -> None:
         self.size = size
         self.free: list[bytearray] = []
 
-    def take(self) -> bytearray:
+    def acquire(self) -> bytearray:
         return self.free.pop() if self.free else bytearray(self.size)
 
-    def give(self, buffer: bytearray) -> None:
-        if len(self.free) < KEPT:
+    def release(self, buffer: bytearray) -> None:
+        if len(self.free) < MAX_FREE_BUFFERS:
             self.free.append(buffer)
 
     def receive(self, sock: socket.socket, sink: Callable[[memoryview], object]) -> int:
@@ -26,11 +26,11 @@
 
         `sink` must copy what it needs before it returns. At end of stream it is called with no bytes.
         """
-        buffer = self.take()
+        buffer = self.acquire()
         try:
             size = sock.recv_into(buffer)
-            with memoryview(buffer) as view, view[:size] as part:
-                sink(part)
+            with memoryview(buffer) as view, view[:size] as chunk:
+                sink(chunk)
             return size
         finally:
-            self.give(buffer)
+            self.release(buffer)
--- a/brackenusher/runtime/driver.py
+++ b/brackenusher/runtime/driver.py
@@ -24,12 +24,12 @@
     return sock, code == 0
 
 
-def open_listener(address: Address, backlog: int, shared: bool = False) -> socket.socket:
+def open_listener(address: Address, backlog: int, reuse_port: bool = False) -> socket.socket:
     """A non-blocking listening socket; with `shared`, SO_REUSEPORT lets another process listen there too."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK | socket.SOCK_CLOEXEC)
     try:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
-        if shared:
+        if reuse_port:
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEPORT, 1)
         sock.bind(address)
         sock.listen(backlog)
@@ -39,7 +39,7 @@
     return sock
 
 
-def open_datagrams(address: Address) -> socket.socket:
+def open_udp_socket(address: Address) -> socket.socket:
     """A non-blocking UDP socket connected to one address."""
     family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
     sock = socket.socket(family, socket.SOCK_DGRAM | socket.SOCK_NONBLOCK | socket.SOCK_CLOEXEC)
--- a/brackenusher/runtime/fleet_log.py
+++ b/brackenusher/runtime/fleet_log.py
@@ -14,12 +14,12 @@
 from pathlib import PurePath
 from types import TracebackType
 
-BURST = 20  # lines per event
+BURST_LINES = 20  # per event
 LINES_PER_S = 1.0  # per event, after the burst
-MAX_EVENTS = 256  # each with a limit of its own; all others share one
-LONGEST_VALUE = 300  # characters
-FRAMES_SHOWN = 6  # innermost frames of a traceback
-OTHER = "(other)"
+MAX_TRACKED_EVENTS = 256  # each with a limit of its own; all others share one
+MAX_VALUE_CHARACTERS = 300
+MAX_TRACE_FRAMES = 6  # innermost frames of a traceback
+OTHER_EVENTS = "(other)"
 LEVELS = ("debug", "info", "warning", "error")
 
 _TEMPLATE = re.compile(
@@ -37,7 +37,7 @@
     flags.FLAGS.mark_as_parsed()  # absl's own flags are not used: all keep their defaults
     handler = absl_logging.get_absl_handler().python_handler
     handler.setFormatter(EventFormatter(role))
-    handler.addFilter(RateBound())
+    handler.addFilter(RateLimitFilter())
     absl_logging.use_absl_handler()
     absl_logging.set_verbosity(level)
 
@@ -56,7 +56,7 @@
             ("level", record.levelname.lower()),
             ("role", self.role),
             ("module", record.name.removeprefix("brackenusher.")),
-            *fields_of(record),
+            *event_fields(record),
         ]
         suppressed = getattr(record, "suppressed", 0)
         if suppressed:
@@ -68,7 +68,7 @@
         return " ".join(f"{key}={quote(value)}" for key, value in fields)
 
 
-def fields_of(record: logging.LogRecord) -> list[tuple[str, object]]:
+def event_fields(record: logging.LogRecord) -> list[tuple[str, object]]:
     """The event and fields of a record; a message without the usual form becomes the event as a whole."""
     template, arguments = str(record.msg), record.args
     match = _TEMPLATE.fullmatch(template)
@@ -82,8 +82,8 @@
 def quote(value: object) -> str:
     """A value as one token: truncated if too long, quoted and escaped if it is not plain."""
     text = str(value)
-    if len(text) > LONGEST_VALUE:
-        text = text[:LONGEST_VALUE] + "..."
+    if len(text) > MAX_VALUE_CHARACTERS:
+        text = text[:MAX_VALUE_CHARACTERS] + "..."
     if _PLAIN.fullmatch(text):
         return text
     escaped = text.replace("\\", "\\\\").replace('"', '\\"')
@@ -105,45 +105,45 @@
         name = PurePath(traceback.tb_frame.f_code.co_filename).name
         frames.append(f"{name}:{traceback.tb_lineno}")
         traceback = traceback.tb_next
-    return "<".join(reversed(frames[-FRAMES_SHOWN:]))
+    return "<".join(reversed(frames[-MAX_TRACE_FRAMES:]))
 
 
-class _Allowance:
+class _TokenBucket:
     """Token bucket of one event."""
 
-    __slots__ = ("left", "at", "suppressed")
+    __slots__ = ("tokens", "refilled_at", "suppressed")
 
     def __init__(self, now: float) -> None:
-        self.left, self.at, self.suppressed = float(BURST), now, 0
+        self.tokens, self.refilled_at, self.suppressed = float(BURST_LINES), now, 0
 
     def take(self, now: float) -> bool:
-        self.left = min(float(BURST), self.left + (now - self.at) * LINES_PER_S)
-        self.at = now
-        if self.left < 1.0:
+        self.tokens = min(float(BURST_LINES), self.tokens + (now - self.refilled_at) * LINES_PER_S)
+        self.refilled_at = now
+        if self.tokens < 1.0:
             self.suppressed += 1
             return False
-        self.left -= 1.0
+        self.tokens -= 1.0
         return True
 
 
-class RateBound(logging.Filter):
+class RateLimitFilter(logging.Filter):
     """Rate limits each event; its next line carries the number of suppressed ones."""
 
     def __init__(self, clock: Callable[[], float] = time.monotonic) -> None:
         super().__init__()
         self.clock = clock
-        self._allowances: dict[str, _Allowance] = {}
+        self._buckets: dict[str, _TokenBucket] = {}
 
     def filter(self, record: logging.LogRecord) -> bool:
         """Whether to write this record."""
         now = self.clock()
         key = f"{record.name} {record.msg}"
-        if key not in self._allowances and len(self._allowances) >= MAX_EVENTS:
-            key = OTHER
-        allowance = self._allowances.get(key)
-        if allowance is None:
-            allowance = self._allowances[key] = _Allowance(now)
-        if not allowance.take(now):
+        if key not in self._buckets and len(self._buckets) >= MAX_TRACKED_EVENTS:
+            key = OTHER_EVENTS
+        bucket = self._buckets.get(key)
+        if bucket is None:
+            bucket = self._buckets[key] = _TokenBucket(now)
+        if not bucket.take(now):
             return False
-        record.suppressed, allowance.suppressed = allowance.suppressed, 0
+        record.suppressed, bucket.suppressed = bucket.suppressed, 0
         return True
--- a/brackenusher/runtime/log.py
+++ b/brackenusher/runtime/log.py
@@ -10,8 +10,8 @@
 
 FORMATS = ("text", "logfmt", "json")
 TEXT = "%(asctime)s %(levelname)s %(name)s: %(message)s"
-LONGEST = 1000  # characters of a field: bounds what clients and peers can add to the log
-UNNAMED = "note"  # event of records logged by libraries, which have none
+MAX_FIELD_CHARACTERS = 1000  # bounds what clients and peers can add to the log
+UNNAMED_EVENT = "note"  # event of records logged by libraries, which have none
 
 
 class LogFormatError(ValueError):
@@ -34,37 +34,43 @@
         log.log(logging.ERROR, text, *arguments, exc_info=True, extra={"event": event}, stacklevel=2)
 
 
-def plain(value: object) -> Any:
+def field_value(value: object) -> Any:
     if isinstance(value, bool | int | float) or value is None:
         return value
-    return str(value)[:LONGEST]
+    return str(value)[:MAX_FIELD_CHARACTERS]
 
 
-def take_form(form: str) -> None:
+def take_form(log_format: str) -> None:
     """Write all records in this format from now on. Raises LogFormatError if structlog is missing."""
-    if form == "text":
+    if log_format == "text":
         return
     try:
         from structlog import processors, stdlib
     except ImportError as error:
-        raise LogFormatError(f"{form} needs structlog: pip install 'brackenusher[log]'") from error
+        raise LogFormatError(f"{log_format} needs structlog: pip install 'brackenusher[log]'") from error
 
-    def word(_: Any, __: str, given: MutableMapping[str, Any]) -> MutableMapping[str, Any]:
-        record: logging.LogRecord = given["_record"]
-        event, fields = getattr(record, "event", None), given["positional_args"]
+    def build_line(_: Any, __: str, event_dict: MutableMapping[str, Any]) -> MutableMapping[str, Any]:
+        record: logging.LogRecord = event_dict["_record"]
+        event, fields = getattr(record, "event", None), event_dict["positional_args"]
         if event is None:  # logged by a library
-            event, fields = UNNAMED, {"text": given["event"]}
-        line = {"timestamp": given["timestamp"], "level": record.levelname.lower(), "logger": record.name}
+            event, fields = UNNAMED_EVENT, {"text": event_dict["event"]}
+        line = {
+            "timestamp": event_dict["timestamp"],
+            "level": record.levelname.lower(),
+            "logger": record.name,
+        }
         line["event"] = event
-        line |= {name: plain(value) for name, value in fields.items()} if fields else {}
-        if "exception" in given:
-            line["exception"] = given["exception"]
+        line |= {name: field_value(value) for name, value in fields.items()} if fields else {}
+        if "exception" in event_dict:
+            line["exception"] = event_dict["exception"]
         return line
 
-    render = processors.JSONRenderer() if form == "json" else processors.LogfmtRenderer(bool_as_flag=False)
+    render = (
+        processors.JSONRenderer() if log_format == "json" else processors.LogfmtRenderer(bool_as_flag=False)
+    )
     formatter = stdlib.ProcessorFormatter(
         foreign_pre_chain=[processors.TimeStamper(fmt="iso", utc=True), processors.format_exc_info],
-        processors=[word, render],
+        processors=[build_line, render],
         pass_foreign_args=True,
     )
     for handler in logging.getLogger().handlers:
--- a/brackenusher/runtime/loop.py
+++ b/brackenusher/runtime/loop.py
@@ -19,8 +19,8 @@
 
 READ, WRITE = select.EPOLLIN, select.EPOLLOUT
 HANGUP = select.EPOLLRDHUP
-LONGEST_WAIT = 1000.0  # milliseconds
-MOST_EVENTS = 64  # per iteration, so that priority tasks are polled every few milliseconds
+MAX_WAIT_MS = 1000.0
+MAX_EVENTS_PER_ITERATION = 64  # per iteration, so that priority tasks are polled every few milliseconds
 
 Coroutine = Generator[int, int, None]
 
@@ -33,21 +33,31 @@
 class Task:
     """A running coroutine with its socket."""
 
-    __slots__ = ("loop", "epoll", "coroutine", "sock", "fd", "mask", "woken", "stopped", "ended", "since")
+    __slots__ = (
+        "loop",
+        "epoll",
+        "coroutine",
+        "sock",
+        "fd",
+        "mask",
+        "woken",
+        "stopped",
+        "ended",
+        "spawned_in",
+    )
 
     def __init__(self, loop: "Loop", coroutine: Coroutine, sock: socket.socket, epoll: select.epoll) -> None:
         self.loop, self.coroutine, self.sock, self.fd = loop, coroutine, sock, sock.fileno()
         self.epoll = epoll  # where the socket is registered
-        self.since = (
-            loop.turns
-        )  # events polled in this iteration belong to an earlier socket with the same descriptor
+        # Events polled in this iteration belong to an earlier socket with the same descriptor.
+        self.spawned_in = loop.iterations
         self.mask, self.woken, self.stopped, self.ended = 0, False, False, False
 
     def wake(self) -> None:
         """Resume the coroutine in this iteration although its socket has no events."""
         if not self.woken and not self.ended:
             self.woken = True
-            self.loop.woken.append(self)
+            self.loop.woken_tasks.append(self)
 
     def stop(self) -> None:
         """Close the coroutine where it waits; one that is running is closed at its next yield."""
@@ -55,7 +65,7 @@
             self.stopped = True
         elif not self.ended:
             self.coroutine.close()
-            self.loop.end(self)
+            self.loop.close_task(self)
 
 
 class Loop:
@@ -65,12 +75,11 @@
         self.epoll = select.epoll()
         self.deadlines = deadlines
         self.tasks: dict[int, Task] = {}
-        self.woken: deque[Task] = deque()
+        self.woken_tasks: deque[Task] = deque()
         self.running = True
-        self.turns = 0
-        self.first: select.epoll | None = (
-            None  # polled first in each iteration; created for the first priority task
-        )
+        self.iterations = 0
+        # polled first in each iteration; created for the first priority task
+        self.priority_epoll: select.epoll | None = None
 
     def spawn(self, coroutine: Coroutine, sock: socket.socket, first: bool = False) -> Task:
         """Start a coroutine that owns a socket, and run it to its first yield.
@@ -79,17 +88,17 @@
         """
         epoll = self.epoll
         if first:
-            if self.first is None:
-                self.first = select.epoll()
-                self.epoll.register(self.first.fileno(), READ)
-            epoll = self.first
+            if self.priority_epoll is None:
+                self.priority_epoll = select.epoll()
+                self.epoll.register(self.priority_epoll.fileno(), READ)
+            epoll = self.priority_epoll
         task = Task(self, coroutine, sock, epoll)
         self.tasks[task.fd] = task
         epoll.register(task.fd, 0)
         self.resume(task, None)
         return task
 
-    def end(self, task: Task) -> None:
+    def close_task(self, task: Task) -> None:
         task.ended = True
         if self.tasks.pop(task.fd, None) is not None:
             task.epoll.unregister(task.fd)
@@ -99,10 +108,10 @@
         try:
             mask = next(task.coroutine) if events is None else task.coroutine.send(events)
         except StopIteration:
-            self.end(task)
+            self.close_task(task)
         except Exception:  # an error ends only the connection on which it occurred
             fault(log, "coroutine_failed", "a coroutine failed")
-            self.end(task)
+            self.close_task(task)
         else:
             if task.stopped:
                 task.stop()
@@ -112,23 +121,23 @@
 
     def turn(self) -> None:
         """Poll for events, resume their tasks, then run the due timers."""
-        self.turns += 1
+        self.iterations += 1
         due = self.deadlines.next()
-        wait = LONGEST_WAIT if due is None else min(max(due - clock(), 0.0), LONGEST_WAIT)
-        news = self.epoll.poll(0 if self.woken else wait / 1000.0, MOST_EVENTS)
-        if self.first is not None and news:
-            news = self.first.poll(0) + news
-        for fd, events in news:
+        wait = MAX_WAIT_MS if due is None else min(max(due - clock(), 0.0), MAX_WAIT_MS)
+        polled = self.epoll.poll(0 if self.woken_tasks else wait / 1000.0, MAX_EVENTS_PER_ITERATION)
+        if self.priority_epoll is not None and polled:
+            polled = self.priority_epoll.poll(0) + polled
+        for fd, events in polled:
             task = self.tasks.get(fd)
-            if task is not None and task.since != self.turns:
+            if task is not None and task.spawned_in != self.iterations:
                 self.resume(task, events)
         self.resume_woken()
         self.deadlines.sweep(clock())
         self.resume_woken()
 
     def resume_woken(self) -> None:
-        while self.woken:
-            task = self.woken.popleft()
+        while self.woken_tasks:
+            task = self.woken_tasks.popleft()
             task.woken = False
             if not task.ended:
                 self.resume(task, 0)
--- a/brackenusher/runtime/metrics.py
+++ b/brackenusher/runtime/metrics.py
@@ -66,9 +66,9 @@
 
     def observe(self, value: float) -> None:
         """Count one observation."""
-        place = bisect_left(self.bounds, value)
+        index = bisect_left(self.bounds, value)
         with self._lock:
-            self.counts[place] += 1
+            self.counts[index] += 1
             self.total += value
 
     def samples(self) -> Iterator[tuple[str, str, float]]:
@@ -76,8 +76,8 @@
         with self._lock:
             counts, total = list(self.counts), self.total
         count = 0
-        for bound, here in zip((*self.bounds, float("inf")), counts, strict=True):
-            count += here
+        for bound, bucket in zip((*self.bounds, float("inf")), counts, strict=True):
+            count += bucket
             yield "_bucket", f'le="{_number(bound)}"', count
         yield "_sum", "", total
         yield "_count", "", count
@@ -87,11 +87,11 @@
 AnySeries = TypeVar("AnySeries", Counter, Gauge, Histogram)
 
 
-class Figure(Generic[AnySeries]):
+class Metric(Generic[AnySeries]):
     """A metric and its series; keep the result of `labels` where it is used often."""
 
     def __init__(self, name: str, help_text: str, names: LabelValues, make: Callable[[], AnySeries]) -> None:
-        self.name, self.help_text, self.names = name, help_text, names
+        self.name, self.help_text, self.label_names = name, help_text, names
         self._make: Callable[[], AnySeries] = make
         self._series: dict[LabelValues, AnySeries] = {}
         if not names:
@@ -99,8 +99,8 @@
 
     def labels(self, *values: str) -> AnySeries:
         """The series of these label values, or of "other" once there are too many."""
-        if len(values) != len(self.names):
-            raise ValueError(f"{self.name} has the labels {self.names}, not {values}")
+        if len(values) != len(self.label_names):
+            raise ValueError(f"{self.name} has the labels {self.label_names}, not {values}")
         series = self._series.get(values)
         if series is not None:
             return series
@@ -113,13 +113,13 @@
         return list(self._series.items())
 
 
-class Readings:
+class SampledMetric:
     """A metric with one label whose series come from a function called at each scrape."""
 
     def __init__(
         self, name: str, help_text: str, names: LabelValues, read: Callable[[], Mapping[str, float]]
     ) -> None:
-        self.name, self.help_text, self.names, self.read = name, help_text, names, read
+        self.name, self.help_text, self.label_names, self.read = name, help_text, names, read
 
     def series(self) -> list[tuple[LabelValues, Gauge]]:
         """The current series in order of label value; those beyond the bound are summed as "other"."""
@@ -139,15 +139,15 @@
     def __init__(self, prefix: str = "brackenusher_") -> None:
         self.prefix = prefix
         self._lock = threading.Lock()
-        self._figures: dict[str, tuple[str, Figure[Any] | Readings]] = {}
+        self._metrics: dict[str, tuple[str, Metric[Any] | SampledMetric]] = {}
 
-    def counter(self, name: str, help_text: str, *labels: str) -> Figure[Counter]:
+    def counter(self, name: str, help_text: str, *labels: str) -> Metric[Counter]:
         """Register a counter; its name ends in _total."""
-        return self._figure("counter", name, help_text, labels, lambda: Counter(self._lock))
+        return self._register("counter", name, help_text, labels, lambda: Counter(self._lock))
 
-    def gauge(self, name: str, help_text: str, *labels: str) -> Figure[Gauge]:
+    def gauge(self, name: str, help_text: str, *labels: str) -> Metric[Gauge]:
         """Register a gauge."""
-        return self._figure("gauge", name, help_text, labels, lambda: Gauge(self._lock))
+        return self._register("gauge", name, help_text, labels, lambda: Gauge(self._lock))
 
     def gauge_function(self, name: str, help_text: str, read: Callable[[], float]) -> None:
         """Register a gauge without labels whose value is read at each scrape."""
@@ -155,13 +155,13 @@
 
     def counter_function(self, name: str, help_text: str, read: Callable[[], float]) -> None:
         """Register a counter without labels whose value is read at each scrape."""
-        self._figure("counter", name, help_text, (), lambda: Gauge(self._lock)).labels().read = read
+        self._register("counter", name, help_text, (), lambda: Gauge(self._lock)).labels().read = read
 
     def histogram(
         self, name: str, help_text: str, *labels: str, bounds: Sequence[float] = SECONDS_BUCKETS
-    ) -> Figure[Histogram]:
+    ) -> Metric[Histogram]:
         """Register a histogram; the default buckets are in seconds."""
-        return self._figure("histogram", name, help_text, labels, lambda: Histogram(self._lock, bounds))
+        return self._register("histogram", name, help_text, labels, lambda: Histogram(self._lock, bounds))
 
     def readings(
         self, kind: str, name: str, help_text: str, label: str, read: Callable[[], Mapping[str, float]]
@@ -170,44 +170,44 @@
 
         The keys of the mapping are the label values; series beyond the bound are summed as "other".
         """
-        if name in self._figures:
+        if name in self._metrics:
             raise ValueError(f"metric {name} is registered already")
-        self._figures[name] = (kind, Readings(name, help_text, (label,), read))
+        self._metrics[name] = (kind, SampledMetric(name, help_text, (label,), read))
 
-    def _figure(
+    def _register(
         self, kind: str, name: str, help_text: str, labels: LabelValues, make: Callable[[], Any]
-    ) -> Figure[Any]:
-        present = self._figures.get(name)
-        if present is None:
-            figure: Figure[Any] = Figure(name, help_text, labels, make)
-            self._figures[name] = (kind, figure)
-            return figure
-        if present[0] != kind or present[1].names != labels or not isinstance(present[1], Figure):
+    ) -> Metric[Any]:
+        existing = self._metrics.get(name)
+        if existing is None:
+            metric: Metric[Any] = Metric(name, help_text, labels, make)
+            self._metrics[name] = (kind, metric)
+            return metric
+        if existing[0] != kind or existing[1].label_names != labels or not isinstance(existing[1], Metric):
             raise ValueError(f"metric {name} is registered already with another type or other labels")
-        return present[1]
+        return existing[1]
 
     def names(self) -> list[str]:
         """The names of all metrics, without the prefix."""
-        return list(self._figures)
+        return list(self._metrics)
 
     def render(self) -> bytes:
         """All metrics in the text format, version 0.0.4."""
         lines: list[str] = []
-        for kind, figure in self._figures.values():
-            name = self.prefix + figure.name
-            lines.append(f"# HELP {name} {_escape_help(figure.help_text)}")
+        for kind, metric in self._metrics.values():
+            name = self.prefix + metric.name
+            lines.append(f"# HELP {name} {_escape_help(metric.help_text)}")
             lines.append(f"# TYPE {name} {kind}")
-            for values, series in figure.series():
-                lines.extend(_series_lines(name, figure.names, values, series))
+            for values, series in metric.series():
+                lines.extend(_series_lines(name, metric.label_names, values, series))
         return ("\n".join(lines) + "\n").encode()
 
 
 def _series_lines(name: str, names: LabelValues, values: LabelValues, series: Series) -> Iterator[str]:
-    own = [f'{label}="{_escape_value(value)}"' for label, value in zip(names, values, strict=True)]
-    for suffix, further, value in series.samples():
-        labels = ",".join([*own, further] if further else own)
-        shown = f"{{{labels}}}" if labels else ""
-        yield f"{name}{suffix}{shown} {_number(value)}"
+    own_labels = [f'{label}="{_escape_value(value)}"' for label, value in zip(names, values, strict=True)]
+    for suffix, extra_label, value in series.samples():
+        labels = ",".join([*own_labels, extra_label] if extra_label else own_labels)
+        label_text = f"{{{labels}}}" if labels else ""
+        yield f"{name}{suffix}{label_text} {_number(value)}"
 
 
 def _number(value: float) -> str:
--- a/brackenusher/runtime/outlet.py
+++ b/brackenusher/runtime/outlet.py
@@ -14,104 +14,109 @@
 
 from brackenusher.runtime.timers import Entry, Timers
 
-PIECE = 4096  # PIPE_BUF: writes up to this size are atomic, so that no line is split or interleaved
-BATCH = 32 * 1024  # passed to the writer without delay
-SPAN = 100.0  # milliseconds that a line may wait to be batched
-LAST_SPAN = 0.3  # seconds that shutdown waits for unwritten lines
-LOG_ROOM = 64 * 1024
+ATOMIC_WRITE_BYTES = 4096  # PIPE_BUF: smaller writes are atomic, so no line is split or interleaved
+FLUSH_BYTES = 32 * 1024  # a batch of this size is passed to the writer without delay
+FLUSH_DELAY_MS = 100.0  # that a line may wait to be batched
+CLOSE_TIMEOUT_S = 0.3  # that shutdown waits for unwritten lines
+LOG_CAPACITY_BYTES = 64 * 1024
 
 # Takes chunks of whole lines; raises if none could be written, or returns how many could not.
 Write = Callable[[list[bytes]], int | None]
 
 
-def write_whole(fd: int, data: bytes) -> None:
+def write_all(fd: int, data: bytes) -> None:
     while data:
         data = data[os.write(fd, data) :]
 
 
-def to_stderr(pieces: list[bytes]) -> None:
+def write_stderr(chunks: list[bytes]) -> None:
     if sys.stderr is None:  # closed at start: descriptor 2 may be another file by now
         raise OSError("no standard error")
-    for piece in pieces:
-        write_whole(2, piece)
+    for chunk in chunks:
+        write_all(2, chunk)
 
 
 class Channel:
     """A bounded queue of lines for one target."""
 
-    def __init__(self, outlet: "Outlet", write: Write, room: int, piece: int = PIECE) -> None:
-        self.outlet, self.write, self.room, self.piece = outlet, write, room, piece
-        self.pieces: list[bytearray] = []
-        self.size, self.count = 0, 0
-        self.limit: Entry | None = None
-        self.taken = self.refused = (
-            0  # bytes queued, and items dropped as the queue was full; changed by the loop's thread
-        )
-        self.done = self.failed = (
-            0  # bytes written, and items that could not be; changed by the writer's thread
+    def __init__(
+        self, writer: "Outlet", write: Write, capacity_bytes: int, chunk_bytes: int = ATOMIC_WRITE_BYTES
+    ) -> None:
+        self.writer, self.write, self.capacity_bytes, self.chunk_bytes = (
+            writer,
+            write,
+            capacity_bytes,
+            chunk_bytes,
         )
+        self.chunks: list[bytearray] = []
+        self.size, self.item_count = 0, 0
+        self.flush_timer: Entry | None = None
+        # changed by the loop's thread: bytes passed to the writer, and items dropped as the queue was full
+        self.submitted_bytes = self.refused_items = 0
+        # changed by the writer's thread: bytes taken from the queue, and items that could not be written
+        self.written_bytes = self.failed_items = 0
 
     @property
     def dropped(self) -> int:
-        return self.refused + self.failed
+        return self.refused_items + self.failed_items
 
     def fits(self, size: int) -> bool:
-        return self.size + self.taken - self.done + size <= self.room
+        return self.size + self.submitted_bytes - self.written_bytes + size <= self.capacity_bytes
 
     def put(self, lines: bytes) -> bool:
         """Queue whole lines as one item; False, and counted, if they do not fit."""
         if not self.fits(len(lines)):
-            self.refused += 1
+            self.refused_items += 1
             return False
-        if self.pieces and len(self.pieces[-1]) + len(lines) <= self.piece:
-            self.pieces[-1] += lines
+        if self.chunks and len(self.chunks[-1]) + len(lines) <= self.chunk_bytes:
+            self.chunks[-1] += lines
         else:
-            self.pieces.append(bytearray(lines))
+            self.chunks.append(bytearray(lines))
         self.size += len(lines)
-        self.count += 1
-        if self.size >= BATCH:
+        self.item_count += 1
+        if self.size >= FLUSH_BYTES:
             self.flush()
-        elif self.limit is None:
-            self.limit = self.outlet.deadlines.add(self.outlet.clock() + SPAN, self.flush)
+        elif self.flush_timer is None:
+            self.flush_timer = self.writer.timers.add(self.writer.clock() + FLUSH_DELAY_MS, self.flush)
         return True
 
-    def flush(self, before: Callable[[], None] | None = None) -> None:
-        """Pass the queued lines to the writer, which then calls `before` ahead of any later lines."""
-        self.outlet.deadlines.remove(self.limit)
-        self.limit = None
-        if self.pieces:
-            self.outlet.queue.put((self, self.write, self.pieces, self.size, self.count))
-            self.taken += self.size
-            self.pieces, self.size, self.count = [], 0, 0
-        if before is not None:
-            self.outlet.queue.put((self, lambda _: before(), [], 0, 0))
+    def flush(self, then: Callable[[], None] | None = None) -> None:
+        """Pass the queued lines to the writer, which calls `then` before any later lines."""
+        self.writer.timers.remove(self.flush_timer)
+        self.flush_timer = None
+        if self.chunks:
+            self.writer.queue.put((self, self.write, self.chunks, self.size, self.item_count))
+            self.submitted_bytes += self.size
+            self.chunks, self.size, self.item_count = [], 0, 0
+        if then is not None:
+            self.writer.queue.put((self, lambda _: then(), [], 0, 0))
 
 
 class Outlet:
     """Writes to standard error and files from one daemon thread."""
 
     def __init__(self, deadlines: Timers, clock: Callable[[], float]) -> None:
-        self.deadlines, self.clock = deadlines, clock
+        self.timers, self.clock = deadlines, clock
         self.queue: queue.SimpleQueue = queue.SimpleQueue()
         self.channels: list[Channel] = []
         self.ended = threading.Event()
 
-    def channel(self, write: Write, room: int, piece: int = PIECE) -> Channel:
+    def channel(self, write: Write, capacity_bytes: int, chunk_bytes: int = ATOMIC_WRITE_BYTES) -> Channel:
         """Open a channel; the first one starts the writer thread."""
         if not self.channels:
             threading.Thread(target=self.run, name="outlet", daemon=True).start()
-        channel = Channel(self, write, room, piece)
+        channel = Channel(self, write, capacity_bytes, chunk_bytes)
         self.channels.append(channel)
         return channel
 
     def run(self) -> None:
         while (item := self.queue.get()) is not None:
-            channel, write, pieces, size, count = item
+            channel, write, chunks, size, count = item
             try:
-                channel.failed += write(pieces) or 0
+                channel.failed_items += write(chunks) or 0
             except Exception:  # a failed batch must not stop the writer
-                channel.failed += count
-            channel.done += size
+                channel.failed_items += count
+            channel.written_bytes += size
         self.ended.set()
 
     def close(self) -> None:
@@ -120,13 +125,13 @@
             for channel in self.channels:
                 channel.flush()
             self.queue.put(None)
-            self.ended.wait(LAST_SPAN)
+            self.ended.wait(CLOSE_TIMEOUT_S)
 
-    def take_log(self) -> None:
+    def redirect_log(self) -> None:
         """Write the log through a channel if standard error has one: a direct write could block the loop."""
-        if any(channel.write is to_stderr for channel in self.channels):
+        if any(channel.write is write_stderr for channel in self.channels):
             root = logging.getLogger()
-            handler = LogHandler(self.channel(to_stderr, LOG_ROOM))
+            handler = LogHandler(self.channel(write_stderr, LOG_CAPACITY_BYTES))
             for old in [old for old in root.handlers if isinstance(old, logging.StreamHandler)]:
                 handler.setFormatter(old.formatter)
                 root.removeHandler(old)
--- a/brackenusher/runtime/points.py
+++ b/brackenusher/runtime/points.py
@@ -7,12 +7,12 @@
 import signal
 import time
 
-SCRIPT = os.environ.get("BRACKENUSHER_POINTS", "")
+SCRIPT_PATH = os.environ.get("BRACKENUSHER_POINTS", "")
 
 
-def lines() -> list[list[str]]:
+def read_script() -> list[list[str]]:
     try:
-        with open(SCRIPT, encoding="utf-8") as file:
+        with open(SCRIPT_PATH, encoding="utf-8") as file:
             return [line.split() for line in file]
     except OSError:
         return []
@@ -20,15 +20,15 @@
 
 def reach(name: str) -> None:
     """Kill the process if the failpoint of this name is armed."""
-    if SCRIPT and ["kill", name] in lines():
+    if SCRIPT_PATH and ["kill", name] in read_script():
         os.kill(os.getpid(), signal.SIGKILL)
 
 
 def disk() -> None:
     """Called before each write to disk: delays it, or raises OSError if the disk is to be full."""
-    if not SCRIPT:
+    if not SCRIPT_PATH:
         return
-    for line in lines():
+    for line in read_script():
         if line[:2] == ["disk", "full"]:
             raise OSError(28, "No space left on device")
         if line[:2] == ["disk", "slow"] and len(line) == 3:
--- a/brackenusher/runtime/process_metrics.py
+++ b/brackenusher/runtime/process_metrics.py
@@ -7,7 +7,7 @@
 from brackenusher.runtime.metrics import Metrics
 
 PAGE_BYTES = resource.getpagesize()
-MEMORY_FILE = Path("/proc/self/statm")  # in pages: total, resident, ...
+STATM_PATH = Path("/proc/self/statm")  # in pages: total, resident, ...
 
 
 def add_process_metrics(metrics: Metrics) -> None:
@@ -20,7 +20,7 @@
 def resident_bytes() -> float:
     """Resident memory; 0 if the system does not report it."""
     try:
-        return float(MEMORY_FILE.read_text(encoding="ascii").split()[1]) * PAGE_BYTES
+        return float(STATM_PATH.read_text(encoding="ascii").split()[1]) * PAGE_BYTES
     except (OSError, ValueError, IndexError):
         return 0.0
 
--- a/brackenusher/runtime/request_journal.py
+++ b/brackenusher/runtime/request_journal.py
@@ -7,7 +7,7 @@
 
 MAX_REQUESTS = 1000  # the oldest are evicted; about 1 KB each
 MAX_EVENTS = 24  # per request; further ones are only counted
-EXPLAIN = "explain:"
+EXPLAIN_TOPIC_PREFIX = "explain:"
 
 Event = tuple[float, str, tuple[object, ...]]
 
@@ -19,7 +19,7 @@
         self._clock = clock
         self._max_requests = max_requests
         self._events: dict[str, list[Event]] = {}  # oldest request first
-        self._left_out: dict[str, int] = {}
+        self._omitted_events: dict[str, int] = {}
 
     def note(self, request_id: str, event: str, *details: object) -> None:
         """Record an event such as "arrived", "sent" or "refused", with its details."""
@@ -29,11 +29,11 @@
             if len(self._events) > self._max_requests:
                 oldest = next(iter(self._events))
                 del self._events[oldest]
-                self._left_out.pop(oldest, None)
+                self._omitted_events.pop(oldest, None)
         if len(events) < MAX_EVENTS:
             events.append((self._clock(), event, details))
         else:
-            self._left_out[request_id] = self._left_out.get(request_id, 0) + 1
+            self._omitted_events[request_id] = self._omitted_events.get(request_id, 0) + 1
 
     def explain(self, request_id: str) -> list[dict[str, object]] | None:
         """The events of a request, in milliseconds after the first; None if it is unknown."""
@@ -49,11 +49,15 @@
             }
             for at, event, details in events
         ]
-        left_out = self._left_out.get(request_id)
-        if left_out:
-            rows.append({"after_ms": None, "event": "further events", "details": str(left_out)})
+        omitted = self._omitted_events.get(request_id)
+        if omitted:
+            rows.append({"after_ms": None, "event": "further events", "details": str(omitted)})
         return rows
 
     def tell(self, topic: str) -> object | None:
         """The status document of the topic explain:REQUEST-ID; for a StatusResponder."""
-        return self.explain(topic.removeprefix(EXPLAIN)) if topic.startswith(EXPLAIN) else None
+        return (
+            self.explain(topic.removeprefix(EXPLAIN_TOPIC_PREFIX))
+            if topic.startswith(EXPLAIN_TOPIC_PREFIX)
+            else None
+        )
--- a/tests/fleet/test_fleet_log.py
+++ b/tests/fleet/test_fleet_log.py
@@ -7,7 +7,14 @@
 import unittest
 
 from brackenusher.runtime import fleet_log
-from brackenusher.runtime.fleet_log import BURST, LINES_PER_S, MAX_EVENTS, EventFormatter, RateBound, quote
+from brackenusher.runtime.fleet_log import (
+    BURST_LINES,
+    LINES_PER_S,
+    MAX_TRACKED_EVENTS,
+    EventFormatter,
+    RateLimitFilter,
+    quote,
+)
 
 
 def record(message: str, *arguments: object, name: str = "brackenusher.cluster.links") -> logging.LogRecord:
@@ -81,18 +88,18 @@
 
     def setUp(self) -> None:
         self.now = 100.0
-        self.bound = RateBound(lambda: self.now)
+        self.bound = RateLimitFilter(lambda: self.now)
 
     def written(self, count: int, message: str = "link ended: peer=%s") -> int:
         return sum(self.bound.filter(record(message, number)) for number in range(count))
 
     def test_a_burst_and_then_a_rate(self) -> None:
-        self.assertEqual(self.written(1000), BURST)
+        self.assertEqual(self.written(1000), BURST_LINES)
         self.now += 3 / LINES_PER_S
         self.assertEqual(self.written(1000), 3)
 
     def test_what_was_left_out_is_told(self) -> None:
-        self.written(BURST + 5)
+        self.written(BURST_LINES + 5)
         self.now += 1 / LINES_PER_S
         made = record("link ended: peer=%s", 1)
         self.assertTrue(self.bound.filter(made))
@@ -103,10 +110,10 @@
         self.assertEqual(self.written(1, "another event"), 1)
 
     def test_too_many_events_share_one_bound(self) -> None:
-        for number in range(MAX_EVENTS):
+        for number in range(MAX_TRACKED_EVENTS):
             self.assertEqual(self.written(1, f"event {number}"), 1)
         written = sum(self.written(1, f"further {number}") for number in range(1000))
-        self.assertEqual(written, BURST)
+        self.assertEqual(written, BURST_LINES)
 
 
 class SetUpTest(unittest.TestCase):
--- a/tests/test_capture.py
+++ b/tests/test_capture.py
@@ -69,7 +69,7 @@
 
     def pending(self):
         """The lines that are not handed over yet."""
-        return b"".join(self.capture.channel.pieces).decode().splitlines()
+        return b"".join(self.capture.channel.chunks).decode().splitlines()
 
     def close(self):
         self.capture.close()
@@ -155,7 +155,7 @@
 def test_a_file_that_cannot_grow_drops_whole_batches_and_counts_them(tmp_path):
     world = World(folder=str(tmp_path))
     world.capture.channel.flush()
-    until(lambda: world.capture.channel.done, "the head")
+    until(lambda: world.capture.channel.written_bytes, "the head")
     before = resource.getrlimit(resource.RLIMIT_FSIZE)
     handler = signal.signal(signal.SIGXFSZ, signal.SIG_IGN)
     try:
@@ -173,7 +173,7 @@
 def test_memory_stays_under_1_mb_while_nothing_is_read_and_much_is_open(monkeypatch):
     # guards against what waits for a reader, for an answer or for the next request growing without end
     stuck = threading.Event()
-    monkeypatch.setattr("brackenusher.records.capture.to_stderr", lambda pieces: stuck.wait(WAIT))
+    monkeypatch.setattr("brackenusher.records.capture.write_stderr", lambda pieces: stuck.wait(WAIT))
     world, others = World(), World()  # what is held of a transaction is its owner's
     for n in range(6000):
         others.arrive(n)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -580,7 +580,7 @@
         driver = stepped.daemon.agent
         until(lambda: readable(driver.task.sock), "the list")
         sock.sendall(read_request(target="/nowhere"))
-        monkeypatch.setattr(runtime, "MOST_EVENTS", 1)
+        monkeypatch.setattr(runtime, "MAX_EVENTS_PER_ITERATION", 1)
         driver.silent()
         stepped.turn_until(lambda: stepped.daemon.pool.members or driver.failures, "the list")
         assert not driver.failures
--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -124,7 +124,7 @@
 def test_memory_stays_under_256_kb_while_nothing_is_read(monkeypatch):
     # guards against timers that pile up behind a reader who is stuck
     stuck = threading.Event()
-    monkeypatch.setattr("brackenusher.records.figures.to_stderr", lambda pieces: stuck.wait(20.0))
+    monkeypatch.setattr("brackenusher.records.figures.write_stderr", lambda pieces: stuck.wait(20.0))
     tracemalloc.start()
     try:
         world = World(batch_bytes=32_768)
