--- a/brackenusher/config/operators.py
+++ b/brackenusher/config/operators.py
@@ -16,8 +16,8 @@
 from brackenusher.runtime.driver import Address
 from brackenusher.runtime.log import FORMATS
 
-MOST_SEEDS = 32  # tried in turn until one answers
-LEAST_KEY = 16  # bytes; a shorter key is accepted with a warning
+MAX_SEEDS = 32  # tried in turn until one answers
+MIN_KEY_BYTES = 16  # a shorter key is accepted with a warning
 
 
 @dataclass(frozen=True)
@@ -126,7 +126,7 @@
         return [name for name in FEATURES if getattr(self, name) is not None]
 
 
-class Entries:
+class Properties:
     """Entries of the file, each read once; those left over are unknown keys."""
 
     def __init__(self, path: str, text: str) -> None:
@@ -146,7 +146,7 @@
     def error(self, key: str, what: str) -> ConfigError:
         return ConfigError(f"{self.path}: {key} {what}")
 
-    def take(self, key: str, read: Callable[[str], Any], default: Any = None) -> Any:
+    def get(self, key: str, read: Callable[[str], Any], default: Any = None) -> Any:
         """The value of a key, or the default if the file lacks it."""
         if key not in self.values:
             return default
@@ -155,23 +155,23 @@
         except ValueError as error:
             raise self.error(key, str(error)) from error
 
-    def family(self, prefix: str, read: Callable[[str], Any]) -> dict[str, Any]:
+    def get_prefixed(self, prefix: str, read: Callable[[str], Any]) -> dict[str, Any]:
         """The values of all keys with a prefix, by the rest of the key."""
         keys = [key for key in self.values if key.startswith(prefix) and len(key) > len(prefix)]
-        return {key.removeprefix(prefix): self.take(key, read) for key in keys}
+        return {key.removeprefix(prefix): self.get(key, read) for key in keys}
 
-    def done(self) -> None:
+    def reject_unknown(self) -> None:
         for key in self.values:
             raise self.error(key, "is not known")
 
 
-def switch(text: str) -> bool:
+def parse_bool(text: str) -> bool:
     if text not in ("true", "false"):
         raise ValueError(f"must be true or false, not {text!r}")
     return text == "true"
 
 
-def choice(*words: str) -> Callable[[str], str]:
+def one_of(*words: str) -> Callable[[str], str]:
     def read(text: str) -> str:
         if text not in words:
             raise ValueError(f"must be {' or '.join(words)}, not {text!r}")
@@ -180,18 +180,18 @@
     return read
 
 
-def whole(least: int, most: int) -> Callable[[str], int]:
+def integer(minimum: int, maximum: int) -> Callable[[str], int]:
     """A reader of integers within bounds."""
 
     def read(text: str) -> int:
-        if not re.fullmatch(r"[0-9]{1,12}", text, re.ASCII) or not least <= int(text) <= most:
-            raise ValueError(f"must be a whole number from {least} to {most}, not {text!r}")
+        if not re.fullmatch(r"[0-9]{1,12}", text, re.ASCII) or not minimum <= int(text) <= maximum:
+            raise ValueError(f"must be a whole number from {minimum} to {maximum}, not {text!r}")
         return int(text)
 
     return read
 
 
-def rate(text: str) -> float:
+def parse_rate(text: str) -> float:
     """Requests per second; 0, or large enough that the wait for a token is bounded."""
     number = float(text) if re.fullmatch(r"[0-9]{1,9}(\.[0-9]{1,9})?", text, re.ASCII) else -1.0
     if number and not 0.001 <= number <= 1_000_000:
@@ -199,190 +199,197 @@
     return number
 
 
-BURST = whole(1, 1_000_000)
+parse_burst = integer(1, 1_000_000)
 
 
-def read_door(entries: Entries) -> RateLimiterSettings:
-    least = RateLimiterSettings()
+def read_rate_limiter(properties: Properties) -> RateLimiterSettings:
+    defaults = RateLimiterSettings()
     address = Limit(
-        entries.take("door.rate.address", rate, least.address.rate),
-        entries.take("door.burst.address", BURST, least.address.burst),
+        properties.get("door.rate.address", parse_rate, defaults.address.rate),
+        properties.get("door.burst.address", parse_burst, defaults.address.burst),
+    )
+    rates, bursts = (
+        properties.get_prefixed("door.rate.", parse_rate),
+        properties.get_prefixed("door.burst.", parse_burst),
     )
-    rates, bursts = entries.family("door.rate.", rate), entries.family("door.burst.", BURST)
     tenants = {
-        name: Limit(rates.get(name, least.tenant.rate), bursts.get(name, least.tenant.burst))
+        name: Limit(rates.get(name, defaults.tenant.rate), bursts.get(name, defaults.tenant.burst))
         for name in rates | bursts
     }
     return RateLimiterSettings(
-        by_address=entries.take("door.key", choice("tenant", "address"), "tenant") == "address",
+        by_address=properties.get("door.key", one_of("tenant", "address"), "tenant") == "address",
         address=address,
         tenants=tenants,
-        table=entries.take("door.table", whole(1, 100_000), least.table),
+        table=properties.get("door.table", integer(1, 100_000), defaults.table),
     )
 
 
-def path(text: str) -> str:
+def parse_path(text: str) -> str:
     if not text or "\0" in text:
         raise ValueError(f"must be a path, not {text!r}")
     return text
 
 
-def read_capture(entries: Entries) -> CaptureSettings:
-    least = CaptureSettings()
+def read_capture(properties: Properties) -> CaptureSettings:
+    defaults = CaptureSettings()
     return CaptureSettings(
-        folder=entries.take("capture.dir", path),
-        files=entries.take("capture.files", whole(1, 1000), least.files),
-        file_kb=entries.take("capture.file_kb", whole(16, 1_048_576), least.file_kb),
+        folder=properties.get("capture.dir", parse_path),
+        files=properties.get("capture.files", integer(1, 1000), defaults.files),
+        file_kb=properties.get("capture.file_kb", integer(16, 1_048_576), defaults.file_kb),
     )
 
 
-def key(text: str) -> bytes:
+def parse_key(text: str) -> bytes:
     """A key in hexadecimal; error messages do not show it."""
     if not re.fullmatch(r"([0-9A-Fa-f]{2})+", text, re.ASCII):
         raise ValueError("must be hexadecimal, two digits a byte")
     return bytes.fromhex(text)
 
 
-def read_token(entries: Entries) -> TokenSettings:
-    keys = entries.family("token.key.", key)
+def read_token(properties: Properties) -> TokenSettings:
+    keys = properties.get_prefixed("token.key.", parse_key)
     for kid in keys:
         if not KID.match(kid):
-            raise entries.error(f"token.key.{kid}", "must end in letters, digits, _ or -, 64 at most")
-    return TokenSettings(keys, entries.take("token.skew", whole(0, 86_400), TokenSettings().skew))
+            raise properties.error(f"token.key.{kid}", "must end in letters, digits, _ or -, 64 at most")
+    return TokenSettings(keys, properties.get("token.skew", integer(0, 86_400), TokenSettings().skew))
 
 
-def target(text: str) -> Address | str | None:
+def parse_target(text: str) -> Address | str | None:
     """The target of metrics: standard error (None), a file (its path), or a UDP port (its address)."""
-    form, _, rest = text.partition(":")
+    scheme, _, rest = text.partition(":")
     if text == "stderr":
         return None
-    if form == "file" and rest:
-        return path(rest)
-    if form == "udp" and rest:
+    if scheme == "file" and rest:
+        return parse_path(rest)
+    if scheme == "udp" and rest:
         host, port = read_address(rest, "udp")  # no host names: resolving one could block
-        return str(ip_address(host.removeprefix("[").removesuffix("]"))), whole(1, 65_535)(str(port))
+        return str(ip_address(host.removeprefix("[").removesuffix("]"))), integer(1, 65_535)(str(port))
     raise ValueError(f"must be stderr, file:<path> or udp:<addr:port>, not {text!r}")
 
 
-def read_figures(entries: Entries) -> FiguresSettings:
-    least = FiguresSettings()
+def read_figures(properties: Properties) -> FiguresSettings:
+    defaults = FiguresSettings()
     return FiguresSettings(
-        influx=entries.take("figures.format", choice("statsd", "influx"), "statsd") == "influx",
-        target=entries.take("figures.target", target, least.target),
-        flush_ms=entries.take("figures.flush_ms", whole(10, 3_600_000), least.flush_ms),
-        batch_bytes=entries.take("figures.batch_bytes", whole(256, 32_768), least.batch_bytes),
+        influx=properties.get("figures.format", one_of("statsd", "influx"), "statsd") == "influx",
+        target=properties.get("figures.target", parse_target, defaults.target),
+        flush_ms=properties.get("figures.flush_ms", integer(10, 3_600_000), defaults.flush_ms),
+        batch_bytes=properties.get("figures.batch_bytes", integer(256, 32_768), defaults.batch_bytes),
     )
 
 
-def ip_port(text: str) -> Address:
+def parse_address(text: str) -> Address:
     """An IP address and port; host names are rejected, as resolving one could block."""
     host, port = read_address(text, "an address")
     ip = ip_address(host.removeprefix("[").removesuffix("]"))
     if ip.is_unspecified or ip.is_multicast:
         raise ValueError(f"must be the address of one machine, not {text!r}")
-    return str(ip), whole(1, 65_535)(str(port))
+    return str(ip), integer(1, 65_535)(str(port))
 
 
-def ip_ports(text: str) -> tuple[Address, ...]:
-    found = tuple(ip_port(part.strip()) for part in text.split(",") if part.strip())
-    if len(found) > MOST_SEEDS:
-        raise ValueError(f"must name {MOST_SEEDS} at most")
-    return found
+def parse_addresses(text: str) -> tuple[Address, ...]:
+    addresses = tuple(parse_address(item.strip()) for item in text.split(",") if item.strip())
+    if len(addresses) > MAX_SEEDS:
+        raise ValueError(f"must name {MAX_SEEDS} at most")
+    return addresses
 
 
-def read_peers(entries: Entries) -> PeersSettings:
-    least, keys = PeersSettings(), entries.family("peers.key.", key)
+def read_peers(properties: Properties) -> PeersSettings:
+    defaults, keys = PeersSettings(), properties.get_prefixed("peers.key.", parse_key)
     for kid in keys:
         if not KID.match(kid):
-            raise entries.error(f"peers.key.{kid}", "must end in letters, digits, _ or -, 64 at most")
-    sign = entries.take("peers.sign", str, next(iter(keys)) if len(keys) == 1 else "")
+            raise properties.error(f"peers.key.{kid}", "must end in letters, digits, _ or -, 64 at most")
+    sign = properties.get("peers.sign", str, next(iter(keys)) if len(keys) == 1 else "")
     if sign and sign not in keys:
-        raise entries.error("peers.sign", f"names no key: there is no peers.key.{sign}")
+        raise properties.error("peers.sign", f"names no key: there is no peers.key.{sign}")
     return PeersSettings(
-        listen=entries.take("peers.listen", ip_port, least.listen),
-        advertise=entries.take("peers.advertise", ip_port, least.advertise),
-        seeds=entries.take("peers.seeds", ip_ports, least.seeds),
+        listen=properties.get("peers.listen", parse_address, defaults.listen),
+        advertise=properties.get("peers.advertise", parse_address, defaults.advertise),
+        seeds=properties.get("peers.seeds", parse_addresses, defaults.seeds),
         keys=keys,
         sign=sign,
-        period_ms=entries.take("peers.period_ms", whole(100, 60_000), least.period_ms),
-        warm_ms=entries.take("peers.warm_ms", whole(0, 900), least.warm_ms),
-        ask=entries.take("peers.ask", whole(0, 8), least.ask),
+        period_ms=properties.get("peers.period_ms", integer(100, 60_000), defaults.period_ms),
+        warm_ms=properties.get("peers.warm_ms", integer(0, 900), defaults.warm_ms),
+        ask=properties.get("peers.ask", integer(0, 8), defaults.ask),
     )
 
 
-def voter_names(text: str) -> tuple[str, ...]:
-    found = tuple(part.strip() for part in text.split(",") if part.strip())
-    if len(found) not in (0, 1, 3, 4, 5, 6, 7) or len(set(found)) < len(found):
+def parse_voters(text: str) -> tuple[str, ...]:
+    names = tuple(item.strip() for item in text.split(",") if item.strip())
+    if len(names) not in (0, 1, 3, 4, 5, 6, 7) or len(set(names)) < len(names):
         raise ValueError("must name 1 or 3 to 7 proxies, each once")
-    if any(len(name) > 64 or not name.isprintable() for name in found):
+    if any(len(name) > 64 or not name.isprintable() for name in names):
         raise ValueError("a name has 64 printable characters at most")
-    return found
+    return names
 
 
-def read_policy(entries: Entries) -> PolicySettings:
+def read_policy(properties: Properties) -> PolicySettings:
     return PolicySettings(
-        voters=entries.take("policy.voters", voter_names, ()),
-        folder=entries.take("policy.folder", path, ""),
-        fence=entries.take("policy.unreachable", choice("wait", "fence"), "wait") == "fence",
-        within_s=entries.take("policy.within_s", whole(1, 3600), PolicySettings().within_s),
+        voters=properties.get("policy.voters", parse_voters, ()),
+        folder=properties.get("policy.folder", parse_path, ""),
+        fence=properties.get("policy.unreachable", one_of("wait", "fence"), "wait") == "fence",
+        within_s=properties.get("policy.within_s", integer(1, 3600), PolicySettings().within_s),
     )
 
 
-def read_replica(entries: Entries) -> ReplicaSettings:
-    least = ReplicaSettings()
+def read_replica(properties: Properties) -> ReplicaSettings:
+    defaults = ReplicaSettings()
     return ReplicaSettings(
-        keepers=entries.take("replica.keepers", voter_names, ()),
-        folder=entries.take("replica.folder", path, ""),
-        from_empty=entries.take("replica.from_empty", switch, least.from_empty),
-        refuse=entries.take("replica.behind", choice("serve", "refuse"), "serve") == "refuse",
-        within_s=entries.take("replica.within_s", whole(1, 3600), least.within_s),
-        limits=entries.take("replica.limits", switch, least.limits),
-        fates=entries.take("replica.fates", switch, least.fates),
-        entries=entries.take("replica.entries", whole(10, 1_000_000), least.entries),
+        keepers=properties.get("replica.keepers", parse_voters, ()),
+        folder=properties.get("replica.folder", parse_path, ""),
+        from_empty=properties.get("replica.from_empty", parse_bool, defaults.from_empty),
+        refuse=properties.get("replica.behind", one_of("serve", "refuse"), "serve") == "refuse",
+        within_s=properties.get("replica.within_s", integer(1, 3600), defaults.within_s),
+        limits=properties.get("replica.limits", parse_bool, defaults.limits),
+        fates=properties.get("replica.fates", parse_bool, defaults.fates),
+        entries=properties.get("replica.entries", integer(10, 1_000_000), defaults.entries),
     )
 
 
-def read_snapshot(entries: Entries) -> SnapshotSettings:
+def read_snapshot(properties: Properties) -> SnapshotSettings:
     return SnapshotSettings(
-        file=entries.take("snapshot.file", path, ""),
-        every_s=entries.take("snapshot.every_s", whole(1, 3600), SnapshotSettings().every_s),
+        file=properties.get("snapshot.file", parse_path, ""),
+        every_s=properties.get("snapshot.every_s", integer(1, 3600), SnapshotSettings().every_s),
     )
 
 
-def read_http2(entries: Entries) -> Http2Settings:
-    least = Http2Settings(("", 0))
+def read_http2(properties: Properties) -> Http2Settings:
+    defaults = Http2Settings(("", 0))
     return Http2Settings(
-        listen=entries.take("http2.listen", lambda text: read_address(text, "http2.listen"), least.listen),
-        streams=entries.take("http2.streams", whole(1, 1000), least.streams),
-        head_bytes=entries.take("http2.head_bytes", whole(1024, 65_536), least.head_bytes),
-        frames=entries.take("http2.frames", whole(10, 100_000), least.frames),
-        connection_kb=entries.take("http2.connection_kb", whole(128, 65_536), least.connection_kb),
-        held_kb=entries.take("http2.held_kb", whole(128, 1_048_576), least.held_kb),
-        idle_ms=entries.take("http2.idle_ms", whole(1000, 3_600_000), least.idle_ms),
-        answer_ms=entries.take("http2.answer_ms", whole(1000, 600_000), least.answer_ms),
+        listen=properties.get(
+            "http2.listen", lambda text: read_address(text, "http2.listen"), defaults.listen
+        ),
+        streams=properties.get("http2.streams", integer(1, 1000), defaults.streams),
+        head_bytes=properties.get("http2.head_bytes", integer(1024, 65_536), defaults.head_bytes),
+        frames=properties.get("http2.frames", integer(10, 100_000), defaults.frames),
+        connection_kb=properties.get("http2.connection_kb", integer(128, 65_536), defaults.connection_kb),
+        held_kb=properties.get("http2.held_kb", integer(128, 1_048_576), defaults.held_kb),
+        idle_ms=properties.get("http2.idle_ms", integer(1000, 3_600_000), defaults.idle_ms),
+        answer_ms=properties.get("http2.answer_ms", integer(1000, 600_000), defaults.answer_ms),
     )
 
 
-def read_connections(entries: Entries) -> ConnectionSettings:
-    least = ConnectionSettings()
+def read_connections(properties: Properties) -> ConnectionSettings:
+    defaults = ConnectionSettings()
     return ConnectionSettings(
-        learn=entries.take("connections.learn", switch, least.learn),
-        rescue=entries.take("connections.rescue", switch, least.rescue),
-        rest=entries.take("connections.rest", switch, least.rest),
-        age=1000.0 * entries.take("connections.age_s", whole(0, 86_400), 0),
-        requests=entries.take("connections.requests", whole(0, 1_000_000_000), least.requests),
-        ahead=entries.take("connections.ahead", switch, least.ahead),
-        spare=entries.take("connections.ahead.spare", whole(0, 1000), least.spare),
-        hold=1000.0 * entries.take("connections.ahead.hold_s", whole(1, 3600), int(least.hold / 1000)),
-        pace=float(entries.take("connections.ahead.pace", whole(1, 1000), int(least.pace))),
-        subset=entries.take("connections.subset", whole(0, 100_000), least.subset),
-        subset_index=entries.take("connections.subset.index", whole(0, 99_999), least.subset_index),
-        subset_proxies=entries.take("connections.subset.proxies", whole(1, 100_000), least.subset_proxies),
+        learn=properties.get("connections.learn", parse_bool, defaults.learn),
+        rescue=properties.get("connections.rescue", parse_bool, defaults.rescue),
+        rest=properties.get("connections.rest", parse_bool, defaults.rest),
+        age=1000.0 * properties.get("connections.age_s", integer(0, 86_400), 0),
+        requests=properties.get("connections.requests", integer(0, 1_000_000_000), defaults.requests),
+        ahead=properties.get("connections.ahead", parse_bool, defaults.ahead),
+        spare=properties.get("connections.ahead.spare", integer(0, 1000), defaults.spare),
+        hold=1000.0 * properties.get("connections.ahead.hold_s", integer(1, 3600), int(defaults.hold / 1000)),
+        pace=float(properties.get("connections.ahead.pace", integer(1, 1000), int(defaults.pace))),
+        subset=properties.get("connections.subset", integer(0, 100_000), defaults.subset),
+        subset_index=properties.get("connections.subset.index", integer(0, 99_999), defaults.subset_index),
+        subset_proxies=properties.get(
+            "connections.subset.proxies", integer(1, 100_000), defaults.subset_proxies
+        ),
     )
 
 
-FEATURES: dict[str, Callable[[Entries], Any]] = {
-    "door": read_door,
+FEATURES: dict[str, Callable[[Properties], Any]] = {
+    "door": read_rate_limiter,
     "capture": read_capture,
     "token": read_token,
     "figures": read_figures,
@@ -397,56 +404,62 @@
 
 def read_operator(path: str, text: str) -> Operator:
     """Parse the whole file; settings of disabled features are validated too."""
-    entries = Entries(path, text)
-    on = {name: entries.take(f"{name}.enabled", switch, False) for name in FEATURES}
-    features = {name: read(entries) for name, read in FEATURES.items()}
-    log_format = entries.take("log.format", choice(*FORMATS), "text")
-    entries.done()
-    if on["token"] and not features["token"].keys:
-        raise entries.error("token.key.<kid>", "is missing: tokens need a key")
-    if on["peers"]:
+    properties = Properties(path, text)
+    enabled = {name: properties.get(f"{name}.enabled", parse_bool, False) for name in FEATURES}
+    features = {name: read(properties) for name, read in FEATURES.items()}
+    log_format = properties.get("log.format", one_of(*FORMATS), "text")
+    properties.reject_unknown()
+    if enabled["token"] and not features["token"].keys:
+        raise properties.error("token.key.<kid>", "is missing: tokens need a key")
+    if enabled["peers"]:
         peers: PeersSettings = features["peers"]
         for name, value in (("listen", peers.listen[0]), ("key.<kid>", peers.keys), ("sign", peers.sign)):
             if not value:
-                raise entries.error(f"peers.{name}", "is missing: peers need it")
-    for what, who in (("policy", "voters"), ("replica", "keepers")):
-        if not on[what]:
+                raise properties.error(f"peers.{name}", "is missing: peers need it")
+    for feature, voters_key in (("policy", "voters"), ("replica", "keepers")):
+        if not enabled[feature]:
             continue
-        if not on["peers"]:
-            raise entries.error(f"{what}.enabled", "needs peers.enabled")
-        for name in (who, "folder"):
-            if not getattr(features[what], name):
-                raise entries.error(f"{what}.{name}", f"is missing: a {what} needs it")
-    if on["snapshot"] and not features["snapshot"].file:
-        raise entries.error("snapshot.file", "is missing: snapshots need a file")
-    if on["http2"] and not features["http2"].listen[0]:
-        raise entries.error("http2.listen", "is missing: HTTP/2 needs an address of its own")
-    chosen = {name: settings for name, settings in features.items() if on[name]}
+        if not enabled["peers"]:
+            raise properties.error(f"{feature}.enabled", "needs peers.enabled")
+        for name in (voters_key, "folder"):
+            if not getattr(features[feature], name):
+                raise properties.error(f"{feature}.{name}", f"is missing: a {feature} needs it")
+    if enabled["snapshot"] and not features["snapshot"].file:
+        raise properties.error("snapshot.file", "is missing: snapshots need a file")
+    if enabled["http2"] and not features["http2"].listen[0]:
+        raise properties.error("http2.listen", "is missing: HTTP/2 needs an address of its own")
+    chosen = {name: settings for name, settings in features.items() if enabled[name]}
     return Operator(**chosen, log_format=log_format)
 
 
-def read_subset(operator: Operator, worded: Mapping[str, Any]) -> Subset | None:
+def read_subset(operator: Operator, platform_settings: Mapping[str, Any]) -> Subset | None:
     """The subset of servers that this proxy uses; index and number of proxies default to the platform's."""
-    wanted = operator.connections
-    if wanted is None or not wanted.subset:
+    connections = operator.connections
+    if connections is None or not connections.subset:
         return None
-    proxies = wanted.subset_proxies or int(worded.get("instances", 1))
-    index = wanted.subset_index if wanted.subset_index >= 0 else int(worded.get("me", -1))
+    proxies = connections.subset_proxies or int(platform_settings.get("instances", 1))
+    index = (
+        connections.subset_index if connections.subset_index >= 0 else int(platform_settings.get("me", -1))
+    )
     if not 0 <= index < proxies:
         raise ConfigError(
             f"connections.subset.index: {index} is no number below that of the proxies, {proxies}"
         )
-    return Subset(wanted.subset, index, proxies)
+    return Subset(connections.subset, index, proxies)
 
 
 def doubts(operator: Operator, settings: face.Settings) -> list[str]:
     """Warnings on settings that are valid, as tenants come and go, but may be mistakes."""
     tenants = operator.door.tenants if operator.door and settings.tenants else ()
     keys = operator.token.keys if operator.token else {}
-    found = [f"door: the settings name no tenant {name}" for name in tenants if name not in settings.tenants]
-    found += [f"token: the key {kid} is short" for kid, key in keys.items() if len(key) < LEAST_KEY]
-    shared = operator.peers.keys if operator.peers else {}
-    return found + [f"peers: the key {kid} is short" for kid, key in shared.items() if len(key) < LEAST_KEY]
+    warnings = [
+        f"door: the settings name no tenant {name}" for name in tenants if name not in settings.tenants
+    ]
+    warnings += [f"token: the key {kid} is short" for kid, key in keys.items() if len(key) < MIN_KEY_BYTES]
+    peer_keys = operator.peers.keys if operator.peers else {}
+    return warnings + [
+        f"peers: the key {kid} is short" for kid, key in peer_keys.items() if len(key) < MIN_KEY_BYTES
+    ]
 
 
 def read_text(name: str) -> str:
@@ -465,11 +478,11 @@
     """The settings of peers, even if they are disabled: commands that query a proxy need them too."""
     text = read_text(name)
     read_operator(name, text)
-    return read_peers(Entries(name, text))
+    return read_peers(Properties(name, text))
 
 
 def load_tokens(name: str) -> TokenSettings:
     """The settings of tokens, even if they are disabled: the issuer of tokens need not be a proxy."""
     text = read_text(name)
     read_operator(name, text)
-    return read_token(Entries(name, text))
+    return read_token(Properties(name, text))
--- a/brackenusher/config/platform.py
+++ b/brackenusher/config/platform.py
@@ -11,7 +11,7 @@
 from barleybarrow.settings import read_settings
 from brackenusher.runtime.driver import Address
 
-LEAST_SOCKETS = 64
+MIN_SOCKETS = 64
 
 
 class ConfigError(ValueError):
@@ -19,7 +19,7 @@
 
 
 @dataclass(slots=True)
-class Config:
+class PlatformConfig:
     """The validated configuration."""
 
     name: str
@@ -43,26 +43,26 @@
     return host, int(port)
 
 
-def load(environ: Mapping[str, str]) -> Config:
+def load(environ: Mapping[str, str]) -> PlatformConfig:
     """Read the configuration; variables take precedence over entries of the file."""
     path = environ.get("GW_CONFIG")
     if not path:
         raise ConfigError("GW_CONFIG is not set")
     try:
-        conf = ujson.loads(Path(path).read_bytes())
+        document = ujson.loads(Path(path).read_bytes())
     except (OSError, ValueError) as error:
         raise ConfigError(f"{path}: {error}") from error
-    if not isinstance(conf, dict):
+    if not isinstance(document, dict):
         raise ConfigError(f"{path}: an object expected")
     try:
-        return read(conf, environ)
+        return parse(document, environ)
     except ConfigError:
         raise
     except (ValueError, KeyError, TypeError, AttributeError) as error:
         raise ConfigError(f"{path}: {type(error).__name__}: {error}") from error
 
 
-def load_again(environ: Mapping[str, str]) -> Config:
+def load_again(environ: Mapping[str, str]) -> PlatformConfig:
     """Read the configuration at a reload, with the discovery address of the file.
 
     GW_DISCOVERY still has the address from the start of the process.
@@ -70,34 +70,34 @@
     return load({name: value for name, value in environ.items() if name != "GW_DISCOVERY"})
 
 
-def read(conf: dict[str, Any], environ: Mapping[str, str]) -> Config:
+def parse(document: dict[str, Any], environ: Mapping[str, str]) -> PlatformConfig:
     """Convert and validate the parsed JSON object."""
-    settings = read_settings(conf["settings"])
+    settings = read_settings(document["settings"])
     settings.check()
     if not all(c.name for c in settings.classes):
         raise ConfigError("settings: a class without a name")
-    sockets = int(conf.get("limits", {}).get("sockets", 1024))
-    if sockets < LEAST_SOCKETS:
-        raise ConfigError(f"limits: {sockets} sockets are too few, {LEAST_SOCKETS} are needed")
-    cores = float(conf.get("limits", {}).get("cores", 1.0))
+    sockets = int(document.get("limits", {}).get("sockets", 1024))
+    if sockets < MIN_SOCKETS:
+        raise ConfigError(f"limits: {sockets} sockets are too few, {MIN_SOCKETS} are needed")
+    cores = float(document.get("limits", {}).get("cores", 1.0))
     if not cores > 0:
         raise ConfigError(f"limits: {cores} cores are too few")
-    memory_mb = float(conf.get("limits", {}).get("memory_mb", 64.0))
+    memory_mb = float(document.get("limits", {}).get("memory_mb", 64.0))
     if not memory_mb > 0:
         raise ConfigError(f"limits: {memory_mb} memory_mb are too few")
-    known = conf.get("known") or {}
+    known = document.get("known") or {}
     if not isinstance(known, dict):
         raise ConfigError("known: an object expected")
-    control = environ.get("GW_CONTROL") or conf.get("control")
-    return Config(
-        name=str(environ.get("GW_NAME") or conf.get("name", "")),
-        listen=read_address(environ.get("GW_LISTEN") or conf.get("listen"), "listen"),
-        discovery=read_address(environ.get("GW_DISCOVERY") or conf.get("discovery"), "discovery"),
-        seed=int(str(conf.get("seed", "0")), 16),
+    control = environ.get("GW_CONTROL") or document.get("control")
+    return PlatformConfig(
+        name=str(environ.get("GW_NAME") or document.get("name", "")),
+        listen=read_address(environ.get("GW_LISTEN") or document.get("listen"), "listen"),
+        discovery=read_address(environ.get("GW_DISCOVERY") or document.get("discovery"), "discovery"),
+        seed=int(str(document.get("seed", "0")), 16),
         sockets=sockets,
         known=known,
         settings=settings,
-        worded=conf["settings"],
+        worded=document["settings"],
         cores=cores,
         memory_mb=memory_mb,
         control=read_address(control, "control") if control else None,
--- a/brackenusher/daemon.py
+++ b/brackenusher/daemon.py
@@ -16,7 +16,7 @@
 from barleybarrow.lifecycle import Lifecycle, Stage
 from barleybarrow.rate_limiter import RateLimiter
 from brackenusher.config.operators import Operator, doubts, read_subset
-from brackenusher.config.platform import Config, ConfigError
+from brackenusher.config.platform import ConfigError, PlatformConfig
 from brackenusher.core.admission import Admission, Bar
 from brackenusher.core.deadlines import Deadlines
 from brackenusher.core.pipe import Budget
@@ -31,8 +31,8 @@
 from brackenusher.membership.agent import Agent
 from brackenusher.membership.discovery import DiscoveryError, read_listing
 from brackenusher.records.capture import Capture
-from brackenusher.records.figures import Figures
-from brackenusher.records.insight import Insight
+from brackenusher.records.figures import MetricsReporter
+from brackenusher.records.insight import BalancerGauges
 from brackenusher.records.tally import Tally
 from brackenusher.runtime.buffers import Buffers
 from brackenusher.runtime.driver import Address
@@ -72,7 +72,9 @@
 class Daemon:
     """One proxy."""
 
-    def __init__(self, config: Config, load: Callable[[], Config], operator: Operator) -> None:
+    def __init__(
+        self, config: PlatformConfig, load: Callable[[], PlatformConfig], operator: Operator
+    ) -> None:
         self.load = load  # reads the configuration again, for a reload
         self.told_at: float | None = None  # when the first stop signal came
         self.shutdown: GracefulShutdown | None = None
@@ -125,11 +127,11 @@
         self.tally: Tally | None = None
         self.control: control.Control | None = None
         if config.control:
-            insight = Insight(balancer, clock)
+            insight = BalancerGauges(balancer, clock)
             self.tally = Tally(
                 settings,
                 clock,
-                lambda now: insight.hosts(self.pool.size, now),
+                lambda now: insight.count_servers(self.pool.size, now),
                 lambda: self.transactions.taken,
                 lambda: self.upstream.written,
             )
@@ -221,7 +223,7 @@
                 raise ConfigError(f"capture.dir: {error}") from error
         self.figures = None
         if operator.figures:
-            self.figures = Figures(
+            self.figures = MetricsReporter(
                 operator.figures,
                 self.outlet,
                 self.loop.deadlines,
@@ -229,15 +231,15 @@
                 self.transactions.open,
                 config.settings,
             )
-            self.figures.also.append(self.upstream.figures)
-            self.figures.also.append(self.clients.figures)
-            self.figures.also.append(Insight(self.transactions.balancer, clock).figures)
+            self.figures.sources.append(self.upstream.figures)
+            self.figures.sources.append(self.clients.figures)
+            self.figures.sources.append(BalancerGauges(self.transactions.balancer, clock).samples)
             if self.peers:
-                self.figures.also.append(self.peers.figures)
+                self.figures.sources.append(self.peers.figures)
             if self.node:
-                self.figures.also.append(self.node.figures)
+                self.figures.sources.append(self.node.figures)
             if self.replicator:
-                self.figures.also.append(self.replicator.figures)
+                self.figures.sources.append(self.replicator.figures)
         past = self.replicator.past if self.replicator else None
         looking = [each for each in (self.capture, self.figures, self.tally, past) if each]
         looked = [each.handled for each in (self.capture, self.peers) if each]
@@ -340,7 +342,7 @@
                 logging.INFO,
                 "capture_ended",
                 "capture: %(records)d records, %(dropped)d dropped",
-                records=self.capture.serial,
+                records=self.capture.line_count,
                 dropped=self.capture.dropped,
             )
         if self.figures:
@@ -445,7 +447,7 @@
 
     def say_figures(self) -> Reply:
         assert self.tally is not None
-        return 200, self.tally.worded()
+        return 200, self.tally.to_json()
 
     def drain(self) -> Reply:
         """Direct clients to other proxies; can be undone by resume."""
--- a/brackenusher/records/capture.py
+++ b/brackenusher/records/capture.py
@@ -19,161 +19,165 @@
 from barleybarrow import interface as face
 from brackenusher import __version__
 from brackenusher.config.operators import CaptureSettings
-from brackenusher.config.platform import Config
+from brackenusher.config.platform import PlatformConfig
 from brackenusher.core.admission import Request
 from brackenusher.core.message import Message
 from brackenusher.core.transaction import Answer, Failed, Refused, Served, Transaction
 from brackenusher.runtime.outlet import Outlet, write_all, write_stderr
 
-ROOM = 256 * 1024  # bytes waiting to be written
-MOST_OPEN = 1000  # requests whose line is not written yet
-MOST_WAITING = 500  # timers and probes waiting for the next line; while none is written, they decide nothing
-MOST_ON_A_LINE = 100
-LONGEST_TEXT = 64  # of a value chosen by a client
-PLAIN = re.compile(rb"[A-Za-z0-9_.+=@-]{1,64}\Z")
-WORD = rb"[A-Za-z0-9_.+=@][A-Za-z0-9_.+=@-]{0,63}"
-ALL_PLAIN = re.compile(rb"(?!list )%s %s k=%s %s\Z" % (WORD, WORD, WORD, WORD))
-KEY = re.compile(rb"[?&]k=([^&#]{0,65})")
-HEALTH = {face.State.LIVE: "ready", face.State.DRAINING: "draining", face.State.GONE: "gone"}
-OUTCOMES = {outcome: outcome.value for outcome in face.Outcome}
-ANSWERS = {Served: "served", Refused: "refused", Failed: "failed", type(None): "left"}
-HEAD = "# "
-FORM = 1  # version of the line format
+QUEUE_BYTES = 256 * 1024  # waiting to be written
+MAX_OPEN_REQUESTS = 1000  # requests whose line is not written yet
+MAX_PENDING_EVENTS = 500  # timers or probes waiting for a line; those without one decided nothing
+MAX_EVENTS_PER_LINE = 100
+MAX_TEXT_BYTES = 64  # of a value sent_number by a client
+PLAIN_TEXT = re.compile(rb"[A-Za-z0-9_.+=@-]{1,64}\Z")
+PLAIN_WORD = rb"[A-Za-z0-9_.+=@][A-Za-z0-9_.+=@-]{0,63}"
+PLAIN_COLUMNS = re.compile(rb"(?!list )%s %s k=%s %s\Z" % (PLAIN_WORD, PLAIN_WORD, PLAIN_WORD, PLAIN_WORD))
+KEY_PARAMETER = re.compile(rb"[?&]k=([^&#]{0,65})")
+STATE_NAMES = {face.State.LIVE: "ready", face.State.DRAINING: "draining", face.State.GONE: "gone"}
+OUTCOME_NAMES = {outcome: outcome.value for outcome in face.Outcome}
+RESULT_NAMES = {Served: "served", Refused: "refused", Failed: "failed", type(None): "left"}
+HEADER_PREFIX = "# "
+FORMAT_VERSION = 1  # version of the line format
 
 
 def escape(text: bytes | None, safe: str = "") -> str:
     """Client text, escaped so that it cannot end or forge a line, and cut at 64 bytes; "-" if absent."""
     if not text:
         return "-" if text is None else "%"
-    if PLAIN.match(text) and text not in (b"-", b"list"):
+    if PLAIN_TEXT.match(text) and text not in (b"-", b"list"):
         return text.decode()
-    cut = quote(text[:LONGEST_TEXT], safe=safe).replace("~", "%7E")
-    if cut in ("-", "list"):
-        cut = "".join(f"%{byte:02X}" for byte in text)
-    return cut + "~" * (len(text) > LONGEST_TEXT)
+    escaped = quote(text[:MAX_TEXT_BYTES], safe=safe).replace("~", "%7E")
+    if escaped in ("-", "list"):
+        escaped = "".join(f"%{byte:02X}" for byte in text)
+    return escaped + "~" * (len(text) > MAX_TEXT_BYTES)
 
 
-def module_digest() -> str:
+def source_digest() -> str:
     """A digest of the balancer's source code, to recognize another version of it."""
-    texts = [Path(str(part.__file__)).read_bytes() for part in (brain, state)]
-    texts.append(
-        Path(str(brain.__file__)).with_name("knowledge.py").read_bytes()
-    )  # weighs the evidence of other proxies
+    texts = [Path(str(module.__file__)).read_bytes() for module in (brain, state)]
+    # knowledge.py weighs the evidence of other proxies
+    texts.append(Path(str(brain.__file__)).with_name("knowledge.py").read_bytes())
     return hashlib.sha256(b"".join(texts)).hexdigest()[:16]
 
 
-def columns(name: bytes, klass: str, message: Message) -> str:
+def request_columns(id_text: bytes, class_name: str, message: Message) -> str:
     """The columns of a line that describe the request."""
-    key = KEY.search(message.target)
+    key = KEY_PARAMETER.search(message.target)
     if key and message.owner and message.deadline:
-        words = b"%s %s k=%s %s" % (name, message.owner, key[1], message.deadline)
-        if ALL_PLAIN.match(words):  # fast path of nearly all requests: one match instead of one per column
-            plain, _, rest = words.decode().partition(" ")
-            return f"{plain} {klass} {rest}"
-    about = escape(key[1], "%/") if key else "-"
-    return f"{escape(name)} {klass} {escape(message.owner)} k={about} {escape(message.deadline)}"
+        plain_columns = b"%s %s k=%s %s" % (id_text, message.owner, key[1], message.deadline)
+        if PLAIN_COLUMNS.match(plain_columns):  # fast path for nearly all requests: one match for all columns
+            request_id, _, rest = plain_columns.decode().partition(" ")
+            return f"{request_id} {class_name} {rest}"
+    escaped_key = escape(key[1], "%/") if key else "-"
+    return (
+        f"{escape(id_text)} {class_name} {escape(message.owner)} k={escaped_key} {escape(message.deadline)}"
+    )
 
 
-def charged(message: Message) -> str:
+def rate_limiter_pair(message: Message) -> str:
     """The rate limiter's pair on a request's line: when and under which key it was charged."""
     if message.charged is None:
         return ""
     return f" door={message.charged[1]!r},{quote(message.charged[0], safe='')}"
 
 
-class Ring:
+class FileRing:
     """A ring of files in a folder; the oldest is overwritten first."""
 
     def __init__(self, settings: CaptureSettings) -> None:
         folder = Path(settings.folder or ".")
         folder.mkdir(parents=True, exist_ok=True)
         self.paths = [folder / f"capture-{n}.log" for n in range(settings.files)]
-        self.ages = [self.count(path) for path in self.paths]
-        self.file = max(self.ages)  # files started so far, across restarts
+        self.sequences = [self.read_sequence(path) for path in self.paths]
+        self.sequence = max(self.sequences)  # files started so far, across restarts
         self.fd = -1
-        self.next()
+        self.start_next_file()
 
     @staticmethod
-    def count(path: Path) -> int:
+    def read_sequence(path: Path) -> int:
         """The sequence number in a file's header; 0, the oldest, if the file or its header is missing."""
         try:
             with path.open("rb") as file:
-                return int(ujson.loads(file.readline(1024 * 1024)[len(HEAD) :])["file"])
+                return int(ujson.loads(file.readline(1024 * 1024)[len(HEADER_PREFIX) :])["file"])
         except (OSError, ValueError, KeyError, TypeError):
             return 0
 
-    def next(self) -> None:
+    def start_next_file(self) -> None:
         """Start over the oldest file; called by the writer thread, except for the first time."""
         if self.fd >= 0:
             os.close(self.fd)
             self.fd = -1
-        at = self.ages.index(min(self.ages))
-        self.file += 1
-        self.ages[at] = self.file
-        self.fd = os.open(self.paths[at], os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o640)
+        oldest = self.sequences.index(min(self.sequences))
+        self.sequence += 1
+        self.sequences[oldest] = self.sequence
+        self.fd = os.open(self.paths[oldest], os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o640)
 
-    def write(self, pieces: list[bytes]) -> None:
+    def write(self, chunks: list[bytes]) -> None:
         """Write whole lines; truncates the file to its former size if they cannot be written in full."""
         end = os.fstat(self.fd).st_size
         try:
-            write_all(self.fd, b"".join(pieces))
+            write_all(self.fd, b"".join(chunks))
         except OSError:
             os.ftruncate(self.fd, end)
             os.lseek(self.fd, end, os.SEEK_SET)
             raise
 
 
-class Record:
+class RequestRecord:
     """A request whose line is not written yet."""
 
     __slots__ = (
         "transaction",
-        "number",
-        "now",
-        "event",
-        "tries",
-        "out",
-        "final",
-        "by",
-        "left",
+        "event_number",
+        "arrived_at",
+        "arrival",
+        "attempts",
+        "in_flight",
+        "rejection",
+        "by_pair",
+        "left_pair",
         "closed",
-        "answer",
+        "result",
     )
 
     def __init__(self, transaction: Transaction, number: int, now: float, event: face.Arrived) -> None:
-        self.transaction, self.number, self.now, self.event = transaction, number, now, event
-        self.tries: list[Try] = []
-        self.out, self.final, self.by, self.left = 0, "", "", ""
-        self.closed, self.answer = False, ""
+        self.transaction, self.event_number, self.arrived_at, self.arrival = transaction, number, now, event
+        self.attempts: list[AttemptRecord] = []
+        self.in_flight, self.rejection, self.by_pair, self.left_pair = 0, "", "", ""
+        self.closed, self.result = False, ""
 
     def decision(self) -> str:
         """The final decision, as it is written on the line."""
-        if self.final:
-            return self.final
-        if not self.tries:
+        if self.rejection:
+            return self.rejection
+        if not self.attempts:
             return "hold -"
-        host = self.tries[-1].host
-        for attempt in self.tries:  # prefer the attempt that served the request
-            if attempt.end is not None and attempt.end.outcome is face.Outcome.SERVED:
+        host = self.attempts[-1].host
+        for attempt in self.attempts:  # prefer the attempt that served the request
+            if attempt.finished is not None and attempt.finished.outcome is face.Outcome.SERVED:
                 host = attempt.host
         return "forward " + host
 
 
-class Try:
+class AttemptRecord:
     """One attempt of a request."""
 
-    __slots__ = ("host", "chosen", "number", "now", "end")
+    __slots__ = ("host", "sent_number", "end_number", "ended_at", "finished")
 
-    def __init__(self, host: str, chosen: int) -> None:
-        self.host, self.chosen, self.number, self.now = host, chosen, 0, 0.0
-        self.end: face.Finished | None = None
+    def __init__(self, host: str, sent_number: int) -> None:
+        self.host, self.sent_number, self.end_number, self.ended_at = host, sent_number, 0, 0.0
+        self.finished: face.Finished | None = None
 
-    def words(self) -> str:
-        if self.end is None:
-            return f" try={self.host},{self.chosen}"
-        done = ",complete" if self.end.complete else ""
-        about = f"{self.chosen},{self.number},{self.now!r},{OUTCOMES[self.end.outcome]},{self.end.elapsed!r}"
-        return f" try={self.host},{about}{done}"
+    def pair(self) -> str:
+        if self.finished is None:
+            return f" try={self.host},{self.sent_number}"
+        complete = ",complete" if self.finished.complete else ""
+        fields = (
+            f"{self.sent_number},{self.end_number},{self.ended_at!r},"
+            f"{OUTCOME_NAMES[self.finished.outcome]},{self.finished.elapsed!r}"
+        )
+        return f" try={self.host},{fields}{complete}"
 
 
 class Capture:
@@ -182,42 +186,51 @@
     def __init__(
         self,
         settings: CaptureSettings,
-        outlet: Outlet,
+        writer: Outlet,
         transactions: Mapping[int, Transaction],
-        config: Config,
-        began: float,
+        config: PlatformConfig,
+        started_at: float,
     ) -> None:
-        self.transactions, self.classes = (
+        self.transactions, self.class_names = (
             transactions,
             [quote(c.name, safe="") for c in config.settings.classes],
         )
-        self.ring = Ring(settings) if settings.folder else None
-        self.channel = outlet.channel(self.ring.write if self.ring else write_stderr, ROOM)
-        self.most = settings.file_kb * 1024 if self.ring else 0
-        self.base = {"capture": FORM, "version": __version__, "module": module_digest()}
-        self.tail = {"seed": f"{config.seed:x}", "began": repr(began), "settings": config.worded}
-        self.open: dict[int, Record] = {}
-        self.hosts: dict[str, str] = {}  # escaped names, by name
-        self.standing: dict[str, str] = {}  # the current server list: each host's line without its number
-        self.timers: deque[str] = deque(maxlen=MOST_WAITING)  # events of no request go out with the next line
-        self.probes: deque[str] = deque(maxlen=MOST_WAITING)
-        self.serial = self.event = self.left_out = 0
-        self.file = self.ring.file if self.ring else 0
-        self.space = self.most
-        self.space -= self.put(self.head())
+        self.ring = FileRing(settings) if settings.folder else None
+        self.channel = writer.channel(self.ring.write if self.ring else write_stderr, QUEUE_BYTES)
+        self.file_bytes = settings.file_kb * 1024 if self.ring else 0
+        self.static_header = {"capture": FORMAT_VERSION, "version": __version__, "module": source_digest()}
+        self.run_header = {"seed": f"{config.seed:x}", "began": repr(started_at), "settings": config.worded}
+        self.open_records: dict[int, RequestRecord] = {}
+        self.escaped_hosts: dict[str, str] = {}  # escaped names, by name
+        self.server_lines: dict[str, str] = {}  # the current server list: each host's line without its number
+        # events without a request are written with the next line
+        self.timers: deque[str] = deque(maxlen=MAX_PENDING_EVENTS)
+        self.probes: deque[str] = deque(maxlen=MAX_PENDING_EVENTS)
+        self.line_count = self.event_count = self.omitted_lines = 0
+        self.file_sequence = self.ring.sequence if self.ring else 0
+        self.free_bytes = self.file_bytes
+        self.free_bytes -= self.put(self.header())
 
     # output
 
     @property
     def dropped(self) -> int:
         """Records that could not be written."""
-        return self.left_out + self.channel.dropped
+        return self.omitted_lines + self.channel.dropped
 
-    def head(self) -> bytes:
+    def header(self) -> bytes:
         """The header of a file, with which it can be read without the others."""
-        facts = {"file": self.file, "n": self.serial, "event": self.event, "dropped": self.dropped}
-        lines = [HEAD + ujson.dumps(self.base | facts | self.tail, escape_forward_slashes=False)]
-        lines += [f"{line} standing=1" for line in self.standing.values()]
+        position = {
+            "file": self.file_sequence,
+            "n": self.line_count,
+            "event": self.event_count,
+            "dropped": self.dropped,
+        }
+        lines = [
+            HEADER_PREFIX
+            + ujson.dumps(self.static_header | position | self.run_header, escape_forward_slashes=False)
+        ]
+        lines += [f"{line} standing=1" for line in self.server_lines.values()]
         return ("\n".join(lines) + "\n").encode()
 
     def put(self, data: bytes) -> int:
@@ -225,136 +238,141 @@
 
     def write(self, line: str) -> None:
         """Write a line, to the next file if this one is full."""
-        data, ring = f"{line} n={self.serial + 1}\n".encode(), self.ring
-        head = self.head() if ring and len(data) > self.space else b""
-        self.serial += 1
-        if ring and head:
-            if not self.channel.fits(len(head) + len(data)):
-                self.left_out += 1
+        data, ring = f"{line} n={self.line_count + 1}\n".encode(), self.ring
+        header = self.header() if ring and len(data) > self.free_bytes else b""
+        self.line_count += 1
+        if ring and header:
+            if not self.channel.fits(len(header) + len(data)):
+                self.omitted_lines += 1
                 return
-            self.channel.flush(ring.next)
-            self.file += 1
-            self.space = self.most - self.put(head)
-        self.space -= self.put(data)
+            self.channel.flush(ring.start_next_file)
+            self.file_sequence += 1
+            self.free_bytes = self.file_bytes - self.put(header)
+        self.free_bytes -= self.put(data)
 
     def close(self) -> None:
         """Write the lines of requests that are still open."""
-        for record in self.open.values():
-            self.emit(record)
-        self.open.clear()
+        for record in self.open_records.values():
+            self.write_record(record)
+        self.open_records.clear()
 
     # observer interface
 
     def answered(self, transaction: Transaction, answer: Answer | None) -> None:
-        record = self.open.get(transaction.id)
+        record = self.open_records.get(transaction.id)
         if record is not None:
-            record.answer = ANSWERS[type(answer)]
-            if record.closed and not record.out:
-                self.settle(record)
+            record.result = RESULT_NAMES[type(answer)]
+            if record.closed and not record.in_flight:
+                self.finish(record)
 
     def turned_away(self, request: Request, verdict: str) -> None:
-        self.event += 1
-        words = columns(request.name, self.classes[request.klass], request.message)
-        self.write(f"{words} {verdict}{charged(request.message)} event={self.event}")
+        self.event_count += 1
+        columns = request_columns(request.name, self.class_names[request.klass], request.message)
+        self.write(f"{columns} {verdict}{rate_limiter_pair(request.message)} event={self.event_count}")
 
     def handled(self, now: float, event: face.Event, actions: Sequence[face.Action]) -> None:
-        self.event += 1
-        number = self.event
+        self.event_count += 1
+        number = self.event_count
         if isinstance(event, face.TimerDue):
             self.timers.append(f"{number},{now!r},{event.token}")
         elif isinstance(event, face.ListChanged):
-            self.listed(number, now, event)
+            self.record_list(number, now, event)
         elif isinstance(event, face.Probed):
             report = ",".join(f"{name}:{value!r}" for name, value in (event.report or {}).items())
-            about = f"{number},{now!r},{quote(event.backend)},{OUTCOMES[event.outcome]},{event.elapsed!r}"
-            self.probes.append(f"{about},{report}")
+            fields = (
+                f"{number},{now!r},{quote(event.backend)},{OUTCOME_NAMES[event.outcome]},{event.elapsed!r}"
+            )
+            self.probes.append(f"{fields},{report}")
         elif isinstance(event, face.Told):
-            words = (f"{quote(w.backend)},{w.started!r},{w.slower!r},{w.weight!r}" for w in event.hearsay)
-            self.write(f"list 0 - told at={number},{now!r} told={';'.join(words)}")
+            evidence = (f"{quote(w.backend)},{w.started!r},{w.slower!r},{w.weight!r}" for w in event.hearsay)
+            self.write(f"list 0 - told at={number},{now!r} told={';'.join(evidence)}")
         elif isinstance(event, face.Arrived):
-            self.arrived(number, now, event)
+            self.record_arrival(number, now, event)
         elif isinstance(event, (face.Finished, face.Left)):
-            self.changed(number, now, event)
+            self.record_end(number, now, event)
         for action in actions:
             if isinstance(action, face.Send):
-                record = self.open.get(action.request)
+                record = self.open_records.get(action.request)
                 if record is not None:
-                    record.tries.append(Try(self.host(action.backend), number))
-                    record.out += 1
+                    record.attempts.append(AttemptRecord(self.escape_host(action.backend), number))
+                    record.in_flight += 1
             elif isinstance(action, face.Refuse):
-                self.given_up(action.request, f"refuse {action.retry_after:.3f}", number)
+                self.reject(action.request, f"refuse {action.retry_after:.3f}", number)
             elif isinstance(action, face.Fail):
-                self.given_up(action.request, "fail -", number)
+                self.reject(action.request, "fail -", number)
 
-    def given_up(self, request: int, decision: str, number: int) -> None:
+    def reject(self, request: int, decision: str, number: int) -> None:
         """The balancer refused or failed a request."""
-        record = self.open.get(request)
+        record = self.open_records.get(request)
         if record is not None:
-            record.final, record.by, record.closed = decision, f" by={number}", True
+            record.rejection, record.by_pair, record.closed = decision, f" by={number}", True
 
-    def host(self, backend: str) -> str:
+    def escape_host(self, backend: str) -> str:
         """A host's name, escaped as on the lines of the server list."""
-        return self.hosts.get(backend) or quote(backend)
+        return self.escaped_hosts.get(backend) or quote(backend)
 
-    def arrived(self, number: int, now: float, event: face.Arrived) -> None:
-        if len(self.open) >= MOST_OPEN:
-            self.emit(self.open.pop(next(iter(self.open))))
+    def record_arrival(self, number: int, now: float, event: face.Arrived) -> None:
+        if len(self.open_records) >= MAX_OPEN_REQUESTS:
+            self.write_record(self.open_records.pop(next(iter(self.open_records))))
         transaction = self.transactions.get(event.request)
         if transaction is not None:
-            self.open[event.request] = Record(transaction, number, now, event)
+            self.open_records[event.request] = RequestRecord(transaction, number, now, event)
 
-    def changed(self, number: int, now: float, event: face.Finished | face.Left) -> None:
+    def record_end(self, number: int, now: float, event: face.Finished | face.Left) -> None:
         """An attempt has ended, or the client has disconnected."""
-        record = self.open.get(event.request)
+        record = self.open_records.get(event.request)
         if record is None:
             return
         if isinstance(event, face.Finished):
-            attempt = record.tries[event.attempt]
-            attempt.number, attempt.now, attempt.end = number, now, event
-            record.out -= 1
+            attempt = record.attempts[event.attempt]
+            attempt.end_number, attempt.ended_at, attempt.finished = number, now, event
+            record.in_flight -= 1
             record.closed = record.closed or event.complete
         else:
-            record.left, record.closed = f" left={number},{now!r}", True
-        if record.closed and record.answer and not record.out:
-            self.settle(record)
+            record.left_pair, record.closed = f" left={number},{now!r}", True
+        if record.closed and record.result and not record.in_flight:
+            self.finish(record)
 
-    def listed(self, number: int, now: float, event: face.ListChanged) -> None:
+    def record_list(self, number: int, now: float, event: face.ListChanged) -> None:
         """Write a line for each entry, or one for an empty list."""
-        scope, many = event.scope.value, len(event.entries)
+        scope, entry_count = event.scope.value, len(event.entries)
         if event.scope is face.ListScope.COMPLETE:
-            self.standing.clear()
-            self.hosts.clear()
-        for place, entry in enumerate(event.entries, 1):
-            host = self.hosts[entry.backend] = quote(entry.backend)
-            line = f"list {event.version} {host} {HEALTH[entry.state]}"
+            self.server_lines.clear()
+            self.escaped_hosts.clear()
+        for position, entry in enumerate(event.entries, 1):
+            host = self.escaped_hosts[entry.backend] = quote(entry.backend)
+            line = f"list {event.version} {host} {STATE_NAMES[entry.state]}"
             line += f" entry={entry.started!r},{entry.cell},{entry.zone},{entry.kind}"
             if entry.state is face.State.GONE:
-                self.standing.pop(host, None)
-                self.hosts.pop(entry.backend)
+                self.server_lines.pop(host, None)
+                self.escaped_hosts.pop(entry.backend)
             else:
-                self.standing[host] = line
-            self.write(f"{line} at={number},{now!r} scope={scope} part={place}/{many}")
+                self.server_lines[host] = line
+            self.write(f"{line} at={number},{now!r} scope={scope} part={position}/{entry_count}")
         if not event.entries:
             self.write(f"list {event.version} - - at={number},{now!r} scope={scope} part=0/0")
 
-    def settle(self, record: Record) -> None:
+    def finish(self, record: RequestRecord) -> None:
         """Write the line of a request that no further event can concern."""
-        del self.open[record.event.request]
-        self.emit(record)
+        del self.open_records[record.arrival.request]
+        self.write_record(record)
 
-    def emit(self, record: Record) -> None:
+    def write_record(self, record: RequestRecord) -> None:
         """Write a request's line, with timers and probes since the last one."""
-        event, transaction = record.event, record.transaction
-        words = columns(transaction.name, self.classes[event.klass], transaction.message)
-        about = f"{event.request},{event.klass},{event.tenant},{event.repeated:d},{event.deadline!r}"
-        line = f"{words} {record.decision()} {record.answer or 'open'} at={record.number},{record.now!r}"
+        event, transaction = record.arrival, record.transaction
+        columns = request_columns(transaction.name, self.class_names[event.klass], transaction.message)
+        fields = f"{event.request},{event.klass},{event.tenant},{event.repeated:d},{event.deadline!r}"
+        line = (
+            f"{columns} {record.decision()} {record.result or 'open'} "
+            f"at={record.event_number},{record.arrived_at!r}"
+        )
         if event.bound is not None:
-            about += f" bound={quote(event.bound)},{event.window_end!r}"
-        line += f" req={about}{charged(transaction.message)}{record.by}{record.left}"
-        for attempt in record.tries:
-            line += attempt.words()
-        for name, waiting in (("timers", self.timers), ("probes", self.probes)):
-            if waiting:
-                count = min(len(waiting), MOST_ON_A_LINE)
-                line += f" {name}={';'.join(waiting.popleft() for _ in range(count))}"
+            fields += f" bound={quote(event.bound)},{event.window_end!r}"
+        line += f" req={fields}{rate_limiter_pair(transaction.message)}{record.by_pair}{record.left_pair}"
+        for attempt in record.attempts:
+            line += attempt.pair()
+        for name, pending in (("timers", self.timers), ("probes", self.probes)):
+            if pending:
+                count = min(len(pending), MAX_EVENTS_PER_LINE)
+                line += f" {name}={';'.join(pending.popleft() for _ in range(count))}"
         self.write(line)
--- a/brackenusher/records/figures.py
+++ b/brackenusher/records/figures.py
@@ -18,11 +18,11 @@
 from brackenusher.runtime.outlet import Channel, Outlet, write_all, write_stderr
 from brackenusher.runtime.timers import Timers
 
-ROOM = 96 * 1024  # bytes waiting to be written
-LONGEST_NAME = 64  # characters of a tag's value
+QUEUE_BYTES = 96 * 1024  # waiting to be written
+MAX_TAG_CHARACTERS = 64  # of a tag's value
 NO_TENANT = -1
-Tags = tuple[int, int]  # indexes of class and tenant
-Figure = tuple[str, int, str, list[tuple[str, str]]]  # name, value, statsd type, tags
+TagKey = tuple[int, int]  # indexes of class and tenant
+Sample = tuple[str, int, str, list[tuple[str, str]]]  # name, value, statsd type, tags
 
 
 class Statsd:
@@ -30,8 +30,10 @@
 
     @staticmethod
     def tags(pairs: list[tuple[str, str]]) -> str:
-        strange = str.maketrans("|,:#@\n\r", "_______")
-        return ",".join(f"{name}:{value.translate(strange)[:LONGEST_NAME]}" for name, value in pairs)
+        replacements = str.maketrans("|,:#@\n\r", "_______")
+        return ",".join(
+            f"{name}:{value.translate(replacements)[:MAX_TAG_CHARACTERS]}" for name, value in pairs
+        )
 
     @staticmethod
     def line(name: str, value: int | str, kind: str, tags: str) -> str:
@@ -43,15 +45,17 @@
 
     @staticmethod
     def tags(pairs: list[tuple[str, str]]) -> str:
-        strange = str.maketrans({"\\": "_", "\n": "_", "\r": "_", ",": "\\,", " ": "\\ ", "=": "\\="})
-        return "".join(f",{name}={value[:LONGEST_NAME].translate(strange)}" for name, value in pairs)
+        replacements = str.maketrans({"\\": "_", "\n": "_", "\r": "_", ",": "\\,", " ": "\\ ", "=": "\\="})
+        return "".join(
+            f",{name}={value[:MAX_TAG_CHARACTERS].translate(replacements)}" for name, value in pairs
+        )
 
     @staticmethod
     def line(name: str, value: int | str, kind: str, tags: str) -> str:
         return f"{name}{tags} value={value}\n"
 
 
-class Datagrams:
+class UdpSink:
     """Sends batches to a collector over UDP without blocking."""
 
     def __init__(self, address: Address) -> None:
@@ -76,26 +80,26 @@
         self.sock.send(batch)
 
 
-class Appended:
+class FileSink:
     """Appends batches to a file; opening and writing do not block, whatever kind of file it is."""
 
     def __init__(self, path: str) -> None:
         self.path = path
 
-    def write(self, pieces: list[bytes]) -> int:
+    def write(self, batches: list[bytes]) -> int:
         """Append batches; returns how many failed. Opens the file anew, as it may have been rotated."""
         flags = os.O_WRONLY | os.O_APPEND | os.O_CREAT | os.O_NONBLOCK | os.O_CLOEXEC
         fd = os.open(self.path, flags, 0o640)
         try:
-            return sum(not self.append(fd, piece) for piece in pieces)
+            return sum(not self.append(fd, batch) for batch in batches)
         finally:
             os.close(fd)
 
     @staticmethod
-    def append(fd: int, piece: bytes) -> bool:
+    def append(fd: int, batch: bytes) -> bool:
         end = os.fstat(fd).st_size
         try:
-            write_all(fd, piece)
+            write_all(fd, batch)
         except OSError:
             if os.fstat(fd).st_size > end:  # remove the truncated line
                 os.ftruncate(fd, end)
@@ -103,36 +107,37 @@
         return True
 
 
-class Figures:
+class MetricsReporter:
     """Counts the outcomes of transactions and sends them at intervals."""
 
     def __init__(
         self,
         settings: FiguresSettings,
-        outlet: Outlet,
-        deadlines: Timers,
+        writer: Outlet,
+        timers: Timers,
         clock: Callable[[], float],
         transactions: Mapping[int, Transaction],
-        conf: face.Settings,
+        policy_settings: face.Settings,
     ) -> None:
-        self.settings, self.deadlines, self.clock = settings, deadlines, clock
-        self.transactions, self.conf = transactions, conf
-        self.form = Influx if settings.influx else Statsd
+        self.settings, self.timers, self.clock = settings, timers, clock
+        self.transactions, self.policy_settings = transactions, policy_settings
+        self.line_format = Influx if settings.influx else Statsd
         if isinstance(settings.target, tuple):
-            self.sink: Datagrams | Channel = Datagrams(settings.target)
+            self.sink: UdpSink | Channel = UdpSink(settings.target)
         else:
-            write = write_stderr if settings.target is None else Appended(settings.target).write
-            self.sink = outlet.channel(
-                write, ROOM, chunk_bytes=0
+            write = write_stderr if settings.target is None else FileSink(settings.target).write
+            self.sink = writer.channel(
+                write, QUEUE_BYTES, chunk_bytes=0
             )  # chunks are not merged: a batch is the unit of drops
-        self.requests: Counter[Tags] = Counter()
-        self.refused: Counter[Tags] = Counter()
-        self.seen: dict[Tags, str] = {}  # each with its formatted tags
-        self.timers: dict[Tags, tuple[str, str]] = {}  # text of a timer's line before and after the value
-        self.also: list[Callable[[], Iterable[Figure]]] = []  # called for further gauges at each flush
+        self.requests: Counter[TagKey] = Counter()
+        self.refused: Counter[TagKey] = Counter()
+        self.formatted_tags: dict[TagKey, str] = {}
+        # text of a timer's line before and after the value
+        self.timer_lines: dict[TagKey, tuple[str, str]] = {}
+        self.sources: list[Callable[[], Iterable[Sample]]] = []  # called for further gauges at each flush
         self.batch = bytearray()
-        self.due = clock() + settings.flush_ms
-        self.limit = deadlines.add(self.due, self.tick)
+        self.next_flush_at = clock() + settings.flush_ms
+        self.flush_timer = timers.add(self.next_flush_at, self.on_flush_timer)
 
     # observer interface
 
@@ -141,8 +146,8 @@
         self.requests[key] += 1
         kind = type(answer)
         if kind is Served:
-            before, after = self.timers.get(key) or self.timer(key)
-            self.add(f"{before}{self.clock() - transaction.arrived:.0f}{after}".encode())
+            before, after = self.timer_lines.get(key) or self.format_timer(key)
+            self.add_line(f"{before}{self.clock() - transaction.arrived:.0f}{after}".encode())
         elif kind is Refused:
             self.refused[key] += 1
 
@@ -154,26 +159,28 @@
 
     # output
 
-    def tags(self, key: Tags) -> str:
+    def format_tags(self, key: TagKey) -> str:
         """The formatted tags; names come from the settings alone, which bounds their number."""
-        if key not in self.seen:
-            pairs = [("class", self.conf.classes[key[0]].name)]
-            if self.conf.tenants:
-                pairs.append(("tenant", self.conf.tenants[key[1]] if key[1] != NO_TENANT else "-"))
-            self.seen[key] = self.form.tags(pairs)
-        return self.seen[key]
-
-    def timer(self, key: Tags) -> tuple[str, str]:
-        before, _, after = self.form.line("latency_ms", "\0", "ms", self.tags(key)).partition("\0")
-        self.timers[key] = before, after
+        if key not in self.formatted_tags:
+            pairs = [("class", self.policy_settings.classes[key[0]].name)]
+            if self.policy_settings.tenants:
+                pairs.append(("tenant", self.policy_settings.tenants[key[1]] if key[1] != NO_TENANT else "-"))
+            self.formatted_tags[key] = self.line_format.tags(pairs)
+        return self.formatted_tags[key]
+
+    def format_timer(self, key: TagKey) -> tuple[str, str]:
+        before, _, after = self.line_format.line("latency_ms", "\0", "ms", self.format_tags(key)).partition(
+            "\0"
+        )
+        self.timer_lines[key] = before, after
         return before, after
 
-    def add(self, line: bytes) -> None:
+    def add_line(self, line: bytes) -> None:
         if len(self.batch) + len(line) > self.settings.batch_bytes:
-            self.send()
+            self.send_batch()
         self.batch += line
 
-    def send(self) -> None:
+    def send_batch(self) -> None:
         if self.batch:
             self.sink.put(bytes(self.batch))
             self.batch.clear()
@@ -187,26 +194,26 @@
         )
         for name, sums in (("requests", self.requests), ("refused", self.refused)):
             for key, count in sums.items():
-                self.add(self.form.line(name, count, "c", self.tags(key)).encode())
+                self.add_line(self.line_format.line(name, count, "c", self.format_tags(key)).encode())
             sums.clear()
         for key in inflight:
-            self.tags(key)
-        for key, tags in self.seen.items():
-            self.add(self.form.line("inflight", inflight[key], "g", tags).encode())
-        for source in self.also:
+            self.format_tags(key)
+        for key, tags in self.formatted_tags.items():
+            self.add_line(self.line_format.line("inflight", inflight[key], "g", tags).encode())
+        for source in self.sources:
             for name, count, kind, pairs in source():
-                self.add(self.form.line(name, count, kind, self.form.tags(pairs)).encode())
-        self.add(self.form.line("figures_dropped", self.sink.dropped, "g", "").encode())
-        self.send()
+                self.add_line(self.line_format.line(name, count, kind, self.line_format.tags(pairs)).encode())
+        self.add_line(self.line_format.line("figures_dropped", self.sink.dropped, "g", "").encode())
+        self.send_batch()
 
-    def tick(self) -> None:
+    def on_flush_timer(self) -> None:
         """Flush and schedule the next flush; a late flush delays the following ones."""
-        self.due += self.settings.flush_ms
-        if self.due <= self.clock():
-            self.due = self.clock() + self.settings.flush_ms
-        self.limit = self.deadlines.add(self.due, self.tick)
+        self.next_flush_at += self.settings.flush_ms
+        if self.next_flush_at <= self.clock():
+            self.next_flush_at = self.clock() + self.settings.flush_ms
+        self.flush_timer = self.timers.add(self.next_flush_at, self.on_flush_timer)
         self.flush()
 
     def close(self) -> None:
-        self.deadlines.remove(self.limit)
+        self.timers.remove(self.flush_timer)
         self.flush()
--- a/brackenusher/records/replay.py
+++ b/brackenusher/records/replay.py
@@ -23,24 +23,24 @@
 from barleybarrow.settings import read_settings
 from brackenusher.config.operators import Operator
 from brackenusher.config.platform import ConfigError
-from brackenusher.records.capture import FORM, HEAD, HEALTH, module_digest
+from brackenusher.records.capture import FORMAT_VERSION, HEADER_PREFIX, STATE_NAMES, source_digest
 
-LINE = re.compile(
+LINE_PATTERN = re.compile(
     r"(?P<words>list -?\d+ \S+ \S+|\S+ \S+ \S+ k=\S+ \S+ \S+ \S+ \S+)(?P<pairs>(?: [a-z]+=\S*)*) n=\d+$"
 )
-STANDING = re.compile(r"list -?\d+ \S+ \S+ entry=\S+ standing=1$")
-STATES = {word: state for state, word in HEALTH.items()}
+SERVER_LINE_PATTERN = re.compile(r"list -?\d+ \S+ \S+ entry=\S+ standing=1$")
+STATES_BY_NAME = {word: state for state, word in STATE_NAMES.items()}
 
 
 @dataclass
-class Line:
+class CaptureLine:
     """A line of the capture."""
 
-    place: int  # line number in the file
+    line_number: int
     words: list[str]
     pairs: dict[str, list[str]]
 
-    def one(self, name: str) -> list[str]:
+    def fields(self, name: str) -> list[str]:
         """The comma-separated fields of a pair that occurs once."""
         return self.pairs[name][0].split(",")
 
@@ -52,20 +52,22 @@
 
 
 @dataclass
-class Run:
+class CapturedRun:
     """The capture of one process."""
 
-    head: dict[str, Any]
-    standing: list[face.Entry] = field(default_factory=list)
-    lines: list[Line] = field(default_factory=list)
+    header: dict[str, Any]
+    initial_servers: list[face.Entry] = field(default_factory=list)
+    lines: list[CaptureLine] = field(default_factory=list)
 
 
-def read_entry(words: list[str], parts: list[str]) -> face.Entry:
-    started, cell, zone, kind = parts
-    return face.Entry(unquote(words[2]), STATES[words[3]], float(started), int(cell), int(zone), int(kind))
+def read_entry(words: list[str], fields: list[str]) -> face.Entry:
+    started, cell, zone, kind = fields
+    return face.Entry(
+        unquote(words[2]), STATES_BY_NAME[words[3]], float(started), int(cell), int(zone), int(kind)
+    )
 
 
-def pairs_of(text: str) -> dict[str, list[str]]:
+def parse_pairs(text: str) -> dict[str, list[str]]:
     pairs = defaultdict(list)
     for pair in text.split():
         name, _, value = pair.partition("=")
@@ -73,117 +75,123 @@
     return pairs
 
 
-def read_runs(lines: Iterable[str]) -> tuple[list[Run], int]:
+def read_runs(lines: Iterable[str]) -> tuple[list[CapturedRun], int]:
     """Parse a capture; also returns the number of other lines, such as log lines.
 
     Files of a ring may follow each other in any order: the earliest header of a process counts.
     """
-    runs: dict[tuple[str, str], Run] = {}
-    run: Run | None = None
-    opening, others = False, 0
-    for place, text in enumerate(lines, 1):
+    runs: dict[tuple[str, str], CapturedRun] = {}
+    run: CapturedRun | None = None
+    in_header, other_lines = False, 0
+    for line_number, text in enumerate(lines, 1):
         text = text.rstrip("\n")
-        if text.startswith(HEAD + "{"):
-            head = ujson.loads(text[len(HEAD) :])
-            if head["capture"] != FORM:
-                raise ValueError(f"line {place}: written in form {head['capture']}, this reads {FORM}")
-            run = runs.setdefault((head["seed"], head["began"]), Run(head))
-            opening = head["event"] < run.head["event"] or run.head is head
-            if opening:
-                run.head, run.standing = head, []
-        elif STANDING.match(text):
-            if opening and run is not None:
+        if text.startswith(HEADER_PREFIX + "{"):
+            header = ujson.loads(text[len(HEADER_PREFIX) :])
+            if header["capture"] != FORMAT_VERSION:
+                raise ValueError(
+                    f"line {line_number}: written in form {header['capture']}, this reads {FORMAT_VERSION}"
+                )
+            run = runs.setdefault((header["seed"], header["began"]), CapturedRun(header))
+            in_header = header["event"] < run.header["event"] or run.header is header
+            if in_header:
+                run.header, run.initial_servers = header, []
+        elif SERVER_LINE_PATTERN.match(text):
+            if in_header and run is not None:
                 words = text.split()
-                run.standing.append(read_entry(words, words[4].removeprefix("entry=").split(",")))
-        elif run is not None and (match := LINE.match(text)):
-            run.lines.append(Line(place, match["words"].split(), pairs_of(match["pairs"])))
+                run.initial_servers.append(read_entry(words, words[4].removeprefix("entry=").split(",")))
+        elif run is not None and (match := LINE_PATTERN.match(text)):
+            run.lines.append(CaptureLine(line_number, match["words"].split(), parse_pairs(match["pairs"])))
         else:
-            others += 1
-    return list(runs.values()), others
+            other_lines += 1
+    return list(runs.values()), other_lines
 
 
 class Replay:
     """One run, replayed on a balancer of its own."""
 
-    def __init__(self, run: Run, door: RateLimiterSettings | None) -> None:
-        self.run, self.head, self.door = run, run.head, RateLimiter(door) if door else None
+    def __init__(self, run: CapturedRun, limiter_settings: RateLimiterSettings | None) -> None:
+        self.run, self.header, self.rate_limiter = (
+            run,
+            run.header,
+            RateLimiter(limiter_settings) if limiter_settings else None,
+        )
         self.events: dict[
             int, tuple[float, Any]
         ] = {}  # by event number: clock time, and the event or a call that replays it
         self.expected: dict[int, list[tuple[int, str]]] = defaultdict(
             list
         )  # by event number: request, decision
-        self.made: dict[int, list[str]] = defaultdict(list)  # by request: the decisions of the replay
-        self.out: dict[int, list[tuple[int, str]]] = defaultdict(
-            list
-        )  # by request: attempts in flight, with their hosts
-        self.over: set[int] = set()
-        self.apart: dict[int, int] = {}  # by request: the event with the first difference
-        self.at_door: dict[int, str] = {}  # by line number: the rate limiter's decision in the replay
-        self.parted: int | None = None  # the event with the first difference of all
+        self.decisions: dict[int, list[str]] = defaultdict(list)  # by request: the decisions of the replay
+        # by request: attempts in flight, with their hosts
+        self.in_flight: dict[int, list[tuple[int, str]]] = defaultdict(list)
+        self.closed: set[int] = set()
+        self.diverged: dict[int, int] = {}  # by request: the event with the first difference
+        # by line number: the rate limiter's decision in the replay
+        self.limiter_decisions: dict[int, str] = {}
+        self.first_difference: int | None = None  # the event with the first difference of all
         self.missing: list[tuple[int, int]] = []
-        conf = read_settings(self.head["settings"])
-        self.balancer = Balancer(conf, int(self.head["seed"], 16), float(self.head["began"]))
+        policy_settings = read_settings(self.header["settings"])
+        self.balancer = Balancer(policy_settings, int(self.header["seed"], 16), float(self.header["began"]))
         self.balancer.begin()
 
     # ordering the events
 
-    def lay_out(self) -> None:
-        lists: dict[int, list[Line]] = defaultdict(list)
+    def schedule(self) -> None:
+        lists: dict[int, list[CaptureLine]] = defaultdict(list)
         for line in self.run.lines:
             if line.words[0] == "list" and "told" in line.pairs:
-                self.lay_out_hearsay(line)
+                self.schedule_evidence(line)
             elif line.words[0] == "list":
-                lists[int(line.one("at")[0])].append(line)
+                lists[int(line.fields("at")[0])].append(line)
             elif "event" in line.pairs:
-                self.events[int(line.one("event")[0])] = (0.0, partial(self.ask_door, line))
+                self.events[int(line.fields("event")[0])] = (0.0, partial(self.replay_limiter, line))
             else:
-                self.lay_out_request(line)
+                self.schedule_request(line)
             for value in ";".join(line.pairs.get("timers", [])).split(";"):
                 if value:
                     which, now, token = value.split(",")
                     self.events[int(which)] = (float(now), face.TimerDue(int(token)))
             for value in ";".join(line.pairs.get("probes", [])).split(";"):
                 if value:
-                    self.lay_out_probe(*value.split(",", 5))
+                    self.schedule_probe(*value.split(",", 5))
         for number, lines in lists.items():
-            self.lay_out_list(number, lines)
+            self.schedule_list(number, lines)
 
-    def lay_out_list(self, number: int, lines: list[Line]) -> None:
-        first, many = lines[0], int(lines[0].one("part")[0].partition("/")[2])
-        entries = [read_entry(line.words, line.one("entry")) for line in lines if "entry" in line.pairs]
-        if len(entries) < many:
+    def schedule_list(self, number: int, lines: list[CaptureLine]) -> None:
+        first, entry_count = lines[0], int(lines[0].fields("part")[0].partition("/")[2])
+        entries = [read_entry(line.words, line.fields("entry")) for line in lines if "entry" in line.pairs]
+        if len(entries) < entry_count:
             self.missing.append((number, number))
-        scope = face.ListScope(first.one("scope")[0])
+        scope = face.ListScope(first.fields("scope")[0])
         self.events[number] = (
-            float(first.one("at")[1]),
+            float(first.fields("at")[1]),
             face.ListChanged(scope, entries, int(first.words[1])),
         )
 
-    def lay_out_hearsay(self, line: Line) -> None:
-        words = []
+    def schedule_evidence(self, line: CaptureLine) -> None:
+        evidence = []
         for value in line.pairs["told"][0].split(";"):
             name, *numbers = value.split(",")
-            words.append(face.Hearsay(unquote(name), *map(float, numbers)))
-        self.events[int(line.one("at")[0])] = (float(line.one("at")[1]), face.Told(words))
+            evidence.append(face.Hearsay(unquote(name), *map(float, numbers)))
+        self.events[int(line.fields("at")[0])] = (float(line.fields("at")[1]), face.Told(evidence))
 
-    def lay_out_probe(
+    def schedule_probe(
         self, number: str, now: str, host: str, outcome: str, elapsed: str, report: str
     ) -> None:
         values = (pair.partition(":") for pair in report.split(",") if pair)
-        told = {name: float(value) for name, _, value in values} or None
-        event = face.Probed(unquote(host), face.Outcome(outcome), float(elapsed), told)
+        load_report = {name: float(value) for name, _, value in values} or None
+        event = face.Probed(unquote(host), face.Outcome(outcome), float(elapsed), load_report)
         self.events[int(number)] = (float(now), event)
 
-    def lay_out_request(self, line: Line) -> None:
+    def schedule_request(self, line: CaptureLine) -> None:
         if "at" not in line.pairs:
             return  # rejected before it reached the balancer
-        number, now = line.one("at")
-        name, klass, tenant, repeated, deadline = line.one("req")
+        number, now = line.fields("at")
+        name, klass, tenant, repeated, deadline = line.fields("req")
         request = int(name)
         arrived = face.Arrived(request, int(klass), float(deadline), int(tenant), repeated == "1")
         if "bound" in line.pairs:
-            server, until = line.one("bound")
+            server, until = line.fields("bound")
             arrived.bound, arrived.window_end = unquote(server), float(until)
         self.events[int(number)] = (float(now), partial(self.arrive, line, arrived))
         last = int(number)
@@ -196,11 +204,11 @@
                 self.events[int(ended)] = (float(now), partial(self.finish, event, unquote(host)))
                 last = max(last, int(ended))
         if "by" in line.pairs:
-            by = int(line.one("by")[0])
+            by = int(line.fields("by")[0])
             self.expected[by].append((request, line.decisions[-1]))
             last = max(last, by)
         if "left" in line.pairs:
-            number, now = line.one("left")
+            number, now = line.fields("left")
             self.events[int(number)] = (float(now), partial(self.leave, face.Left(request)))
             last = max(last, int(number))
         if line.words[7] != "open":
@@ -208,27 +216,30 @@
 
     # replaying
 
-    def play(self) -> None:
-        self.lay_out()
-        next_number = self.head["event"] + 1
-        if self.head["event"] and self.run.standing:
-            self.feed(float(self.head["began"]), face.ListChanged(face.ListScope.COMPLETE, self.run.standing))
+    def run_all(self) -> None:
+        self.schedule()
+        next_number = self.header["event"] + 1
+        if self.header["event"] and self.run.initial_servers:
+            self.feed(
+                float(self.header["began"]),
+                face.ListChanged(face.ListScope.COMPLETE, self.run.initial_servers),
+            )
         for number in sorted(number for number in self.events if number >= next_number):
             if number > next_number:
                 self.missing.append((next_number, number - 1))
             next_number = number + 1
-            self.play_event(number, *self.events[number])
+            self.replay_event(number, *self.events[number])
 
-    def play_event(self, number: int, now: float, event: Any) -> None:
+    def replay_event(self, number: int, now: float, event: Any) -> None:
         actions = event(now) if isinstance(event, partial) else self.feed(now, event)
         recorded = [pair for pair in self.expected[number] if pair[1]]
         if sorted(actions) != sorted(recorded):
-            self.parted = self.parted or number
+            self.first_difference = self.first_difference or number
             for request, _ in set(actions) ^ set(recorded):
-                self.apart.setdefault(request, number)
+                self.diverged.setdefault(request, number)
         for request, decision in self.expected[number]:
-            if not decision and request in self.apart:
-                self.let_go(number, now, request)
+            if not decision and request in self.diverged:
+                self.close_request(number, now, request)
 
     def feed(self, now: float, event: face.Event) -> list[tuple[int, str]]:
         """Pass an event to the balancer; return its decisions."""
@@ -236,112 +247,124 @@
             actions = self.balancer.handle(now, event)
         except Exception:  # as in service, where the error is logged and the request fails
             return []
-        made = []
+        decisions = []
         for action in actions:
             if isinstance(action, face.Send):
-                self.out[action.request].append((self.sent(action.request), action.backend))
-                made.append((action.request, f"forward {action.backend}"))
+                self.in_flight[action.request].append((self.attempt_count(action.request), action.backend))
+                decisions.append((action.request, f"forward {action.backend}"))
             elif isinstance(action, face.Refuse):
-                made.append((action.request, f"refuse {action.retry_after:.3f}"))
-                self.over.add(action.request)
+                decisions.append((action.request, f"refuse {action.retry_after:.3f}"))
+                self.closed.add(action.request)
             elif isinstance(action, face.Fail):
-                made.append((action.request, "fail -"))
-                self.over.add(action.request)
+                decisions.append((action.request, "fail -"))
+                self.closed.add(action.request)
             else:
                 continue
-            self.made[action.request].append(made[-1][1])
-        return made
+            self.decisions[action.request].append(decisions[-1][1])
+        return decisions
 
-    def sent(self, request: int) -> int:
-        return sum(decision.startswith("forward") for decision in self.made[request])
+    def attempt_count(self, request: int) -> int:
+        return sum(decision.startswith("forward") for decision in self.decisions[request])
 
-    def arrive(self, line: Line, event: face.Arrived, now: float) -> list[tuple[int, str]]:
-        self.ask_door(line, now)
+    def arrive(self, line: CaptureLine, event: face.Arrived, now: float) -> list[tuple[int, str]]:
+        self.replay_limiter(line, now)
         return self.feed(now, event)
 
-    def ask_door(self, line: Line, now: float) -> list[tuple[int, str]]:
+    def replay_limiter(self, line: CaptureLine, now: float) -> list[tuple[int, str]]:
         """Replay the rate limiter's decision, if there was one."""
-        if self.door is not None and "door" in line.pairs:
-            clock, key = line.one("door")
-            wait = self.door.ask(unquote(key), float(clock))
-            self.at_door[line.place] = f"door {wait:.0f}" if wait else "let in"
+        if self.rate_limiter is not None and "door" in line.pairs:
+            clock, key = line.fields("door")
+            wait = self.rate_limiter.ask(unquote(key), float(clock))
+            self.limiter_decisions[line.line_number] = f"door {wait:.0f}" if wait else "let in"
         return []
 
     def finish(self, event: face.Finished, host: str, now: float) -> list[tuple[int, str]]:
         """Replay the end of an attempt, as a cancellation if the replay chose another server."""
         request = event.request
-        here = next((place for place in self.out[request] if place[0] == event.attempt), None)
-        if here is None:
-            if event.complete and request not in self.over and not self.out[request]:
-                self.over.add(request)
+        attempt = next((sent for sent in self.in_flight[request] if sent[0] == event.attempt), None)
+        if attempt is None:
+            if event.complete and request not in self.closed and not self.in_flight[request]:
+                self.closed.add(request)
                 return self.feed(now, face.Left(request))
             return []
-        self.out[request].remove(here)
-        if here[1] != host:
+        self.in_flight[request].remove(attempt)
+        if attempt[1] != host:
             event = face.Finished(request, event.attempt, face.Outcome.CANCELLED, event.elapsed, True)
         if event.complete:
-            self.over.add(request)
+            self.closed.add(request)
         return self.feed(now, event)
 
     def leave(self, event: face.Left, now: float) -> list[tuple[int, str]]:
-        self.over.add(event.request)
+        self.closed.add(event.request)
         return self.feed(now, event)
 
-    def let_go(self, number: int, now: float, request: int) -> None:
+    def close_request(self, number: int, now: float, request: int) -> None:
         """End a request that is still open in the replay but was closed in the capture."""
-        out, self.out[request] = self.out[request], []
+        attempts, self.in_flight[request] = self.in_flight[request], []
         events: list[face.Event] = [
-            face.Finished(request, n, face.Outcome.CANCELLED, 0.0, True) for n, _ in out
+            face.Finished(request, n, face.Outcome.CANCELLED, 0.0, True) for n, _ in attempts
         ]
-        if not out and request not in self.over:
+        if not attempts and request not in self.closed:
             events = [face.Left(request)]
-        self.over.add(request)
+        self.closed.add(request)
         for event in events:
             for other, _ in self.feed(now, event):
-                self.apart.setdefault(other, number)
+                self.diverged.setdefault(other, number)
 
     # reporting
 
-    def mark(self, number: int, parted: int | None) -> str:
+    def reliability(self, number: int, first_difference: int | None) -> str:
         """How reliable a difference at an event is."""
-        if self.head["event"] or any(first <= number for first, _ in self.missing):
+        if self.header["event"] or any(first <= number for first, _ in self.missing):
             return "guess: input is missing before it"
-        return "exact" if number == parted else "follows from an earlier difference"
+        return "exact" if number == first_difference else "follows from an earlier difference"
 
-    def differences(self) -> Iterable[tuple[Line, str, str, str]]:
+    def differences(self) -> Iterable[tuple[CaptureLine, str, str, str]]:
         """The differing lines: recorded decision, replayed decision and reliability."""
-        door_parted = None
-        for line in sorted(self.run.lines, key=number_of):
-            number = number_of(line)
-            if number <= self.head["event"]:
+        first_limiter_difference = None
+        for line in sorted(self.run.lines, key=first_event_number):
+            number = first_event_number(line)
+            if number <= self.header["event"]:
                 continue  # a list change, or from before the start of this capture
-            if line.place in self.at_door:
+            if line.line_number in self.limiter_decisions:
                 recorded = " ".join(line.words[5:7]) if line.words[5] == "door" else "let in"
-                if recorded != self.at_door[line.place]:
-                    door_parted = door_parted or number
-                    yield line, recorded, self.at_door[line.place], self.mark(number, door_parted)
+                if recorded != self.limiter_decisions[line.line_number]:
+                    first_limiter_difference = first_limiter_difference or number
+                    yield (
+                        line,
+                        recorded,
+                        self.limiter_decisions[line.line_number],
+                        self.reliability(number, first_limiter_difference),
+                    )
             if "req" in line.pairs:
-                request = int(line.one("req")[0])
-                made = self.made[request]
-                if made != line.decisions:
-                    before, now = (", ".join(decisions) or "hold -" for decisions in (line.decisions, made))
-                    yield line, before, now, self.mark(self.apart.get(request, number), self.parted)
-
-    def moments(self) -> int:
+                request = int(line.fields("req")[0])
+                replayed = self.decisions[request]
+                if replayed != line.decisions:
+                    before, now = (
+                        ", ".join(decisions) or "hold -" for decisions in (line.decisions, replayed)
+                    )
+                    yield (
+                        line,
+                        before,
+                        now,
+                        self.reliability(self.diverged.get(request, number), self.first_difference),
+                    )
+
+    def count_shifted(self) -> int:
         """The number of requests with the same decisions at other events."""
-        alike = {
-            int(line.one("req")[0])
+        same_decisions = {
+            int(line.fields("req")[0])
             for line in self.run.lines
-            if "req" in line.pairs and line.decisions == self.made[int(line.one("req")[0])]
+            if "req" in line.pairs and line.decisions == self.decisions[int(line.fields("req")[0])]
         }
-        return len(alike & self.apart.keys())
+        return len(same_decisions & self.diverged.keys())
 
 
-def number_of(line: Line) -> int:
+def first_event_number(line: CaptureLine) -> int:
     """The event at which a request was first decided; 0 for other lines."""
     if line.words[0] == "list" or not {"event", "at"} & line.pairs.keys():
         return 0
-    return int(line.one("event" if "event" in line.pairs else "at")[0])
+    return int(line.fields("event" if "event" in line.pairs else "at")[0])
 
 
 def replay_capture(path: str, operator: Operator, out: TextIO) -> int:
@@ -358,29 +381,32 @@
         raise ConfigError(f"{path}: not a capture that can be replayed: {error}") from error
 
 
-def replay_run(run: Run, operator: Operator, out: TextIO) -> int:
+def replay_run(run: CapturedRun, operator: Operator, out: TextIO) -> int:
     replay = Replay(run, operator.door)
-    replay.play()
+    replay.run_all()
     differences = list(replay.differences())
-    for line, recorded, now, mark in differences:
+    for line, recorded, now, reliability in differences:
         request = " ".join(line.words[:5])
-        print(f"line {line.place}: {request}: recorded {recorded}, replayed {now} [{mark}]", file=out)
-    for note in notes(replay, operator):
-        print(f"# {note}", file=out)
+        print(
+            f"line {line.line_number}: {request}: recorded {recorded}, replayed {now} [{reliability}]",
+            file=out,
+        )
+    for remark in remarks(replay, operator):
+        print(f"# {remark}", file=out)
     requests = sum(line.words[0] != "list" for line in run.lines)
     print(f"# {requests} requests, {len(differences)} differing lines", file=out)
     return 1 if differences else 0
 
 
-def notes(replay: Replay, operator: Operator) -> Iterable[str]:
+def remarks(replay: Replay, operator: Operator) -> Iterable[str]:
     """Remarks on how complete and comparable the replay is."""
     run = replay.run
     for first, last in sorted(set(replay.missing)):
         which = f"event {first} is" if first == last else f"events {first} to {last} are"
         yield f"{which} missing, wholly or in part: all that comes after is a guess"
-    if run.head["event"]:
-        yield f"the start is missing: {run.head['event']} events came before, so all of this is a guess"
-    if run.head["module"] != module_digest():
+    if run.header["event"]:
+        yield f"the start is missing: {run.header['event']} events came before, so all of this is a guess"
+    if run.header["module"] != source_digest():
         yield "another text of the module decided then"
     words = [line.words for line in run.lines if line.words[0] != "list"]
     if operator.door is None and any("door" in line.pairs for line in run.lines):
@@ -388,5 +414,5 @@
     tokens = sum(each[5] == "token" for each in words)
     if tokens:
         yield f"{tokens} verdicts on tokens are taken as they stand: tokens are not kept"
-    if replay.moments():
-        yield f"{replay.moments()} requests were decided on alike at another moment"
+    if replay.count_shifted():
+        yield f"{replay.count_shifted()} requests were decided on alike at another moment"
--- a/brackenusher/records/tally.py
+++ b/brackenusher/records/tally.py
@@ -13,49 +13,54 @@
 from brackenusher.core.pipe import End
 from brackenusher.core.transaction import Answer, Failed, Refused, Served, Transaction
 
-STALE = 250.0  # milliseconds: how long a count of servers is cached
+HOST_COUNT_TTL_MS = 250.0  # how long a count of servers is cached
 
 
 class Tally:
     """Counts since the start of the process.
 
-    `hosts` returns the number of servers listed and of those that get no new requests, `taken` the number of
-    accepted requests, `attempts` the number of attempts written in full.
+    `count_hosts` returns the number of servers listed and of those that get no new requests, `count_accepted`
+    the number of accepted requests, `count_attempts` the number of attempts written in full.
     """
 
     def __init__(
         self,
         settings: face.Settings,
         clock: Callable[[], float],
-        hosts: Callable[[float], tuple[int, int]],
-        taken: Callable[[], int],
-        attempts: Callable[[], int],
+        count_hosts: Callable[[float], tuple[int, int]],
+        count_accepted: Callable[[], int],
+        count_attempts: Callable[[], int],
     ) -> None:
-        self.clock, self.hosts, self.taken, self.attempts = clock, hosts, taken, attempts
+        self.clock, self.count_hosts, self.count_accepted, self.count_attempts = (
+            clock,
+            count_hosts,
+            count_accepted,
+            count_attempts,
+        )
         self.classes = [c.name for c in settings.classes]
-        none = [0] * len(self.classes)
-        self.success, self.busy, self.failure, self.abandoned = none[:], none[:], none[:], none[:]
-        self.ended = 0  # of the accepted requests
-        self.counted_at, self.count = -STALE, (0, 0)
+        zeros = [0] * len(self.classes)
+        self.success, self.busy, self.failure, self.abandoned = zeros[:], zeros[:], zeros[:], zeros[:]
+        self.ended_count = 0  # of the accepted requests
+        self.hosts_counted_at, self.host_counts = -HOST_COUNT_TTL_MS, (0, 0)
 
     @property
     def inflight(self) -> int:
         """Requests accepted and not ended."""
-        return self.taken() - self.ended
+        return self.count_accepted() - self.ended_count
 
     def answered(self, transaction: Transaction, answer: Answer | None) -> None:
         """A request has its final response, or None if its client left without one."""
         if isinstance(answer, Served) and answer.content.rest is not None:
-            answer.content.rest.tell.append(partial(self.passed, transaction.klass, answer))
+            answer.content.rest.tell.append(partial(self.stream_ended, transaction.klass, answer))
         else:
-            self.end(transaction.klass, answer)
+            self.count_result(transaction.klass, answer)
 
-    def passed(self, klass: int, answer: Answer, end: End) -> None:
+    def stream_ended(self, klass: int, answer: Answer, end: End) -> None:
         """A streamed response has ended."""
-        self.end(klass, answer if end is End.WHOLE else Failed() if end is End.BROKEN else None)
+        self.count_result(klass, answer if end is End.WHOLE else Failed() if end is End.BROKEN else None)
 
-    def end(self, klass: int, answer: Answer | None) -> None:
-        self.ended += 1
+    def count_result(self, klass: int, answer: Answer | None) -> None:
+        self.ended_count += 1
         kind = type(answer)
         if kind is Served:
             self.success[klass] += 1
@@ -70,22 +75,22 @@
         """A well-formed request was rejected."""
         (self.busy if verdict.endswith(" refused") else self.failure)[request.klass] += 1
 
-    def worded(self) -> bytes:
+    def to_json(self) -> bytes:
         """The counts as a JSON object."""
         now = self.clock()
-        if now >= self.counted_at + STALE:
-            self.counted_at, self.count = now, self.hosts(now)
-        listed, down = self.count
+        if now >= self.hosts_counted_at + HOST_COUNT_TTL_MS:
+            self.hosts_counted_at, self.host_counts = now, self.count_hosts(now)
+        listed, down = self.host_counts
         calls = {
             name: {"success": self.success[i], "busy": self.busy[i], "failure": self.failure[i]}
             for i, name in enumerate(self.classes)
         }
-        figures = {
+        report = {
             "calls": calls,
             "inflight": self.inflight,
-            "backend_calls": self.attempts(),
+            "backend_calls": self.count_attempts(),
             "hosts_listed": listed,
             "hosts_down": down,
             "abandoned": sum(self.abandoned),
         }
-        return ujson.dumps(figures, escape_forward_slashes=False).encode() + b"\n"
+        return ujson.dumps(report, escape_forward_slashes=False).encode() + b"\n"
--- a/tests/test_capture.py
+++ b/tests/test_capture.py
@@ -26,16 +26,16 @@
 from barleybarrow.interface import ListScope, Outcome, State
 from barleybarrow.settings import read_settings
 from brackenusher.config.operators import CaptureSettings, read_operator
-from brackenusher.config.platform import Config
+from brackenusher.config.platform import PlatformConfig
 from brackenusher.core.admission import Request
 from brackenusher.core.deadlines import Deadlines
 from brackenusher.core.message import Message
 from brackenusher.core.transaction import Refused, Served, Transaction
-from brackenusher.records.capture import Capture, Ring
-from brackenusher.records.replay import LINE
+from brackenusher.records.capture import Capture, FileRing
+from brackenusher.records.replay import LINE_PATTERN
 from brackenusher.runtime.outlet import Outlet
 
-CONFIG = Config("n0", ("", 0), ("", 0), 255, 256, {}, read_settings(SETTINGS), SETTINGS)
+CONFIG = PlatformConfig("n0", ("", 0), ("", 0), 255, 256, {}, read_settings(SETTINGS), SETTINGS)
 ON = "capture.enabled = true\n"
 
 
@@ -78,7 +78,7 @@
 
 def captured(text):
     """The records of a text, without heads and what else stands there."""
-    return [line for line in text.splitlines() if LINE.match(line)]
+    return [line for line in text.splitlines() if LINE_PATTERN.match(line)]
 
 
 def test_the_records_first_words_are_those_that_the_operators_asked_for():
@@ -95,7 +95,7 @@
     assert lines[1].startswith("9b1f03aa5c7e2d41 board-read kente-wars k=m1 1400m forward s-5be2a07c served ")
     assert lines[2].startswith("id board-read kente-wars k=m1 1400m refuse 312.553 refused ")
     assert lines[3].startswith("x board-read - k=- - door 350 refused ")
-    assert all(LINE.match(line) for line in lines)
+    assert all(LINE_PATTERN.match(line) for line in lines)
     world.close()
 
 
@@ -110,7 +110,7 @@
     world.serve(1, name=text, message=message)
     world.capture.turned_away(Request(text, 0, 1.0, 0, False, message), "token forged rejected")
     lines = world.pending()[1:]
-    assert [LINE.match(line)["words"].split()[5] for line in lines] == ["forward", "token"]
+    assert [LINE_PATTERN.match(line)["words"].split()[5] for line in lines] == ["forward", "token"]
     assert all(len(line) < 1200 and line.isascii() for line in lines)
     assert not any(line.startswith(("list ", "#", "- ")) for line in lines)
     world.close()
@@ -138,18 +138,27 @@
     for text in texts:
         first, second, third, *rest = text.splitlines()
         assert first.startswith("# {") and text.endswith("\n")
-        assert "standing=1" in second and "standing=1" in third and all(LINE.match(line) for line in rest)
+        assert (
+            "standing=1" in second
+            and "standing=1" in third
+            and all(LINE_PATTERN.match(line) for line in rest)
+        )
     numbers = sorted(int(line.rpartition("n=")[2]) for text in texts for line in captured(text))
     assert numbers == list(range(numbers[0], 1503)) and world.capture.dropped == 0
-    ages = [Ring.count(path) for path in files]
+    ages = [FileRing.read_sequence(path) for path in files]
     again = World(**ring)
     again.serve(1)
     again.close()
     changed = [n for n in range(3) if files[n].read_text(encoding="utf-8") != texts[n]]
-    assert changed == [ages.index(min(ages))] and Ring.count(files[changed[0]]) == max(ages) + 1
-    wider = Ring(CaptureSettings(**(ring | {"files": 4})))  # what is new comes first, then the oldest again
-    wider.next()
-    assert [wider.ages.index(age) for age in (wider.file - 1, wider.file)] == [3, ages.index(sorted(ages)[1])]
+    assert changed == [ages.index(min(ages))] and FileRing.read_sequence(files[changed[0]]) == max(ages) + 1
+    wider = FileRing(
+        CaptureSettings(**(ring | {"files": 4}))
+    )  # what is new comes first, then the oldest again
+    wider.start_next_file()
+    assert [wider.sequences.index(age) for age in (wider.sequence - 1, wider.sequence)] == [
+        3,
+        ages.index(sorted(ages)[1]),
+    ]
 
 
 def test_a_file_that_cannot_grow_drops_whole_batches_and_counts_them(tmp_path):
@@ -187,7 +196,7 @@
                 world.capture.answered(others.open[n], Served(None))
                 world.tell(face.Finished(n, 0, Outcome.SERVED, 20.5, True))
         assert tracemalloc.get_traced_memory()[1] < 1_000_000
-        assert world.capture.dropped > 1000 and len(world.capture.open) <= 1000
+        assert world.capture.dropped > 1000 and len(world.capture.open_records) <= 1000
     finally:
         tracemalloc.stop()
     began = time.monotonic()
--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -17,8 +17,8 @@
 from brackenusher.core.deadlines import Deadlines
 from brackenusher.core.message import Message
 from brackenusher.core.transaction import Refused, Served, Transaction
-from brackenusher.records.figures import Appended, Figures
-from brackenusher.records.insight import Insight
+from brackenusher.records.figures import FileSink, MetricsReporter
+from brackenusher.records.insight import BalancerGauges
 from brackenusher.runtime.outlet import Outlet
 
 CONF = read_settings(
@@ -32,7 +32,9 @@
         self.now, self.deadlines, self.open, self.batches = 1000.0, Deadlines(), {}, []
         self.outlet = Outlet(self.deadlines, lambda: self.now)
         settings = FiguresSettings(**settings)
-        self.figures = Figures(settings, self.outlet, self.deadlines, lambda: self.now, self.open, CONF)
+        self.figures = MetricsReporter(
+            settings, self.outlet, self.deadlines, lambda: self.now, self.open, CONF
+        )
 
     def note_batches(self):
         self.figures.sink = self
@@ -87,7 +89,7 @@
     world.take(9, tenant=2)
     world.answer(9, Served(None), 7.0)
     assert r"latency_ms,class=board-read,tenant=a\ b\,c\=d|e_ value=7" in world.lines()
-    assert World().note_batches().figures.tags((0, 2)) == "class:board-read,tenant:a b_c=d_e\\"
+    assert World().note_batches().figures.format_tags((0, 2)) == "class:board-read,tenant:a b_c=d_e\\"
 
 
 def test_counters_are_sent_once_and_gauges_each_time():
@@ -104,7 +106,7 @@
         proxy.arrive()
     proxy.finish(1, face.Outcome.CONNECT_FAILED, elapsed=1.0)
     proxy.list(face.Entry("new", face.State.LIVE, started=proxy.now), scope=face.ListScope.CHANGES)
-    found = {name: value for name, value, _, _ in Insight(proxy.brain, lambda: proxy.now).figures()}
+    found = {name: value for name, value, _, _ in BalancerGauges(proxy.brain, lambda: proxy.now).samples()}
     assert found["attempts_out"] == len(proxy.sent) - 1 and found["attempts_room"] == 4
     assert found["requests_held"] == 10 - found["attempts_out"]
     assert (found["servers_listed"], found["servers_left_alone"], found["servers_cold"]) == (61, 1, 1)
@@ -149,7 +151,7 @@
         assert world.figures.sink.dropped == lost
     lines = (tmp_path / "figures").read_text(encoding="utf-8").splitlines()
     assert len(lines) == 8 + 3 and lines[-1] == "figures_dropped:0|g"
-    assert Appended("/dev/full").write([b"a\n", b"b\n"]) == 2
+    assert FileSink("/dev/full").write([b"a\n", b"b\n"]) == 2
 
 
 BAD = [
