--- a/brackenusher/daemon.py
+++ b/brackenusher/daemon.py
@@ -49,61 +49,72 @@
 
 log = logging.getLogger(__name__)
 
-SPARE_SOCKETS = 24  # listener, epoll, discovery, standard streams, and some for rejecting clients
-PEERS_SOCKETS = 18  # two listeners, eight requests of peers, eight to peers
-CLIENT_PART = (
-    0.625  # share of the other descriptors: a queued request has a client connection but no upstream one
-)
-OWN_MB = 25.0  # memory of the process without large bodies
-KEPT_PART = 0.2  # of all, for idle clients: clients hold a third at most, and some stay after one request
-CHECK = 10.0  # milliseconds between steps of a shutdown or drain
-DRAINED_CHECK = 100.0  # the same once drained
-
-
-def budget_for(memory_mb: float) -> int:
+RESERVED_SOCKETS = 24  # listener, epoll, discovery, standard streams, and some for rejecting clients
+PEER_SOCKETS = 18  # two listeners, eight requests of peers, eight to peers
+CLIENT_SOCKET_SHARE = 0.625  # of the others: a queued request has a client connection but no upstream one
+PROCESS_MEMORY_MB = 25.0  # without large bodies
+# Of all sockets: clients have a third at most, and some stay connected after one request.
+IDLE_CLIENT_SHARE = 0.2
+STEP_INTERVAL_MS = 10.0  # between steps of a shutdown or drain
+DRAINED_STEP_INTERVAL_MS = 100.0  # the same once drained
+
+
+def buffer_budget_bytes(memory_mb: float) -> int:
     """The buffer budget in bytes for large request and response bodies, at least 2 MB.
 
     A third of the memory left beside two processes of about 25 MB each, as a successor runs beside this
     process during a handover.
     """
-    return int(max(memory_mb - 2 * OWN_MB, 6.0) / 3 * 1024 * 1024)
+    return int(max(memory_mb - 2 * PROCESS_MEMORY_MB, 6.0) / 3 * 1024 * 1024)
 
 
 class Daemon:
     """One proxy."""
 
     def __init__(
-        self, config: PlatformConfig, load: Callable[[], PlatformConfig], operator: Operator
+        self, config: PlatformConfig, load_config: Callable[[], PlatformConfig], operator: Operator
     ) -> None:
-        self.load = load  # reads the configuration again, for a reload
-        self.told_at: float | None = None  # when the first stop signal came
+        self.load_config = load_config  # reads the configuration again, for a reload
+        self.stop_requested_at: float | None = None  # time of the first stop signal
         self.shutdown: GracefulShutdown | None = None
         self.lifecycle = Lifecycle()
         settings = config.settings
         deadlines, buffers = Deadlines(), Buffers()
         self.config, self.operator, self.loop = config, operator, Loop(deadlines)
-        room = config.sockets - SPARE_SOCKETS - OVERFLOW - (PEERS_SOCKETS if operator.peers else 0)
-        room -= control.SOCKETS if config.control else 0
-        for_clients = int(room * CLIENT_PART)
+        available_sockets = (
+            config.sockets - RESERVED_SOCKETS - OVERFLOW - (PEER_SOCKETS if operator.peers else 0)
+        )
+        available_sockets -= control.SOCKETS if config.control else 0
+        client_sockets = int(available_sockets * CLIENT_SOCKET_SHARE)
         offset = time.time() * 1000.0 - clock()
         self.pool = Pool(
             settings, clock, offset, operator.connections, config.seed, read_subset(operator, config.worded)
         )
-        budget = Budget(budget_for(config.memory_mb))
-        self.upstream = Upstream(self.loop, self.pool, settings, room - for_clients, buffers, budget)
-        began = clock()
-        balancer = Balancer(settings, config.seed, began)
+        budget = Budget(buffer_budget_bytes(config.memory_mb))
+        self.upstream = Upstream(
+            self.loop, self.pool, settings, available_sockets - client_sockets, buffers, budget
+        )
+        started_at = clock()
+        balancer = Balancer(settings, config.seed, started_at)
         self.transactions = Transactions(balancer, clock, deadlines, self.upstream)
         self.upstream.owner = self.transactions
-        most_kept = int(config.sockets * KEPT_PART)
-        door = RateLimiter(operator.door) if operator.door else None
-        self.admission = Admission(self.transactions, settings, door, operator.token)
+        max_idle_clients = int(config.sockets * IDLE_CLIENT_SHARE)
+        rate_limiter = RateLimiter(operator.door) if operator.door else None
+        self.admission = Admission(self.transactions, settings, rate_limiter, operator.token)
         front = Front(settings, with_tokens=operator.token is not None)
-        share = Room(for_clients)
-        self.clients = Clients(
-            self.loop, front, self.admission, self.pool, share, most_kept, buffers, self.lifecycle, budget
+        client_slots = Room(client_sockets)
+        self.http1 = Clients(
+            self.loop,
+            front,
+            self.admission,
+            self.pool,
+            client_slots,
+            max_idle_clients,
+            buffers,
+            self.lifecycle,
+            budget,
         )
-        self.fronts: list[tuple[Listener, Address]] = [(self.clients, config.listen)]
+        self.fronts: list[tuple[Listener, Address]] = [(self.http1, config.listen)]
         self.http2 = None
         if operator.http2:  # imported only if enabled: h2 and its dependencies take memory
             try:
@@ -111,119 +122,123 @@
             except ImportError as error:
                 raise ConfigError(f"http2.enabled: {error}; install brackenusher[http2]") from error
             self.http2 = Http2Clients(
-                self.loop, operator.http2, front, self.admission, self.clients.ready, share, buffers
+                self.loop, operator.http2, front, self.admission, self.http1.ready, client_slots, buffers
             )
             self.fronts.append((self.http2, operator.http2.listen))
-        self.agent = Agent(
+        self.discovery_agent = Agent(
             self.loop, config.discovery, self.pool, self.transactions, buffers, random.Random(config.seed)
         )
-        self.upstream.watch = self.agent.connect
+        self.upstream.watch = self.discovery_agent.connect
         self.outlet = Outlet(deadlines, clock)
         self.node: Node | None = None
         self.replicator: Replicator | None = None
         self.peers: Peers | None = None
         if operator.peers or operator.snapshot:
-            self.share(buffers)
-        self.tally: Tally | None = None
+            self.set_up_peers(buffers)
+        self.request_counts: Tally | None = None
         self.control: control.Control | None = None
         if config.control:
-            insight = BalancerGauges(balancer, clock)
-            self.tally = Tally(
+            gauges = BalancerGauges(balancer, clock)
+            self.request_counts = Tally(
                 settings,
                 clock,
-                lambda now: insight.count_servers(self.pool.size, now),
+                lambda now: gauges.count_servers(self.pool.size, now),
                 lambda: self.transactions.taken,
                 lambda: self.upstream.written,
             )
-            deeds = {
-                b"/-/ready": (b"GET", self.say_ready),
-                b"/-/metrics": (b"GET", self.say_figures),
+            handlers = {
+                b"/-/ready": (b"GET", self.report_readiness),
+                b"/-/metrics": (b"GET", self.report_metrics),
                 b"/-/drain": (b"POST", self.drain),
                 b"/-/resume": (b"POST", self.resume),
             }
-            self.control = control.Control(self.loop, deeds, buffers)
+            self.control = control.Control(self.loop, handlers, buffers)
         self.replacement: Replacement | None = None
         if config.control:
             self.replacement = Replacement(
                 self.loop,
                 config.name,
                 self.fronts,
-                share,
+                client_slots,
                 self.pool,
-                self.agent,
+                self.discovery_agent,
                 self.transactions,
-                room - for_clients,
-                SPARE_SOCKETS + OVERFLOW + control.SOCKETS,
+                available_sockets - client_sockets,
+                RESERVED_SOCKETS + OVERFLOW + control.SOCKETS,
             )
-        self.look_on(began)
+        self.set_up_observers(started_at)
 
-    def serve_in_its_place(self) -> None:
+    def notify_predecessor(self) -> None:
         """Once this process is ready, tell its predecessor in a handover."""
         if self.replacement is None:
             return
-        if not self.clients.ready() and self.lifecycle.stage is Stage.READY:
-            self.later(CHECK, self.serve_in_its_place)
+        if not self.http1.ready() and self.lifecycle.stage is Stage.READY:
+            self.schedule(STEP_INTERVAL_MS, self.notify_predecessor)
         else:
             self.replacement.serves()
 
-    def share(self, buffers: Buffers) -> None:
+    def set_up_peers(self, buffers: Buffers) -> None:
         """Set up sharing of knowledge with peers, or with the next start through a snapshot file."""
         try:
             from brackenusher.membership.peers import Peers  # imported only if needed, as it imports msgspec
         except ImportError as error:
-            needs = "peers and snapshot need the extra knowledge: pip install 'brackenusher[knowledge]'"
-            raise ConfigError(f"{needs} ({error})") from error
-        peers, saved = self.operator.peers, self.operator.snapshot
-        parts = (self.loop, buffers, self.outlet, self.transactions, self.pool)
+            message = "peers and snapshot need the extra knowledge: pip install 'brackenusher[knowledge]'"
+            raise ConfigError(f"{message} ({error})") from error
+        peers, snapshot = self.operator.peers, self.operator.snapshot
+        components = (self.loop, buffers, self.outlet, self.transactions, self.pool)
         try:
-            self.peers = Peers(*parts, self.config.name, peers, saved)
+            self.peers = Peers(*components, self.config.name, peers, snapshot)
             if self.operator.policy is not None or self.operator.replica is not None:
-                self.gather(buffers)
+                self.set_up_group(buffers)
         except (OSError, ValueError) as error:
             raise ConfigError(str(error)) from error
 
-    def gather(self, buffers: Buffers) -> None:
+    def set_up_group(self, buffers: Buffers) -> None:
         """Set up the group's policy and replicated state."""
         from brackenusher.group.group_parts import GroupParts
         from brackenusher.group.streams import Streams
 
         operator, peers = self.operator, self.peers
         assert operator.peers is not None and peers is not None
-        house = GroupParts(Streams(self.loop, buffers, operator.peers, self.config.name, peers.where))
-        peers.group = house
-        parts = (self.loop, self.transactions, self.pool, self.config.name)
+        group_parts = GroupParts(Streams(self.loop, buffers, operator.peers, self.config.name, peers.where))
+        peers.group = group_parts
+        components = (self.loop, self.transactions, self.pool, self.config.name)
         if operator.policy is not None:
             from brackenusher.group.node import Node  # imported only if needed, as it imports sqlite3
 
-            self.node = Node(*parts, operator.policy, house)
+            self.node = Node(*components, operator.policy, group_parts)
             self.admission.gates.append((Bar.POLICY, self.node))
-            self.clients.gates.append(self.node.ready)
+            self.http1.gates.append(self.node.ready)
         if operator.replica is not None:
             from barleybarrow.shares import SharedRateLimiter
             from brackenusher.group.replicator import Replicator
 
-            door = None
+            rate_limiter = None
             if operator.door is not None and operator.replica.limits and not operator.door.by_address:
-                door = self.admission.door = SharedRateLimiter(operator.door)
-            settings, wanted = operator.replica, self.config.settings
-            self.replicator = Replicator(*parts, settings, house, peers, door, wanted)
+                rate_limiter = self.admission.door = SharedRateLimiter(operator.door)
+            settings, platform_settings = operator.replica, self.config.settings
+            self.replicator = Replicator(
+                *components, settings, group_parts, peers, rate_limiter, platform_settings
+            )
             self.admission.past = self.replicator.past
             self.pool.bars.append(self.replicator.bars)
             self.admission.gates.append((Bar.MARK, self.replicator))
-            self.clients.gates.append(self.replicator.ready)
+            self.http1.gates.append(self.replicator.ready)
 
-    def look_on(self, began: float) -> None:
+    def set_up_observers(self, started_at: float) -> None:
         """Set up the observers of transactions that the operators enabled."""
         operator, config = self.operator, self.config
         self.capture = None
         if operator.capture:
             try:
-                self.capture = Capture(operator.capture, self.outlet, self.transactions.open, config, began)
+                self.capture = Capture(
+                    operator.capture, self.outlet, self.transactions.open, config, started_at
+                )
             except OSError as error:
                 raise ConfigError(f"capture.dir: {error}") from error
-        self.figures = None
+        self.metrics = None
         if operator.figures:
-            self.figures = MetricsReporter(
+            self.metrics = MetricsReporter(
                 operator.figures,
                 self.outlet,
                 self.loop.deadlines,
@@ -231,24 +246,28 @@
                 self.transactions.open,
                 config.settings,
             )
-            self.figures.sources.append(self.upstream.figures)
-            self.figures.sources.append(self.clients.figures)
-            self.figures.sources.append(BalancerGauges(self.transactions.balancer, clock).samples)
+            self.metrics.sources.append(self.upstream.figures)
+            self.metrics.sources.append(self.http1.figures)
+            self.metrics.sources.append(BalancerGauges(self.transactions.balancer, clock).samples)
             if self.peers:
-                self.figures.sources.append(self.peers.figures)
+                self.metrics.sources.append(self.peers.figures)
             if self.node:
-                self.figures.sources.append(self.node.figures)
+                self.metrics.sources.append(self.node.figures)
             if self.replicator:
-                self.figures.sources.append(self.replicator.figures)
-        past = self.replicator.past if self.replicator else None
-        looking = [each for each in (self.capture, self.figures, self.tally, past) if each]
-        looked = [each.handled for each in (self.capture, self.peers) if each]
-        if self.replicator and past:
-            looked.append(self.replicator.hurry)
+                self.metrics.sources.append(self.replicator.figures)
+        idempotency = self.replicator.past if self.replicator else None
+        answer_observers = [
+            each for each in (self.capture, self.metrics, self.request_counts, idempotency) if each
+        ]
+        event_observers = [each.handled for each in (self.capture, self.peers) if each]
+        if self.replicator and idempotency:
+            event_observers.append(self.replicator.hurry)
         self.transactions.observers = Observers(
-            handled=tuple(looked),
-            answered=tuple(each.answered for each in looking),
-            turned_away=tuple(each.turned_away for each in (self.capture, self.figures, self.tally) if each),
+            handled=tuple(event_observers),
+            answered=tuple(each.answered for each in answer_observers),
+            turned_away=tuple(
+                each.turned_away for each in (self.capture, self.metrics, self.request_counts) if each
+            ),
         )
         self.outlet.redirect_log()
 
@@ -257,36 +276,38 @@
         self.catch_signals()
         self.start()
         self.loop.run()
-        return self.end()
+        return self.finish()
 
     def start(self) -> None:
         """Load the known server list, listen, and connect to discovery; the event loop does the rest."""
-        taken = self.replacement.take() if self.replacement else None
-        self.take_known(taken)
+        handover = self.replacement.take() if self.replacement else None
+        self.load_known_servers(handover)
         self.transactions.begin()
-        if self.replacement and taken is not None:
-            self.replacement.succeed(taken)
+        if self.replacement and handover is not None:
+            self.replacement.succeed(handover)
         if self.control and self.config.control:
             self.control.listen(self.config.control)
-        given = taken.listeners if taken is not None else {}
+        inherited = handover.listeners if handover is not None else {}
         for front, address in self.fronts:
-            front.listen(address, bool(self.config.control), given.pop(f"{address[0]}:{address[1]}", None))
-        for sock in given.values():
+            front.listen(
+                address, bool(self.config.control), inherited.pop(f"{address[0]}:{address[1]}", None)
+            )
+        for sock in inherited.values():
             sock.close()
         self.lifecycle.serves()
         if self.peers:
-            self.clients.warming = True
-            self.peers.start(self.warm)
+            self.http1.warming = True
+            self.peers.start(self.end_warming)
         if self.node:
             self.node.start()
         if self.replicator:
             self.replicator.start()
-        self.serve_in_its_place()
-        self.agent.connect()
+        self.notify_predecessor()
+        self.discovery_agent.connect()
         gc.collect()
         gc.freeze()  # objects created so far stay; later collections skip them
-        for doubt in doubts(self.operator, self.config.settings):
-            say(log, logging.WARNING, "operators_file_doubt", "operators' file: %(what)s", what=doubt)
+        for warning in doubts(self.operator, self.config.settings):
+            say(log, logging.WARNING, "operators_file_doubt", "operators' file: %(what)s", what=warning)
         for _, (host, port) in self.fronts:
             say(
                 log,
@@ -298,7 +319,7 @@
                 port=port,
             )
 
-    def end(self) -> int:
+    def finish(self) -> int:
         """Log a summary and release resources."""
         say(
             log,
@@ -309,7 +330,7 @@
             taken=self.transactions.taken,
             unanswered=self.transactions.unanswered,
             refused=self.admission.at_the_end,
-            left=self.connections,
+            left=self.connection_count,
         )
         if self.node:
             self.node.close()
@@ -345,11 +366,11 @@
                 records=self.capture.line_count,
                 dropped=self.capture.dropped,
             )
-        if self.figures:
-            self.figures.close()
-            dropped = self.figures.sink.dropped
+        if self.metrics:
+            self.metrics.close()
+            dropped = self.metrics.sink.dropped
             say(log, logging.INFO, "figures_ended", "figures: %(dropped)d batches dropped", dropped=dropped)
-        evicted = ", ".join(f"{place.value} {count}" for place, count in self.clients.evicted.items())
+        evicted = ", ".join(f"{state.value} {count}" for state, count in self.http1.evicted.items())
         if evicted:
             text = "clients' connections evicted: %(evicted)s"
             say(log, logging.INFO, "evicted", text, evicted=evicted)
@@ -358,11 +379,11 @@
         self.outlet.close()
         return 0
 
-    def take_known(self, taken: Taken | None = None) -> None:
+    def load_known_servers(self, handover: Taken | None = None) -> None:
         """Load the last known server list, so that discovery is asked only for changes since then."""
         known = self.config.known
-        if taken is not None and taken.hosts:
-            known = {"seq": taken.state["seq"], "whole": True, "hosts": taken.hosts}
+        if handover is not None and handover.hosts:
+            known = {"seq": handover.state["seq"], "whole": True, "hosts": handover.hosts}
         if not known.get("hosts"):
             return
         try:
@@ -372,36 +393,36 @@
             say(log, logging.WARNING, "known_list_unusable", text, why=error)
             return
         if listing.whole and len(listing.hosts) == len(known["hosts"]):
-            self.agent.seq = listing.seq
+            self.discovery_agent.seq = listing.seq
         self.transactions.post(self.pool.take(listing))
 
-    def warm(self) -> None:
+    def end_warming(self) -> None:
         """Knowledge of peers has been loaded, or the wait for it is over."""
-        self.clients.warming = False
+        self.http1.warming = False
 
     @property
-    def connections(self) -> int:
+    def connection_count(self) -> int:
         """The number of client connections of all listeners."""
         return sum(len(front.links) for front, _ in self.fronts)
 
     def catch_signals(self) -> None:
         """Deliver signals to the loop through a socket pair."""
-        ours, theirs = socket.socketpair()
-        ours.setblocking(False)
-        theirs.setblocking(False)
-        signal.set_wakeup_fd(theirs.fileno())
-        self.waker = theirs
+        reader, writer = socket.socketpair()
+        reader.setblocking(False)
+        writer.setblocking(False)
+        signal.set_wakeup_fd(writer.fileno())
+        self.signal_writer = writer
         for number in (signal.SIGTERM, signal.SIGINT, signal.SIGHUP):
-            signal.signal(number, self.note)
+            signal.signal(number, self.note_signal)
         signal.signal(signal.SIGPIPE, signal.SIG_IGN)
-        self.loop.spawn(self.listen_to_signals(ours), ours)
+        self.loop.spawn(self.read_signals(reader), reader)
 
-    def note(self, number: int, _frame: FrameType | None) -> None:
+    def note_signal(self, number: int, _frame: FrameType | None) -> None:
         """Record the time of the first stop signal, as the loop handles it only in its next iteration."""
-        if number != signal.SIGHUP and self.told_at is None:
-            self.told_at = clock()
+        if number != signal.SIGHUP and self.stop_requested_at is None:
+            self.stop_requested_at = clock()
 
-    def listen_to_signals(self, sock: socket.socket) -> Coroutine:
+    def read_signals(self, sock: socket.socket) -> Coroutine:
         while True:
             yield READ
             try:
@@ -416,7 +437,7 @@
     def reload(self) -> None:
         """Reload the configuration file; an invalid one changes nothing."""
         try:
-            config = self.load()
+            config = self.load_config()
         except ConfigError as error:
             say(
                 log,
@@ -437,17 +458,17 @@
                 )
         host, port = config.discovery
         say(log, logging.INFO, "reloaded", "reload: discovery is at %(host)s:%(port)d", host=host, port=port)
-        if config.discovery != self.agent.address:
-            self.agent.move(config.discovery)
+        if config.discovery != self.discovery_agent.address:
+            self.discovery_agent.move(config.discovery)
 
-    def say_ready(self) -> Reply:
-        if self.clients.ready() and not (self.replacement and self.replacement.awaited):
+    def report_readiness(self) -> Reply:
+        if self.http1.ready() and not (self.replacement and self.replacement.awaited):
             return 200, b"ready\n"
         return 503, self.lifecycle.stage.value.encode() + b"\n"
 
-    def say_figures(self) -> Reply:
-        assert self.tally is not None
-        return 200, self.tally.to_json()
+    def report_metrics(self) -> Reply:
+        assert self.request_counts is not None
+        return 200, self.request_counts.to_json()
 
     def drain(self) -> Reply:
         """Direct clients to other proxies; can be undone by resume."""
@@ -460,10 +481,10 @@
                 logging.INFO,
                 "draining",
                 "draining: %(connections)d connections, %(in_hand)d open requests",
-                connections=self.connections,
+                connections=self.connection_count,
                 in_hand=len(self.transactions.open),
             )
-            self.tend_drain(self.lifecycle.drains)
+            self.step_drain(self.lifecycle.drains)
         return 200, b"draining\n"
 
     def resume(self) -> Reply:
@@ -476,21 +497,21 @@
                 front.resume()
         return 200, b"ready\n"
 
-    def tend_drain(self, number: int) -> None:
+    def step_drain(self, number: int) -> None:
         """Advance a drain at intervals, until it or the process ends."""
-        life, now = self.lifecycle, clock()
-        if not life.stage.away or number != life.drains:
+        lifecycle, now = self.lifecycle, clock()
+        if not lifecycle.stage.away or number != lifecycle.drains:
             return
-        before = life.stage
-        if life.step(now, self.connections) is Stage.DRAINED and before is not Stage.DRAINED:
+        before = lifecycle.stage
+        if lifecycle.step(now, self.connection_count) is Stage.DRAINED and before is not Stage.DRAINED:
             text = "drained after %(span_ms).0f ms: %(connections)d connections"
-            span = now - life.drained_from
-            say(log, logging.INFO, "drained", text, span_ms=span, connections=self.connections)
-        if life.answers_end(now):
+            elapsed = now - lifecycle.drained_from
+            say(log, logging.INFO, "drained", text, span_ms=elapsed, connections=self.connection_count)
+        if lifecycle.answers_end(now):
             for front, _ in self.fronts:
-                front.drain(idle=life.idle_end(now))
-        wait = CHECK if life.stage is Stage.DRAINING else DRAINED_CHECK
-        self.later(wait, partial(self.tend_drain, number))
+                front.drain(idle=lifecycle.idle_end(now))
+        wait = STEP_INTERVAL_MS if lifecycle.stage is Stage.DRAINING else DRAINED_STEP_INTERVAL_MS
+        self.schedule(wait, partial(self.step_drain, number))
 
     def stop(self) -> None:
         """Begin a graceful shutdown, serving as long as the deployment allows; further calls do nothing."""
@@ -498,12 +519,16 @@
             say(log, logging.INFO, "stopping_already", "stopping already")
             return
         settings = self.config.settings
-        handed = self.replacement is not None and self.replacement.handed
-        longest, alone = max(c.deadline for c in settings.classes), settings.proxies <= 1 and not handed
-        least = (
-            self.transactions.balancer.margin + RESERVE
-        )  # the balancer refuses requests with less time at once
-        plan = GracefulShutdown(self.told_at or clock(), longest, self.config.cores, least, alone)
+        handed_over = self.replacement is not None and self.replacement.handed
+        longest_deadline, alone = (
+            max(c.deadline for c in settings.classes),
+            settings.proxies <= 1 and not handed_over,
+        )
+        # the balancer refuses requests with less time at once
+        min_time_ms = self.transactions.balancer.margin + RESERVE
+        plan = GracefulShutdown(
+            self.stop_requested_at or clock(), longest_deadline, self.config.cores, min_time_ms, alone
+        )
         self.shutdown = self.admission.shutdown = plan
         self.lifecycle.end()
         say(
@@ -519,12 +544,12 @@
             front.told()
         if self.replacement:
             self.replacement.stop()
-        self.later(CHECK, partial(self.attend, plan, clock() + CHECK))
+        self.schedule(STEP_INTERVAL_MS, partial(self.step_shutdown, plan, clock() + STEP_INTERVAL_MS))
 
-    def attend(self, plan: GracefulShutdown, due: float) -> None:
+    def step_shutdown(self, plan: GracefulShutdown, due: float) -> None:
         """Advance the graceful shutdown."""
         now, before = clock(), plan.phase
-        phase = plan.step(now, now - due, self.connections, all(front.shut for front, _ in self.fronts))
+        phase = plan.step(now, now - due, self.connection_count, all(front.shut for front, _ in self.fronts))
         if phase != before:
             say(
                 log,
@@ -536,7 +561,7 @@
                 after_ms=now - plan.told_at,
                 taken=self.transactions.taken,
                 in_hand=len(self.transactions.open),
-                connections=self.connections,
+                connections=self.connection_count,
                 stall_ms=plan.stall,
             )
         if phase is Phase.ENDED:
@@ -560,7 +585,7 @@
             for front, _ in self.fronts:
                 front.hurry()
                 front.stop_accepting()
-        self.later(CHECK, partial(self.attend, plan, clock() + CHECK))
+        self.schedule(STEP_INTERVAL_MS, partial(self.step_shutdown, plan, clock() + STEP_INTERVAL_MS))
 
-    def later(self, span: float, action: Callable[[], None]) -> None:
-        self.loop.deadlines.add(clock() + span, action)
+    def schedule(self, delay_ms: float, action: Callable[[], None]) -> None:
+        self.loop.deadlines.add(clock() + delay_ms, action)
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -100,7 +100,7 @@
         sock.sendall(read_request())
         transactions = stepped.daemon.transactions
         stepped.turn_until(lambda: transactions.taken and not transactions.open, "the answer's begin")
-        pipe = next(iter(stepped.daemon.clients.links)).answer.content.rest
+        pipe = next(iter(stepped.daemon.http1.links)).answer.content.rest
         stepped.turn_until(lambda: pipe.came == 99_999 and not pipe.parts, "the first pieces")
         full.append(True)
         server.last.set()
@@ -177,7 +177,7 @@
         stepped.turn_until(lambda: stepped.daemon.upstream.planner.opened, "the connect")
         stepped.loop.epoll = MembersFirst(stepped.loop)
         sock.close()
-        stepped.turn_until(lambda: not stepped.daemon.clients.links, "the end")
+        stepped.turn_until(lambda: not stepped.daemon.http1.links, "the end")
         assert stepped.ask(read_request("-other"))[0] == 200
         assert names(server) == ["id-other"]
         assert not stepped.daemon.transactions.open
@@ -208,7 +208,7 @@
         release.set()
         until(lambda: len(poll.poll(0)) == len(socks) - 1, "the answers")
         socks[-1].close()  # and behind them, in the same turn, the end of the one who waits
-        stepped.turn_until(lambda: len(daemon.clients.links) == len(socks) - 1, "the end")
+        stepped.turn_until(lambda: len(daemon.http1.links) == len(socks) - 1, "the end")
         assert stepped.ask(read_request("-other"))[0] == 200
         assert held not in names(server)
 
@@ -264,16 +264,16 @@
     with Stepped(tmp_path, server) as stepped, stepped.connect() as sock:
         sock.sendall(read_request(1))
         assert stepped.hear(sock)[0] == 200
-        (link,) = stepped.daemon.clients.kept
+        (link,) = stepped.daemon.http1.kept
         link.task.sock = Crossed(link.sock, sock, read_request(2))
         link.sock = link.task.sock
         if how == "limit":
             link.resting and link.time(0.0)
         elif how == "draining":
-            stepped.daemon.clients.drain(idle=True)
+            stepped.daemon.http1.drain(idle=True)
         else:
-            monkeypatch.setattr(stepped.daemon.clients, "most_kept", 0)
-            link.stand(stepped.daemon.clients.kept)
+            monkeypatch.setattr(stepped.daemon.http1, "most_kept", 0)
+            link.stand(stepped.daemon.http1.kept)
         stepped.turn_until(lambda: link.sock.crossed, "the end")
         stepped.turns(50)
         assert sock.recv(1) == b""  # its end, and no reset
@@ -303,7 +303,7 @@
         daemon, pool, path = stepped.daemon, stepped.daemon.pool, tmp_path / "config.json"
 
         def act():
-            daemon.note(signal.SIGTERM, None) if "stop" in event else None
+            daemon.note_signal(signal.SIGTERM, None) if "stop" in event else None
             if event == "bad file":
                 path.write_text("{broken", encoding="utf-8")
             for _ in range(2 if event == "stop twice" else 1):
@@ -313,8 +313,8 @@
         data, sock = submit_request(), None
         steps = [
             lambda: stepped.turn_until(lambda: pool.members and agent.watchers, "the list"),
-            lambda: stepped.turn_until(lambda: daemon.clients.links, "the connection"),
-            lambda: (sock.sendall(data[:40]), stepped.turn_until(lambda: daemon.clients.partial, "the head")),
+            lambda: stepped.turn_until(lambda: daemon.http1.links, "the connection"),
+            lambda: (sock.sendall(data[:40]), stepped.turn_until(lambda: daemon.http1.partial, "the head")),
             lambda: (sock.sendall(data[40:-2]), stepped.turns(5)),
             lambda: (sock.sendall(data[-2:]), stepped.turn_until(lambda: servers[0].requests, "the attempt")),
             lambda: stepped.agent.tell([host("s1", servers[1])]),
@@ -523,7 +523,7 @@
         sock.sendall(HEAD + chunk(change + b"\n") + end)
 
     with Stepped(tmp_path, *servers, agent=Watched(hosts, watch)) as stepped:
-        stepped.turn_until(lambda: stepped.daemon.agent.failures, "the end of the watch")
+        stepped.turn_until(lambda: stepped.daemon.discovery_agent.failures, "the end of the watch")
         assert {stepped.ask(read_request(n))[0] for n in range(8)} == {200}
         assert not servers[0].requests and len(servers[1].requests) == 8
 
@@ -577,7 +577,7 @@
     servers = (TurnServer(),)
     agent = DiscoveryAgent([host("s0", servers[0])])
     with Stepped(tmp_path, *servers, agent=agent, known=False) as stepped, stepped.connect() as sock:
-        driver = stepped.daemon.agent
+        driver = stepped.daemon.discovery_agent
         until(lambda: readable(driver.task.sock), "the list")
         sock.sendall(read_request(target="/nowhere"))
         monkeypatch.setattr(runtime, "MAX_EVENTS_PER_ITERATION", 1)
