--- a/tests/fleet/test_fleet_log.py
+++ b/tests/fleet/test_fleet_log.py
@@ -1,4 +1,4 @@
-"""Log lines: one event a line, fields that no value can break, and a bound on their rate."""
+"""Structured log lines: one event per line, escaped values, and a rate limit per event."""
 
 import io
 import logging
@@ -18,26 +18,26 @@
 
 
 def record(message: str, *arguments: object, name: str = "brackenusher.cluster.links") -> logging.LogRecord:
-    """A record as a logger makes it."""
+    """A record as a logger creates it."""
     made = logging.LogRecord(name, logging.WARNING, "file.py", 1, message, arguments, None)
     made.created = 1_000_000_000.125
     return made
 
 
 class FormatTest(unittest.TestCase):
-    """A record as a line."""
+    """Formatting of a record."""
 
     def line(self, message: str, *arguments: object) -> str:
         return EventFormatter("proxy").format(record(message, *arguments))
 
     def fields(self, message: str, *arguments: object) -> str:
-        """What follows the fields that all lines have."""
+        """The line without the fields that all lines begin with."""
         head = "time=2001-09-09T01:46:40.125Z level=warning role=proxy module=cluster.links "
         line = self.line(message, *arguments)
         self.assertTrue(line.startswith(head), line)
         return line.removeprefix(head)
 
-    def test_fields_of_the_message(self) -> None:
+    def test_keys_of_the_message_become_fields(self) -> None:
         self.assertEqual(
             self.fields("link ended: peer=%s count=%d", "a:1", 3), 'event="link ended" peer=a:1 count=3'
         )
@@ -45,7 +45,7 @@
         self.assertEqual(self.fields("event=ending zone=%s", "z"), "event=ending zone=z")
         self.assertEqual(self.fields("event=ending"), "event=ending")
 
-    def test_messages_of_other_forms_are_one_event(self) -> None:
+    def test_message_of_another_form_becomes_the_event(self) -> None:
         self.assertEqual(self.fields("request %d: server %s", 3, "s"), 'event="request 3: server s"')
         self.assertEqual(self.fields("50% done"), 'event="50% done"')
         self.assertEqual(self.fields("x: a=%s"), 'event="x: a=%s"')
@@ -58,7 +58,7 @@
         self.assertEqual(line, expected)
         self.assertEqual(len(line.splitlines()), 1)
 
-    def test_quoting(self) -> None:
+    def test_quoting_and_truncation_of_values(self) -> None:
         cases = {
             "": '""',
             "a-b_c.d/e:1": "a-b_c.d/e:1",
@@ -72,7 +72,7 @@
         self.assertEqual(quote(None), "None")
         self.assertLess(len(quote("x" * 100_000)), 400)
 
-    def test_exceptions_stay_in_the_line(self) -> None:
+    def test_exception_stays_in_the_line(self) -> None:
         made = record("handler failed: kind=%s", "X")
         try:
             raise ValueError("two\nlines")
@@ -84,32 +84,32 @@
 
 
 class RateTest(unittest.TestCase):
-    """How many lines of an event are written."""
+    """The rate limit of events."""
 
     def setUp(self) -> None:
         self.now = 100.0
-        self.bound = RateLimitFilter(lambda: self.now)
+        self.rate_limit = RateLimitFilter(lambda: self.now)
 
     def written(self, count: int, message: str = "link ended: peer=%s") -> int:
-        return sum(self.bound.filter(record(message, number)) for number in range(count))
+        return sum(self.rate_limit.filter(record(message, number)) for number in range(count))
 
-    def test_a_burst_and_then_a_rate(self) -> None:
+    def test_burst_is_written_and_then_a_steady_rate(self) -> None:
         self.assertEqual(self.written(1000), BURST_LINES)
         self.now += 3 / LINES_PER_S
         self.assertEqual(self.written(1000), 3)
 
-    def test_what_was_left_out_is_told(self) -> None:
+    def test_next_line_has_the_number_of_suppressed_ones(self) -> None:
         self.written(BURST_LINES + 5)
         self.now += 1 / LINES_PER_S
         made = record("link ended: peer=%s", 1)
-        self.assertTrue(self.bound.filter(made))
+        self.assertTrue(self.rate_limit.filter(made))
         self.assertTrue(EventFormatter("proxy").format(made).endswith(" suppressed=5"))
 
-    def test_events_are_bounded_apart(self) -> None:
+    def test_each_event_has_its_own_limit(self) -> None:
         self.written(1000)
         self.assertEqual(self.written(1, "another event"), 1)
 
-    def test_too_many_events_share_one_bound(self) -> None:
+    def test_events_beyond_the_tracked_number_share_one_limit(self) -> None:
         for number in range(MAX_TRACKED_EVENTS):
             self.assertEqual(self.written(1, f"event {number}"), 1)
         written = sum(self.written(1, f"further {number}") for number in range(1000))
@@ -117,7 +117,7 @@
 
 
 class SetUpTest(unittest.TestCase):
-    """All of it in a process of its own, since it is for the whole process."""
+    """The configured logger, in a process of its own as it affects the whole process."""
 
     def test_lines_go_to_standard_error(self) -> None:
         code = (
@@ -131,7 +131,7 @@
         self.assertTrue(second.endswith('level=error role=proxy module=other event="from elsewhere"'), second)
         self.assertEqual(done.stdout, "")
 
-    def test_before_it_nothing_is_changed(self) -> None:
+    def test_logging_is_unchanged_until_configured(self) -> None:
         stream = io.StringIO()
         handler = logging.StreamHandler(stream)
         logger = logging.getLogger(f"{fleet_log.__name__}.test")
--- a/tests/test_capture.py
+++ b/tests/test_capture.py
@@ -1,4 +1,4 @@
-"""Capture: the records, the outlet that writes them, and the replay, by themselves and over sockets."""
+"""Capture and replay: the lines, the thread that writes them, and replays of captures of the real program."""
 
 import re
 import resource
@@ -36,11 +36,11 @@
 from brackenusher.runtime.outlet import Outlet
 
 CONFIG = PlatformConfig("n0", ("", 0), ("", 0), 255, 256, {}, read_settings(SETTINGS), SETTINGS)
-ON = "capture.enabled = true\n"
+ENABLED = "capture.enabled = true\n"
 
 
-class World:
-    """A capture with a clock, and a module that is only spoken of."""
+class CaptureHarness:
+    """A capture with a fake clock and events from no real balancer."""
 
     def __init__(self, **settings):
         self.now, self.deadlines = 1000.0, Deadlines()
@@ -48,7 +48,7 @@
         self.open = {}
         self.capture = Capture(CaptureSettings(**settings), self.outlet, self.open, CONFIG, 1000.0)
 
-    def tell(self, event, *actions):
+    def emit(self, event, *actions):
         self.now += 0.1
         self.capture.handled(self.now, event, actions)
 
@@ -56,19 +56,19 @@
         message = message or Message(b"GET", b"/board-read?k=m1", [], b"", b"kente-wars", b"1400m")
         transaction = Transaction(number, name, message, None, 0, 0, self.now, self.now + 1390.0)
         self.open[number] = transaction
-        self.tell(face.Arrived(number, 0, self.now + 1390.0), face.Send(number, backend))
+        self.emit(face.Arrived(number, 0, self.now + 1390.0), face.Send(number, backend))
         return transaction
 
     def serve(self, number, **wording):
         self.capture.answered(self.arrive(number, **wording), Served(None))
-        self.tell(face.Finished(number, 0, Outcome.SERVED, 20.5, True))
+        self.emit(face.Finished(number, 0, Outcome.SERVED, 20.5, True))
 
     def list(self, *names, state=State.LIVE):
         entries = [face.Entry(name, state) for name in names]
-        self.tell(face.ListChanged(ListScope.CHANGES, entries, 43))
+        self.emit(face.ListChanged(ListScope.CHANGES, entries, 43))
 
-    def pending(self):
-        """The lines that are not handed over yet."""
+    def queued_lines(self):
+        """The lines not passed to the writer yet."""
         return b"".join(self.capture.channel.chunks).decode().splitlines()
 
     def close(self):
@@ -76,64 +76,64 @@
         self.outlet.close()
 
 
-def captured(text):
-    """The records of a text, without heads and what else stands there."""
+def capture_lines(text):
+    """The lines of a capture, without headers and other output."""
     return [line for line in text.splitlines() if LINE_PATTERN.match(line)]
 
 
-def test_the_records_first_words_are_those_that_the_operators_asked_for():
-    world = World()
-    world.list("s-5be2a07c", state=State.DRAINING)
-    world.serve(1, name=b"9b1f03aa5c7e2d41", backend="s-5be2a07c")
-    refused = world.arrive(2)
-    world.tell(face.Finished(2, 0, Outcome.FULL, 1.0, False), face.Refuse(2, 312.5531))
-    world.capture.answered(refused, Refused(312.5531))
+def test_lines_begin_with_request_decision_and_outcome():
+    harness = CaptureHarness()
+    harness.list("s-5be2a07c", state=State.DRAINING)
+    harness.serve(1, name=b"9b1f03aa5c7e2d41", backend="s-5be2a07c")
+    refused = harness.arrive(2)
+    harness.emit(face.Finished(2, 0, Outcome.FULL, 1.0, False), face.Refuse(2, 312.5531))
+    harness.capture.answered(refused, Refused(312.5531))
     message = Message(b"GET", b"/board-read", [], b"", None, None, ("", 5.0))
-    world.capture.turned_away(Request(b"x", 0, 1.0, 0, False, message), "door 350 refused")
-    lines = world.pending()[1:]
+    harness.capture.turned_away(Request(b"x", 0, 1.0, 0, False, message), "door 350 refused")
+    lines = harness.queued_lines()[1:]
     assert lines[0].startswith("list 43 s-5be2a07c draining ")
     assert lines[1].startswith("9b1f03aa5c7e2d41 board-read kente-wars k=m1 1400m forward s-5be2a07c served ")
     assert lines[2].startswith("id board-read kente-wars k=m1 1400m refuse 312.553 refused ")
     assert lines[3].startswith("x board-read - k=- - door 350 refused ")
     assert all(LINE_PATTERN.match(line) for line in lines)
-    world.close()
+    harness.close()
 
 
-NASTY = [b"list", b"#", b"-", b"%", b"~", b"x" * 300, b"a\nlist", b"a b", b"k=v", b"\xff\r\x00", b""]
+HOSTILE_TEXTS = [b"list", b"#", b"-", b"%", b"~", b"x" * 300, b"a\nlist", b"a b", b"k=v", b"\xff\r\x00", b""]
 
 
-@pytest.mark.parametrize("text", NASTY)
-def test_what_clients_word_neither_forges_a_record_nor_grows_one(text):
-    # guards against a client that writes the operators' evidence: ids, keys and owners are its own words
-    world = World()
+@pytest.mark.parametrize("text", HOSTILE_TEXTS)
+def test_client_text_cannot_forge_or_inflate_a_line(text):
+    # ids, keys and owners are chosen by clients: unescaped, they could add lines to the capture
+    harness = CaptureHarness()
     message = Message(b"GET", b"/board-read?k=" + text, [], b"", text, text)
-    world.serve(1, name=text, message=message)
-    world.capture.turned_away(Request(text, 0, 1.0, 0, False, message), "token forged rejected")
-    lines = world.pending()[1:]
+    harness.serve(1, name=text, message=message)
+    harness.capture.turned_away(Request(text, 0, 1.0, 0, False, message), "token forged rejected")
+    lines = harness.queued_lines()[1:]
     assert [LINE_PATTERN.match(line)["words"].split()[5] for line in lines] == ["forward", "token"]
     assert all(len(line) < 1200 and line.isascii() for line in lines)
     assert not any(line.startswith(("list ", "#", "- ")) for line in lines)
-    world.close()
+    harness.close()
 
 
-def test_the_ring_keeps_its_size_splits_no_record_and_goes_on_at_its_oldest_file(tmp_path):
-    # guards against losing the newest records of the last start to the first ones of this
+def test_ring_keeps_its_size_splits_no_line_and_resumes_at_the_oldest_file(tmp_path):
+    # a restart must overwrite the oldest file, not the newest lines of the previous process
     ring = {"folder": str(tmp_path), "files": 3, "file_kb": 16}
-    world = World(**ring)
-    world.list("s0", "s1")
+    harness = CaptureHarness(**ring)
+    harness.list("s0", "s1")
     for n in range(1500):
-        world.serve(n)
-        if n % 100 == 0:  # more at once than the writer takes would be dropped, as it should
-            until(lambda: world.capture.channel.fits(200_000), "the writer")
-    world.close()
+        harness.serve(n)
+        if n % 100 == 0:  # lines beyond the queue's capacity would be dropped, as intended
+            until(lambda: harness.capture.channel.fits(200_000), "the writer")
+    harness.close()
     files = sorted(tmp_path.iterdir())
     texts = [path.read_text(encoding="utf-8") for path in files]
-    newest = max(files, key=lambda path: path.stat().st_mtime_ns)  # may just have been begun
+    newest = max(files, key=lambda path: path.stat().st_mtime_ns)  # may have just been started
     found = [(path.name, path.stat().st_size, path.stat().st_mtime_ns) for path in files]
     assert len(files) == 3 and all(path.stat().st_size <= 16_384 for path in files)
     assert all(path.stat().st_size > 12_000 for path in files if path != newest), (
         found,
-        world.capture.dropped,
+        harness.capture.dropped,
     )
     for text in texts:
         first, second, third, *rest = text.splitlines()
@@ -143,17 +143,15 @@
             and "standing=1" in third
             and all(LINE_PATTERN.match(line) for line in rest)
         )
-    numbers = sorted(int(line.rpartition("n=")[2]) for text in texts for line in captured(text))
-    assert numbers == list(range(numbers[0], 1503)) and world.capture.dropped == 0
+    numbers = sorted(int(line.rpartition("n=")[2]) for text in texts for line in capture_lines(text))
+    assert numbers == list(range(numbers[0], 1503)) and harness.capture.dropped == 0
     ages = [FileRing.read_sequence(path) for path in files]
-    again = World(**ring)
+    again = CaptureHarness(**ring)
     again.serve(1)
     again.close()
     changed = [n for n in range(3) if files[n].read_text(encoding="utf-8") != texts[n]]
     assert changed == [ages.index(min(ages))] and FileRing.read_sequence(files[changed[0]]) == max(ages) + 1
-    wider = FileRing(
-        CaptureSettings(**(ring | {"files": 4}))
-    )  # what is new comes first, then the oldest again
+    wider = FileRing(CaptureSettings(**(ring | {"files": 4})))  # the new file first, then the oldest one
     wider.start_next_file()
     assert [wider.sequences.index(age) for age in (wider.sequence - 1, wider.sequence)] == [
         3,
@@ -161,61 +159,64 @@
     ]
 
 
-def test_a_file_that_cannot_grow_drops_whole_batches_and_counts_them(tmp_path):
-    world = World(folder=str(tmp_path))
-    world.capture.channel.flush()
-    until(lambda: world.capture.channel.written_bytes, "the head")
+def test_full_disk_drops_whole_batches_and_counts_them(tmp_path):
+    harness = CaptureHarness(folder=str(tmp_path))
+    harness.capture.channel.flush()
+    until(lambda: harness.capture.channel.written_bytes, "the head")
     before = resource.getrlimit(resource.RLIMIT_FSIZE)
     handler = signal.signal(signal.SIGXFSZ, signal.SIG_IGN)
     try:
         resource.setrlimit(resource.RLIMIT_FSIZE, (5000, before[1]))
         for n in range(40):
-            world.serve(n)
-        world.close()
+            harness.serve(n)
+        harness.close()
     finally:
         resource.setrlimit(resource.RLIMIT_FSIZE, before)
         signal.signal(signal.SIGXFSZ, handler)
     text = (tmp_path / "capture-0.log").read_text(encoding="utf-8")
-    assert world.capture.dropped == 40 and text.count("\n") == 1 and text.endswith("\n")
+    assert harness.capture.dropped == 40 and text.count("\n") == 1 and text.endswith("\n")
 
 
-def test_memory_stays_under_1_mb_while_nothing_is_read_and_much_is_open(monkeypatch):
-    # guards against what waits for a reader, for an answer or for the next request growing without end
+def test_memory_stays_under_1_mb_with_a_stuck_reader_and_many_open_requests(monkeypatch):
+    # queued lines, open requests and pending events must all be bounded
     stuck = threading.Event()
     monkeypatch.setattr("brackenusher.records.capture.write_stderr", lambda pieces: stuck.wait(WAIT))
-    world, others = World(), World()  # what is held of a transaction is its owner's
+    harness, owner = (
+        CaptureHarness(),
+        CaptureHarness(),
+    )  # transactions count for their owner, not for the capture
     for n in range(6000):
-        others.arrive(n)
-    world.capture.transactions = others.open
+        owner.arrive(n)
+    harness.capture.transactions = owner.open
     tracemalloc.start()
     try:
         for n in range(6000):
-            world.tell(face.TimerDue(0))
-            world.tell(face.Arrived(n, 0, world.now), face.Send(n, "s0"))
+            harness.emit(face.TimerDue(0))
+            harness.emit(face.Arrived(n, 0, harness.now), face.Send(n, "s0"))
             if not n % 2:
-                world.capture.answered(others.open[n], Served(None))
-                world.tell(face.Finished(n, 0, Outcome.SERVED, 20.5, True))
+                harness.capture.answered(owner.open[n], Served(None))
+                harness.emit(face.Finished(n, 0, Outcome.SERVED, 20.5, True))
         assert tracemalloc.get_traced_memory()[1] < 1_000_000
-        assert world.capture.dropped > 1000 and len(world.capture.open_records) <= 1000
+        assert harness.capture.dropped > 1000 and len(harness.capture.open_records) <= 1000
     finally:
         tracemalloc.stop()
     began = time.monotonic()
-    world.close()  # the writer is stuck, and is not waited for
+    harness.close()  # must not wait for the stuck writer
     assert time.monotonic() - began < WAIT / 2
     stuck.set()
 
 
-def test_capture_settings_are_checked():
-    capture = read_operator("f", ON + "capture.dir = a\ncapture.files = 2\ncapture.file_kb = 16").capture
-    assert capture == CaptureSettings("a", 2, 16) and read_operator("f", ON).capture == CaptureSettings()
+def test_invalid_capture_settings_are_rejected():
+    capture = read_operator("f", ENABLED + "capture.dir = a\ncapture.files = 2\ncapture.file_kb = 16").capture
+    assert capture == CaptureSettings("a", 2, 16) and read_operator("f", ENABLED).capture == CaptureSettings()
     for bad in ("capture.files = 0", "capture.file_kb = 1", "capture.dir ="):
         with pytest.raises(ValueError, match=re.escape(bad.partition(" ")[0])):
             read_operator("f", bad)
 
 
-def test_a_folder_that_cannot_be_used_ends_the_start_with_2(tmp_path):
+def test_unusable_folder_ends_the_start_with_exit_code_2(tmp_path):
     (tmp_path / "file").touch()
-    (tmp_path / "props").write_text(f"{ON}capture.dir = {tmp_path}/file\n", encoding="utf-8")
+    (tmp_path / "props").write_text(f"{ENABLED}capture.dir = {tmp_path}/file\n", encoding="utf-8")
     config = tmp_path / "config.json"
     with Program(tmp_path, TurnServer()):
         pass
@@ -224,16 +225,16 @@
 
 
 @pytest.fixture(scope="module")
-def drained(tmp_path_factory):
-    """A capture of 1000 requests, some at once, across the drain of the quicker turn server."""
+def capture_of_drain(tmp_path_factory):
+    """A capture of 1002 requests, some concurrent, during which the faster turn server is drained."""
 
     def behave(server, message):
-        time.sleep(0.0 if server is quick else 0.015)  # far apart: other work must not drown it
+        time.sleep(0.0 if server is quick else 0.015)  # clearly slower, even on a busy machine
         return response(200, b"board")
 
     tmp_path = tmp_path_factory.mktemp("drained")
     quick, slow, other = (TurnServer(behave) for _ in range(3))
-    with Program(tmp_path, quick, slow, other, operator=ON) as program:
+    with Program(tmp_path, quick, slow, other, operator=ENABLED) as program:
         until(lambda: program.agent.watchers, "the watch")
 
         def ask(numbers):
@@ -262,21 +263,25 @@
         return program.log
 
 
-def replay(tmp_path, text, properties=""):
+def run_replay(tmp_path, text, properties=""):
     (tmp_path / "captured").write_text(text, encoding="utf-8")
     (tmp_path / "props").write_text(properties, encoding="utf-8")
     return command("capture", "replay", str(tmp_path / "captured"), str(tmp_path / "props"))
 
 
-def test_an_untampered_capture_replays_with_no_differing_line(drained, tmp_path):
-    done = replay(tmp_path, drained)
+def test_unchanged_capture_replays_without_differences(capture_of_drain, tmp_path):
+    done = run_replay(tmp_path, capture_of_drain)
     assert (done.returncode, done.stderr) == (0, "") and "guess" not in done.stdout
     assert "# 1002 requests, 0 differing lines" in done.stdout and "another moment" not in done.stdout
 
 
-def test_without_the_line_of_the_drain_the_differing_lines_name_that_server(drained, tmp_path):
-    kept = [line for line in drained.splitlines(keepends=True) if not line.startswith("list 2 s0 draining")]
-    done = replay(tmp_path, "".join(kept))
+def test_replay_without_the_drain_differs_for_that_server(capture_of_drain, tmp_path):
+    kept = [
+        line
+        for line in capture_of_drain.splitlines(keepends=True)
+        if not line.startswith("list 2 s0 draining")
+    ]
+    done = run_replay(tmp_path, "".join(kept))
     lines = [line for line in done.stdout.splitlines() if line.startswith("line ")]
     assert done.returncode == 1 and len(lines) > 20
     assert "replayed forward s0" in lines[0] and "recorded forward s0" not in done.stdout
@@ -285,61 +290,61 @@
     assert re.search("# event [0-9]+ is missing", done.stdout)
 
 
-def test_a_tampered_decision_is_found_and_only_the_first_difference_is_exact(drained, tmp_path):
-    lines = drained.splitlines(keepends=True)
+def test_changed_decision_is_found_and_only_the_first_difference_is_exact(capture_of_drain, tmp_path):
+    lines = capture_of_drain.splitlines(keepends=True)
     places = [n for n, line in enumerate(lines) if " forward s1 served " in line][:2]
     for n in places:
         lines[n] = lines[n].replace("forward s1", "forward s2").replace("try=s1", "try=s2")
-    done = replay(tmp_path, "".join(lines))
+    done = run_replay(tmp_path, "".join(lines))
     told = [line for line in done.stdout.splitlines() if line.startswith("line ")]
     assert told[0].startswith(f"line {places[0] + 1}: ") and told[0].endswith("replayed forward s1 [exact]")
     assert told[1:] and all("follows" in line for line in told[1:])
 
 
-def test_a_capture_without_its_start_or_with_a_record_dropped_is_said_to_be_a_guess(drained, tmp_path):
-    lines = drained.splitlines(keepends=True)
+def test_capture_with_missing_lines_or_start_is_reported_as_a_guess(capture_of_drain, tmp_path):
+    lines = capture_of_drain.splitlines(keepends=True)
     dropped = [line for line in lines if not line.startswith("id77 ")]
-    assert re.search("events? .* missing", replay(tmp_path, "".join(dropped)).stdout)
+    assert re.search("events? .* missing", run_replay(tmp_path, "".join(dropped)).stdout)
     head = next(line for line in lines if line.startswith("# {"))
     late = [head.replace('"event":0', '"event":1000'), *lines[600:]]
-    assert "the start is missing: 1000 events" in replay(tmp_path, "".join(late)).stdout
+    assert "the start is missing: 1000 events" in run_replay(tmp_path, "".join(late)).stdout
     for broken in ("", head.replace('"capture":1', '"capture":9')):
-        assert replay(tmp_path, broken).returncode == 2
+        assert run_replay(tmp_path, broken).returncode == 2
 
 
-def test_the_door_is_replayed_with_the_limits_of_the_properties(tmp_path):
+def test_rate_limiter_is_replayed_with_the_limits_of_the_properties(tmp_path):
     limits = "door.enabled = true\ndoor.rate.kente-wars = 0.01\ndoor.burst.kente-wars = 3\n"
     ring = f"capture.dir = {tmp_path}/ring\n"
-    with Program(tmp_path, TurnServer(), operator=limits + ON + ring) as program:
+    with Program(tmp_path, TurnServer(), operator=limits + ENABLED + ring) as program:
         secret = "Adw-Token: k2.p77.read.1.abc\r\n"
         answers = [program.ask(read_request(n, extra=secret))[0] for n in range(5)]
         program.process.terminate()
         assert answers == [200, 200, 200, 429, 429] and program.process.wait(WAIT) == 0
     text = (tmp_path / "ring" / "capture-0.log").read_text(encoding="utf-8")
     assert " door " in text and "k2.p77" not in text and "Adw" not in text
-    assert replay(tmp_path, text, limits).returncode == 0
-    assert "taken as they stand" in replay(tmp_path, text).stdout
-    done = replay(tmp_path, text, limits.replace("= 3", "= 4"))
+    assert run_replay(tmp_path, text, limits).returncode == 0
+    assert "taken as they stand" in run_replay(tmp_path, text).stdout
+    done = run_replay(tmp_path, text, limits.replace("= 3", "= 4"))
     told = [line for line in done.stdout.splitlines() if line.startswith("line ")]
     assert len(told) == 1 or all("follows" in line for line in told[1:])
     assert "recorded door" in told[0] and "replayed let in [exact]" in told[0]
 
 
-def test_a_stuck_reader_holds_up_neither_requests_nor_the_end(tmp_path):
-    # guards against a log line, or a record, that waits for room in the pipe: with it all clients would
-    with Program(tmp_path, TurnServer(), operator=ON, stderr=subprocess.PIPE) as program:
+def test_stuck_reader_of_stderr_blocks_neither_requests_nor_shutdown(tmp_path):
+    # a log or capture line that blocked on the full pipe would block all clients
+    with Program(tmp_path, TurnServer(), operator=ENABLED, stderr=subprocess.PIPE) as program:
         with program.connect() as sock:
             for n in range(3000):
                 assert program.ask(read_request(n), sock)[0] == 200
-        program.process.send_signal(signal.SIGHUP)  # which logs
+        program.process.send_signal(signal.SIGHUP)  # causes a log line
         assert program.ask(read_request(5000))[0] == 200
         program.process.terminate()
         assert program.process.wait(WAIT) == 0
         rest = program.process.stderr.read().decode()
-        assert rest.endswith("\n") and captured(rest)
+        assert rest.endswith("\n") and capture_lines(rest)
 
 
-def test_without_the_feature_nothing_is_written(tmp_path):
+def test_nothing_is_written_while_capture_is_off(tmp_path):
     with Program(tmp_path, TurnServer(), operator="capture.enabled = false\n") as program:
         assert program.ask(read_request())[0] == 200
-        assert not captured(program.log) and "# {" not in program.log
+        assert not capture_lines(program.log) and "# {" not in program.log
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -1,4 +1,4 @@
-"""Narrow moments on real sockets: an event that comes between two others. Each is forced, not awaited."""
+"""Race conditions on real sockets: an event between two others. Each is forced, not awaited."""
 
 import contextlib
 import itertools
@@ -42,20 +42,20 @@
 
 
 def unsafe_request(number=1, body=b"move", extra=""):
-    """A request of a class that is unsafe to repeat: it has no key."""
+    """A request of a class that is unsafe to retry: it has no idempotency key."""
     key = b"Idempotency-Key: key%d\r\n" % number
     return submit_request(number, body, extra).replace(key, b"")
 
 
-def names(server):
+def request_ids(server):
     return [headers["req-id"] for _, headers, _ in server.requests]
 
 
 # settings
 
 
-def test_a_request_that_is_unsafe_to_repeat_needs_no_key_and_is_sent_once(tmp_path):
-    # guards against asking a key of a class whose clients have none: nothing of it was ever served
+def test_request_unsafe_to_retry_needs_no_key_and_is_sent_once(tmp_path):
+    # requiring a key of a class whose clients have none rejected all its requests
     def fail(server, message):
         return response(500, b"no") if message[1]["req-id"] == "id2" else response(200, b"board")
 
@@ -68,11 +68,11 @@
         assert ["idempotency-key" in each for each in requests] == [False, False, True]
 
 
-# answers in pieces
+# streamed responses
 
 
-class Ending(TurnServer):
-    """Gives a long answer that does not say how long it is: its last byte and its end when it is told to."""
+class StreamingServer(TurnServer):
+    """Sends a long response without a length; its last byte and its end when the test says so."""
 
     def __init__(self, body):
         self.body, self.last, self.end = body, threading.Event(), threading.Event()
@@ -87,15 +87,15 @@
         sock.shutdown(socket.SHUT_WR)
 
 
-def test_a_long_answer_that_ends_while_the_client_takes_the_last_of_it_gets_its_end(tmp_path, monkeypatch):
-    # guards against an answer without its last chunk: the client waits on, and is cut off as an idle one
+def test_stream_that_ends_while_its_last_chunk_is_written_is_terminated(tmp_path, monkeypatch):
+    # without the final chunk the client waits on, until it is disconnected as idle
     write, full = clients.write, []
 
     def take_nothing(sock, data):
         return data if full else write(sock, data)
 
     monkeypatch.setattr(clients, "write", take_nothing)
-    server = Ending(os.urandom(100_000))
+    server = StreamingServer(os.urandom(100_000))
     with Stepped(tmp_path, server) as stepped, stepped.connect() as sock:
         sock.sendall(read_request())
         transactions = stepped.daemon.transactions
@@ -112,9 +112,9 @@
 
 
 @pytest.mark.parametrize("moment", ["hurry", "expired"])
-def test_a_reset_in_the_moment_of_a_limit_is_no_end_and_leaves_no_pipe(tmp_path, moment):
-    # guards against a part that is served as the whole, as a peek takes the reset from the read after it, and
-    # against a budget that shrinks for good; the request goes elsewhere, as nobody had anything of it
+def test_reset_at_the_moment_of_a_timeout_is_no_end_of_stream_and_leaks_no_pipe(tmp_path, moment):
+    # A peek consumed the reset before the read, so that a truncated response was served as complete, and its
+    # share of the budget was never returned. The request must be retried, as its client has received nothing.
     reset = threading.Event()
 
     def breaking(server, message):
@@ -123,7 +123,7 @@
         reset.wait(20)
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         sock.close()
-        raise ConnectionError  # with no orderly end before
+        raise ConnectionError  # without an orderly shutdown before it
 
     server, other = TurnServer(breaking), TurnServer()
     agent = DiscoveryAgent([host("s0", server)])
@@ -146,11 +146,11 @@
         other.close()
 
 
-# clients that have left
+# disconnected clients
 
 
-class MembersFirst:
-    """Has a turn take one event, those of members before those of clients: these queue up as under a load."""
+class MemberEventsFirst:
+    """Polls one event per iteration, members' before clients', so that these queue up as under load."""
 
     def __init__(self, loop):
         self.loop, self.epoll = loop, loop.epoll
@@ -168,23 +168,23 @@
 
 
 @pytest.mark.parametrize("ahead", [0, 1, 40])
-def test_nothing_is_begun_for_a_client_that_left_while_the_connection_came_up(tmp_path, ahead):
-    # guards against work for nobody: the member's news come first in the turn in which the client has gone
+def test_no_attempt_starts_for_a_client_that_left_during_the_connect(tmp_path, ahead):
+    # wasted work: the member's event precedes the client's disconnect in the same iteration
     server = TurnServer()
     with Stepped(tmp_path, server) as stepped:
         sock = stepped.connect()
         sock.sendall(b"".join(read_request(n) for n in range(ahead + 1)))
         stepped.turn_until(lambda: stepped.daemon.upstream.planner.opened, "the connect")
-        stepped.loop.epoll = MembersFirst(stepped.loop)
+        stepped.loop.epoll = MemberEventsFirst(stepped.loop)
         sock.close()
         stepped.turn_until(lambda: not stepped.daemon.http1.links, "the end")
         assert stepped.ask(read_request("-other"))[0] == 200
-        assert names(server) == ["id-other"]
+        assert request_ids(server) == ["id-other"]
         assert not stepped.daemon.transactions.open
 
 
-def test_nothing_is_begun_for_a_client_that_left_while_it_waited_for_a_server(tmp_path):
-    # guards against sending on what is held for one who has gone, when a server comes free in that moment
+def test_no_attempt_starts_for_a_client_that_left_while_queued(tmp_path):
+    # a server that became free in that moment got the queued request of a client that had left
     release = threading.Event()
 
     def slow(server, message):
@@ -195,26 +195,26 @@
     server = TurnServer(slow)
     with Stepped(tmp_path, server) as stepped, contextlib.ExitStack() as stack:
         daemon, socks = stepped.daemon, []
-        while not (daemon.transactions.balancer.any_held or len(socks) > 10):  # until one has to wait
+        while not (daemon.transactions.balancer.any_held or len(socks) > 10):  # until a request is queued
             socks.append(stack.enter_context(stepped.connect()))
             socks[-1].sendall(read_request(len(socks)))
             stepped.turn_until(lambda: daemon.transactions.taken == len(socks))
         held = f"id{len(socks)}"
         until(lambda: len(server.requests) == len(socks) - 1, "the others")
-        stepped.loop.epoll = first = MembersFirst(stepped.loop)
+        stepped.loop.epoll = first = MemberEventsFirst(stepped.loop)
         poll = select.poll()
         for fd in filter(first.of_member, stepped.loop.tasks):
             poll.register(fd, select.POLLIN)
         release.set()
         until(lambda: len(poll.poll(0)) == len(socks) - 1, "the answers")
-        socks[-1].close()  # and behind them, in the same turn, the end of the one who waits
+        socks[-1].close()  # its event comes after theirs, in the same iteration
         stepped.turn_until(lambda: len(daemon.http1.links) == len(socks) - 1, "the end")
         assert stepped.ask(read_request("-other"))[0] == 200
-        assert held not in names(server)
+        assert held not in request_ids(server)
 
 
-def test_what_was_sent_ahead_is_waited_for_no_longer_than_its_client_waits(tmp_path):
-    # guards against a full span from the moment at which its turn comes: its client has counted all the time
+def test_timeout_of_a_pipelined_request_counts_from_its_arrival(tmp_path):
+    # it must not start when the request's turn comes, as its client has waited since sending it
     def slow(server, message):
         if message[1]["req-id"] == "id1":
             time.sleep(0.5)
@@ -233,8 +233,8 @@
 # closing a connection
 
 
-class Crossed:
-    """A client's socket: what the client sends is there just before the proxy shuts or closes it."""
+class CrossingSocket:
+    """A client's socket on which a request arrives just before the proxy shuts it down or closes it."""
 
     def __init__(self, sock, client, data):
         self.sock, self.client, self.data, self.crossed = sock, client, data, False
@@ -258,14 +258,14 @@
 
 
 @pytest.mark.parametrize("how", ["limit", "draining", "most kept"])
-def test_a_request_that_comes_as_its_connection_is_ended_meets_no_reset(tmp_path, how, monkeypatch):
-    # guards against a close over what has just come: that is a reset, which takes an unread answer with it
+def test_request_that_crosses_a_close_causes_no_reset(tmp_path, how, monkeypatch):
+    # closing with unread input sends a reset, which can destroy a response that the client has not read
     server = TurnServer()
     with Stepped(tmp_path, server) as stepped, stepped.connect() as sock:
         sock.sendall(read_request(1))
         assert stepped.hear(sock)[0] == 200
         (link,) = stepped.daemon.http1.kept
-        link.task.sock = Crossed(link.sock, sock, read_request(2))
+        link.task.sock = CrossingSocket(link.sock, sock, read_request(2))
         link.sock = link.task.sock
         if how == "limit":
             link.resting and link.time(0.0)
@@ -276,8 +276,8 @@
             link.stand(stepped.daemon.http1.kept)
         stepped.turn_until(lambda: link.sock.crossed, "the end")
         stepped.turns(50)
-        assert sock.recv(1) == b""  # its end, and no reset
-        assert names(server) == ["id1"]
+        assert sock.recv(1) == b""  # end of stream, not a reset
+        assert request_ids(server) == ["id1"]
 
 
 # shutdown and reload
@@ -285,8 +285,8 @@
 
 @pytest.mark.parametrize("event", ["stop", "stop twice", "reload", "bad file"])
 @pytest.mark.parametrize("step", range(7))
-def test_a_signal_between_any_two_steps_of_a_request_changes_nothing_for_it(tmp_path, step, event):
-    # guards against a request that is read and not answered, or answered twice, as the end or a file comes
+def test_signal_between_any_two_steps_of_a_request_does_not_affect_it(tmp_path, step, event):
+    # a shutdown or reload must not leave a request without a response, nor with two
     first, second = threading.Event(), threading.Event()
 
     def failing(server, message):
@@ -298,7 +298,7 @@
         return response(200, b"board")
 
     servers = TurnServer(failing), TurnServer(serving)
-    agent = DiscoveryAgent([host("s0", servers[0])])  # the other comes while the first attempt is out
+    agent = DiscoveryAgent([host("s0", servers[0])])  # the other is added during the first attempt
     with Stepped(tmp_path, *servers, agent=agent, known=False) as stepped:
         daemon, pool, path = stepped.daemon, stepped.daemon.pool, tmp_path / "config.json"
 
@@ -333,7 +333,7 @@
         sock.close()
 
 
-def test_a_bad_file_at_a_reload_is_one_line_and_the_old_settings_stay(tmp_path, caplog):
+def test_invalid_file_at_a_reload_is_logged_once_and_the_old_settings_stay(tmp_path, caplog):
     server = TurnServer()
     with Stepped(tmp_path, server) as stepped:
         text = (tmp_path / "config.json").read_text(encoding="utf-8")
@@ -349,8 +349,8 @@
 # retries
 
 
-def test_a_repeat_whose_connection_comes_up_after_its_window_is_not_begun(tmp_path):
-    # guards against a move that runs twice: who dropped its repeats drops them no longer
+def test_retry_connected_after_its_window_is_not_sent(tmp_path):
+    # a move would run twice, as servers deduplicate retries only within the window
     keyed = {**SETTINGS["classes"][1], "window": 300.0}
     settings = {
         "classes": [SETTINGS["classes"][0], keyed],
@@ -362,13 +362,13 @@
         sock.sendall(submit_request())
         stepped.turn_until(lambda: planner.opened == 2, "the second connect")
         assert sum(len(server.requests) for server in servers) == 1
-        time.sleep(0.35)  # the window passes, and no turn is taken
+        time.sleep(0.35)  # the window ends without an iteration of the loop
         assert stepped.hear(sock)[0] in (502, 503)
         assert sum(len(server.requests) for server in servers) == 1
 
 
-def test_an_answer_that_came_in_time_counts_though_nobody_had_read_it_at_the_limit(tmp_path):
-    # guards against an attempt given up, and one that may have run sent again, for want of a turn
+def test_response_received_in_time_but_unread_at_the_timeout_counts(tmp_path):
+    # otherwise a busy loop gives up an attempt, or retries one that may have run
     server = TurnServer()
     with Stepped(tmp_path, server) as stepped, stepped.connect() as sock:
         sock.sendall(read_request())
@@ -380,11 +380,11 @@
         assert stepped.hear(sock)[::2] == (200, b"board") and len(server.requests) == 1
 
 
-# the loop
+# event loop
 
 
-def test_news_of_a_closed_connection_are_not_given_to_the_next_with_its_descriptor():
-    # guards against a connect taken for done, or a client taken for gone, on what another one's peer did
+def test_events_of_a_closed_socket_do_not_reach_a_new_one_with_its_descriptor():
+    # a connect would seem complete, or a client gone, because of another socket's events
     loop, got = Loop(Deadlines()), []
     ours, theirs = zip(*(socket.socketpair() for _ in range(3)), strict=True)
 
@@ -414,12 +414,12 @@
     assert got == [READ]
 
 
-# the start
+# restart
 
 
 @pytest.mark.parametrize("moment", ["starting", "listening", "accepted", "half a request", "asked"])
-def test_a_process_killed_at_any_moment_is_ready_again_soon_and_serves(tmp_path, moment):
-    # guards against a start that hangs on what the one before left: its address, its list, its clients
+def test_process_killed_at_any_moment_restarts_and_serves(tmp_path, moment):
+    # the start must not depend on what its predecessor left: address, server list, clients
     port, server = free_port(), TurnServer()
     first = Program(tmp_path, server, port=port)
     with contextlib.ExitStack() as stack:
@@ -448,7 +448,7 @@
 
 
 def heard(data, cuts, make=Discovery):
-    """Versions of the lists that a watch tells, fed in pieces until it breaks."""
+    """Versions of the lists that a watch reports, fed in chunks until it breaks."""
     machine, got = make("a:1", 1), []
     machine.start()
     pieces = [data[a:b] for a, b in itertools.pairwise([0, *sorted(cuts), len(data)])]
@@ -464,7 +464,7 @@
 
 
 def a_watch(lines, end):
-    """The bytes of a watch that tells so many changes, and ends or is spoilt in some way."""
+    """The bytes of a watch with so many changes and this end, regular or corrupt."""
     texts = [json.dumps({"seq": n, "whole": False, "hosts": []}).encode() + b"\n" for n in range(lines)]
     return HEAD + b"".join(chunk(text) for text in texts) + end
 
@@ -477,7 +477,7 @@
     ]
 
 
-def test_lists_thrown_away_at_the_end_of_a_watch_would_be_found():
+def test_discarding_lists_at_the_end_of_a_watch_is_detected():
     class Forgetful(Discovery):
         def receive(self, data):
             try:
@@ -488,8 +488,8 @@
     assert all(heard(a_watch(2, end), [], Forgetful) == [] for end in ENDS)
 
 
-class Watched(Listener):
-    """An agent whose watches do as a test says; a call for the whole list is answered as it should be."""
+class ScriptedAgent(Listener):
+    """An agent whose watches are scripted by the test; calls for the full list get a regular response."""
 
     def __init__(self, hosts, watch):
         self.hosts, self.watch, self.seq = hosts, watch, 1
@@ -512,8 +512,8 @@
 
 
 @pytest.mark.parametrize("end", [b"0\r\n\r\n", chunk(b"{spoilt\n"), b"nonsense\r\n"])
-def test_a_change_that_comes_in_one_piece_with_the_end_of_its_watch_is_told(tmp_path, end):
-    # guards against throwing away what was received: discovery may be down when it is asked for again
+def test_change_received_together_with_the_end_of_its_watch_is_applied(tmp_path, end):
+    # it must not be discarded, as discovery may be down at the next call
     servers = TurnServer(), TurnServer()
     hosts = [host(f"s{n}", server) for n, server in enumerate(servers)]
 
@@ -522,15 +522,15 @@
         change = agent.listing(False, [host("s0", servers[0], "draining")])
         sock.sendall(HEAD + chunk(change + b"\n") + end)
 
-    with Stepped(tmp_path, *servers, agent=Watched(hosts, watch)) as stepped:
+    with Stepped(tmp_path, *servers, agent=ScriptedAgent(hosts, watch)) as stepped:
         stepped.turn_until(lambda: stepped.daemon.discovery_agent.failures, "the end of the watch")
         assert {stepped.ask(read_request(n))[0] for n in range(8)} == {200}
         assert not servers[0].requests and len(servers[1].requests) == 8
 
 
 @pytest.mark.parametrize("word", [b"", b" ", b"{"])
-def test_a_watch_that_ends_no_line_is_silent_whatever_bytes_come_of_it(tmp_path, word, monkeypatch):
-    # guards against bytes that put the limit off for ever; and against another watch that is silent as well
+def test_watch_without_complete_lines_times_out_as_silent(tmp_path, word, monkeypatch):
+    # partial lines must not extend the timeout for ever, and the next call must not be another silent watch
     monkeypatch.setattr(agent_driver, "SILENCE", 300.0)
     servers = TurnServer(), TurnServer()
     hosts = [host(f"s{n}", server) for n, server in enumerate(servers)]
@@ -542,7 +542,7 @@
         while not stopped.wait(0.02):
             sock.sendall(chunk(word) if word else b"")
 
-    agent = Watched(hosts, watch)
+    agent = ScriptedAgent(hosts, watch)
     with Stepped(tmp_path, *servers, agent=agent) as stepped:
         began = time.monotonic()
         stepped.turn_until(lambda: stepped.daemon.pool.members["s0"].left_at, "the drain")
@@ -552,9 +552,9 @@
         stopped.set()
 
 
-def test_an_agent_that_closes_after_the_list_is_watched_all_the_same(tmp_path):
-    # guards against the whole list again and again: a connection that ends in good order has told all it had
-    class Closing(Watched):
+def test_watch_follows_a_list_after_which_the_agent_closed(tmp_path):
+    # the full list was requested again and again, though the connection had ended regularly after it
+    class Closing(ScriptedAgent):
         def serve(self, sock):
             message = read_message(sock.makefile("rb"))
             self.calls.append(message[0])
@@ -572,8 +572,8 @@
         stopped.set()
 
 
-def test_a_word_that_came_in_time_counts_though_nobody_had_read_it_at_the_limit(tmp_path, monkeypatch):
-    # guards against a call given up for want of a turn, again and again: the answer is there already
+def test_discovery_response_received_in_time_but_unread_at_the_timeout_counts(tmp_path, monkeypatch):
+    # a busy loop abandoned call after call although the response had been received
     servers = (TurnServer(),)
     agent = DiscoveryAgent([host("s0", servers[0])])
     with Stepped(tmp_path, *servers, agent=agent, known=False) as stepped, stepped.connect() as sock:
--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -1,4 +1,4 @@
-"""Figures: lines, batches and what is dropped, by themselves and toward collectors on real sockets."""
+"""Metrics reporting: formats, batches and drops, on fakes and with collectors on real sockets."""
 
 import contextlib
 import re
@@ -21,22 +21,22 @@
 from brackenusher.records.insight import BalancerGauges
 from brackenusher.runtime.outlet import Outlet
 
-CONF = read_settings(
+POLICY_SETTINGS = read_settings(
     SETTINGS | {"tenants": [{"name": name} for name in ("kente-wars", "harmattan", "a b,c=d|e\\")]}
 )
-ON = "figures.enabled = true\n"
+ENABLED = "figures.enabled = true\n"
 
 
-class World:
+class ReporterHarness:
     def __init__(self, **settings):
         self.now, self.deadlines, self.open, self.batches = 1000.0, Deadlines(), {}, []
         self.outlet = Outlet(self.deadlines, lambda: self.now)
         settings = FiguresSettings(**settings)
         self.figures = MetricsReporter(
-            settings, self.outlet, self.deadlines, lambda: self.now, self.open, CONF
+            settings, self.outlet, self.deadlines, lambda: self.now, self.open, POLICY_SETTINGS
         )
 
-    def note_batches(self):
+    def collect_batches(self):
         self.figures.sink = self
         return self
 
@@ -45,7 +45,7 @@
     def put(self, batch):
         self.batches.append(batch.decode())
 
-    def take(self, number, klass=0, tenant=0, owner=b"x"):
+    def open_request(self, number, klass=0, tenant=0, owner=b"x"):
         message = Message(b"GET", b"/", [], b"", owner)
         self.open[number] = Transaction(number, b"", message, None, klass, tenant, self.now, 0.0)
 
@@ -59,20 +59,20 @@
         return "".join(self.batches).splitlines()
 
 
-def fill(world):
+def fill(harness):
     for n, tenant in enumerate((1, 1, 0)):
-        world.take(n, n % 2, tenant)
-    world.take(3, owner=None)
-    world.answer(0, Served(None), 211.7)
-    world.answer(1, Refused(5.0))
-    world.answer(3, None)
+        harness.open_request(n, n % 2, tenant)
+    harness.open_request(3, owner=None)
+    harness.answer(0, Served(None), 211.7)
+    harness.answer(1, Refused(5.0))
+    harness.answer(3, None)
     for verdict in ("door 350 refused", "token forged rejected"):
-        world.figures.turned_away(Request(b"", 1, 1.0, 1, False, Message(b"", b"", owner=b"x")), verdict)
-    return world.lines()
+        harness.figures.turned_away(Request(b"", 1, 1.0, 1, False, Message(b"", b"", owner=b"x")), verdict)
+    return harness.lines()
 
 
-def test_statsd_lines_are_those_that_the_operators_asked_for():
-    lines = fill(World().note_batches())
+def test_statsd_lines_have_the_documented_format():
+    lines = fill(ReporterHarness().collect_batches())
     assert lines[0] == "latency_ms:212|ms|#class:board-read,tenant:harmattan"
     assert "requests:3|c|#class:turn-submit,tenant:harmattan" in lines
     assert "refused:2|c|#class:turn-submit,tenant:harmattan" in lines
@@ -83,24 +83,27 @@
     assert "inflight:0|g|#class:board-read,tenant:harmattan" in lines and lines[-1] == "figures_dropped:0|g"
 
 
-def test_influx_lines_escape_what_names_may_hold():
-    world = World(influx=True).note_batches()
-    assert fill(world)[0] == "latency_ms,class=board-read,tenant=harmattan value=212"
-    world.take(9, tenant=2)
-    world.answer(9, Served(None), 7.0)
-    assert r"latency_ms,class=board-read,tenant=a\ b\,c\=d|e_ value=7" in world.lines()
-    assert World().note_batches().figures.format_tags((0, 2)) == "class:board-read,tenant:a b_c=d_e\\"
+def test_influx_lines_escape_special_characters_of_names():
+    harness = ReporterHarness(influx=True).collect_batches()
+    assert fill(harness)[0] == "latency_ms,class=board-read,tenant=harmattan value=212"
+    harness.open_request(9, tenant=2)
+    harness.answer(9, Served(None), 7.0)
+    assert r"latency_ms,class=board-read,tenant=a\ b\,c\=d|e_ value=7" in harness.lines()
+    assert (
+        ReporterHarness().collect_batches().figures.format_tags((0, 2))
+        == "class:board-read,tenant:a b_c=d_e\\"
+    )
 
 
-def test_counters_are_sent_once_and_gauges_each_time():
-    world = World().note_batches()
-    fill(world)
-    world.batches.clear()
-    assert not any(line.startswith(("requests", "refused", "latency")) for line in world.lines())
-    assert any(line.startswith("inflight:1") for line in world.lines())
+def test_counters_are_reset_by_a_flush_and_gauges_are_repeated():
+    harness = ReporterHarness().collect_batches()
+    fill(harness)
+    harness.batches.clear()
+    assert not any(line.startswith(("requests", "refused", "latency")) for line in harness.lines())
+    assert any(line.startswith("inflight:1") for line in harness.lines())
 
 
-def test_gauges_tell_the_room_and_whom_the_module_leaves_alone():
+def test_gauges_show_capacity_and_ejected_and_cold_servers():
     proxy = Proxy([f"b{n}" for n in range(60)], proxies=40)
     for _ in range(10):
         proxy.arrive()
@@ -112,110 +115,110 @@
     assert (found["servers_listed"], found["servers_left_alone"], found["servers_cold"]) == (61, 1, 1)
 
 
-def test_a_full_batch_goes_out_at_once_and_none_is_larger_or_splits_a_line():
-    world = World(batch_bytes=256).note_batches()
+def test_full_batch_is_sent_at_once_within_its_size_and_splits_no_line():
+    harness = ReporterHarness(batch_bytes=256).collect_batches()
     for n in range(100):
-        world.take(n)
-        world.answer(n, Served(None), 1.0)
-    assert len(world.batches) > 10
-    world.lines()
-    assert all(len(batch) <= 256 and batch.endswith("\n") for batch in world.batches)
-    assert sum(batch.count("latency_ms:1|") for batch in world.batches) == 100
+        harness.open_request(n)
+        harness.answer(n, Served(None), 1.0)
+    assert len(harness.batches) > 10
+    harness.lines()
+    assert all(len(batch) <= 256 and batch.endswith("\n") for batch in harness.batches)
+    assert sum(batch.count("latency_ms:1|") for batch in harness.batches) == 100
 
 
-def test_memory_stays_under_256_kb_while_nothing_is_read(monkeypatch):
-    # guards against timers that pile up behind a reader who is stuck
+def test_memory_stays_under_256_kb_with_a_stuck_reader(monkeypatch):
+    # timers queued for a stuck reader must be bounded
     stuck = threading.Event()
     monkeypatch.setattr("brackenusher.records.figures.write_stderr", lambda pieces: stuck.wait(20.0))
     tracemalloc.start()
     try:
-        world = World(batch_bytes=32_768)
+        harness = ReporterHarness(batch_bytes=32_768)
         for n in range(20_000):
-            world.take(n)
-            world.answer(n, Served(None), 1.0)
-        assert tracemalloc.get_traced_memory()[1] < 256_000 and world.figures.sink.dropped > 10
+            harness.open_request(n)
+            harness.answer(n, Served(None), 1.0)
+        assert tracemalloc.get_traced_memory()[1] < 256_000 and harness.figures.sink.dropped > 10
     finally:
         tracemalloc.stop()
     stuck.set()
-    world.outlet.close()
+    harness.outlet.close()
 
 
-def test_a_file_is_appended_to_and_a_full_or_missing_one_drops_and_counts(tmp_path):
+def test_file_is_appended_to_and_failed_writes_are_dropped_and_counted(tmp_path):
     for path, lost in ((str(tmp_path / "figures"), 0), ("/dev/full", 3), (str(tmp_path / "none" / "x"), 3)):
-        world = World(target=path, batch_bytes=256)
+        harness = ReporterHarness(target=path, batch_bytes=256)
         for n in range(8):
-            world.take(n)
-            world.answer(n, Served(None), 1.0)
-        world.figures.flush()
-        world.outlet.close()
-        assert world.figures.sink.dropped == lost
+            harness.open_request(n)
+            harness.answer(n, Served(None), 1.0)
+        harness.figures.flush()
+        harness.outlet.close()
+        assert harness.figures.sink.dropped == lost
     lines = (tmp_path / "figures").read_text(encoding="utf-8").splitlines()
     assert len(lines) == 8 + 3 and lines[-1] == "figures_dropped:0|g"
     assert FileSink("/dev/full").write([b"a\n", b"b\n"]) == 2
 
 
-BAD = [
+INVALID = [
     "figures.format = json",
     "figures.target = file:",
     "figures.target = udp:",
     "figures.target = udp:name:1",
 ]
-BAD += ["figures.target = tcp:127.0.0.1:1", "figures.target = udp:127.0.0.1:0", "figures.flush_ms = 0"]
+INVALID += ["figures.target = tcp:127.0.0.1:1", "figures.target = udp:127.0.0.1:0", "figures.flush_ms = 0"]
 
 
-@pytest.mark.parametrize("bad", [*BAD, "figures.batch_bytes = 100000"])
-def test_figures_settings_are_checked(bad):
+@pytest.mark.parametrize("bad", [*INVALID, "figures.batch_bytes = 100000"])
+def test_invalid_metrics_settings_are_rejected(bad):
     with pytest.raises(ConfigError) as caught:
-        read_operator("f", ON + bad)
+        read_operator("f", ENABLED + bad)
     assert bad.partition(" ")[0] in str(caught.value)
 
 
-def test_figures_settings_are_read():
-    text = ON + "figures.format = influx\nfigures.target = udp:[::1]:8125\nfigures.flush_ms = 50\n"
+def test_metrics_settings_are_parsed():
+    text = ENABLED + "figures.format = influx\nfigures.target = udp:[::1]:8125\nfigures.flush_ms = 50\n"
     assert read_operator("f", text).figures == FiguresSettings(True, ("::1", 8125), 50, 1400)
-    assert read_operator("f", ON).figures == FiguresSettings()
-    assert read_operator("f", ON + "figures.target = file:/a:b").figures.target == "/a:b"
+    assert read_operator("f", ENABLED).figures == FiguresSettings()
+    assert read_operator("f", ENABLED + "figures.target = file:/a:b").figures.target == "/a:b"
 
 
 class Collector:
-    """Listens on a UDP port, and keeps the lines that came."""
+    """Collects lines on a UDP port."""
 
     def __init__(self, port=0):
         self.sock, self.lines = socket.socket(socket.AF_INET, socket.SOCK_DGRAM), []
         self.sock.bind(("127.0.0.1", port))
         self.sock.setblocking(False)
 
-    def heard(self, wanted):
-        """The first line so far in which there is what is wanted."""
+    def find(self, pattern):
+        """The first line so far that matches."""
         with contextlib.suppress(BlockingIOError):
             self.lines += self.sock.recv(65536).decode().splitlines()
-        return next((line for line in self.lines if re.match(wanted, line)), None)
+        return next((line for line in self.lines if re.match(pattern, line)), None)
 
 
-def test_a_collector_hears_of_requests_and_its_death_costs_none(tmp_path):
-    # guards against a refused datagram that ends the program or its flushes, and against silent losses
+def test_loss_of_the_collector_costs_no_requests_and_is_counted(tmp_path):
+    # a refused datagram must end neither the program nor its flushes, and losses must be reported
     first = Collector()
     port = first.sock.getsockname()[1]
-    text = f"{ON}figures.target = udp:127.0.0.1:{port}\nfigures.flush_ms = 50\n"
+    text = f"{ENABLED}figures.target = udp:127.0.0.1:{port}\nfigures.flush_ms = 50\n"
     with Program(tmp_path, TurnServer(), operator=text) as program, program.connect() as client:
         assert program.ask(submit_request(1), client)[0] == 200
         tags = "#class:turn-submit,tenant:kente-wars"
         for line in (rf"latency_ms:\d+\|ms\|{tags}", rf"requests:1\|c\|{tags}"):
-            until(lambda line=line: first.heard(line), line)
+            until(lambda line=line: first.find(line), line)
         first.sock.close()
         for n in range(300):
             assert program.ask(read_request(n), client)[0] == 200
         second = Collector(port)
-        until(lambda: second.heard(r"figures_dropped:[1-9]"), "word of what was dropped")
+        until(lambda: second.find(r"figures_dropped:[1-9]"), "the report of dropped batches")
         assert program.ask(read_request(999), client)[0] == 200
-        until(lambda: second.heard("requests:1"), "the new request")
+        until(lambda: second.find("requests:1"), "the new request")
         program.process.terminate()
         assert program.process.wait(20) == 0 and "Traceback" not in program.log
         second.sock.close()
 
 
-def test_in_service_figures_and_records_stand_beside_the_log_and_no_line_is_cut(tmp_path):
-    text = f"{ON}capture.enabled = true\nfigures.flush_ms = 50\n"
+def test_metrics_capture_and_log_share_stderr_without_split_lines(tmp_path):
+    text = f"{ENABLED}capture.enabled = true\nfigures.flush_ms = 50\n"
     with Program(tmp_path, TurnServer(), operator=text) as program, program.connect() as client:
         for n in range(200):
             assert program.ask(read_request(n), client)[0] == 200
@@ -228,7 +231,7 @@
         assert any(" stopping: " in line and line.endswith(" ms") for line in lines)
 
 
-def test_without_the_feature_nothing_is_sent(tmp_path):
+def test_nothing_is_sent_while_metrics_are_off(tmp_path):
     with Program(tmp_path, TurnServer(), operator="figures.flush_ms = 10\n") as program:
         assert program.ask(read_request())[0] == 200
         assert "latency_ms" not in program.log and "inflight" not in program.log
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -1,4 +1,4 @@
-"""The daemon's log: the same events and fields in every format, text as ever, one line a happening."""
+"""The daemon's log: the same events and fields in every format, one line per event."""
 
 import ast
 import json
@@ -14,24 +14,28 @@
 
 from brackenusher.runtime import log as logs
 
-CALLS = {"say": 2, "fault": 1}  # where the event stands among the arguments
+EVENT_ARGUMENT = {"say": 2, "fault": 1}  # position of the event among the arguments
 
 
-def said():
-    """Each call in the daemon that logs: event, text, names of fields."""
+def logging_calls():
+    """Event, text and field names of each logging call in the daemon."""
     for path in sorted((ROOT / "brackenusher").rglob("*.py")):
         for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
-            if isinstance(node, ast.Call) and isinstance(node.func, ast.Name) and node.func.id in CALLS:
-                at = CALLS[node.func.id]
+            if (
+                isinstance(node, ast.Call)
+                and isinstance(node.func, ast.Name)
+                and node.func.id in EVENT_ARGUMENT
+            ):
+                at = EVENT_ARGUMENT[node.func.id]
                 if len(node.args) > at + 1 and all(isinstance(a, ast.Constant) for a in node.args[at:]):
                     event, text = (argument.value for argument in node.args[at : at + 2])
                     yield event, text, {keyword.arg for keyword in node.keywords}
 
 
-def test_every_event_has_one_name_and_the_fields_that_its_text_words():
-    # guards against a line that fails when it is worded, and against one event with two meanings
+def test_every_event_has_one_set_of_fields_and_its_text_uses_them_all():
+    # a missing field makes formatting fail, and an event with varying fields cannot be parsed
     found = defaultdict(set)
-    for event, text, fields in said():
+    for event, text, fields in logging_calls():
         assert re.fullmatch(r"[a-z][a-z_]+", event)
         assert set(re.findall(r"%\((\w+)\)", text)) == fields, text
         assert not fields & {"timestamp", "level", "logger", "event", "exception"}
@@ -40,8 +44,8 @@
 
 
 @pytest.fixture(scope="module")
-def logged(tmp_path_factory):
-    """What the daemon logs from its start to its end, by format."""
+def logs_by_format(tmp_path_factory):
+    """The daemon's log of a whole run, by format."""
     texts = {}
     for form in ("", "text", "logfmt", "json"):
         folder = tmp_path_factory.mktemp(form or "none")
@@ -50,18 +54,18 @@
             until(lambda program=program: program.agent.watchers, "the watch")
             (folder / "config.json").write_text("{", encoding="utf-8")
             program.process.send_signal(signal.SIGHUP)
-            until(lambda program=program: "reload" in program.log, "the complaint")
+            until(lambda program=program: "reload" in program.log, "the error")
             program.process.terminate()
             assert program.process.wait(20) == 0
         texts[form] = program.log.splitlines()
     return texts
 
 
-def test_text_is_as_ever_and_the_default(logged):
+def test_text_is_the_default_format(logs_by_format):
     line = r"\d{4}-\d\d-\d\d \d\d:\d\d:\d\d,\d{3} (INFO|ERROR) brackenusher\.daemon: "
     for form in ("", "text"):
-        rests = [re.sub(line, "", text) for text in logged[form]]
-        assert all(re.match(line, text) for text in logged[form])
+        rests = [re.sub(line, "", text) for text in logs_by_format[form]]
+        assert all(re.match(line, text) for text in logs_by_format[form])
         assert re.fullmatch(r"n0 serves on 127\.0\.0\.1:\d+", rests[0])
         assert rests[1].startswith("reload: kept the old configuration: ") and rests[2].startswith(
             "stopping: killed in "
@@ -73,22 +77,22 @@
         assert rests[-2] == end and rests[-1].startswith("connections to members: ") and len(rests) == 7
 
 
-def test_logfmt_and_json_tell_the_same_events_and_fields(logged):
-    told = [json.loads(line) for line in logged["json"]]
+def test_logfmt_and_json_have_the_same_events_and_fields(logs_by_format):
+    told = [json.loads(line) for line in logs_by_format["json"]]
     phases = ["stop_phase", "stop_phase"]
     events = ["serving", "reload_unusable", "stopping", *phases, "ended", "connections_ended"]
     assert [line["event"] for line in told] == events
     assert [line["phase"] for line in told[3:5]] == ["closing", "ended"]
     assert (told[0]["name"], told[0]["host"], type(told[0]["port"])) == ("n0", "127.0.0.1", int)
     assert (told[5]["taken"], told[5]["unanswered"], told[5]["level"]) == (0, 0, "info")
-    pairs = [dict(pair.split("=", 1) for pair in shlex.split(line)) for line in logged["logfmt"]]
+    pairs = [dict(pair.split("=", 1) for pair in shlex.split(line)) for line in logs_by_format["logfmt"]]
     assert [list(line) for line in pairs] == [list(line) for line in told]
     assert [line["event"] for line in pairs] == [line["event"] for line in told]
 
 
 @pytest.mark.parametrize("form", ["logfmt", "json"])
-def test_what_comes_from_outside_neither_ends_a_line_nor_swells_it(form):
-    # guards against a forged line, and against a log that a client can fill
+def test_field_values_cannot_end_a_line_and_are_truncated(form):
+    # clients choose some of the values: they could forge lines or fill the log
     root, stream = logging.getLogger(), []
     handler = logging.Handler()
     handler.emit = lambda record: stream.append(handler.format(record))
@@ -113,13 +117,13 @@
         assert (note["event"], note["text"]) == ("note", "in its own words")
 
 
-def test_structlog_is_imported_for_its_formats_alone_and_its_lack_is_one_line(tmp_path):
+def test_structlog_is_imported_only_for_its_formats_and_reported_if_missing(tmp_path):
     (tmp_path / "structlog.py").write_text("raise ImportError('not here')", encoding="utf-8")
     taken = socket.create_server(("127.0.0.1", 0))
     path = write_config(tmp_path, listen=f"127.0.0.1:{taken.getsockname()[1]}")
     file = tmp_path / "operator.properties"
     environ = {"GW_CONFIG": path, "PYTHONPATH": str(tmp_path)}
-    for form, code in (("text", 1), ("json", 2), ("xml", 2)):  # the port is taken: that is a 1
+    for form, code in (("text", 1), ("json", 2), ("xml", 2)):  # 1, as the port is in use
         file.write_text(f"log.format = {form}\n", encoding="utf-8")
         done = command("serve", "--operator", str(file), **environ)
         assert done.returncode == code, done.stderr
--- a/tests/test_odd_messages.py
+++ b/tests/test_odd_messages.py
@@ -1,4 +1,4 @@
-"""Odd messages, legal and illegal, in any cut of bytes: what arrives is compared with what was sent."""
+"""Unusual messages, valid and invalid, split at any byte: what arrives is compared with what was sent."""
 
 from dataclasses import dataclass, field
 
@@ -27,8 +27,8 @@
 
 
 @dataclass(frozen=True)
-class Taken:
-    """A request as a pool member is to get it; of its headers those that matter, None for one left out."""
+class ForwardedRequest:
+    """A request as a pool member must receive it; only the headers to compare, None for an absent one."""
 
     body: bytes = b""
     method: bytes = b"POST"
@@ -36,11 +36,11 @@
     headers: dict[bytes, bytes | None] = field(default_factory=dict)
 
 
-MOVE, READ = Taken(b"move"), Taken(method=b"GET", target=b"/board-read?k=m")
+MOVE, READ = ForwardedRequest(b"move"), ForwardedRequest(method=b"GET", target=b"/board-read?k=m")
 
 
-def at_member(request):
-    """What a pool member reads, by another parser than ours."""
+def read_at_member(request):
+    """The request as a pool member reads it, with an independent parser."""
     member = h11.Connection(h11.SERVER)
     member.receive_data(Flow(b"member:1").request(request.message, 500.0))
     head, body = member.next_event(), b""
@@ -50,22 +50,24 @@
     return head, body
 
 
-def sent_on(request, wanted):
-    """What a request comes to at a pool member, as far as `wanted` asks."""
-    head, body = at_member(request)
+def forwarded(request, wanted):
+    """The request as forwarded to a pool member, with the headers of `wanted`."""
+    head, body = read_at_member(request)
     found = dict(head.headers)
-    return Taken(body, head.method, head.target, {name: found.get(name) for name in wanted.headers})
+    return ForwardedRequest(
+        body, head.method, head.target, {name: found.get(name) for name in wanted.headers}
+    )
 
 
-def play(pieces, wanted):
-    """Feed a client's bytes; what became of each request in its turn: taken, or the status of its answer."""
+def play(chunks, wanted):
+    """Feed a client's bytes; the result of each request: the forwarded request, or the response status."""
     machine, results = VirtualServer(FRONT, lambda: True), []
-    for piece in pieces:
-        machine.receive(piece)
+    for chunk in chunks:
+        machine.receive(chunk)
         while not machine.last and (item := machine.next()) is not None:
             if isinstance(item, Request):
                 expected = wanted[len(results)] if len(results) < len(wanted) else None
-                results.append(sent_on(item, expected if isinstance(expected, Taken) else MOVE))
+                results.append(forwarded(item, expected if isinstance(expected, ForwardedRequest) else MOVE))
                 answer = machine.answer(Served(Content(b"done")), False)
                 assert answer.startswith(b"HTTP/1.1 200 ")
             else:
@@ -74,14 +76,14 @@
     return [*results, ENDED] if machine.last else results
 
 
-def cut(data, at):
-    """Bytes in pieces, none of them empty."""
-    places = sorted({0, *(place % len(data) for place in at), len(data)})
-    return [data[a:b] for a, b in zip(places, places[1:], strict=False)]
+def cut(data, positions):
+    """Split bytes into non-empty chunks."""
+    offsets = sorted({0, *(position % len(data) for position in positions), len(data)})
+    return [data[a:b] for a, b in zip(offsets, offsets[1:], strict=False)]
 
 
 REQUESTS = {
-    # an offer to go on in another protocol, which nobody here takes up
+    # offers to upgrade the protocol, which are ignored
     "upgrade": (POST + UPGRADE + LENGTH + b"\r\nmove", [MOVE]),
     "upgrade to h2c": (
         POST
@@ -91,7 +93,10 @@
         [MOVE],
     ),
     "upgrade, chunked": (POST + UPGRADE + CHUNKED + b"\r\n1\r\nm\r\n3\r\nove\r\n0\r\n\r\n", [MOVE]),
-    "upgrade, no body": (GET + UPGRADE + b"\r\n", [Taken(b"", b"GET", READ.target, {b"upgrade": None})]),
+    "upgrade, no body": (
+        GET + UPGRADE + b"\r\n",
+        [ForwardedRequest(b"", b"GET", READ.target, {b"upgrade": None})],
+    ),
     "upgrade, HTTP/1.0": (POST.replace(b"/1.1", b"/1.0") + UPGRADE + LENGTH + b"\r\nmove", [MOVE, ENDED]),
     "upgrade, two lengths": (POST + UPGRADE + LENGTH + CHUNKED + b"\r\n0\r\n\r\nmove", [400, ENDED]),
     "CONNECT": (b"CONNECT h:1 HTTP/1.1\r\nHost: h\r\n\r\n" + POST + b"\r\n", [405, ENDED]),
@@ -99,11 +104,11 @@
     # targets
     "absolute form": (
         POST.replace(b"/turn", b"HTTP://h:80/turn", 1) + LENGTH + b"\r\nmove",
-        [Taken(b"move", headers={b"host": b"h:80"})],
+        [ForwardedRequest(b"move", headers={b"host": b"h:80"})],
     ),
     "absolute form, HTTP/1.0": (
         b"GET http://[::1]:80/board-read?k=m HTTP/1.0\r\nReq-Id: 1\r\n\r\n",
-        [Taken(b"", b"GET", READ.target, {b"host": b"[::1]:80"}), ENDED],
+        [ForwardedRequest(b"", b"GET", READ.target, {b"host": b"[::1]:80"}), ENDED],
     ),
     "absolute form, ready": (b"GET http://h/health/ready HTTP/1.1\r\nHost: x\r\n\r\n", [200]),
     "asterisk form": (b"OPTIONS * HTTP/1.1\r\nHost: x\r\n\r\n", [400]),
@@ -120,13 +125,13 @@
     ),
     "an odd but plain target": (
         GET.replace(b"k=m", b"k=m&u=http://a/#b".replace(b"#", b"%23")) + b"\r\n",
-        [Taken(b"", b"GET", b"/board-read?k=m&u=http://a/%23b")],
+        [ForwardedRequest(b"", b"GET", b"/board-read?k=m&u=http://a/%23b")],
     ),
     "the class in percent signs": (
         POST.replace(b"turn-", b"turn%2D") + LENGTH + b"\r\nmove",
-        [Taken(b"move", target=b"/turn%2Dsubmit?k=m")],
+        [ForwardedRequest(b"move", target=b"/turn%2Dsubmit?k=m")],
     ),
-    # first lines and versions
+    # request lines and versions
     "empty lines ahead": (b"\r\n\r\n" + GET + b"\r\n", [READ]),
     "method in lower case": (GET.replace(b"GET", b"get") + b"\r\n", [400, ENDED]),
     "method that nobody knows": (b"MOVE_ON" + GET[3:] + b"\r\n", [400, ENDED]),
@@ -141,15 +146,15 @@
     # headers
     "an empty value": (
         GET + b"X:\r\nY: \t\r\nZ: z\r\n\r\n",
-        [Taken(b"", b"GET", READ.target, {b"x": b"", b"y": b"", b"z": b"z"})],
+        [ForwardedRequest(b"", b"GET", READ.target, {b"x": b"", b"y": b"", b"z": b"z"})],
     ),
     "eight-bit value": (
         GET + b"X:\t \xe9\xff \t\r\n\r\n",
-        [Taken(b"", b"GET", READ.target, {b"x": b"\xe9\xff"})],
+        [ForwardedRequest(b"", b"GET", READ.target, {b"x": b"\xe9\xff"})],
     ),
     "header for one hop": (
         GET + b"Connection: keep-alive , X-Hop\r\nconnection: y-hop\r\nX-Hop: 1\r\nY-Hop: 1\r\nZ: 1\r\n\r\n",
-        [Taken(b"", b"GET", READ.target, {b"x-hop": None, b"y-hop": None, b"z": b"1"})],
+        [ForwardedRequest(b"", b"GET", READ.target, {b"x-hop": None, b"y-hop": None, b"z": b"1"})],
     ),
     "key said to be for one hop": (
         POST + b"Connection: Idempotency-Key\r\n" + LENGTH + b"\r\nmove",
@@ -183,8 +188,8 @@
     "head of 17 KiB": (GET + (b"X: " + b"y" * 1000 + b"\r\n") * 17 + b"\r\n", [431, ENDED]),
     "target of 17 KiB": (GET.replace(b"k=m", b"k=" + b"m" * 17_000) + b"\r\n", [431, ENDED]),
     # lengths
-    "no length": (POST + b"\r\n", [Taken(b"")]),
-    "length of nothing": (POST + b"Content-Length: 0\r\n\r\n", [Taken(b"")]),
+    "no length": (POST + b"\r\n", [ForwardedRequest(b"")]),
+    "length of nothing": (POST + b"Content-Length: 0\r\n\r\n", [ForwardedRequest(b"")]),
     "length with zeros ahead": (POST + b"Content-Length: \t0004 \r\n\r\nmove", [MOVE]),
     "length with a sign": (POST + b"Content-Length: +4\r\n\r\nmove", [400, ENDED]),
     "length below nothing": (POST + b"Content-Length: -4\r\n\r\nmove", [400, ENDED]),
@@ -201,10 +206,10 @@
         POST + CHUNKED.swapcase() + b'\r\n0003;a=b;c="d;e"\r\nmov\r\n1;x\r\ne\r\n000;y\r\n\r\n',
         [MOVE],
     ),
-    "chunks of nothing": (POST + CHUNKED + b"\r\n0\r\n\r\n", [Taken(b"")]),
+    "chunks of nothing": (POST + CHUNKED + b"\r\n0\r\n\r\n", [ForwardedRequest(b"")]),
     "trailers": (
         POST + CHUNKED + b"\r\n4\r\nmove\r\n0\r\nIdempotency-Key: other\r\nX: y\r\n\r\n",
-        [Taken(b"move", headers={b"idempotency-key": b"k", b"x": None})],
+        [ForwardedRequest(b"move", headers={b"idempotency-key": b"k", b"x": None})],
     ),
     "upgrade in the trailers": (POST + CHUNKED + b"\r\n4\r\nmove\r\n0\r\n" + UPGRADE + b"\r\n", [MOVE]),
     "length in the trailers": (POST + CHUNKED + b"\r\n4\r\nmove\r\n0\r\n" + LENGTH + b"\r\n", [400, ENDED]),
@@ -233,8 +238,8 @@
 
 
 @pytest.mark.parametrize("name", REQUESTS)
-def test_an_odd_request_arrives_as_it_was_sent_whole_and_byte_by_byte(name):
-    # guards against a message that the parser ends early, and a verdict that hangs on how the bytes were cut
+def test_unusual_request_gives_the_same_result_whole_and_byte_by_byte(name):
+    # the end of a message, or its rejection, must not depend on how its bytes were split
     data, wanted = REQUESTS[name]
     assert play([data], wanted) == wanted
     assert play([data[i : i + 1] for i in range(len(data))], wanted) == wanted
@@ -256,8 +261,8 @@
     assert play(cut(b"".join(data for data, _ in rows), cuts), wanted) == wanted
 
 
-def test_a_move_that_offers_an_upgrade_is_not_lost(tmp_path):
-    # guards against a body that nobody reads: the turn server began a move without content, and it was served
+def test_body_of_a_request_with_an_upgrade_offer_is_forwarded(tmp_path):
+    # an unread body gave the turn server a move without content, which was then served
     with TurnServer() as server, Program(tmp_path, server) as program, program.connect() as sock:
         data = POST + UPGRADE + LENGTH + b"\r\nmove"
         sock.sendall(data + data.replace(b"Req-Id: 1", b"Req-Id: 2").replace(b"move", b"next"))
@@ -269,27 +274,27 @@
         assert [message[2] for message in server.requests] == [b"move", b"next"]
 
 
-def test_a_large_body_in_chunks_of_one_byte_is_taken_and_endless_framing_is_not():
-    # guards against counting the framing as body, and against trailers that fill the memory until time is up
+def test_one_byte_chunks_are_accepted_and_endless_framing_is_rejected():
+    # framing must not count as body, and endless trailers must not fill the memory until the timeout
     body = b"m" * (64 * 1024)
     data = POST + CHUNKED + b"\r\n" + b"1\r\nm\r\n" * len(body) + b"0\r\n\r\n"
     pieces = [data[i : i + 16_384] for i in range(0, len(data), 16_384)]
-    assert play(pieces, [Taken(body)]) == [Taken(body)]
+    assert play(pieces, [ForwardedRequest(body)]) == [ForwardedRequest(body)]
     endless = [POST + CHUNKED + b"\r\n0\r\nX: ", *[b"y" * 16_384] * 33]
     assert play(endless, []) == [413, ENDED]
     assert play([POST + CHUNKED + b"\r\n1;", *[b"y" * 16_384] * 33], []) == [413, ENDED]
     assert play([GET + b"X: ", b"y" * 16_384, b"y" * 16_384], []) == [431, ENDED]
 
 
-def test_what_came_ahead_does_not_count_against_a_head_that_is_cut():
-    # guards against 431 for a small request behind others in one buffer
+def test_earlier_requests_do_not_count_against_a_partial_head():
+    # a small request behind others in one buffer got 431
     data = (POST + b"Content-Length: 20000\r\n\r\n" + b"m" * 20_000) * 2 + GET + b"\r\n"
-    wanted = [Taken(b"m" * 20_000)] * 2 + [READ]
+    wanted = [ForwardedRequest(b"m" * 20_000)] * 2 + [READ]
     assert play([data[:-1], data[-1:]], wanted) == wanted
 
 
 @pytest.mark.parametrize("value", [b"100-continue", b"100-Continue"])
-def test_leave_to_send_the_body_is_given_once_and_to_whom_waits_for_it(value):
+def test_100_continue_is_sent_once_and_only_to_clients_that_expect_it(value):
     machine = VirtualServer(FRONT, lambda: True)
     head = POST + LENGTH + (b"Expect: " + value + b"\r\n") * 2 + b"\r\n"
     machine.receive(head[:-1])
@@ -297,14 +302,14 @@
     machine.receive(head[-1:])
     assert machine.go_on() == b"HTTP/1.1 100 Continue\r\n\r\n" and not machine.go_on()
     machine.receive(b"move")
-    assert sent_on(machine.next(), MOVE) == MOVE
+    assert forwarded(machine.next(), MOVE) == MOVE
     machine = VirtualServer(FRONT, lambda: True)
     machine.receive(head.replace(b"/1.1", b"/1.0"))
-    assert not machine.go_on()  # HTTP/1.0 knows no such answer
+    assert not machine.go_on()  # HTTP/1.0 has no 100 Continue
 
 
-def test_an_answer_to_head_has_no_body():
-    # guards against a body that the client takes for the beginning of the next answer
+def test_response_to_head_has_no_body():
+    # the client would take a body for the beginning of the next response
     machine = VirtualServer(FRONT, lambda: True)
     machine.receive(b"HEAD" + GET[3:] + b"\r\n" + GET + b"\r\n")
     answer = machine.reject(machine.next(), False)
@@ -312,8 +317,8 @@
     assert isinstance(machine.next(), Request)
 
 
-def test_the_end_of_a_stream_that_could_not_be_read_is_known():
-    # guards against a driver that reads the end again and again, for as long as the first answer takes
+def test_end_of_an_invalid_stream_is_reported():
+    # otherwise the driver would poll the closed socket in a busy loop until the first response is sent
     machine = VirtualServer(FRONT, lambda: True)
     machine.receive(GET + b"\r\n" + b"\0")
     assert isinstance(machine.next(), Request) and not machine.ended
@@ -324,7 +329,7 @@
 OK = b"HTTP/1.1 200 OK\r\n"
 FIVE = b"Content-Length: 5\r\n\r\nboard"
 BOARD = Content(b"board")
-ANSWERS = {  # what it comes to, and whether the connection may carry another request
+ANSWERS = {  # expected result, and whether the connection may be reused
     "plain": (OK + FIVE, BOARD, True),
     "no reason": (b"HTTP/1.1 200\r\n" + FIVE, BOARD, True),
     "empty lines ahead": (b"\r\n\r\n" + OK + FIVE, BOARD, True),
@@ -399,18 +404,18 @@
 }
 
 
-def hear(flow, pieces):
-    """What a flow makes of an answer: its content, or its outcome; and whether it can go on."""
+def hear(flow, chunks):
+    """The result of parsing a response, its content or outcome, and whether the connection may be reused."""
     flow.request(Message(b"GET", b"/r"), 5.0)
-    for piece in [*pieces, b""]:
-        reply = flow.receive(piece)
+    for chunk in [*chunks, b""]:
+        reply = flow.receive(chunk)
         if reply is not None:
             return reply.served.content if reply.served else reply.outcome, flow.renew()
 
 
 @pytest.mark.parametrize("name", ANSWERS)
-def test_an_odd_answer_means_the_same_whole_and_byte_by_byte(name):
-    # guards against an answer that another reading would end elsewhere, and a verdict that hangs on the cut
+def test_unusual_response_gives_the_same_result_whole_and_byte_by_byte(name):
+    # the end of a response, or its rejection, must not depend on how its bytes were split
     data, *wanted = ANSWERS[name]
     step = 1 if len(data) < 100_000 else 1000
     assert list(hear(Flow(b"m:1"), [data])) == wanted
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -1,4 +1,4 @@
-"""The real program, as a process, between clients, turn servers and discovery."""
+"""The real program as a process, with clients, turn servers and discovery on sockets."""
 
 import contextlib
 import json
@@ -28,8 +28,8 @@
 from testbed.standins import read_message
 
 
-def test_a_request_reaches_a_turn_server_unchanged_and_its_answer_the_client(tmp_path):
-    # guards against rewriting what the protocol passes on: the ids are what repeats are known by
+def test_request_and_response_are_forwarded_unchanged(tmp_path):
+    # ids must not be rewritten, as turn servers recognize retries by them
     with Program(tmp_path, TurnServer()) as program:
         with program.connect() as sock:
             assert program.ask(submit_request(7, b"e4"), sock)[::2] == (200, b"board")
@@ -42,7 +42,7 @@
         assert len(program.servers[0].connections) == 1
 
 
-BAD = [
+INVALID_REQUESTS = [
     (b"nonsense\r\n\r\n", 400),
     (read_request(target="/nowhere"), 404),
     (read_request().replace(b"GET", b"POST"), 405),
@@ -75,14 +75,14 @@
         yield running
 
 
-@pytest.mark.parametrize(("data", "status"), BAD)
-def test_bad_input_is_answered_and_reaches_no_turn_server(program, data, status):
+@pytest.mark.parametrize(("data", "status"), INVALID_REQUESTS)
+def test_invalid_request_is_rejected_and_not_forwarded(program, data, status):
     assert program.ask(data)[0] == status
     assert program.servers[0].requests == []
 
 
-def test_a_request_inside_a_body_of_doubtful_length_goes_nowhere(program):
-    # guards against smuggling: with both headers there are two readings of where the body ends
+def test_request_smuggled_in_a_body_of_ambiguous_length_is_not_forwarded(program):
+    # request smuggling: with both headers, the end of the body is ambiguous
     inner = read_request(66)
     outer = submit_request(65, b"", "Transfer-Encoding: chunked\r\n").replace(
         b"Length: 0", b"Length: %d" % len(inner)
@@ -93,8 +93,8 @@
     assert program.servers[0].requests == []
 
 
-def test_the_id_of_an_open_request_is_turned_away_and_its_owner_served(tmp_path):
-    # guards against a second request under one id: a turn server takes it for a copy of the first
+def test_duplicate_id_of_an_open_request_is_rejected_and_the_first_served(tmp_path):
+    # a turn server would take a second request with the same id for a copy of the first
     release = threading.Event()
 
     def slow(server, message):
@@ -109,8 +109,8 @@
         assert program.ask(b"", sock)[::2] == (200, b"board") and len(program.servers[0].requests) == 1
 
 
-def test_on_sighup_discovery_is_where_the_file_says_and_what_cannot_be_read_changes_nothing(tmp_path):
-    # guards against ending on SIGHUP, and against GW_DISCOVERY, which keeps the address of the start
+def test_sighup_moves_discovery_and_an_invalid_file_changes_nothing(tmp_path):
+    # SIGHUP must not end the process, nor GW_DISCOVERY override the file with the address of the start
     with Program(tmp_path, TurnServer()) as program, TurnServer() as other:
         agent = DiscoveryAgent([host("s1", other)])
         path = tmp_path / "config.json"
@@ -119,7 +119,7 @@
         for text in ("{broken", json.dumps(config | {"discovery": agent.address})):
             path.write_text(text, encoding="utf-8")
             program.process.send_signal(signal.SIGHUP)
-            until(lambda: "reload: kept the old configuration" in program.log, "the complaint")
+            until(lambda: "reload: kept the old configuration" in program.log, "the error")
             assert program.ask(read_request())[0] == 200
         until(lambda: agent.watchers, "the new watch")
         assert program.agent.watchers[0].recv(1) == b"" and "discovery: silent" not in program.log
@@ -127,7 +127,7 @@
         agent.close()
 
 
-def test_no_turn_servers_means_a_refusal_with_advice_when_to_come_back(tmp_path):
+def test_without_turn_servers_requests_get_503_with_retry_after(tmp_path):
     gone = TurnServer()
     gone.close()
     with Program(tmp_path, gone) as program:
@@ -135,7 +135,7 @@
         assert status == 503 and 0 < float(headers["retry-after"]) <= 0.6
 
 
-def test_sigterm_lets_what_is_in_hand_be_answered_and_ends_with_zero(tmp_path):
+def test_sigterm_completes_open_requests_and_exits_with_0(tmp_path):
     release = threading.Event()
 
     def slow(server, message):
@@ -153,7 +153,7 @@
         assert idle.recv(1) == b"" and program.process.wait(20) == 0
 
 
-def test_nothing_goes_to_a_member_that_drains_and_a_new_one_is_taken_up(tmp_path):
+def test_draining_member_gets_no_requests_and_a_new_one_does(tmp_path):
     with Program(tmp_path, TurnServer()) as program, TurnServer() as other:
         agent = program.agent
         until(lambda: agent.watchers, "the watch")
@@ -164,8 +164,8 @@
         assert len(program.servers[0].requests) == before
 
 
-def test_a_client_that_leaves_has_its_attempt_given_up(tmp_path):
-    # guards against a cancelled flow whose connection stays open: it failed on its way to the socket
+def test_attempt_is_cancelled_when_its_client_disconnects(tmp_path):
+    # the cancellation failed before it reached the socket, and the connection stayed open
     ended = threading.Event()
 
     def silent(server, message):
@@ -180,7 +180,7 @@
         assert "Traceback" not in program.log
 
 
-FIRST_FAILS = [
+FAILED_RESPONSES = [
     response(500),
     response(503),
     response(429),
@@ -192,9 +192,9 @@
 ]
 
 
-@pytest.mark.parametrize("answer", FIRST_FAILS)
-def test_what_a_turn_server_fails_at_is_not_passed_on(tmp_path, answer):
-    # guards against half answers, and against a server's own 429 or 503 being taken for a refusal of ours
+@pytest.mark.parametrize("answer", FAILED_RESPONSES)
+def test_failed_response_of_a_turn_server_is_retried_and_not_forwarded(tmp_path, answer):
+    # clients must get no truncated response, nor take a server's 429 or 503 for one of the proxy
     def behave(server, message):
         if len(servers[0].requests) + len(servers[1].requests) > 1:
             return response(200, b"board")
@@ -210,8 +210,8 @@
 
 
 @pytest.mark.parametrize("part", [b"HTTP/1.1 2", response(200, b"board")[:-1], response(200, b"board")[:20]])
-def test_an_answer_that_stops_short_is_given_up_soon_and_asked_for_elsewhere(tmp_path, part):
-    # guards against waiting for the rest to the end of the attempt's time: the client's aim is past by then
+def test_stalled_response_is_given_up_early_and_retried_elsewhere(tmp_path, part):
+    # waiting for the rest until the attempt's timeout would exceed the client's target latency
     def behave(server, message):
         if len(servers[0].requests) + len(servers[1].requests) > 1:
             return response(200, b"board")
@@ -226,8 +226,8 @@
         release.set()
 
 
-def test_an_idle_connection_that_the_server_closed_is_not_used_again(tmp_path):
-    # guards against a reset on a dead connection: the module would shun the member for seconds
+def test_idle_connection_closed_by_the_server_is_not_reused(tmp_path):
+    # a reset on a dead connection would eject the member for seconds
     with Program(tmp_path, TurnServer()) as program:
         server = program.servers[0]
         for n in range(3):
@@ -236,15 +236,15 @@
         assert len(server.requests) == len(server.connections) == 3
 
 
-def test_a_connect_that_gets_no_answer_ends_at_the_connect_time(tmp_path):
-    # guards against a wake-up being taken for the connection's coming up: the attempt then stayed with the
-    # silent member until the client's deadline, and was not tried elsewhere
+def test_unanswered_connect_ends_at_the_connect_timeout(tmp_path):
+    # a wake-up was taken for an established connection: the attempt stayed with the silent member until the
+    # client's deadline instead of being retried elsewhere
     with DeafServer() as deaf, Program(tmp_path, deaf, TurnServer()) as program:
         assert [program.ask(read_request(n))[0] for n in range(8)] == [200] * 8
 
 
-def test_clients_beyond_their_part_are_refused_and_told_when_to_come_back(tmp_path):
-    # guards against leaving them in the listener's queue: a client sees them accepted, so they are taken
+def test_clients_beyond_the_connection_limit_get_503_with_retry_after(tmp_path):
+    # the kernel accepts connections in the listener's queue, so clients left there would wait in vain
     patient = {"classes": [{**SETTINGS["classes"][0], "slo": 60000.0, "deadline": 60000.0}]}
     release = threading.Event()
 
@@ -265,8 +265,8 @@
             sock.close()
 
 
-def test_silent_connections_make_room_before_that_of_a_client_who_asks(tmp_path):
-    # guards against hundreds that connect and say nothing pushing out the clients that do ask
+def test_silent_connections_are_evicted_before_an_active_one(tmp_path):
+    # hundreds of silent connections must not displace clients that send requests
     with Program(tmp_path, TurnServer(), sockets=64) as program, program.connect() as sock:
         assert program.ask(read_request(1), sock)[0] == 200
         silent = [program.connect() for _ in range(40)]
@@ -276,8 +276,8 @@
             other.close()
 
 
-def test_only_so_many_connections_are_kept_between_requests(tmp_path):
-    # guards against clients that ask once and stay: they use up what clients may hold
+def test_number_of_idle_client_connections_is_bounded(tmp_path):
+    # clients that stay connected after one request would use up all client connections
     with Program(tmp_path, TurnServer(), sockets=64) as program:
         socks = [program.connect() for _ in range(14)]
         for n, sock in enumerate(socks):
@@ -290,9 +290,9 @@
 
 
 @pytest.mark.parametrize("data", [submit_request()[:-1], submit_request(extra="Req-Id: b\r\n")])
-def test_requests_that_do_not_get_whole_and_rejected_clients_make_room(tmp_path, data):
-    # guards against hundreds that hold a half request, or stay on after their rejection, filling the clients'
-    # part: usual clients were refused for as long as they came
+def test_incomplete_and_rejected_requests_are_evicted_for_complete_ones(tmp_path, data):
+    # hundreds of clients with half a request, or that stayed after a rejection, took all client connections,
+    # and normal clients were refused for as long as they kept coming
     with Program(tmp_path, TurnServer(), sockets=64) as program:
         stuck = []
         for _ in range(15):
@@ -311,8 +311,8 @@
             sock.close()
 
 
-def test_a_client_that_says_nothing_or_half_of_it_or_no_more_is_let_go_soon(tmp_path):
-    # guards against descriptors held for good: clients may have only so many, and get no further one
+def test_silent_incomplete_and_idle_clients_are_disconnected_soon(tmp_path):
+    # descriptors for clients are limited: held for good, they would lock out new clients
     with Program(tmp_path, TurnServer()) as program:
         start = time.monotonic()
         silent, half, done = (program.connect() for _ in range(3))
@@ -324,8 +324,8 @@
             sock.close()
 
 
-def test_with_few_descriptors_all_are_answered_and_the_program_lives(tmp_path):
-    # guards against running out of descriptors: the accounts say 64, the system gives 40
+def test_descriptor_exhaustion_is_survived_and_clients_get_responses(tmp_path):
+    # the configuration allows 64 descriptors, the system only 40
     with Program(tmp_path, TurnServer(), sockets=64, files=40) as program:
         socks = [program.connect() for _ in range(60)]
         for n, sock in enumerate(socks):
@@ -333,7 +333,7 @@
                 sock.sendall(read_request(n))
         statuses = []
         for sock in socks:
-            with contextlib.suppress(OSError, TypeError):  # it may have been closed while idle
+            with contextlib.suppress(OSError, TypeError):  # may have been closed while idle
                 statuses.append(program.ask(b"", sock)[0])
             sock.close()
         assert statuses and set(statuses) <= {200, 503}
@@ -341,7 +341,7 @@
         assert "Traceback" not in program.log
 
 
-def test_a_slow_reader_gets_its_whole_answer_and_holds_up_nobody(tmp_path):
+def test_slow_reader_gets_its_whole_response_and_blocks_nobody(tmp_path):
     body = bytes(range(256)) * 256
     with Program(tmp_path, TurnServer(lambda server, message: response(200, body))) as program:
         with socket.socket() as slow:
@@ -353,10 +353,10 @@
             assert program.ask(b"", slow)[2] == body
 
 
-def test_a_silent_discovery_is_called_again_at_once_and_the_known_list_serves_meanwhile(tmp_path):
-    # guards against sitting out calls that are never answered: drains that come after count as told
+def test_silent_discovery_is_retried_soon_while_the_known_list_is_used(tmp_path):
+    # waiting long for calls that are never answered would miss drains, which count as announced
     class Silent(DiscoveryAgent):
-        """Takes calls and says nothing, as an agent does while discovery is down."""
+        """Accepts calls and never responds, like an agent while discovery is down."""
 
         def serve(self, sock):
             file = sock.makefile("rb")
@@ -370,11 +370,13 @@
         began = time.monotonic()
         until(lambda: len(agent.calls) > 6, "six more calls")  # 2 s; over 9 with 1.5 s for each
         assert time.monotonic() - began < 7.5
-    assert FIRST_WORD + 1.5 * BACK_OFF < 500.0 - 50.0  # the grace of a drain, with room for the list itself
+    assert (
+        FIRST_WORD + 1.5 * BACK_OFF < 500.0 - 50.0
+    )  # grace period of a drain, less time for the list itself
 
 
-def test_a_start_asks_for_no_more_than_what_changed_since_the_known_list(tmp_path):
-    # guards against forty starts that each ask an overbooked discovery for the whole list
+def test_start_requests_only_changes_since_the_known_list(tmp_path):
+    # forty starts at once would each request the full list from an overloaded discovery service
     with TurnServer() as server:
         agent = DiscoveryAgent([host("s0", server)])
         with Program(tmp_path, agent=agent, known=[host("s0", server)]) as program:
@@ -383,8 +385,8 @@
             assert program.ask(read_request())[0] == 200
 
 
-def test_a_call_that_waits_its_turn_at_discovery_is_not_given_up_and_made_anew(tmp_path):
-    # guards against work for a discovery that serves all proxies, done for callers that have hung up
+def test_call_queued_at_discovery_is_not_abandoned_and_repeated(tmp_path):
+    # discovery, which serves all proxies, would work for callers that have disconnected
     agent = DiscoveryAgent([])
     agent.listing = lambda whole, hosts: time.sleep(60) or b""
     with TurnServer() as server:
@@ -396,8 +398,8 @@
 
 
 @pytest.mark.parametrize("mode", ["automatic", "subscribe"])
-def test_a_broken_watch_is_taken_up_again_from_the_last_version(tmp_path, mode):
-    # guards against missing what changed meanwhile, and against a list never asked for again
+def test_broken_watch_resumes_from_the_last_version(tmp_path, mode):
+    # changes during the interruption must not be lost, and the watch must be restarted
     with Program(tmp_path, TurnServer(), settings={"membershipMode": mode}) as program:
         agent = program.agent
         until(lambda: agent.watchers, "the watch")
@@ -408,7 +410,7 @@
         assert program.ask(read_request())[0] == 200
 
 
-def test_probes_are_sent_where_reports_tell_what_others_have_in_hand(tmp_path):
+def test_probes_are_sent_if_reports_include_the_load_of_other_proxies(tmp_path):
     def behave(server, message):
         return response(200, b"busy_reqs=0,svc_ms=3.5" if "/stats" in message[0] else b"board")
 
@@ -425,7 +427,7 @@
 
 
 @pytest.mark.parametrize("text", [None, "{broken", "[]", "{}", '{"settings":{"classes":[]}}'])
-def test_a_bad_configuration_is_one_line_and_exit_code_2(tmp_path, text):
+def test_invalid_configuration_gives_one_line_and_exit_code_2(tmp_path, text):
     path = tmp_path / "config.json"
     if text is not None:
         path.write_text(text, encoding="utf-8")
@@ -436,21 +438,21 @@
 
 
 @pytest.mark.parametrize("instances", [0, -3, "40", 2.5, None])
-def test_a_number_of_proxies_that_is_none_is_named(tmp_path, instances):
+def test_invalid_number_of_proxies_is_named_in_the_error(tmp_path, instances):
     path = write_config(tmp_path, settings=SETTINGS | {"instances": instances})
     for name in ("serve", "check-config"):
         done = command(name, GW_CONFIG=path)
         assert done.returncode == 2 and done.stderr.count("\n") == 1 and "instances" in done.stderr
 
 
-def test_without_a_number_of_proxies_there_is_one(tmp_path):
+def test_number_of_proxies_defaults_to_one(tmp_path):
     settings = {name: value for name, value in SETTINGS.items() if name != "instances"}
     assert command("check-config", GW_CONFIG=write_config(tmp_path, settings=settings)).returncode == 0
     assert read_settings(settings).proxies == 1
 
 
-def test_odd_lists_leave_the_proxy_serving_or_refusing_with_a_wait(tmp_path):
-    # guards against a proxy that goes down with a list that is empty, cut off, or names a server twice
+def test_unusual_server_lists_do_not_stop_the_proxy(tmp_path):
+    # an empty or truncated list, or one with duplicates, must not crash the proxy
     with Program(tmp_path, TurnServer()) as program:
         agent, entry = program.agent, host("s0", program.servers[0])
         until(lambda: agent.watchers, "the watch")
@@ -464,16 +466,16 @@
         assert program.ask(read_request(4))[0] == 200 and "Traceback" not in program.log
 
 
-def test_a_good_configuration_is_summed_up(program):
+def test_check_config_summarizes_a_valid_configuration(program):
     done = command("check-config", GW_CONFIG=str(program.log_path.with_name("config.json")))
     assert done.stdout == f"n0: listens on 127.0.0.1:{program.port}, 2 classes, 0 known\n"
 
 
-def test_an_address_in_use_ends_the_program_with_one_line(program):
+def test_address_in_use_ends_the_program_with_one_line(program):
     done = command("serve", GW_CONFIG=str(program.log_path.with_name("config.json")))
     assert done.returncode == 1 and "brackenusher: [Errno 98]" in done.stderr
     assert "Traceback" not in done.stderr
 
 
-def test_the_version_is_printed():
+def test_version_is_printed():
     assert command("version").stdout == "brackenusher 0.1.0\n"
