--- a/brackenusher/config/operators.py
+++ b/brackenusher/config/operators.py
@@ -428,8 +428,8 @@
         raise properties.error("snapshot.file", "is missing: snapshots need a file")
     if enabled["http2"] and not features["http2"].listen[0]:
         raise properties.error("http2.listen", "is missing: HTTP/2 needs an address of its own")
-    chosen = {name: settings for name, settings in features.items() if enabled[name]}
-    return Operator(**chosen, log_format=log_format)
+    enabled_features = {name: settings for name, settings in features.items() if enabled[name]}
+    return Operator(**enabled_features, log_format=log_format)
 
 
 def read_subset(operator: Operator, platform_settings: Mapping[str, Any]) -> Subset | None:
--- a/brackenusher/records/capture.py
+++ b/brackenusher/records/capture.py
@@ -67,15 +67,15 @@
     if key and message.owner and message.deadline:
         plain_columns = b"%s %s k=%s %s" % (id_text, message.owner, key[1], message.deadline)
         if PLAIN_COLUMNS.match(plain_columns):  # fast path for nearly all requests: one match for all columns
-            request_id, _, rest = plain_columns.decode().partition(" ")
-            return f"{request_id} {class_name} {rest}"
+            request_id, _, remaining_columns = plain_columns.decode().partition(" ")
+            return f"{request_id} {class_name} {remaining_columns}"
     escaped_key = escape(key[1], "%/") if key else "-"
     return (
         f"{escape(id_text)} {class_name} {escape(message.owner)} k={escaped_key} {escape(message.deadline)}"
     )
 
 
-def rate_limiter_pair(message: Message) -> str:
+def charge_pair(message: Message) -> str:
     """The rate limiter's pair on a request's line: when and under which key it was charged."""
     if message.charged is None:
         return ""
@@ -268,7 +268,7 @@
     def turned_away(self, request: Request, verdict: str) -> None:
         self.event_count += 1
         columns = request_columns(request.name, self.class_names[request.klass], request.message)
-        self.write(f"{columns} {verdict}{rate_limiter_pair(request.message)} event={self.event_count}")
+        self.write(f"{columns} {verdict}{charge_pair(request.message)} event={self.event_count}")
 
     def handled(self, now: float, event: face.Event, actions: Sequence[face.Action]) -> None:
         self.event_count += 1
@@ -368,7 +368,7 @@
         )
         if event.bound is not None:
             fields += f" bound={quote(event.bound)},{event.window_end!r}"
-        line += f" req={fields}{rate_limiter_pair(transaction.message)}{record.by_pair}{record.left_pair}"
+        line += f" req={fields}{charge_pair(transaction.message)}{record.by_pair}{record.left_pair}"
         for attempt in record.attempts:
             line += attempt.pair()
         for name, pending in (("timers", self.timers), ("probes", self.probes)):
--- a/brackenusher/records/replay.py
+++ b/brackenusher/records/replay.py
@@ -37,7 +37,7 @@
     """A line of the capture."""
 
     line_number: int
-    words: list[str]
+    columns: list[str]
     pairs: dict[str, list[str]]
 
     def fields(self, name: str) -> list[str]:
@@ -48,7 +48,7 @@
     def decisions(self) -> list[str]:
         """The recorded decisions on a request, in order."""
         sent = [f"forward {unquote(value.partition(',')[0])}" for value in self.pairs.get("try", [])]
-        return sent + ([" ".join(self.words[5:7])] if "by" in self.pairs else [])
+        return sent + ([" ".join(self.columns[5:7])] if "by" in self.pairs else [])
 
 
 @dataclass
@@ -60,10 +60,10 @@
     lines: list[CaptureLine] = field(default_factory=list)
 
 
-def read_entry(words: list[str], fields: list[str]) -> face.Entry:
+def read_entry(columns: list[str], fields: list[str]) -> face.Entry:
     started, cell, zone, kind = fields
     return face.Entry(
-        unquote(words[2]), STATES_BY_NAME[words[3]], float(started), int(cell), int(zone), int(kind)
+        unquote(columns[2]), STATES_BY_NAME[columns[3]], float(started), int(cell), int(zone), int(kind)
     )
 
 
@@ -97,8 +97,8 @@
                 run.header, run.initial_servers = header, []
         elif SERVER_LINE_PATTERN.match(text):
             if in_header and run is not None:
-                words = text.split()
-                run.initial_servers.append(read_entry(words, words[4].removeprefix("entry=").split(",")))
+                columns = text.split()
+                run.initial_servers.append(read_entry(columns, columns[4].removeprefix("entry=").split(",")))
         elif run is not None and (match := LINE_PATTERN.match(text)):
             run.lines.append(CaptureLine(line_number, match["words"].split(), parse_pairs(match["pairs"])))
         else:
@@ -118,9 +118,8 @@
         self.events: dict[
             int, tuple[float, Any]
         ] = {}  # by event number: clock time, and the event or a call that replays it
-        self.expected: dict[int, list[tuple[int, str]]] = defaultdict(
-            list
-        )  # by event number: request, decision
+        # by event number: request, decision
+        self.recorded_decisions: dict[int, list[tuple[int, str]]] = defaultdict(list)
         self.decisions: dict[int, list[str]] = defaultdict(list)  # by request: the decisions of the replay
         # by request: attempts in flight, with their hosts
         self.in_flight: dict[int, list[tuple[int, str]]] = defaultdict(list)
@@ -129,7 +128,7 @@
         # by line number: the rate limiter's decision in the replay
         self.limiter_decisions: dict[int, str] = {}
         self.first_difference: int | None = None  # the event with the first difference of all
-        self.missing: list[tuple[int, int]] = []
+        self.missing_ranges: list[tuple[int, int]] = []
         policy_settings = read_settings(self.header["settings"])
         self.balancer = Balancer(policy_settings, int(self.header["seed"], 16), float(self.header["began"]))
         self.balancer.begin()
@@ -139,9 +138,9 @@
     def schedule(self) -> None:
         lists: dict[int, list[CaptureLine]] = defaultdict(list)
         for line in self.run.lines:
-            if line.words[0] == "list" and "told" in line.pairs:
+            if line.columns[0] == "list" and "told" in line.pairs:
                 self.schedule_evidence(line)
-            elif line.words[0] == "list":
+            elif line.columns[0] == "list":
                 lists[int(line.fields("at")[0])].append(line)
             elif "event" in line.pairs:
                 self.events[int(line.fields("event")[0])] = (0.0, partial(self.replay_limiter, line))
@@ -159,13 +158,13 @@
 
     def schedule_list(self, number: int, lines: list[CaptureLine]) -> None:
         first, entry_count = lines[0], int(lines[0].fields("part")[0].partition("/")[2])
-        entries = [read_entry(line.words, line.fields("entry")) for line in lines if "entry" in line.pairs]
+        entries = [read_entry(line.columns, line.fields("entry")) for line in lines if "entry" in line.pairs]
         if len(entries) < entry_count:
-            self.missing.append((number, number))
+            self.missing_ranges.append((number, number))
         scope = face.ListScope(first.fields("scope")[0])
         self.events[number] = (
             float(first.fields("at")[1]),
-            face.ListChanged(scope, entries, int(first.words[1])),
+            face.ListChanged(scope, entries, int(first.columns[1])),
         )
 
     def schedule_evidence(self, line: CaptureLine) -> None:
@@ -197,7 +196,7 @@
         last = int(number)
         for n, value in enumerate(line.pairs.get("try", [])):
             host, chosen, *end = value.split(",")
-            self.expected[int(chosen)].append((request, f"forward {unquote(host)}"))
+            self.recorded_decisions[int(chosen)].append((request, f"forward {unquote(host)}"))
             if end:
                 ended, now, outcome, elapsed, *complete = end
                 event = face.Finished(request, n, face.Outcome(outcome), float(elapsed), bool(complete))
@@ -205,14 +204,14 @@
                 last = max(last, int(ended))
         if "by" in line.pairs:
             by = int(line.fields("by")[0])
-            self.expected[by].append((request, line.decisions[-1]))
+            self.recorded_decisions[by].append((request, line.decisions[-1]))
             last = max(last, by)
         if "left" in line.pairs:
             number, now = line.fields("left")
             self.events[int(number)] = (float(now), partial(self.leave, face.Left(request)))
             last = max(last, int(number))
-        if line.words[7] != "open":
-            self.expected[last].append((request, ""))  # the request is closed
+        if line.columns[7] != "open":
+            self.recorded_decisions[last].append((request, ""))  # the request is closed
 
     # replaying
 
@@ -226,18 +225,18 @@
             )
         for number in sorted(number for number in self.events if number >= next_number):
             if number > next_number:
-                self.missing.append((next_number, number - 1))
+                self.missing_ranges.append((next_number, number - 1))
             next_number = number + 1
             self.replay_event(number, *self.events[number])
 
     def replay_event(self, number: int, now: float, event: Any) -> None:
         actions = event(now) if isinstance(event, partial) else self.feed(now, event)
-        recorded = [pair for pair in self.expected[number] if pair[1]]
+        recorded = [pair for pair in self.recorded_decisions[number] if pair[1]]
         if sorted(actions) != sorted(recorded):
             self.first_difference = self.first_difference or number
             for request, _ in set(actions) ^ set(recorded):
                 self.diverged.setdefault(request, number)
-        for request, decision in self.expected[number]:
+        for request, decision in self.recorded_decisions[number]:
             if not decision and request in self.diverged:
                 self.close_request(number, now, request)
 
@@ -315,7 +314,7 @@
 
     def reliability(self, number: int, first_difference: int | None) -> str:
         """How reliable a difference at an event is."""
-        if self.header["event"] or any(first <= number for first, _ in self.missing):
+        if self.header["event"] or any(first <= number for first, _ in self.missing_ranges):
             return "guess: input is missing before it"
         return "exact" if number == first_difference else "follows from an earlier difference"
 
@@ -327,7 +326,7 @@
             if number <= self.header["event"]:
                 continue  # a list change, or from before the start of this capture
             if line.line_number in self.limiter_decisions:
-                recorded = " ".join(line.words[5:7]) if line.words[5] == "door" else "let in"
+                recorded = " ".join(line.columns[5:7]) if line.columns[5] == "door" else "let in"
                 if recorded != self.limiter_decisions[line.line_number]:
                     first_limiter_difference = first_limiter_difference or number
                     yield (
@@ -362,7 +361,7 @@
 
 def first_event_number(line: CaptureLine) -> int:
     """The event at which a request was first decided; 0 for other lines."""
-    if line.words[0] == "list" or not {"event", "at"} & line.pairs.keys():
+    if line.columns[0] == "list" or not {"event", "at"} & line.pairs.keys():
         return 0
     return int(line.fields("event" if "event" in line.pairs else "at")[0])
 
@@ -386,14 +385,14 @@
     replay.run_all()
     differences = list(replay.differences())
     for line, recorded, now, reliability in differences:
-        request = " ".join(line.words[:5])
+        request = " ".join(line.columns[:5])
         print(
             f"line {line.line_number}: {request}: recorded {recorded}, replayed {now} [{reliability}]",
             file=out,
         )
     for remark in remarks(replay, operator):
         print(f"# {remark}", file=out)
-    requests = sum(line.words[0] != "list" for line in run.lines)
+    requests = sum(line.columns[0] != "list" for line in run.lines)
     print(f"# {requests} requests, {len(differences)} differing lines", file=out)
     return 1 if differences else 0
 
@@ -401,17 +400,17 @@
 def remarks(replay: Replay, operator: Operator) -> Iterable[str]:
     """Remarks on how complete and comparable the replay is."""
     run = replay.run
-    for first, last in sorted(set(replay.missing)):
+    for first, last in sorted(set(replay.missing_ranges)):
         which = f"event {first} is" if first == last else f"events {first} to {last} are"
         yield f"{which} missing, wholly or in part: all that comes after is a guess"
     if run.header["event"]:
         yield f"the start is missing: {run.header['event']} events came before, so all of this is a guess"
     if run.header["module"] != source_digest():
         yield "another text of the module decided then"
-    words = [line.words for line in run.lines if line.words[0] != "list"]
+    request_columns = [line.columns for line in run.lines if line.columns[0] != "list"]
     if operator.door is None and any("door" in line.pairs for line in run.lines):
         yield "door limits are off in the properties: the door's verdicts are taken as they stand"
-    tokens = sum(each[5] == "token" for each in words)
+    tokens = sum(each[5] == "token" for each in request_columns)
     if tokens:
         yield f"{tokens} verdicts on tokens are taken as they stand: tokens are not kept"
     if replay.count_shifted():
--- a/brackenusher/runtime/fleet_log.py
+++ b/brackenusher/runtime/fleet_log.py
@@ -95,8 +95,8 @@
 
 
 def _timestamp(seconds: float) -> str:
-    whole = time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime(seconds))
-    return f"{whole}.{int(seconds * 1000) % 1000:03d}Z"
+    date = time.strftime("%Y-%m-%dT%H:%M:%S", time.gmtime(seconds))
+    return f"{date}.{int(seconds * 1000) % 1000:03d}Z"
 
 
 def _trace(traceback: TracebackType | None) -> str:
--- a/brackenusher/runtime/outlet.py
+++ b/brackenusher/runtime/outlet.py
@@ -49,7 +49,7 @@
             chunk_bytes,
         )
         self.chunks: list[bytearray] = []
-        self.size, self.item_count = 0, 0
+        self.buffered_bytes, self.item_count = 0, 0
         self.flush_timer: Entry | None = None
         # changed by the loop's thread: bytes passed to the writer, and items dropped as the queue was full
         self.submitted_bytes = self.refused_items = 0
@@ -61,7 +61,7 @@
         return self.refused_items + self.failed_items
 
     def fits(self, size: int) -> bool:
-        return self.size + self.submitted_bytes - self.written_bytes + size <= self.capacity_bytes
+        return self.buffered_bytes + self.submitted_bytes - self.written_bytes + size <= self.capacity_bytes
 
     def put(self, lines: bytes) -> bool:
         """Queue whole lines as one item; False, and counted, if they do not fit."""
@@ -72,9 +72,9 @@
             self.chunks[-1] += lines
         else:
             self.chunks.append(bytearray(lines))
-        self.size += len(lines)
+        self.buffered_bytes += len(lines)
         self.item_count += 1
-        if self.size >= FLUSH_BYTES:
+        if self.buffered_bytes >= FLUSH_BYTES:
             self.flush()
         elif self.flush_timer is None:
             self.flush_timer = self.writer.timers.add(self.writer.clock() + FLUSH_DELAY_MS, self.flush)
@@ -85,9 +85,9 @@
         self.writer.timers.remove(self.flush_timer)
         self.flush_timer = None
         if self.chunks:
-            self.writer.queue.put((self, self.write, self.chunks, self.size, self.item_count))
-            self.submitted_bytes += self.size
-            self.chunks, self.size, self.item_count = [], 0, 0
+            self.writer.queue.put((self, self.write, self.chunks, self.buffered_bytes, self.item_count))
+            self.submitted_bytes += self.buffered_bytes
+            self.chunks, self.buffered_bytes, self.item_count = [], 0, 0
         if then is not None:
             self.writer.queue.put((self, lambda _: then(), [], 0, 0))
 
@@ -95,11 +95,11 @@
 class Outlet:
     """Writes to standard error and files from one daemon thread."""
 
-    def __init__(self, deadlines: Timers, clock: Callable[[], float]) -> None:
-        self.timers, self.clock = deadlines, clock
+    def __init__(self, timers: Timers, clock: Callable[[], float]) -> None:
+        self.timers, self.clock = timers, clock
         self.queue: queue.SimpleQueue = queue.SimpleQueue()
         self.channels: list[Channel] = []
-        self.ended = threading.Event()
+        self.closed = threading.Event()
 
     def channel(self, write: Write, capacity_bytes: int, chunk_bytes: int = ATOMIC_WRITE_BYTES) -> Channel:
         """Open a channel; the first one starts the writer thread."""
@@ -117,7 +117,7 @@
             except Exception:  # a failed batch must not stop the writer
                 channel.failed_items += count
             channel.written_bytes += size
-        self.ended.set()
+        self.closed.set()
 
     def close(self) -> None:
         """Write the remaining lines; gives up after a short time, as the reader of a pipe may be stuck."""
@@ -125,7 +125,7 @@
             for channel in self.channels:
                 channel.flush()
             self.queue.put(None)
-            self.ended.wait(CLOSE_TIMEOUT_S)
+            self.closed.wait(CLOSE_TIMEOUT_S)
 
     def redirect_log(self) -> None:
         """Write the log through a channel if standard error has one: a direct write could block the loop."""
--- a/tests/test_capture.py
+++ b/tests/test_capture.py
@@ -181,10 +181,8 @@
     # queued lines, open requests and pending events must all be bounded
     stuck = threading.Event()
     monkeypatch.setattr("brackenusher.records.capture.write_stderr", lambda pieces: stuck.wait(WAIT))
-    harness, owner = (
-        CaptureHarness(),
-        CaptureHarness(),
-    )  # transactions count for their owner, not for the capture
+    # transactions count for their owner, not for the capture
+    harness, owner = CaptureHarness(), CaptureHarness()
     for n in range(6000):
         owner.arrive(n)
     harness.capture.transactions = owner.open
@@ -292,13 +290,15 @@
 
 def test_changed_decision_is_found_and_only_the_first_difference_is_exact(capture_of_drain, tmp_path):
     lines = capture_of_drain.splitlines(keepends=True)
-    places = [n for n, line in enumerate(lines) if " forward s1 served " in line][:2]
-    for n in places:
+    changed = [n for n, line in enumerate(lines) if " forward s1 served " in line][:2]
+    for n in changed:
         lines[n] = lines[n].replace("forward s1", "forward s2").replace("try=s1", "try=s2")
     done = run_replay(tmp_path, "".join(lines))
-    told = [line for line in done.stdout.splitlines() if line.startswith("line ")]
-    assert told[0].startswith(f"line {places[0] + 1}: ") and told[0].endswith("replayed forward s1 [exact]")
-    assert told[1:] and all("follows" in line for line in told[1:])
+    differences = [line for line in done.stdout.splitlines() if line.startswith("line ")]
+    assert differences[0].startswith(f"line {changed[0] + 1}: ") and differences[0].endswith(
+        "replayed forward s1 [exact]"
+    )
+    assert differences[1:] and all("follows" in line for line in differences[1:])
 
 
 def test_capture_with_missing_lines_or_start_is_reported_as_a_guess(capture_of_drain, tmp_path):
@@ -325,9 +325,9 @@
     assert run_replay(tmp_path, text, limits).returncode == 0
     assert "taken as they stand" in run_replay(tmp_path, text).stdout
     done = run_replay(tmp_path, text, limits.replace("= 3", "= 4"))
-    told = [line for line in done.stdout.splitlines() if line.startswith("line ")]
-    assert len(told) == 1 or all("follows" in line for line in told[1:])
-    assert "recorded door" in told[0] and "replayed let in [exact]" in told[0]
+    differences = [line for line in done.stdout.splitlines() if line.startswith("line ")]
+    assert len(differences) == 1 or all("follows" in line for line in differences[1:])
+    assert "recorded door" in differences[0] and "replayed let in [exact]" in differences[0]
 
 
 def test_stuck_reader_of_stderr_blocks_neither_requests_nor_shutdown(tmp_path):
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -463,7 +463,7 @@
 ENDS = [b"0\r\n\r\n", b"5\r\n{bad\n\r\n", b"nonsense\r\n", b"5\r\n[1]\n\n\r\n", b"-1\r\n"]
 
 
-def a_watch(lines, end):
+def watch_bytes(lines, end):
     """The bytes of a watch with so many changes and this end, regular or corrupt."""
     texts = [json.dumps({"seq": n, "whole": False, "hosts": []}).encode() + b"\n" for n in range(lines)]
     return HEAD + b"".join(chunk(text) for text in texts) + end
@@ -471,7 +471,7 @@
 
 @given(st.integers(0, 4), st.sampled_from(ENDS), st.lists(st.integers(0, 300), max_size=6))
 def test_whatever_way_a_watch_ends_and_is_cut_what_came_before_counts_once(lines, end, cuts):
-    data = a_watch(lines, end)
+    data = watch_bytes(lines, end)
     assert [listing.seq for listing in heard(data, [cut for cut in cuts if cut < len(data)])] == [
         *range(lines)
     ]
@@ -485,14 +485,14 @@
             except DiscoveryError as error:
                 raise DiscoveryError(str(error)) from error
 
-    assert all(heard(a_watch(2, end), [], Forgetful) == [] for end in ENDS)
+    assert all(heard(watch_bytes(2, end), [], Forgetful) == [] for end in ENDS)
 
 
 class ScriptedAgent(Listener):
     """An agent whose watches are scripted by the test; calls for the full list get a regular response."""
 
     def __init__(self, hosts, watch):
-        self.hosts, self.watch, self.seq = hosts, watch, 1
+        self.hosts, self.script, self.seq = hosts, watch, 1
         self.calls, self.down = [], False
         super().__init__()
 
@@ -506,7 +506,7 @@
                 return
             self.calls.append(message[0])
             if "watch=1" in message[0]:
-                self.watch(self, sock)
+                self.script(self, sock)
             else:
                 sock.sendall(response(200, self.listing(True, self.hosts)))
 
@@ -559,7 +559,7 @@
             message = read_message(sock.makefile("rb"))
             self.calls.append(message[0])
             if "watch=1" in message[0]:
-                return self.watch(self, sock)
+                return self.script(self, sock)
             sock.sendall(response(200, self.listing(True, self.hosts), "Connection: close"))
             return sock.shutdown(socket.SHUT_WR)
 
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -78,16 +78,16 @@
 
 
 def test_logfmt_and_json_have_the_same_events_and_fields(logs_by_format):
-    told = [json.loads(line) for line in logs_by_format["json"]]
+    records = [json.loads(line) for line in logs_by_format["json"]]
     phases = ["stop_phase", "stop_phase"]
     events = ["serving", "reload_unusable", "stopping", *phases, "ended", "connections_ended"]
-    assert [line["event"] for line in told] == events
-    assert [line["phase"] for line in told[3:5]] == ["closing", "ended"]
-    assert (told[0]["name"], told[0]["host"], type(told[0]["port"])) == ("n0", "127.0.0.1", int)
-    assert (told[5]["taken"], told[5]["unanswered"], told[5]["level"]) == (0, 0, "info")
+    assert [line["event"] for line in records] == events
+    assert [line["phase"] for line in records[3:5]] == ["closing", "ended"]
+    assert (records[0]["name"], records[0]["host"], type(records[0]["port"])) == ("n0", "127.0.0.1", int)
+    assert (records[5]["taken"], records[5]["unanswered"], records[5]["level"]) == (0, 0, "info")
     pairs = [dict(pair.split("=", 1) for pair in shlex.split(line)) for line in logs_by_format["logfmt"]]
-    assert [list(line) for line in pairs] == [list(line) for line in told]
-    assert [line["event"] for line in pairs] == [line["event"] for line in told]
+    assert [list(line) for line in pairs] == [list(line) for line in records]
+    assert [line["event"] for line in pairs] == [line["event"] for line in records]
 
 
 @pytest.mark.parametrize("form", ["logfmt", "json"])
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -220,8 +220,8 @@
         return None
 
     release, servers = threading.Event(), [TurnServer(behave), TurnServer(behave)]
-    patient = {"classes": [{**SETTINGS["classes"][0], "slo": 60000.0, "deadline": 60000.0}]}
-    with Program(tmp_path, *servers, settings=patient) as program:
+    settings = {"classes": [{**SETTINGS["classes"][0], "slo": 60000.0, "deadline": 60000.0}]}
+    with Program(tmp_path, *servers, settings=settings) as program:
         assert program.ask(read_request(span="60000m"))[::2] == (200, b"board")
         release.set()
 
