--- a/brackenusher/runtime/loop.py
+++ b/brackenusher/runtime/loop.py
@@ -1,7 +1,7 @@
 """The event loop: epoll, with generators as coroutines.
 
 A coroutine owns one socket. It yields the epoll mask that it waits for, and is resumed with the events that
-came, or with 0 when somebody woke it. When it ends, its socket is closed.
+occurred, or with 0 if it was woken. When it ends, its socket is closed.
 """
 
 import logging
@@ -19,73 +19,86 @@
 
 READ, WRITE = select.EPOLLIN, select.EPOLLOUT
 HANGUP = select.EPOLLRDHUP
-LONGEST_WAIT = 1000.0  # milliseconds
-MOST_EVENTS = 64  # a turn takes no more, so that what comes first is looked at every few milliseconds
+MAX_WAIT_MS = 1000.0
+MAX_EVENTS_PER_ITERATION = 64  # per iteration, so that priority tasks are polled every few milliseconds
 
 Coroutine = Generator[int, int, None]
 
 
 def clock() -> float:
-    """The one clock: monotonic milliseconds."""
+    """Monotonic time in milliseconds; the only clock of the daemon."""
     return time.monotonic() * 1000.0
 
 
 class Task:
     """A running coroutine with its socket."""
 
-    __slots__ = ("loop", "epoll", "coroutine", "sock", "fd", "mask", "woken", "stopped", "ended", "since")
+    __slots__ = (
+        "loop",
+        "epoll",
+        "coroutine",
+        "sock",
+        "fd",
+        "mask",
+        "woken",
+        "stopped",
+        "ended",
+        "spawned_in",
+    )
 
     def __init__(self, loop: "Loop", coroutine: Coroutine, sock: socket.socket, epoll: select.epoll) -> None:
         self.loop, self.coroutine, self.sock, self.fd = loop, coroutine, sock, sock.fileno()
-        self.epoll = epoll  # where it is registered
-        self.since = loop.turns  # news of this turn is of another that had the same descriptor before
+        self.epoll = epoll  # where the socket is registered
+        # Events polled in this iteration belong to an earlier socket with the same descriptor.
+        self.spawned_in = loop.iterations
         self.mask, self.woken, self.stopped, self.ended = 0, False, False, False
 
     def wake(self) -> None:
-        """Resume the coroutine in this turn though its socket has no news."""
+        """Resume the coroutine in this iteration although its socket has no events."""
         if not self.woken and not self.ended:
             self.woken = True
-            self.loop.woken.append(self)
+            self.loop.woken_tasks.append(self)
 
     def stop(self) -> None:
-        """End the coroutine where it waits; one that runs at this moment ends where it waits next."""
+        """Close the coroutine where it waits; one that is running is closed at its next yield."""
         if getgeneratorstate(self.coroutine) is GEN_RUNNING:
             self.stopped = True
         elif not self.ended:
             self.coroutine.close()
-            self.loop.end(self)
+            self.loop.close_task(self)
 
 
 class Loop:
-    """Runs the tasks and sweeps the deadlines, turn by turn."""
+    """Runs the tasks and the due timers, one iteration after the other."""
 
     def __init__(self, deadlines: Timers) -> None:
         self.epoll = select.epoll()
         self.deadlines = deadlines
         self.tasks: dict[int, Task] = {}
-        self.woken: deque[Task] = deque()
+        self.woken_tasks: deque[Task] = deque()
         self.running = True
-        self.turns = 0
-        self.first: select.epoll | None = None  # what comes first in each turn; made for the first such task
+        self.iterations = 0
+        # polled first in each iteration; created for the first priority task
+        self.priority_epoll: select.epoll | None = None
 
     def spawn(self, coroutine: Coroutine, sock: socket.socket, first: bool = False) -> Task:
-        """Start a coroutine that owns a socket, and run it to where it first waits.
+        """Start a coroutine that owns a socket, and run it to its first yield.
 
-        With `first` its events come before all others of a turn.
+        With `first`, its events are handled before all others of an iteration.
         """
         epoll = self.epoll
         if first:
-            if self.first is None:
-                self.first = select.epoll()
-                self.epoll.register(self.first.fileno(), READ)
-            epoll = self.first
+            if self.priority_epoll is None:
+                self.priority_epoll = select.epoll()
+                self.epoll.register(self.priority_epoll.fileno(), READ)
+            epoll = self.priority_epoll
         task = Task(self, coroutine, sock, epoll)
         self.tasks[task.fd] = task
         epoll.register(task.fd, 0)
         self.resume(task, None)
         return task
 
-    def end(self, task: Task) -> None:
+    def close_task(self, task: Task) -> None:
         task.ended = True
         if self.tasks.pop(task.fd, None) is not None:
             task.epoll.unregister(task.fd)
@@ -95,10 +108,10 @@
         try:
             mask = next(task.coroutine) if events is None else task.coroutine.send(events)
         except StopIteration:
-            self.end(task)
-        except Exception:  # a fault costs the connection on which it showed, and no other
+            self.close_task(task)
+        except Exception:  # an error ends only the connection on which it occurred
             fault(log, "coroutine_failed", "a coroutine failed")
-            self.end(task)
+            self.close_task(task)
         else:
             if task.stopped:
                 task.stop()
@@ -107,24 +120,24 @@
                 task.epoll.modify(task.fd, mask)
 
     def turn(self) -> None:
-        """Wait for news, resume whom it concerns, then sweep the deadlines."""
-        self.turns += 1
+        """Poll for events, resume their tasks, then run the due timers."""
+        self.iterations += 1
         due = self.deadlines.next()
-        wait = LONGEST_WAIT if due is None else min(max(due - clock(), 0.0), LONGEST_WAIT)
-        news = self.epoll.poll(0 if self.woken else wait / 1000.0, MOST_EVENTS)
-        if self.first is not None and news:
-            news = self.first.poll(0) + news
-        for fd, events in news:
+        wait = MAX_WAIT_MS if due is None else min(max(due - clock(), 0.0), MAX_WAIT_MS)
+        polled = self.epoll.poll(0 if self.woken_tasks else wait / 1000.0, MAX_EVENTS_PER_ITERATION)
+        if self.priority_epoll is not None and polled:
+            polled = self.priority_epoll.poll(0) + polled
+        for fd, events in polled:
             task = self.tasks.get(fd)
-            if task is not None and task.since != self.turns:
+            if task is not None and task.spawned_in != self.iterations:
                 self.resume(task, events)
         self.resume_woken()
         self.deadlines.sweep(clock())
         self.resume_woken()
 
     def resume_woken(self) -> None:
-        while self.woken:
-            task = self.woken.popleft()
+        while self.woken_tasks:
+            task = self.woken_tasks.popleft()
             task.woken = False
             if not task.ended:
                 self.resume(task, 0)
--- a/brackenusher/runtime/outlet.py
+++ b/brackenusher/runtime/outlet.py
@@ -1,7 +1,8 @@
-"""The one way out for lines: a bounded outlet whose only thread writes, so that the loop never waits.
+"""Asynchronous writing of lines: one thread writes from bounded queues, so that the event loop never blocks.
 
-Epoll cannot watch a regular file, and standard error is shared with others who must not find it non-blocking.
-What is full drops and counts. Only the loop's thread puts lines in; each counter is changed by one thread.
+Epoll cannot watch regular files, and standard error is shared with processes that expect it to block. A full
+queue drops lines and counts them. Only the event loop's thread adds lines; each counter is changed by one
+thread only.
 """
 
 import logging
@@ -13,115 +14,124 @@
 
 from brackenusher.runtime.timers import Entry, Timers
 
-PIECE = 4096  # a pipe takes so much in one go or not at all: no line is cut, or mixed with somebody else's
-BATCH = 32 * 1024  # handed over at once
-SPAN = 100.0  # milliseconds that a line waits for others at most
-LAST_SPAN = 0.3  # seconds that the program's end waits for what is not written yet
-LOG_ROOM = 64 * 1024
+ATOMIC_WRITE_BYTES = 4096  # PIPE_BUF: smaller writes are atomic, so no line is split or interleaved
+FLUSH_BYTES = 32 * 1024  # a batch of this size is passed to the writer without delay
+FLUSH_DELAY_MS = 100.0  # that a line may wait to be batched
+CLOSE_TIMEOUT_S = 0.3  # that shutdown waits for unwritten lines
+LOG_CAPACITY_BYTES = 64 * 1024
 
-# takes whole lines in pieces; raises where none can be written, or returns how many could not
+# Takes chunks of whole lines; raises if none could be written, or returns how many could not.
 Write = Callable[[list[bytes]], int | None]
 
 
-def write_whole(fd: int, data: bytes) -> None:
+def write_all(fd: int, data: bytes) -> None:
     while data:
         data = data[os.write(fd, data) :]
 
 
-def to_stderr(pieces: list[bytes]) -> None:
-    if sys.stderr is None:  # closed from the start: the number may be anybody's now
+def write_stderr(chunks: list[bytes]) -> None:
+    if sys.stderr is None:  # closed at start: descriptor 2 may be another file by now
         raise OSError("no standard error")
-    for piece in pieces:
-        write_whole(2, piece)
+    for chunk in chunks:
+        write_all(2, chunk)
 
 
 class Channel:
-    """A bounded share of the outlet, toward one target."""
-
-    def __init__(self, outlet: "Outlet", write: Write, room: int, piece: int = PIECE) -> None:
-        self.outlet, self.write, self.room, self.piece = outlet, write, room, piece
-        self.pieces: list[bytearray] = []
-        self.size, self.count = 0, 0
-        self.limit: Entry | None = None
-        self.taken = self.refused = 0  # bytes, and items for which there was no room: the loop's thread
-        self.done = self.failed = 0  # bytes, and items that could not be written: the writer's
+    """A bounded queue of lines for one target."""
+
+    def __init__(
+        self, writer: "Outlet", write: Write, capacity_bytes: int, chunk_bytes: int = ATOMIC_WRITE_BYTES
+    ) -> None:
+        self.writer, self.write, self.capacity_bytes, self.chunk_bytes = (
+            writer,
+            write,
+            capacity_bytes,
+            chunk_bytes,
+        )
+        self.chunks: list[bytearray] = []
+        self.buffered_bytes, self.item_count = 0, 0
+        self.flush_timer: Entry | None = None
+        # changed by the loop's thread: bytes passed to the writer, and items dropped as the queue was full
+        self.submitted_bytes = self.refused_items = 0
+        # changed by the writer's thread: bytes taken from the queue, and items that could not be written
+        self.written_bytes = self.failed_items = 0
 
     @property
     def dropped(self) -> int:
-        return self.refused + self.failed
+        return self.refused_items + self.failed_items
 
     def fits(self, size: int) -> bool:
-        return self.size + self.taken - self.done + size <= self.room
+        return self.buffered_bytes + self.submitted_bytes - self.written_bytes + size <= self.capacity_bytes
 
     def put(self, lines: bytes) -> bool:
-        """Take whole lines as one item; False, and counted, where there is no room."""
+        """Queue whole lines as one item; False, and counted, if they do not fit."""
         if not self.fits(len(lines)):
-            self.refused += 1
+            self.refused_items += 1
             return False
-        if self.pieces and len(self.pieces[-1]) + len(lines) <= self.piece:
-            self.pieces[-1] += lines
+        if self.chunks and len(self.chunks[-1]) + len(lines) <= self.chunk_bytes:
+            self.chunks[-1] += lines
         else:
-            self.pieces.append(bytearray(lines))
-        self.size += len(lines)
-        self.count += 1
-        if self.size >= BATCH:
+            self.chunks.append(bytearray(lines))
+        self.buffered_bytes += len(lines)
+        self.item_count += 1
+        if self.buffered_bytes >= FLUSH_BYTES:
             self.flush()
-        elif self.limit is None:
-            self.limit = self.outlet.deadlines.add(self.outlet.clock() + SPAN, self.flush)
+        elif self.flush_timer is None:
+            self.flush_timer = self.writer.timers.add(self.writer.clock() + FLUSH_DELAY_MS, self.flush)
         return True
 
-    def flush(self, before: Callable[[], None] | None = None) -> None:
-        """Hand over what is here; `before` is called by the writer ahead of what comes after it."""
-        self.outlet.deadlines.remove(self.limit)
-        self.limit = None
-        if self.pieces:
-            self.outlet.queue.put((self, self.write, self.pieces, self.size, self.count))
-            self.taken += self.size
-            self.pieces, self.size, self.count = [], 0, 0
-        if before is not None:
-            self.outlet.queue.put((self, lambda _: before(), [], 0, 0))
+    def flush(self, then: Callable[[], None] | None = None) -> None:
+        """Pass the queued lines to the writer, which calls `then` before any later lines."""
+        self.writer.timers.remove(self.flush_timer)
+        self.flush_timer = None
+        if self.chunks:
+            self.writer.queue.put((self, self.write, self.chunks, self.buffered_bytes, self.item_count))
+            self.submitted_bytes += self.buffered_bytes
+            self.chunks, self.buffered_bytes, self.item_count = [], 0, 0
+        if then is not None:
+            self.writer.queue.put((self, lambda _: then(), [], 0, 0))
 
 
 class Outlet:
-    """Serves standard error and files with one daemon thread."""
+    """Writes to standard error and files from one daemon thread."""
 
-    def __init__(self, deadlines: Timers, clock: Callable[[], float]) -> None:
-        self.deadlines, self.clock = deadlines, clock
+    def __init__(self, timers: Timers, clock: Callable[[], float]) -> None:
+        self.timers, self.clock = timers, clock
         self.queue: queue.SimpleQueue = queue.SimpleQueue()
         self.channels: list[Channel] = []
-        self.ended = threading.Event()
+        self.closed = threading.Event()
 
-    def channel(self, write: Write, room: int, piece: int = PIECE) -> Channel:
-        """Open a channel; the first one starts the thread."""
+    def channel(self, write: Write, capacity_bytes: int, chunk_bytes: int = ATOMIC_WRITE_BYTES) -> Channel:
+        """Open a channel; the first one starts the writer thread."""
         if not self.channels:
             threading.Thread(target=self.run, name="outlet", daemon=True).start()
-        channel = Channel(self, write, room, piece)
+        channel = Channel(self, write, capacity_bytes, chunk_bytes)
         self.channels.append(channel)
         return channel
 
     def run(self) -> None:
         while (item := self.queue.get()) is not None:
-            channel, write, pieces, size, count = item
+            channel, write, chunks, size, count = item
             try:
-                channel.failed += write(pieces) or 0
-            except Exception:  # whatever it was, the next batch has its own chance
-                channel.failed += count
-            channel.done += size
-        self.ended.set()
+                channel.failed_items += write(chunks) or 0
+            except Exception:  # a failed batch must not stop the writer
+                channel.failed_items += count
+            channel.written_bytes += size
+        self.closed.set()
 
     def close(self) -> None:
-        """Have the rest written, but wait no longer than a moment: a reader may be stuck."""
+        """Write the remaining lines; gives up after a short time, as the reader of a pipe may be stuck."""
         if self.channels:
             for channel in self.channels:
                 channel.flush()
             self.queue.put(None)
-            self.ended.wait(LAST_SPAN)
+            self.closed.wait(CLOSE_TIMEOUT_S)
 
-    def take_log(self) -> None:
-        """Lead the log through here: beside what else fills standard error it could block the loop."""
-        if any(channel.write is to_stderr for channel in self.channels):
+    def redirect_log(self) -> None:
+        """Write the log through a channel if standard error has one: a direct write could block the loop."""
+        if any(channel.write is write_stderr for channel in self.channels):
             root = logging.getLogger()
-            handler = LogHandler(self.channel(to_stderr, LOG_ROOM))
+            handler = LogHandler(self.channel(write_stderr, LOG_CAPACITY_BYTES))
             for old in [old for old in root.handlers if isinstance(old, logging.StreamHandler)]:
                 handler.setFormatter(old.formatter)
                 root.removeHandler(old)
@@ -129,7 +139,7 @@
 
 
 class LogHandler(logging.Handler):
-    """Puts the log's lines into a channel."""
+    """Writes log lines to a channel."""
 
     def __init__(self, channel: Channel) -> None:
         super().__init__()
--- a/brackenusher/runtime/points.py
+++ b/brackenusher/runtime/points.py
@@ -1,34 +1,34 @@
-"""Named points in the code at which the testbed may end the process, or have its disk fail.
+"""Failpoints: named places in the code where the testbed can kill the process or make its disk fail.
 
-The environment variable names a file; its lines are `kill NAME`, `disk full` and `disk slow SECONDS`.
+BRACKENUSHER_POINTS names a file whose lines are `kill NAME`, `disk full` or `disk slow SECONDS`.
 """
 
 import os
 import signal
 import time
 
-SCRIPT = os.environ.get("BRACKENUSHER_POINTS", "")
+SCRIPT_PATH = os.environ.get("BRACKENUSHER_POINTS", "")
 
 
-def lines() -> list[list[str]]:
+def read_script() -> list[list[str]]:
     try:
-        with open(SCRIPT, encoding="utf-8") as file:
+        with open(SCRIPT_PATH, encoding="utf-8") as file:
             return [line.split() for line in file]
     except OSError:
         return []
 
 
 def reach(name: str) -> None:
-    """The process has come to a point of this name."""
-    if SCRIPT and ["kill", name] in lines():
+    """Kill the process if the failpoint of this name is armed."""
+    if SCRIPT_PATH and ["kill", name] in read_script():
         os.kill(os.getpid(), signal.SIGKILL)
 
 
 def disk() -> None:
-    """Something is about to be made durable. Raises OSError where the disk is to be full."""
-    if not SCRIPT:
+    """Called before each write to disk: delays it, or raises OSError if the disk is to be full."""
+    if not SCRIPT_PATH:
         return
-    for line in lines():
+    for line in read_script():
         if line[:2] == ["disk", "full"]:
             raise OSError(28, "No space left on device")
         if line[:2] == ["disk", "slow"] and len(line) == 3:
