--- a/brackenusher/core/admission.py
+++ b/brackenusher/core/admission.py
@@ -16,7 +16,7 @@
 from barleybarrow.interface import Effect
 from barleybarrow.rate_limiter import LONGEST_KEY, RateLimiter
 from brackenusher.core.message import Content, Message
-from brackenusher.core.transaction import Answer, Served, Transaction, Transactions, stays
+from brackenusher.core.transaction import Answer, Served, Transaction, Transactions, never_gone
 
 
 @dataclass(slots=True)
@@ -34,14 +34,14 @@
     beyond: bool = False  # on a connection beyond the proxy's share of descriptors, taken only to be refused
     free: int | None = None  # connections between requests, where clients need one each and may open no other
     came: float = 0.0  # when its last byte was read: it may have waited behind others of its connection
-    gone: Callable[[], bool] = stays  # whether its client has closed its connection meanwhile
+    gone: Callable[[], bool] = never_gone  # whether its client has closed its connection meanwhile
 
 
 class Bar(Enum):
     """What turned a request away."""
 
     ROOM = "room"  # the proxy's share of descriptors
-    END = "end"  # the program stops, and too little time is left
+    SHUTDOWN = "end"  # the program stops, and too little time is left
     TOKEN = "token"
     MARK = "mark"  # what staff have marked, or that it is not known here
     POLICY = "policy"  # what the group agreed on, or that it is not known here
@@ -58,7 +58,7 @@
     retry_after: float = 0.0
 
     @property
-    def words(self) -> str:
+    def summary(self) -> str:
         """For those who look on: by what, how, and to what end."""
         if self.why:
             return f"{self.bar.value} {self.why} rejected"
@@ -72,7 +72,7 @@
         """Whether a request of the tenant `key` may come in: 0, or how many milliseconds to wait."""
 
 
-class Past(Protocol):
+class IdempotencyLookup(Protocol):
     """What is known of keyed requests that may have been here before, through this proxy or another."""
 
     def ask(self, request: Request) -> "Before | None":
@@ -83,12 +83,12 @@
 class Before:
     """What became of an earlier try: its answer, or where that may have run and until when it is dropped."""
 
-    answer: Content | None = None
+    content: Content | None = None
     server: str = ""
     until: float = 0.0
 
 
-NOTHING = Before()
+NO_RECORD = Before()
 
 
 class Admission:
@@ -96,28 +96,37 @@
 
     def __init__(
         self,
-        owner: Transactions,
+        transactions: Transactions,
         settings: face.Settings,
-        door: RateLimiter | None = None,
+        rate_limiter: RateLimiter | None = None,
         token_settings: tokens.TokenSettings | None = None,
-        wall: Callable[[], float] = time.time,
+        wall_clock: Callable[[], float] = time.time,
     ) -> None:
-        self.owner, self.door, self.tokens, self.wall = owner, door, token_settings, wall
-        self.needs = [tokens.READ if c.effect is Effect.SAFE else tokens.SUBMIT for c in settings.classes]
-        self.most_wait = settings.max_retry_after
+        self.transactions, self.door, self.token_settings, self.wall_clock = (
+            transactions,
+            rate_limiter,
+            token_settings,
+            wall_clock,
+        )
+        self.required_rights = [
+            tokens.READ if c.effect is Effect.SAFE else tokens.SUBMIT for c in settings.classes
+        ]
+        self.max_retry_after_ms = settings.max_retry_after
         self.gates: list[tuple[Bar, Gate]] = []  # where proxies agree on a policy, or hold marks of staff
-        self.past: Past | None = None  # where proxies tell each other the fates of keyed requests
+        self.past: IdempotencyLookup | None = (
+            None  # where proxies tell each other the fates of keyed requests
+        )
         self.shutdown: GracefulShutdown | None = None  # once the program is to stop: the plan of its end
         self.at_the_end = 0  # requests refused because the end was near
 
     def admit(self, request: Request, reply: Callable[[Answer], None]) -> Transaction | Verdict:
         """Take a request, whose final answer `reply` gets once, maybe before this returns; or say why not."""
-        verdict = self.judge(request)
-        if verdict is None:
-            before = self.past.ask(request) if self.past is not None else None
-            if before is None:
-                before = NOTHING
-            transaction = self.owner.arrive(
+        denial = self.check(request)
+        if denial is None:
+            recorded = self.past.ask(request) if self.past is not None else None
+            if recorded is None:
+                recorded = NO_RECORD
+            transaction = self.transactions.arrive(
                 request.name,
                 request.klass,
                 request.span,
@@ -125,67 +134,69 @@
                 reply,
                 request.tenant,
                 request.repeated,
-                None if before is NOTHING else before.server,
-                before.until,
-                before.answer,
+                None if recorded is NO_RECORD else recorded.server,
+                recorded.until,
+                recorded.content,
                 request.gone,
             )
             if transaction is not None:
                 return transaction
-            verdict = Verdict(Bar.ID, "open")
-        self.owner.turn_away(request, verdict.words)
-        return verdict
+            denial = Verdict(Bar.ID, "open")
+        self.transactions.turn_away(request, denial.summary)
+        return denial
 
     def answered(self, transaction: Transaction, answer: Answer) -> None:
         """A front has the final answer of a request that was taken; at the end it counts how long it took."""
         if self.shutdown is not None and isinstance(answer, Served):
-            self.shutdown.answered(self.owner.clock() - transaction.arrived)
+            self.shutdown.answered(self.transactions.clock() - transaction.arrived)
 
     def whole(self, transaction: Transaction) -> None:
         """The rest of the body of a request that was taken before has come."""
-        self.owner.whole(transaction)
+        self.transactions.body_complete(transaction)
 
     def left(self, transaction: Transaction) -> None:
         """The client of a request that was taken has gone."""
-        self.owner.left(transaction)
+        self.transactions.left(transaction)
 
-    def judge(self, request: Request) -> Verdict | None:
+    def check(self, request: Request) -> Verdict | None:
         """Say why a request is to be kept out, if it is.
 
         Tokens come before the door: a forged owner must not drain a tenant's bucket.
         """
         if request.beyond:
-            return Verdict(Bar.ROOM, retry_after=self.most_wait)
-        if self.shutdown is not None and not self.fits(request, self.shutdown):
+            return Verdict(Bar.ROOM, retry_after=self.max_retry_after_ms)
+        if self.shutdown is not None and not self.fits_shutdown_plan(request, self.shutdown):
             self.at_the_end += 1
-            wait = self.shutdown.come_back(self.owner.clock(), self.most_wait)
-            return Verdict(Bar.END, retry_after=wait)
-        if self.tokens is not None:
-            why = tokens.verdict(self.tokens, request.token, self.needs[request.klass], self.wall())
-            if why:
-                return Verdict(Bar.TOKEN, why)
-        for bar, gate in self.gates:
-            wait = gate.ask(name_of(request.message.owner), request, self.owner.clock())
-            if wait:
-                return Verdict(bar, retry_after=wait)
+            wait_ms = self.shutdown.come_back(self.transactions.clock(), self.max_retry_after_ms)
+            return Verdict(Bar.SHUTDOWN, retry_after=wait_ms)
+        if self.token_settings is not None:
+            token_fault = tokens.verdict(
+                self.token_settings, request.token, self.required_rights[request.klass], self.wall_clock()
+            )
+            if token_fault:
+                return Verdict(Bar.TOKEN, token_fault)
+        for reason, gate in self.gates:
+            wait_ms = gate.ask(name_of(request.message.owner), request, self.transactions.clock())
+            if wait_ms:
+                return Verdict(reason, retry_after=wait_ms)
         if self.door is not None:
             message = request.message
             key = request.address if self.door.settings.by_address else name_of(message.owner)
-            message.charged = key, self.owner.clock()
-            wait = self.door.ask(*message.charged)
-            if wait:
-                return Verdict(Bar.DOOR, retry_after=wait)
+            message.charged = key, self.transactions.clock()
+            wait_ms = self.door.ask(*message.charged)
+            if wait_ms:
+                return Verdict(Bar.DOOR, retry_after=wait_ms)
         return None
 
-    def fits(self, request: Request, plan: GracefulShutdown) -> bool:
+    def fits_shutdown_plan(self, request: Request, plan: GracefulShutdown) -> bool:
         """Whether a request can still be taken, with its time cut to what is left."""
-        now, in_hand = self.owner.clock(), len(self.owner.open)
-        span = plan.cut(now, request.span, in_hand)
-        if request.span and not span:
+        now, open_count = self.transactions.clock(), len(self.transactions.open)
+        timeout_ms = plan.cut(now, request.span, open_count)
+        if request.span and not timeout_ms:
             return False
-        if request.free is not None and plan.crowded(now, request.free, in_hand):
+        if request.free is not None and plan.crowded(now, request.free, open_count):
             return False
-        request.span = span
+        request.span = timeout_ms
         return True
 
 
--- a/brackenusher/core/deadlines.py
+++ b/brackenusher/core/deadlines.py
@@ -16,12 +16,12 @@
 
     def __init__(self) -> None:
         self.entries: SortedList[Entry] = SortedList()
-        self.serial = 0  # breaks ties, so that actions are never compared
+        self.sequence = 0  # breaks ties, so that actions are never compared
 
-    def add(self, when: float, action: Callable[[], None]) -> Entry:
+    def add(self, due_at: float, action: Callable[[], None]) -> Entry:
         """Have an action called at a time; the entry returned can be removed again."""
-        self.serial += 1
-        entry = (when, self.serial, action)
+        self.sequence += 1
+        entry = (due_at, self.sequence, action)
         self.entries.add(entry)
         return entry
 
@@ -36,8 +36,8 @@
 
     def sweep(self, now: float) -> None:
         """Call whatever is due; what the actions add waits for the next sweep."""
-        last = self.serial
-        while self.entries and self.entries[0][0] <= now and self.entries[0][1] <= last:
+        last_sequence = self.sequence
+        while self.entries and self.entries[0][0] <= now and self.entries[0][1] <= last_sequence:
             _, _, action = self.entries.pop(0)
             try:
                 action()
--- a/brackenusher/core/message.py
+++ b/brackenusher/core/message.py
@@ -22,7 +22,7 @@
     streams: bool = False  # whether its client can be given an answer in pieces
     rest: Pipe | None = None  # what comes of the body after `body`, in pieces
     length: int | None = None  # of the whole body, where that is known and `rest` is there
-    spent: bool = False  # something of `rest` was passed on: it cannot be sent again
+    partly_sent: bool = False  # something of `rest` was passed on: it cannot be sent again
     charged: tuple[str, float] | None = None  # to whose bucket at the door, and when
 
 
--- a/brackenusher/core/pipe.py
+++ b/brackenusher/core/pipe.py
@@ -7,9 +7,9 @@
 from collections.abc import Callable
 from enum import Enum
 
-LEAST = 16 * 1024  # bytes that each pipe may hold, however many there are
-WIDEST = 128 * 1024  # bytes that a pipe holds at most
-KEPT = 1024 * 1024  # bytes of a body that are kept at most, so that it can be sent again
+MIN_WINDOW_BYTES = 16 * 1024  # bytes that each pipe may hold, however many there are
+MAX_WINDOW_BYTES = 128 * 1024  # bytes that a pipe holds at most
+MAX_REPLAYABLE_BYTES = 1024 * 1024  # bytes of a body that are kept at most, so that it can be sent again
 
 
 def nothing() -> None:
@@ -20,17 +20,17 @@
     """Bytes that bodies and answers may hold in memory beyond what is always kept of each."""
 
     def __init__(self, total: int) -> None:
-        self.total, self.kept, self.pipes = total, 0, 0
-        self.broken = self.opened = 0  # pipes that did not end whole, and all that there were
+        self.total_bytes, self.kept, self.pipes = total, 0, 0
+        self.broken_pipes = self.opened_pipes = 0  # pipes that did not end whole, and all that there were
 
     def may_keep(self, size: int) -> bool:
         """Whether a body that grew to `size` bytes may be kept whole."""
-        return size <= KEPT and self.kept + size <= self.total // 2
+        return size <= MAX_REPLAYABLE_BYTES and self.kept + size <= self.total_bytes // 2
 
     @property
-    def window(self) -> int:
+    def window_bytes(self) -> int:
         """How many bytes each pipe may hold just now."""
-        return min(max(self.total // 2 // max(self.pipes, 1), LEAST), WIDEST)
+        return min(max(self.total_bytes // 2 // max(self.pipes, 1), MIN_WINDOW_BYTES), MAX_WINDOW_BYTES)
 
 
 class End(Enum):
@@ -47,11 +47,11 @@
     __slots__ = (
         "budget",
         "parts",
-        "size",
+        "held_bytes",
         "came",
         "whole",
         "broken",
-        "stopped",
+        "closed",
         "end",
         "tell",
         "to_reader",
@@ -61,26 +61,26 @@
     def __init__(self, budget: Budget) -> None:
         self.budget = budget
         self.parts: list[bytes] = []
-        self.size = self.came = 0  # bytes that are held, and all that came
-        self.whole = self.broken = self.stopped = False
+        self.held_bytes = self.came = 0  # bytes that are held, and all that came
+        self.whole = self.broken = self.closed = False
         self.end: End | None = None
         self.tell: list[Callable[[End], None]] = []  # told once how it ended
         self.to_reader: Callable[[], None] = nothing
         self.to_writer: Callable[[], None] = nothing
         budget.pipes += 1
-        budget.opened += 1
+        budget.opened_pipes += 1
 
     # for who writes
 
     @property
     def full(self) -> bool:
-        return self.size >= self.budget.window
+        return self.held_bytes >= self.budget.window_bytes
 
-    def put(self, part: bytes) -> None:
-        if not self.stopped:
-            self.parts.append(part)
-            self.size += len(part)
-            self.came += len(part)
+    def put(self, chunk: bytes) -> None:
+        if not self.closed:
+            self.parts.append(chunk)
+            self.held_bytes += len(chunk)
+            self.came += len(chunk)
             self.to_reader()
 
     def finish(self) -> None:
@@ -104,7 +104,7 @@
     def take(self) -> bytes:
         """All that is held."""
         data = self.parts[0] if len(self.parts) == 1 else b"".join(self.parts)
-        self.parts, self.size = [], 0
+        self.parts, self.held_bytes = [], 0
         self.to_writer()
         return data
 
@@ -112,9 +112,9 @@
         """The reader is done with it: it went, or all was passed on. Only the first word counts."""
         if self.end is not None:
             return
-        self.end, self.stopped, self.parts, self.size = end, True, [], 0
+        self.end, self.closed, self.parts, self.held_bytes = end, True, [], 0
         self.budget.pipes -= 1
-        self.budget.broken += end is not End.WHOLE
+        self.budget.broken_pipes += end is not End.WHOLE
         self.to_writer()
-        for tell in self.tell:
-            tell(end)
+        for callback in self.tell:
+            callback(end)
--- a/brackenusher/core/transaction.py
+++ b/brackenusher/core/transaction.py
@@ -48,7 +48,7 @@
 Answer = Served | Refused | Failed
 
 
-def stays() -> bool:
+def never_gone() -> bool:
     """A client that never closes its connection while it waits, or of whom that is not known."""
     return False
 
@@ -65,12 +65,14 @@
     tenant: int
     arrived: float
     deadline: float
-    span: float = 0.0  # milliseconds that its client waits, from the last byte of its request
-    gone: Callable[[], bool] = stays  # whether its client has closed, though nobody was told of it yet
-    guard: Entry | None = None
+    timeout_ms: float = 0.0  # milliseconds that its client waits, from the last byte of its request
+    client_gone: Callable[[], bool] = (
+        never_gone  # whether its client has closed, though nobody was told of it yet
+    )
+    deadline_timer: Entry | None = None
     over: bool = False  # answered, or nobody is there to be answered
     attempts: list["Attempt"] = field(default_factory=list)
-    out: int = 0
+    attempts_in_flight: int = 0
 
 
 @dataclass(slots=True, eq=False)
@@ -82,12 +84,12 @@
     backend: str
     message: Message
     sent_at: float
-    wait: float  # milliseconds that the module waits for it at most, 0 for as long as the client does
+    timeout_ms: float  # milliseconds that the module waits for it at most, 0 for as long as the client does
     deadline: float
     ended: Callable[[Any, Outcome, Served | None], None]  # the first is the attempt
     outcome: Outcome | None = None
     carriage: Any = None  # the carrier's own
-    began_at: float = 0.0  # when an answer that takes its time began to come
+    response_started_at: float = 0.0  # when an answer that takes its time began to come
 
 
 class Carrier(Protocol):
@@ -116,43 +118,43 @@
     """All transactions of the program, and the module that decides on them."""
 
     def __init__(
-        self, balancer: Balancer, clock: Callable[[], float], deadlines: Deadlines, carrier: Carrier
+        self, balancer: Balancer, clock: Callable[[], float], deadlines: Deadlines, transport: Carrier
     ) -> None:
-        self.balancer, self.clock, self.deadlines, self.carrier = balancer, clock, deadlines, carrier
+        self.balancer, self.clock, self.deadlines, self.transport = balancer, clock, deadlines, transport
         self.observers = Observers()
         self.open: dict[int, Transaction] = {}
-        self.names: set[bytes] = set()  # of what is open: no two may be known to pool members as one
+        self.open_ids: set[bytes] = set()  # of what is open: no two may be known to pool members as one
         self.events: deque[face.Event] = deque()
-        self.parting: list[Transaction] = []
-        self.acting, self.taken, self.unanswered = False, 0, 0
-        self.performers: dict[type, Callable[[Any], object]] = {
-            face.Send: self.send,
+        self.closing: list[Transaction] = []
+        self.dispatching, self.taken, self.unanswered = False, 0, 0
+        self.action_handlers: dict[type, Callable[[Any], object]] = {
+            face.Send: self.start_attempt,
             face.Refuse: lambda a: self.answer(a.request, Refused(a.retry_after)),
             face.Fail: lambda a: self.answer(a.request, Failed()),
-            face.Cancel: self.cancel,
+            face.Cancel: self.cancel_attempt,
             face.SetTimer: lambda a: deadlines.add(a.at, partial(self.post, face.TimerDue(a.token))),
-            face.Disconnect: lambda a: carrier.disconnect(a.backend),
-            face.Watch: lambda a: carrier.watch(),
-            face.Probe: lambda a: carrier.probe(a.backend),
+            face.Disconnect: lambda a: transport.disconnect(a.backend),
+            face.Watch: lambda a: transport.watch(),
+            face.Probe: lambda a: transport.probe(a.backend),
         }
 
     def begin(self) -> None:
         """Carry out what the module asks for at its start."""
-        self.perform(self.balancer.begin())
+        self.execute(self.balancer.begin())
 
     def arrive(
         self,
-        name: bytes,
-        klass: int,
-        span: float,
+        request_id: bytes,
+        class_index: int,
+        timeout_ms: float,
         message: Message,
         reply: Callable[[Answer], None],
         tenant: int = 0,
-        repeated: bool = False,
-        bound: str | None = None,
+        is_retry: bool = False,
+        bound_backend: str | None = None,
         window_end: float = 0.0,
-        known: Content | None = None,
-        gone: Callable[[], bool] = stays,
+        recorded_content: Content | None = None,
+        client_gone: Callable[[], bool] = never_gone,
     ) -> Transaction | None:
         """Take a request whose client waits for `span` milliseconds; `reply` gets its final answer.
 
@@ -160,30 +162,45 @@
 
         None, and nothing is taken, where one of that name is still open.
         """
-        if name in self.names:
+        if request_id in self.open_ids:
             return None
         now = self.clock()
         self.taken += 1
-        self.names.add(name)
-        deadline = now + max(0.0, span - RESERVE)
-        transaction = Transaction(self.taken, name, message, reply, klass, tenant, now, deadline, span, gone)
-        transaction.guard = self.deadlines.add(now + span, partial(self.overdue, transaction))
+        self.open_ids.add(request_id)
+        deadline = now + max(0.0, timeout_ms - RESERVE)
+        transaction = Transaction(
+            self.taken,
+            request_id,
+            message,
+            reply,
+            class_index,
+            tenant,
+            now,
+            deadline,
+            timeout_ms,
+            client_gone,
+        )
+        transaction.deadline_timer = self.deadlines.add(
+            now + timeout_ms, partial(self.deadline_reached, transaction)
+        )
         self.open[transaction.id] = transaction
-        if known is not None:
-            self.answer(transaction.id, Served(known))
+        if recorded_content is not None:
+            self.answer(transaction.id, Served(recorded_content))
             return transaction
-        self.post(face.Arrived(transaction.id, klass, deadline, tenant, repeated, bound, window_end))
+        self.post(
+            face.Arrived(transaction.id, class_index, deadline, tenant, is_retry, bound_backend, window_end)
+        )
         return transaction
 
-    def turn_away(self, request: Any, verdict: str) -> None:
+    def turn_away(self, request: Any, summary: str) -> None:
         """Note that a request that could be read is not taken."""
-        self.tell(self.observers.turned_away, request, verdict)
+        self.notify(self.observers.turned_away, request, summary)
 
     def left(self, transaction: Transaction) -> None:
         """The client has gone."""
         if not transaction.over:
             self.close(transaction)
-            self.tell(self.observers.answered, transaction, None)
+            self.notify(self.observers.answered, transaction, None)
             self.post(face.Left(transaction.id))
 
     def finished(self, attempt: Attempt, outcome: Outcome, served: Served | None = None) -> None:
@@ -191,20 +208,20 @@
         if attempt.outcome is not None:
             return
         attempt.outcome, transaction = outcome, attempt.transaction
-        transaction.out -= 1
+        transaction.attempts_in_flight -= 1
         if served is not None and not self.answer(transaction.id, served) and served.content.rest:
             served.content.rest.stop()  # nobody is there to read it
-        passed_on = served is not None and served.content.rest is not None and attempt.began_at
-        elapsed = (attempt.began_at if passed_on else self.clock()) - attempt.sent_at
+        streamed = served is not None and served.content.rest is not None and attempt.response_started_at
+        elapsed = (attempt.response_started_at if streamed else self.clock()) - attempt.sent_at
         self.post(face.Finished(transaction.id, attempt.number, outcome, elapsed, transaction.over))
-        self.forget(transaction)
+        self.remove_if_done(transaction)
 
     def post(self, event: face.Event) -> None:
         """Hand an event to the module; one that is raised while acting on another waits its turn."""
         self.events.append(event)
-        if self.acting:
+        if self.dispatching:
             return
-        self.acting = True
+        self.dispatching = True
         try:
             while self.events:
                 event, now, actions = self.events.popleft(), self.clock(), None
@@ -213,43 +230,43 @@
                 except Exception:
                     fault(log, "module_failed", "the module failed on %(told)s", told=type(event).__name__)
                 if self.observers.handled:
-                    self.tell(self.observers.handled, now, event, actions or ())
+                    self.notify(self.observers.handled, now, event, actions or ())
                 if actions is None:
-                    self.give_up(event)
+                    self.fail_request_of(event)
                 else:
-                    self.perform(actions)
+                    self.execute(actions)
         finally:
-            self.acting = False
-            parting, self.parting = self.parting, []
-            for transaction in parting:
-                self.forget(transaction)
+            self.dispatching = False
+            closing, self.closing = self.closing, []
+            for transaction in closing:
+                self.remove_if_done(transaction)
 
-    def tell(self, observers: Sequence[Callable[..., None]], *news: Any) -> None:
+    def notify(self, observers: Sequence[Callable[..., None]], *arguments: Any) -> None:
         """Let those who look on know of something."""
         for observer in observers:
             try:
-                observer(*news)
+                observer(*arguments)
             except Exception:
                 fault(log, "observer_failed", "an observer failed")
 
-    def perform(self, actions: list[face.Action]) -> None:
+    def execute(self, actions: list[face.Action]) -> None:
         for action in actions:
             try:
-                self.performers[type(action)](action)
+                self.action_handlers[type(action)](action)
             except Exception:
                 fault(
                     log, "action_failed", "%(action)s could not be carried out", action=type(action).__name__
                 )
-                self.give_up(action)
+                self.fail_request_of(action)
 
-    def give_up(self, item: Any) -> None:
+    def fail_request_of(self, item: Any) -> None:
         """Answer the one transaction that a fault concerns, if it concerns one."""
         transaction = self.open.get(getattr(item, "request", -1))
         if transaction is not None and not transaction.over:
             self.answer(transaction.id, Failed())
             self.post(face.Left(transaction.id))
 
-    def send(self, action: face.Send) -> None:
+    def start_attempt(self, action: face.Send) -> None:
         transaction, now = self.open[action.request], self.clock()
         deadline = min(now + action.timeout, transaction.deadline) if action.timeout else transaction.deadline
         number, message = len(transaction.attempts), transaction.message
@@ -257,38 +274,38 @@
             transaction, number, action.backend, message, now, action.timeout, deadline, self.finished
         )
         transaction.attempts.append(attempt)
-        transaction.out += 1
-        if transaction.over or message.spent:  # or what was passed on of its body is no longer here
+        transaction.attempts_in_flight += 1
+        if transaction.over or message.partly_sent:  # or what was passed on of its body is no longer here
             self.finished(attempt, Outcome.NOT_SENT)
             return
         try:
-            self.carrier.start(attempt)
+            self.transport.start(attempt)
         except Exception:
             fault(log, "attempt_failed", "an attempt could not be started")
             self.finished(attempt, Outcome.NOT_SENT)
 
-    def wanted(self, attempt: Attempt) -> bool:
+    def may_start(self, attempt: Attempt) -> bool:
         """Asked when an attempt is to begin: whether it still may, and its client is there to be answered.
 
         The module saw to that when it decided, but the connection may have come up late.
         """
         transaction, now = attempt.transaction, self.clock()
-        if not transaction.over and transaction.gone():
+        if not transaction.over and transaction.client_gone():
             self.left(transaction)
         if transaction.over or transaction.message.rest is None and now >= attempt.deadline:
             return False  # the time of one with a body in pieces counts from the last byte of that
         conf = self.balancer.conf.classes[transaction.klass]
-        before = transaction.attempts[: attempt.number] if conf.effect is Effect.KEYED else ()
-        sent = (each.sent_at for each in before if each.outcome not in PROVEN)
+        earlier = transaction.attempts[: attempt.number] if conf.effect is Effect.KEYED else ()
+        sent = (other.sent_at for other in earlier if other.outcome not in PROVEN)
         return now < min(sent, default=math.inf) + conf.window  # its repeats are dropped so long
 
-    def cancel(self, action: face.Cancel) -> None:
+    def cancel_attempt(self, action: face.Cancel) -> None:
         transaction = self.open.get(action.request)
         if transaction is None or action.attempt >= len(transaction.attempts):
             return
         attempt = transaction.attempts[action.attempt]
         if attempt.outcome is None:
-            self.carrier.cancel(attempt)
+            self.transport.cancel(attempt)
             self.finished(attempt, Outcome.CANCELLED)
 
     def answer(self, request: int, answer: Answer) -> bool:
@@ -298,53 +315,61 @@
             return False
         self.close(transaction)
         if self.observers.answered:
-            self.tell(self.observers.answered, transaction, answer)
+            self.notify(self.observers.answered, transaction, answer)
         transaction.reply(answer)
         return True
 
-    def whole(self, transaction: Transaction) -> None:
+    def body_complete(self, transaction: Transaction) -> None:
         """The body of a request that is sent on in pieces has come whole: from now on its time counts."""
         if transaction.over:
             return
         now = self.clock()
-        transaction.deadline = until = now + max(0.0, transaction.span - RESERVE)
+        transaction.deadline = answer_by = now + max(0.0, transaction.timeout_ms - RESERVE)
         for attempt in transaction.attempts:
             if attempt.outcome is None:
                 attempt.sent_at = now
-                attempt.deadline = min(now + attempt.wait, until) if attempt.wait else until
-        self.deadlines.remove(transaction.guard)
-        transaction.guard = self.deadlines.add(now + transaction.span, partial(self.overdue, transaction))
+                attempt.deadline = (
+                    min(now + attempt.timeout_ms, answer_by) if attempt.timeout_ms else answer_by
+                )
+        self.deadlines.remove(transaction.deadline_timer)
+        transaction.deadline_timer = self.deadlines.add(
+            now + transaction.timeout_ms, partial(self.deadline_reached, transaction)
+        )
 
     def close(self, transaction: Transaction) -> None:
         transaction.over = True
-        self.deadlines.remove(transaction.guard)
-        transaction.guard = None  # it names the transaction in turn
-        self.forget(transaction)
+        self.deadlines.remove(transaction.deadline_timer)
+        transaction.deadline_timer = None  # it names the transaction in turn
+        self.remove_if_done(transaction)
 
-    def forget(self, transaction: Transaction) -> None:
+    def remove_if_done(self, transaction: Transaction) -> None:
         """Drop what is over; later while acting, as the module may still name what it thinks is open."""
-        if self.acting:
-            self.parting.append(transaction)
-        elif transaction.over and not transaction.out and transaction.id in self.open:
+        if self.dispatching:
+            self.closing.append(transaction)
+        elif transaction.over and not transaction.attempts_in_flight and transaction.id in self.open:
             del self.open[transaction.id]
-            self.names.discard(transaction.name)
+            self.open_ids.discard(transaction.name)
             transaction.attempts.clear()  # they name it: a long body would stay until a collection of cycles
 
     def answer_all(self) -> int:
         """The program ends: answer what is open still as failed, and say how much that was."""
-        late = [transaction for transaction in self.open.values() if not transaction.over]
-        for transaction in late:
+        unanswered = [transaction for transaction in self.open.values() if not transaction.over]
+        for transaction in unanswered:
             self.unanswered += 1
             self.answer(transaction.id, Failed())
             self.post(face.Left(transaction.id))
-        return len(late)
+        return len(unanswered)
 
-    def overdue(self, transaction: Transaction) -> None:
+    def deadline_reached(self, transaction: Transaction) -> None:
         """The last guard: the client's deadline is here and nobody has answered."""
-        rest = transaction.message.rest
-        if transaction.out and rest is not None and not (rest.whole or rest.broken):  # its time has not begun
-            transaction.guard = self.deadlines.add(
-                self.clock() + transaction.span, partial(self.overdue, transaction)
+        body_pipe = transaction.message.rest
+        if (
+            transaction.attempts_in_flight
+            and body_pipe is not None
+            and not (body_pipe.whole or body_pipe.broken)
+        ):  # its time has not begun
+            transaction.deadline_timer = self.deadlines.add(
+                self.clock() + transaction.timeout_ms, partial(self.deadline_reached, transaction)
             )
         elif not transaction.over:
             self.unanswered += 1
--- a/brackenusher/upstream/pool.py
+++ b/brackenusher/upstream/pool.py
@@ -9,7 +9,7 @@
 from barleybarrow.subsets import Subset
 from brackenusher.upstream.listing import Host, Listing
 
-ROOM = 1024  # connections, until the driver says how many it may hold
+DEFAULT_MAX_CONNECTIONS = 1024  # connections, until the driver says how many it may hold
 STATES = {"ready": face.State.LIVE, "draining": face.State.DRAINING, "gone": face.State.GONE}
 
 
@@ -40,7 +40,7 @@
             held.link.close(Cause.LEFT)
 
 
-class Names:
+class NamePositions:
     """Positions of names; those that the settings lack get the next free ones."""
 
     def __init__(self, names: list[str]) -> None:
@@ -67,14 +67,14 @@
         self.clock, self.unix_offset = clock, unix_offset
         self.planner = Planner(
             connections or ConnectionSettings(),
-            ROOM,
+            DEFAULT_MAX_CONNECTIONS,
             seed,
             settings.conn_idle,
             settings.cold,
             settings.proxies,
         )
         self.drain_grace = settings.drain_grace
-        self.zones, self.kinds = Names(settings.zones), Names(settings.kinds)
+        self.zones, self.kinds = NamePositions(settings.zones), NamePositions(settings.kinds)
         self.members: dict[str, Member] = {}
         self.held = False  # a list has been taken
         self.bars: list[Callable[[Host], bool]] = []  # whether staff have taken one out of use
@@ -96,16 +96,16 @@
         """Apply a list, and word it for the module."""
         self.held, self.seq = True, listing.seq
         if self.subset is not None:
-            listing = self.narrow(listing, self.subset)
-        entries = [self.note(host) for host in listing.hosts if host.health in STATES]
+            listing = self.select_subset(listing, self.subset)
+        entries = [self.update_member(host) for host in listing.hosts if host.health in STATES]
         if listing.whole:
-            named = {entry.backend for entry in entries}
-            for name in [name for name in self.members if name not in named]:
+            listed_names = {entry.backend for entry in entries}
+            for name in [name for name in self.members if name not in listed_names]:
                 self.part(self.members.pop(name))
         scope = face.ListScope.COMPLETE if listing.whole else face.ListScope.CHANGES
         return face.ListChanged(scope, entries, listing.seq)
 
-    def narrow(self, listing: Listing, subset: Subset) -> Listing:
+    def select_subset(self, listing: Listing, subset: Subset) -> Listing:
         """What a list comes to for this proxy's subset, which it may change."""
         if listing.whole:
             self.listed = {}
@@ -117,32 +117,34 @@
         chosen = subset.choose(self.listed)
         if listing.whole:
             return Listing(listing.seq, True, [self.listed[name] for name in self.listed if name in chosen])
-        named = {host.name for host in listing.hosts}
+        listed_names = {host.name for host in listing.hosts}
         hosts = [host for host in listing.hosts if host.name in chosen or host.name in self.members]
-        hosts += [self.listed[name] for name in self.listed if name in chosen - named - set(self.members)]
+        hosts += [
+            self.listed[name] for name in self.listed if name in chosen - listed_names - set(self.members)
+        ]
         hosts = [host if host.name in chosen else replace(host, health="gone") for host in hosts]
-        out = [name for name in self.members if name not in chosen and name not in named]
+        dropped = [name for name in self.members if name not in chosen and name not in listed_names]
         return Listing(
-            listing.seq, False, hosts + [replace(self.listed[name], health="gone") for name in out]
+            listing.seq, False, hosts + [replace(self.listed[name], health="gone") for name in dropped]
         )
 
-    def note(self, host: Host) -> face.Entry:
+    def update_member(self, host: Host) -> face.Entry:
         """Bring one member up to date."""
         member = self.members.get(host.name)
         if member is None:
-            member = Member(host, self.begin(host))
+            member = Member(host, self.add_line(host))
             self.members[host.name] = member
         member.host = host
         if (member.address, member.born_ms) != (host.address, host.born_ms):
-            self.leave(member)  # what is held leads to a process that is no longer there
+            self.drop_connections(member)  # what is held leads to a process that is no longer there
             member.address, member.born_ms = host.address, host.born_ms
         health = host.health
-        if health == "ready" and self.bars and any(bars(host) for bars in self.bars):
+        if health == "ready" and self.bars and any(excludes(host) for excludes in self.bars):
             health = "draining"  # for the module it is on its way out, until staff say otherwise
         if health == "ready":
             member.left_at = None
             if member.line.left:
-                member.line = self.begin(host)
+                member.line = self.add_line(host)
         else:
             self.part(member)
             if health == "gone":
@@ -159,17 +161,19 @@
     def look_again(self, names: Iterable[str] | None = None) -> face.ListChanged:
         """Word some of the list anew, or all, after what staff have taken out of use has changed."""
         members = [self.members[name] for name in (names if names is not None else list(self.members))]
-        return face.ListChanged(face.ListScope.CHANGES, [self.note(m.host) for m in members], self.seq)
+        return face.ListChanged(
+            face.ListScope.CHANGES, [self.update_member(m.host) for m in members], self.seq
+        )
 
     def part(self, member: Member) -> None:
         if member.left_at is None:
             member.left_at = self.clock()
-        self.leave(member)
+        self.drop_connections(member)
 
-    def begin(self, host: Host) -> Line:
+    def add_line(self, host: Host) -> Line:
         return self.planner.join(host.name, self.clock(), self.module_time(host.born_ms))
 
-    def leave(self, member: Member) -> None:
+    def drop_connections(self, member: Member) -> None:
         """Keep nothing toward the member's present life: what is in flight finishes, the rest is closed."""
         for held in self.planner.leave(member.line):
             held.link.close(Cause.LEFT)
@@ -187,7 +191,7 @@
         held = self.planner.lend(member.line, self.clock(), safe)
         return held.link if held is not None else None
 
-    def spare(self) -> bool:
+    def evict_idle(self) -> bool:
         """Close an idle connection to make room; False where there is none."""
         held = self.planner.spare()
         if held is None:
--- a/tests/test_long.py
+++ b/tests/test_long.py
@@ -17,7 +17,7 @@
 from barleybarrow.settings import read_settings
 from brackenusher.core.admission import Request
 from brackenusher.core.message import LONGEST_BODY, Message
-from brackenusher.core.pipe import KEPT, LEAST, Budget, End, Pipe
+from brackenusher.core.pipe import MAX_REPLAYABLE_BYTES, MIN_WINDOW_BYTES, Budget, End, Pipe
 from brackenusher.fronts.http import Front, Rejection
 from brackenusher.fronts.http1.virtual_server import VirtualServer
 from brackenusher.upstream.flow import Flow
@@ -38,7 +38,7 @@
             got += pipe.take()
     pipe.finish()
     got += pipe.take()
-    assert got == b"".join(parts) and pipe.over and pipe.size == 0
+    assert got == b"".join(parts) and pipe.over and pipe.held_bytes == 0
     pipe.stop(End.WHOLE)
     pipe.stop()
     assert ends == [End.WHOLE] and budget.pipes == 0
@@ -47,8 +47,8 @@
 def test_the_budget_leaves_each_pipe_a_buffer_and_keeps_no_more_than_it_has():
     budget = Budget(4 * MB)
     pipes = [Pipe(budget) for _ in range(1000)]
-    assert budget.window == LEAST and not pipes[0].full
-    assert budget.may_keep(KEPT) and not budget.may_keep(KEPT + 1)
+    assert budget.window_bytes == MIN_WINDOW_BYTES and not pipes[0].full
+    assert budget.may_keep(MAX_REPLAYABLE_BYTES) and not budget.may_keep(MAX_REPLAYABLE_BYTES + 1)
     budget.kept = 2 * MB
     assert not budget.may_keep(1)
 
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -303,8 +303,8 @@
     pool = pool_of(host("a", Server))
     member = pool.members["a"]
     old, new = FakeConnection(pool, member), FakeConnection(pool, member)
-    assert pool.lend(member, True) is new and pool.spare() and old.closed
-    assert pool.lend(member, True) is None and not pool.spare()
+    assert pool.lend(member, True) is new and pool.evict_idle() and old.closed
+    assert pool.lend(member, True) is None and not pool.evict_idle()
 
 
 def test_deadlines_are_swept_in_order_and_a_fault_costs_only_itself():
--- a/tests/test_transaction.py
+++ b/tests/test_transaction.py
@@ -91,7 +91,7 @@
     assert first and world.arrive(name=b"a") is None and len(world.carrier.started) == 1
     world.owner.finished(world.carrier.started[0], Outcome.SERVED, Served(Content(b"board")))
     assert world.answers == [Served(Content(b"board"))] and world.arrive(name=b"a")
-    assert world.owner.names == {b"a"}
+    assert world.owner.open_ids == {b"a"}
 
 
 def test_an_outcome_that_comes_while_acting_waits_its_turn():
@@ -148,9 +148,9 @@
     # guards against sending for a client whose leaving still waits to be told to the module
     world = World(Script(TimerDue=lambda e: [face.Send(1, "a")]))
     transaction = world.arrive()
-    world.owner.acting = True
+    world.owner.dispatching = True
     world.owner.left(transaction)
-    world.owner.acting = False
+    world.owner.dispatching = False
     world.owner.events.appendleft(face.TimerDue(0))
     world.owner.post(face.TimerDue(0))
     outcomes = [e.outcome for e in world.owner.balancer.seen if isinstance(e, face.Finished)]
