--- a/brackenusher/core/__init__.py
+++ b/brackenusher/core/__init__.py
@@ -1,1 +1,1 @@
-"""Transactions, deadlines, observers: no protocol, no socket."""
+"""Transactions, admission, deadlines and pipes, independent of protocols and sockets."""
--- a/brackenusher/core/admission.py
+++ b/brackenusher/core/admission.py
@@ -1,7 +1,7 @@
-"""Admission: the one step between any front and the transactions. It takes a request in, or says why not.
+"""Admission control between the protocol front ends and the transactions: accepts a request or denies it.
 
-It knows no protocol: a front brings each request as a value and words the verdict in its own way. What is
-turned away here reaches neither the module nor a pool member.
+Independent of protocols: a front end passes each request as a value and encodes a denial in its own way. A
+denied request reaches neither the policy nor a pool member.
 """
 
 import time
@@ -21,67 +21,70 @@
 
 @dataclass(slots=True)
 class Request:
-    """A request that may be taken, as every front brings it."""
+    """A request to be admitted, as every front end passes it."""
 
-    name: bytes  # its id: no two that are open have the same
-    klass: int  # position of its class in the settings
-    span: float  # milliseconds that its client waits
-    tenant: int  # position in the settings, 0 where it names none
-    repeated: bool  # whether the client says that it asked before
+    name: bytes  # its id, unique among the open requests
+    klass: int  # index of its class in the settings
+    span: float  # milliseconds until its client gives up
+    tenant: int  # index in the settings, 0 if it names none
+    repeated: bool  # whether the client marks it as a retry
     message: Message
     token: bytes | None = field(default=None, repr=False)
     address: str = ""  # the client's
-    beyond: bool = False  # on a connection beyond the proxy's share of descriptors, taken only to be refused
-    free: int | None = None  # connections between requests, where clients need one each and may open no other
-    came: float = 0.0  # when its last byte was read: it may have waited behind others of its connection
-    gone: Callable[[], bool] = never_gone  # whether its client has closed its connection meanwhile
+    beyond: bool = False  # on a connection beyond the descriptor limit, accepted only to be refused
+    free: int | None = None  # idle client connections, if clients cannot open another
+    came: float = 0.0  # when its last byte was read; it may have queued behind others of its connection
+    gone: Callable[[], bool] = never_gone  # whether its client has disconnected meanwhile
 
 
 class Bar(Enum):
-    """What turned a request away."""
+    """Why a request was denied; the values appear in logs."""
 
-    ROOM = "room"  # the proxy's share of descriptors
-    SHUTDOWN = "end"  # the program stops, and too little time is left
+    ROOM = "room"  # the descriptor limit
+    SHUTDOWN = "end"  # the process is shutting down and too little time remains
     TOKEN = "token"
-    MARK = "mark"  # what staff have marked, or that it is not known here
-    POLICY = "policy"  # what the group agreed on, or that it is not known here
-    DOOR = "door"  # the limit of its tenant or address
-    ID = "id"  # that of an open request
+    MARK = "mark"  # an administrators' override, or overrides that are not known here yet
+    POLICY = "policy"  # the group's policy, or a policy that is not known here yet
+    DOOR = "door"  # of its tenant or address
+    ID = "id"  # an open request has the same id
 
 
 @dataclass(slots=True)
 class Verdict:
-    """Why a request was not taken: for a fault of its own, or it may come again after some milliseconds."""
+    """Why a request was not accepted: it has an error, or may be retried after some milliseconds."""
 
     bar: Bar
-    why: str = ""  # its fault: `open`, or what `barleybarrow.tokens` says; empty where it has none
+    why: str = ""  # its error: `open`, or one of `barleybarrow.tokens`; empty if it has none
     retry_after: float = 0.0
 
     @property
     def summary(self) -> str:
-        """For those who look on: by what, how, and to what end."""
+        """Summary for observers: reason, detail or Retry-After, and whether rejected or refused."""
         if self.why:
             return f"{self.bar.value} {self.why} rejected"
         return f"{self.bar.value} {self.retry_after:.0f} refused"
 
 
 class Gate(Protocol):
-    """What a group of proxies has agreed on, or holds together, as admission sees it."""
+    """A check by state that a group of proxies shares, such as a policy or overrides."""
 
     def ask(self, key: str, request: Request, now: float) -> float:
-        """Whether a request of the tenant `key` may come in: 0, or how many milliseconds to wait."""
+        """Return 0 if a request of the tenant `key` is admitted, or else the milliseconds to wait."""
 
 
 class IdempotencyLookup(Protocol):
-    """What is known of keyed requests that may have been here before, through this proxy or another."""
+    """Looks up recorded outcomes of requests with an idempotency key, at this proxy or another."""
 
     def ask(self, request: Request) -> "Before | None":
-        """Where it may have run, or its answer; None where nothing is known."""
+        """Return the answer or the server that may have executed it; None if nothing is recorded."""
 
 
 @dataclass(frozen=True, slots=True)
 class Before:
-    """What became of an earlier try: its answer, or where that may have run and until when it is dropped."""
+    """Recorded outcome of an earlier try: its answer, or the server that may have executed it.
+
+    That server drops retries until the time `until`.
+    """
 
     content: Content | None = None
     server: str = ""
@@ -92,7 +95,7 @@
 
 
 class Admission:
-    """Lets requests in to the transactions: no token, no room or too many of them keep one out."""
+    """Admits requests to the transactions, subject to tokens, policies, rate limits and capacity."""
 
     def __init__(
         self,
@@ -112,15 +115,13 @@
             tokens.READ if c.effect is Effect.SAFE else tokens.SUBMIT for c in settings.classes
         ]
         self.max_retry_after_ms = settings.max_retry_after
-        self.gates: list[tuple[Bar, Gate]] = []  # where proxies agree on a policy, or hold marks of staff
-        self.past: IdempotencyLookup | None = (
-            None  # where proxies tell each other the fates of keyed requests
-        )
-        self.shutdown: GracefulShutdown | None = None  # once the program is to stop: the plan of its end
-        self.at_the_end = 0  # requests refused because the end was near
+        self.gates: list[tuple[Bar, Gate]] = []  # in a group of proxies
+        self.past: IdempotencyLookup | None = None  # if proxies share idempotency records
+        self.shutdown: GracefulShutdown | None = None  # set once the process is to stop
+        self.at_the_end = 0  # requests refused because of the shutdown
 
     def admit(self, request: Request, reply: Callable[[Answer], None]) -> Transaction | Verdict:
-        """Take a request, whose final answer `reply` gets once, maybe before this returns; or say why not."""
+        """Accept a request, whose final answer `reply` gets once, maybe before this returns, or deny it."""
         denial = self.check(request)
         if denial is None:
             recorded = self.past.ask(request) if self.past is not None else None
@@ -146,22 +147,22 @@
         return denial
 
     def answered(self, transaction: Transaction, answer: Answer) -> None:
-        """A front has the final answer of a request that was taken; at the end it counts how long it took."""
+        """Handle that a front end has the final answer of a request; a shutdown plan records its latency."""
         if self.shutdown is not None and isinstance(answer, Served):
             self.shutdown.answered(self.transactions.clock() - transaction.arrived)
 
     def whole(self, transaction: Transaction) -> None:
-        """The rest of the body of a request that was taken before has come."""
+        """Handle that the body of an accepted request is complete."""
         self.transactions.body_complete(transaction)
 
     def left(self, transaction: Transaction) -> None:
-        """The client of a request that was taken has gone."""
+        """Handle that the client of an accepted request has disconnected."""
         self.transactions.left(transaction)
 
     def check(self, request: Request) -> Verdict | None:
-        """Say why a request is to be kept out, if it is.
+        """Return why a request is denied, if it is.
 
-        Tokens come before the door: a forged owner must not drain a tenant's bucket.
+        Tokens are checked before the rate limit: a forged owner must not drain a tenant's bucket.
         """
         if request.beyond:
             return Verdict(Bar.ROOM, retry_after=self.max_retry_after_ms)
@@ -189,7 +190,7 @@
         return None
 
     def fits_shutdown_plan(self, request: Request, plan: GracefulShutdown) -> bool:
-        """Whether a request can still be taken, with its time cut to what is left."""
+        """Whether a request can still be accepted during shutdown; shorten its timeout to the time left."""
         now, open_count = self.transactions.clock(), len(self.transactions.open)
         timeout_ms = plan.cut(now, request.span, open_count)
         if request.span and not timeout_ms:
@@ -201,5 +202,5 @@
 
 
 def name_of(owner: bytes | None) -> str:
-    """A tenant's key at the door, as long as it counts; requests that name none share one of their own."""
+    """A tenant's key in the rate limiter, truncated to its limit; requests without a tenant share one key."""
     return "" if owner is None else owner[:LONGEST_KEY].decode("latin-1")
--- a/brackenusher/core/pipe.py
+++ b/brackenusher/core/pipe.py
@@ -1,35 +1,36 @@
-"""Bytes on their way from one peer to another, with a bound, and the budget that all of them share.
+"""Bounded byte pipes from one peer to another, and the memory budget that they share.
 
-Neither knows a socket or a protocol. Who writes stops while a pipe is full, who reads waits while it is
-empty; each is woken by the other. A pipe ends once: whole, broken by its writer, or given up by its reader.
+Independent of sockets and protocols. The writer stops while a pipe is full, the reader waits while it is
+empty, and each wakes the other. A pipe ends once: complete, broken off by its writer, or given up by its
+reader.
 """
 
 from collections.abc import Callable
 from enum import Enum
 
-MIN_WINDOW_BYTES = 16 * 1024  # bytes that each pipe may hold, however many there are
-MAX_WINDOW_BYTES = 128 * 1024  # bytes that a pipe holds at most
-MAX_REPLAYABLE_BYTES = 1024 * 1024  # bytes of a body that are kept at most, so that it can be sent again
+MIN_WINDOW_BYTES = 16 * 1024  # of each pipe, for any number of pipes
+MAX_WINDOW_BYTES = 128 * 1024  # of each pipe
+MAX_REPLAYABLE_BYTES = 1024 * 1024  # of a body that is buffered completely, so that it can be sent again
 
 
 def nothing() -> None:
-    """Nobody is to be woken."""
+    """Default callback: there is nobody to wake."""
 
 
 class Budget:
-    """Bytes that bodies and answers may hold in memory beyond what is always kept of each."""
+    """Memory budget of request and response bodies beyond the minimum that each may always use."""
 
     def __init__(self, total: int) -> None:
         self.total_bytes, self.kept, self.pipes = total, 0, 0
-        self.broken_pipes = self.opened_pipes = 0  # pipes that did not end whole, and all that there were
+        self.broken_pipes = self.opened_pipes = 0  # since the start
 
     def may_keep(self, size: int) -> bool:
-        """Whether a body that grew to `size` bytes may be kept whole."""
+        """Whether a body that has grown to `size` bytes may be buffered completely."""
         return size <= MAX_REPLAYABLE_BYTES and self.kept + size <= self.total_bytes // 2
 
     @property
     def window_bytes(self) -> int:
-        """How many bytes each pipe may hold just now."""
+        """The number of bytes that each pipe may hold now."""
         return min(max(self.total_bytes // 2 // max(self.pipes, 1), MIN_WINDOW_BYTES), MAX_WINDOW_BYTES)
 
 
@@ -37,12 +38,12 @@
     """How a pipe ended."""
 
     WHOLE = "whole"
-    BROKEN = "broken"  # its writer cannot go on
-    GIVEN_UP = "given up"  # its reader has gone
+    BROKEN = "broken"  # its writer failed
+    GIVEN_UP = "given up"  # its reader is gone
 
 
 class Pipe:
-    """One body or answer."""
+    """One request or response body in transit."""
 
     __slots__ = (
         "budget",
@@ -61,16 +62,16 @@
     def __init__(self, budget: Budget) -> None:
         self.budget = budget
         self.parts: list[bytes] = []
-        self.held_bytes = self.came = 0  # bytes that are held, and all that came
+        self.held_bytes = self.came = 0  # bytes held now, and bytes written so far
         self.whole = self.broken = self.closed = False
         self.end: End | None = None
-        self.tell: list[Callable[[End], None]] = []  # told once how it ended
+        self.tell: list[Callable[[End], None]] = []  # called once with the way it ended
         self.to_reader: Callable[[], None] = nothing
         self.to_writer: Callable[[], None] = nothing
         budget.pipes += 1
         budget.opened_pipes += 1
 
-    # for who writes
+    # Writer's side
 
     @property
     def full(self) -> bool:
@@ -84,32 +85,32 @@
             self.to_reader()
 
     def finish(self) -> None:
-        """Nothing more comes: it is whole."""
+        """End the pipe as complete."""
         self.whole = True
         self.to_reader()
 
     def fail(self) -> None:
-        """Nothing more comes, and it is not whole."""
+        """End the pipe as incomplete."""
         if not self.whole and not self.broken:
             self.broken = True
             self.to_reader()
 
-    # for who reads
+    # Reader's side
 
     @property
     def over(self) -> bool:
-        """Whether nothing is left to be read, nor will come."""
+        """Whether nothing is left to read and nothing more will follow."""
         return not self.parts and (self.whole or self.broken)
 
     def take(self) -> bytes:
-        """All that is held."""
+        """Take all bytes held."""
         data = self.parts[0] if len(self.parts) == 1 else b"".join(self.parts)
         self.parts, self.held_bytes = [], 0
         self.to_writer()
         return data
 
     def stop(self, end: End = End.GIVEN_UP) -> None:
-        """The reader is done with it: it went, or all was passed on. Only the first word counts."""
+        """End the reader's side: it is gone, or has read everything. Only the first call counts."""
         if self.end is not None:
             return
         self.end, self.closed, self.parts, self.held_bytes = end, True, [], 0
--- a/brackenusher/core/transaction.py
+++ b/brackenusher/core/transaction.py
@@ -1,7 +1,7 @@
-"""Owns every transaction: turns what happens into the module's events and carries out its actions.
+"""Manages all transactions: turns what happens into events of the policy and carries out its actions.
 
-Nothing here knows a wire or a socket. Admission brings a message, which nobody looks into here, and a way to
-reply; a carrier makes attempts, each of which comes back with one outcome. Each transaction gets one final
+Independent of protocols and sockets. Admission passes an opaque message and a callback for the reply; a
+transport carries out attempts, each of which ends with one outcome. Each transaction gets exactly one final
 answer.
 """
 
@@ -23,39 +23,39 @@
 
 log = logging.getLogger(__name__)
 
-RESERVE = 10.0  # milliseconds kept back, so that an answer is there before the client gives up
+RESERVE = 10.0  # milliseconds reserved so that a response arrives before the client gives up
 
 
 @dataclass(slots=True)
 class Served:
-    """Final answer: what a pool member answered."""
+    """Final answer: a pool member's response."""
 
     content: Content
 
 
 @dataclass(slots=True)
 class Refused:
-    """Final answer: trying again is harmless, after so many milliseconds."""
+    """Final answer: not executed, safe to retry after so many milliseconds."""
 
     retry_after: float
 
 
 @dataclass(slots=True)
 class Failed:
-    """Final answer: failed, nothing promised."""
+    """Final answer: failed; it may have been executed."""
 
 
 Answer = Served | Refused | Failed
 
 
 def never_gone() -> bool:
-    """A client that never closes its connection while it waits, or of whom that is not known."""
+    """Default for a client that does not disconnect while it waits, or where that cannot be known."""
     return False
 
 
 @dataclass(slots=True, eq=False)
 class Transaction:
-    """A request that was taken, until it is answered and none of its attempts is out."""
+    """An accepted request, until it is answered and none of its attempts is in flight."""
 
     id: int
     name: bytes
@@ -65,35 +65,35 @@
     tenant: int
     arrived: float
     deadline: float
-    timeout_ms: float = 0.0  # milliseconds that its client waits, from the last byte of its request
+    timeout_ms: float = 0.0  # from the last byte of the request
     client_gone: Callable[[], bool] = (
-        never_gone  # whether its client has closed, though nobody was told of it yet
+        never_gone  # whether its client has disconnected, even if not yet reported
     )
     deadline_timer: Entry | None = None
-    over: bool = False  # answered, or nobody is there to be answered
+    over: bool = False  # answered, or its client is gone
     attempts: list["Attempt"] = field(default_factory=list)
     attempts_in_flight: int = 0
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One server-side flow of a transaction; the carrier calls `ended` with its one outcome."""
+    """One attempt of a transaction at a backend; the transport reports its single outcome by the callback."""
 
     transaction: Transaction
     number: int
     backend: str
     message: Message
     sent_at: float
-    timeout_ms: float  # milliseconds that the module waits for it at most, 0 for as long as the client does
+    timeout_ms: float  # of the policy for this attempt; 0 for the client's own
     deadline: float
-    ended: Callable[[Any, Outcome, Served | None], None]  # the first is the attempt
+    ended: Callable[[Any, Outcome, Served | None], None]  # the first argument is the attempt
     outcome: Outcome | None = None
-    carriage: Any = None  # the carrier's own
-    response_started_at: float = 0.0  # when an answer that takes its time began to come
+    carriage: Any = None  # the transport's state of the attempt
+    response_started_at: float = 0.0  # when a response that is streamed began to arrive
 
 
 class Carrier(Protocol):
-    """What carries out the actions that leave the program."""
+    """Carries out the actions that involve a backend."""
 
     def start(self, attempt: Attempt) -> None: ...
     def cancel(self, attempt: Attempt) -> None: ...
@@ -104,18 +104,18 @@
 
 @dataclass(slots=True)
 class Observers:
-    """Who looks on. They change nothing, and their faults are logged and cost nobody an answer."""
+    """Callbacks of observers. Their failures are logged and affect no request."""
 
-    # the module was told an event at a time and called for actions, which come next
+    # the policy handled an event and returned actions, which are carried out next
     handled: tuple[Callable[[float, face.Event, Sequence[face.Action]], None], ...] = ()
-    # the final answer is about to be given; None where the client left without one
+    # the final answer is about to be sent; None if the client disconnected without one
     answered: tuple[Callable[[Transaction, Answer | None], None], ...] = ()
-    # a request that could be read is not taken; the verdict says by whom, what, and to what end
+    # a well-formed request was denied; the text summarizes why
     turned_away: tuple[Callable[[Any, str], None], ...] = ()
 
 
 class Transactions:
-    """All transactions of the program, and the module that decides on them."""
+    """All transactions of the process, and the policy that decides on them."""
 
     def __init__(
         self, balancer: Balancer, clock: Callable[[], float], deadlines: Deadlines, transport: Carrier
@@ -123,7 +123,7 @@
         self.balancer, self.clock, self.deadlines, self.transport = balancer, clock, deadlines, transport
         self.observers = Observers()
         self.open: dict[int, Transaction] = {}
-        self.open_ids: set[bytes] = set()  # of what is open: no two may be known to pool members as one
+        self.open_ids: set[bytes] = set()  # pool members identify requests by them
         self.events: deque[face.Event] = deque()
         self.closing: list[Transaction] = []
         self.dispatching, self.taken, self.unanswered = False, 0, 0
@@ -139,7 +139,7 @@
         }
 
     def begin(self) -> None:
-        """Carry out what the module asks for at its start."""
+        """Carry out the policy's initial actions."""
         self.execute(self.balancer.begin())
 
     def arrive(
@@ -156,11 +156,12 @@
         recorded_content: Content | None = None,
         client_gone: Callable[[], bool] = never_gone,
     ) -> Transaction | None:
-        """Take a request whose client waits for `span` milliseconds; `reply` gets its final answer.
+        """Accept a request whose client waits for `timeout_ms`; `reply` gets its final answer.
 
-        With `known` that is it; with `bound` it goes where it may have run already, or nowhere.
+        `recorded_content`, if given, is the final answer. With `bound_backend` the request may only go to
+        this backend, which may have executed it already.
 
-        None, and nothing is taken, where one of that name is still open.
+        Returns None, and accepts nothing, if a request with the same id is still open.
         """
         if request_id in self.open_ids:
             return None
@@ -193,31 +194,31 @@
         return transaction
 
     def turn_away(self, request: Any, summary: str) -> None:
-        """Note that a request that could be read is not taken."""
+        """Notify observers that a well-formed request was denied."""
         self.notify(self.observers.turned_away, request, summary)
 
     def left(self, transaction: Transaction) -> None:
-        """The client has gone."""
+        """Handle that the client has disconnected."""
         if not transaction.over:
             self.close(transaction)
             self.notify(self.observers.answered, transaction, None)
             self.post(face.Left(transaction.id))
 
     def finished(self, attempt: Attempt, outcome: Outcome, served: Served | None = None) -> None:
-        """An attempt has ended; only the first word of it counts."""
+        """Handle the end of an attempt; only the first call for it counts."""
         if attempt.outcome is not None:
             return
         attempt.outcome, transaction = outcome, attempt.transaction
         transaction.attempts_in_flight -= 1
         if served is not None and not self.answer(transaction.id, served) and served.content.rest:
-            served.content.rest.stop()  # nobody is there to read it
+            served.content.rest.stop()  # nobody reads it
         streamed = served is not None and served.content.rest is not None and attempt.response_started_at
         elapsed = (attempt.response_started_at if streamed else self.clock()) - attempt.sent_at
         self.post(face.Finished(transaction.id, attempt.number, outcome, elapsed, transaction.over))
         self.remove_if_done(transaction)
 
     def post(self, event: face.Event) -> None:
-        """Hand an event to the module; one that is raised while acting on another waits its turn."""
+        """Pass an event to the policy; events raised while another one is handled are queued."""
         self.events.append(event)
         if self.dispatching:
             return
@@ -242,7 +243,7 @@
                 self.remove_if_done(transaction)
 
     def notify(self, observers: Sequence[Callable[..., None]], *arguments: Any) -> None:
-        """Let those who look on know of something."""
+        """Call the observers."""
         for observer in observers:
             try:
                 observer(*arguments)
@@ -260,7 +261,7 @@
                 self.fail_request_of(action)
 
     def fail_request_of(self, item: Any) -> None:
-        """Answer the one transaction that a fault concerns, if it concerns one."""
+        """Fail the transaction that an event or an action refers to, if any."""
         transaction = self.open.get(getattr(item, "request", -1))
         if transaction is not None and not transaction.over:
             self.answer(transaction.id, Failed())
@@ -275,7 +276,7 @@
         )
         transaction.attempts.append(attempt)
         transaction.attempts_in_flight += 1
-        if transaction.over or message.partly_sent:  # or what was passed on of its body is no longer here
+        if transaction.over or message.partly_sent:  # part of its body was forwarded and is no longer here
             self.finished(attempt, Outcome.NOT_SENT)
             return
         try:
@@ -285,19 +286,19 @@
             self.finished(attempt, Outcome.NOT_SENT)
 
     def may_start(self, attempt: Attempt) -> bool:
-        """Asked when an attempt is to begin: whether it still may, and its client is there to be answered.
+        """Whether an attempt may still be sent and its client is still connected.
 
-        The module saw to that when it decided, but the connection may have come up late.
+        The policy checked this when it decided, but the connection may have been established late.
         """
         transaction, now = attempt.transaction, self.clock()
         if not transaction.over and transaction.client_gone():
             self.left(transaction)
         if transaction.over or transaction.message.rest is None and now >= attempt.deadline:
-            return False  # the time of one with a body in pieces counts from the last byte of that
+            return False  # the timeout of a streamed body starts with its last byte
         conf = self.balancer.conf.classes[transaction.klass]
         earlier = transaction.attempts[: attempt.number] if conf.effect is Effect.KEYED else ()
         sent = (other.sent_at for other in earlier if other.outcome not in PROVEN)
-        return now < min(sent, default=math.inf) + conf.window  # its repeats are dropped so long
+        return now < min(sent, default=math.inf) + conf.window  # the backend drops retries for this time
 
     def cancel_attempt(self, action: face.Cancel) -> None:
         transaction = self.open.get(action.request)
@@ -309,7 +310,7 @@
             self.finished(attempt, Outcome.CANCELLED)
 
     def answer(self, request: int, answer: Answer) -> bool:
-        """Give the final answer; False where there was one."""
+        """Give the final answer; False if there already was one."""
         transaction = self.open.get(request)
         if transaction is None or transaction.over:
             return False
@@ -320,7 +321,7 @@
         return True
 
     def body_complete(self, transaction: Transaction) -> None:
-        """The body of a request that is sent on in pieces has come whole: from now on its time counts."""
+        """Handle that a streamed request body is complete: its timeouts start now."""
         if transaction.over:
             return
         now = self.clock()
@@ -339,20 +340,21 @@
     def close(self, transaction: Transaction) -> None:
         transaction.over = True
         self.deadlines.remove(transaction.deadline_timer)
-        transaction.deadline_timer = None  # it names the transaction in turn
+        transaction.deadline_timer = None  # breaks a reference cycle
         self.remove_if_done(transaction)
 
     def remove_if_done(self, transaction: Transaction) -> None:
-        """Drop what is over; later while acting, as the module may still name what it thinks is open."""
+        """Remove a finished transaction; while dispatching later, as the policy may still refer to it."""
         if self.dispatching:
             self.closing.append(transaction)
         elif transaction.over and not transaction.attempts_in_flight and transaction.id in self.open:
             del self.open[transaction.id]
             self.open_ids.discard(transaction.name)
-            transaction.attempts.clear()  # they name it: a long body would stay until a collection of cycles
+            # Breaks a reference cycle, which would keep a long body until the next garbage collection.
+            transaction.attempts.clear()
 
     def answer_all(self) -> int:
-        """The program ends: answer what is open still as failed, and say how much that was."""
+        """Fail all open transactions at the end of the process, and return their number."""
         unanswered = [transaction for transaction in self.open.values() if not transaction.over]
         for transaction in unanswered:
             self.unanswered += 1
@@ -361,13 +363,14 @@
         return len(unanswered)
 
     def deadline_reached(self, transaction: Transaction) -> None:
-        """The last guard: the client's deadline is here and nobody has answered."""
+        """Fail a transaction that is unanswered at the client's deadline, as a last resort."""
         body_pipe = transaction.message.rest
+        # The timeout of a streamed request starts with the last byte of its body.
         if (
             transaction.attempts_in_flight
             and body_pipe is not None
             and not (body_pipe.whole or body_pipe.broken)
-        ):  # its time has not begun
+        ):
             transaction.deadline_timer = self.deadlines.add(
                 self.clock() + transaction.timeout_ms, partial(self.deadline_reached, transaction)
             )
--- a/brackenusher/upstream/connections.py
+++ b/brackenusher/upstream/connections.py
@@ -1,4 +1,4 @@
-"""The driver toward pool members: sockets round the flows. It keeps time limits and decides nothing."""
+"""I/O driver of the connections to pool members: sockets and timeouts around the codec."""
 
 import logging
 import socket
@@ -25,19 +25,15 @@
 
 log = logging.getLogger(__name__)
 
-DEFAULT_CONNECT_TIMEOUT_MS = 1000.0  # where the settings name none
-RESPONSE_STALL_TIMEOUT_MS = (
-    250.0  # an answer that has begun and is to be whole before it is passed on goes on in this time
-)
-STREAM_AFTER_MS = (
-    150.0  # one that does not say how long it is is passed on as it comes, from so long after its begin
-)
-STREAM_STALL_TIMEOUT_MS = 10_000.0  # an answer that is passed on in pieces goes on in this time
-REQUEST_STALL_TIMEOUT_MS = 5_000.0  # a member takes some more of a body in this time
+DEFAULT_CONNECT_TIMEOUT_MS = 1000.0  # unless the settings have one
+RESPONSE_STALL_TIMEOUT_MS = 250.0  # between bytes of a response that is forwarded once complete
+STREAM_AFTER_MS = 150.0  # after its first byte, a response of unknown length is streamed
+STREAM_STALL_TIMEOUT_MS = 10_000.0  # between bytes of a streamed response
+REQUEST_STALL_TIMEOUT_MS = 5_000.0  # in which a member has to accept some of a streamed request body
 
 
 class Upstream:
-    """Carries attempts to pool members."""
+    """Carries out attempts at pool members."""
 
     def __init__(
         self,
@@ -55,20 +51,18 @@
             max_connections,
             buffers,
         )
-        self.budget = budget  # for answers that are passed on in pieces; none: there are none
+        self.budget = budget  # of streamed responses; None: responses are not streamed
         self.connect_timeout_ms = settings.connect_timeout or DEFAULT_CONNECT_TIMEOUT_MS
         self.planner = pool.planner
         self.planner.room = max_connections
-        self.written = 0  # attempts that were written whole, probes apart
-        self.sweep_scheduled = False  # the planner's sweep is due at some time
-        self.reported_counts: Counter[tuple[str, str]] = (
-            Counter()
-        )  # counters as they were told last, by name and cause
-        self.owner: Transactions  # set by who makes the transactions, which need this first
+        self.written = 0  # attempts written completely, without probes
+        self.sweep_scheduled = False  # a sweep of the planner is scheduled
+        self.reported_counts: Counter[tuple[str, str]] = Counter()  # by name and cause
+        self.owner: Transactions  # set by the creator of the transactions, which need this object first
         self.watch = lambda: None
 
     def start(self, attempt: "Attempt | Probe") -> None:
-        """Send an attempt on an idle connection, or on a new one."""
+        """Start an attempt on an idle connection or on a new one."""
         self.assign(attempt, self.pool.members[attempt.backend])
 
     def assign(self, attempt: "Attempt | Probe", member: Member) -> None:
@@ -100,7 +94,7 @@
         return ServerLink(self, member, sock, done, ahead)
 
     def sweep(self) -> None:
-        """Retire what is due, and open ahead what is wanted, as the planner says."""
+        """Close and open connections as the planner says."""
         expired, wanted = self.planner.sweep(clock())
         for held, cause in expired:
             held.link.close(cause)
@@ -113,7 +107,7 @@
             self.loop.deadlines.add(clock() + self.planner.every, self.sweep)
 
     def figures(self) -> list[tuple[str, int, str, list[tuple[str, str]]]]:
-        """What came to be counted since the last call, and how many connections are held."""
+        """Counter increments since the last call, and the numbers of open connections."""
         planner = self.planner
         counts = {("connections_closed", cause.value): count for cause, count in planner.closes.items()}
         counts["connections_opened", ""] = planner.opened
@@ -140,7 +134,7 @@
             member.hang_up()
 
     def probe(self, backend: str) -> None:
-        """Ask a member for its report, or where there are none whether it lives."""
+        """Request a member's load report, or its health if members do not report."""
         reports = bool(self.settings.probe_reports)
         message = Message(b"GET", b"/stats" if reports else b"/health/live")
         now = clock()
@@ -153,19 +147,19 @@
 
 @dataclass(slots=True)
 class Probe:
-    """A probe travels like an attempt but belongs to no transaction."""
+    """A health probe: sent like an attempt, but without a transaction."""
 
     backend: str
     message: Message
     sent_at: float
     deadline: float
-    ended: Callable[[Any, Outcome, Served | None], None]  # as an attempt's
+    ended: Callable[[Any, Outcome, Served | None], None]  # as of an attempt
     carriage: "ServerLink | None" = None
     response_started_at: float = 0.0
 
 
 def read_report(body: bytes) -> dict[str, float]:
-    """Read name=value pairs, leaving aside what is not known."""
+    """Parse name=value pairs, ignoring unknown names."""
     report = {}
     for pair in body.decode("utf-8", "replace").strip().split(","):
         name, _, value = pair.partition("=")
@@ -196,11 +190,11 @@
         self.connect_timer: Entry | None = None
         self.deadline_timer: Entry | None = None
         self.stall: Entry | None = None
-        self.written_at: float | None = None  # when the present request was written whole
-        self.rechecked = False  # its time was up, and it was looked once more for an answer
+        self.written_at: float | None = None  # when the present request was written completely
+        self.rechecked = False  # a last read was made after the deadline
         self.close_cause = Cause.FAULT
         self.flow = Flow(f"{member.address[0]}:{member.address[1]}".encode(), upstream.budget)
-        self.progress_at = 0.0  # when the peer last took or gave something
+        self.progress_at = 0.0  # when the peer last accepted or sent bytes
         self.result: AttemptResult | None = None
         if not connected:
             until = clock() + upstream.connect_timeout_ms
@@ -208,9 +202,9 @@
         self.task = upstream.loop.spawn(self.run(connected), sock)
 
     def carry(self, attempt: "Attempt | Probe") -> None:
-        """Take on an attempt."""
+        """Start an attempt on this connection."""
         self.attempt, self.written_at, self.rechecked, attempt.carriage = attempt, None, False, self
-        if attempt.message.rest is None:  # else its time counts from the last byte of its body
+        if attempt.message.rest is None:  # else its timeout starts with the last byte of its body
             self.deadline_timer = self.upstream.loop.deadlines.add(attempt.deadline, self.expired)
         self.task.wake()
 
@@ -218,7 +212,7 @@
         try:
             if not connected:
                 while not (yield WRITE):
-                    pass  # an attempt was taken on meanwhile
+                    pass  # woken because an attempt was assigned
                 if self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
                     self.finish_attempt(Outcome.CONNECT_FAILED, cause=Cause.REFUSED)
                     return
@@ -229,30 +223,29 @@
             while True:
                 while self.attempt is None:
                     if (yield READ) and self.attempt is None and not self.healthy():
-                        return  # it has ended, or sent what nobody asked for
+                        return  # closed by the peer, or unsolicited data
                 if not (yield from self.exchange()):
                     return
         finally:
             self.clean_up()
 
     def exchange(self) -> Generator[int, int, bool]:
-        """One request and its answer; whether the connection can carry another."""
+        """Carry out one request; return whether the connection can be reused."""
         if not self.upstream.pool.may_begin(self.member):
-            return self.finish_attempt(
-                Outcome.CONNECT_FAILED, cause=Cause.LEFT
-            )  # queued on the connect past the limit
+            # it waited for the connect until after the drain limit
+            return self.finish_attempt(Outcome.CONNECT_FAILED, cause=Cause.LEFT)
         if not self.healthy():
             return self.retry_on_another(self.close_cause)
         attempt, self.result = self.attempt, None
         assert attempt is not None
         if isinstance(attempt, Attempt) and not self.upstream.owner.may_start(attempt):
-            # it is none of this connection's; where it was cancelled on that account, this one is closed
+            # not this connection's fault; if the attempt was cancelled meanwhile, the connection is closed
             return self.attempt is not None and self.finish_attempt(Outcome.NOT_SENT, reusable=True)
         try:
             written = yield from self.send_request(attempt)
         except OSError:
             return self.retry_on_another(Cause.UNWRITTEN)
-        if not written:  # it answered or ended before it had the whole request, or the client went
+        if not written:  # the member responded or closed early, or the client is gone
             early_result: AttemptResult | None = self.result
             if early_result is None:
                 return self.finish_attempt(Outcome.NOT_SENT, cause=Cause.GIVEN_UP)
@@ -283,7 +276,7 @@
         return self.finish_attempt(result.outcome, result.served, reusable, Cause.TOLD)
 
     def finish_response(self) -> bool:
-        """An answer has come whole; whether the connection can carry another."""
+        """Handle a complete response; return whether the connection can be reused."""
         self.planner.answered(self.held, clock())
         reusable = self.flow.renew()
         if self.flow.keep_alive_s is not None:
@@ -291,9 +284,9 @@
         return reusable
 
     def send_request(self, attempt: "Attempt | Probe") -> Generator[int, int, bool]:
-        """Write a request with all of its body, however that comes; False if it was not written whole.
+        """Write a request with its whole body; False if it could not be written completely.
 
-        `reply` then says what came instead; without one it is the client that does not go on.
+        `result` is then set if the member responded or closed; otherwise the client did not go on.
         """
         message, pipe = attempt.message, attempt.message.rest
         unsent = memoryview(self.flow.request(message, attempt.deadline - clock()))
@@ -307,7 +300,7 @@
                 if pipe.parts:
                     message.partly_sent = True
                     unsent = memoryview(self.flow.encode_body(pipe.take()))
-                elif pipe.whole:  # its time counts already
+                elif pipe.whole:  # its timeout has started
                     self.deadline_timer = self.upstream.loop.deadlines.add(attempt.deadline, self.expired)
                     unsent, pipe = memoryview(self.flow.encode_end()), None
                 elif pipe.broken:
@@ -317,7 +310,7 @@
                 if len(unsent) < size_before:
                     self.progress_at = clock()
             elif pipe is not None:
-                self.progress_at = clock()  # it is the client that has to go on
+                self.progress_at = clock()  # waits for the client, not for the member
             if not unsent and pipe is None:
                 if message.rest is not None:
                     self.stop_stall_timer()
@@ -329,7 +322,7 @@
                         return False
 
     def stream_response(self) -> Generator[int, int, bool]:
-        """Pass the rest of an answer on in pieces, as the client takes them; the attempt has been served."""
+        """Stream the rest of a response at the client's pace; the attempt counts as served."""
         pipe, result, codec = self.flow.rest, self.result, self.flow
         assert pipe is not None and result is not None
         attempt = self.detach_attempt()
@@ -343,7 +336,7 @@
                 if (yield 0 if full else READ) or not full:
                     self.receive()
                 if full:
-                    self.progress_at = clock()  # it is the client that has to go on
+                    self.progress_at = clock()  # waits for the client, not for the member
         except OSError:
             pass
         finally:
@@ -364,7 +357,7 @@
         self.result = self.flow.receive(data)
 
     def start_stall_timer(self, timeout_ms: float, on_stall: Callable[[], None]) -> None:
-        """Have something called once the peer has not moved for a span of milliseconds."""
+        """Have `on_stall` called once the peer has made no progress for this time."""
         self.stop_stall_timer()
         self.progress_at = clock()
         self.schedule_stall_check(timeout_ms, on_stall)
@@ -385,36 +378,35 @@
         self.stall = None
 
     def retry_on_another(self, cause: Cause) -> bool:
-        """The request has not run, which is proven: the last byte of it was not written.
+        """Handle a request that cannot have been executed, as its last byte was not written.
 
-        On a connection that stood idle this tells nothing of the member, and another is tried at once; each
-        such try has one idle connection less, so there is an end to it.
+        On a connection that was idle this says nothing about the member, and the request is retried at once
+        on another connection. Each such retry uses up one idle connection, so their number is bounded.
         """
         planner, held, now, attempt = self.planner, self.held, clock(), self.attempt
         assert attempt is not None
-        same_process = (
-            held.line is self.member.line and not held.line.left
-        )  # still the life that the module chose
+        # Whether this is still the process that the policy chose.
+        same_process = held.line is self.member.line and not held.line.left
         same_process = same_process and not attempt.message.partly_sent
         if held.age < 0 or not same_process or not planner.settings.rescue or now >= attempt.deadline:
             return self.finish_attempt(Outcome.CONNECT_FAILED, cause=cause)
         self.detach_attempt()
         self.close_cause = cause
         planner.rescued += 1
-        planner.closed(held, now, cause)  # first, as what comes instead needs its room
+        planner.closed(held, now, cause)  # first, as its replacement counts towards the limit
         self.upstream.assign(attempt, self.member)
         return False
 
     def connection_reset(self) -> bool:
-        """The connection ended under a request that was written whole: it may have run."""
+        """Handle the loss of the connection after a request was written: it may have been executed."""
         if self.written_at is not None and not self.flow.begun:
             self.planner.lost(self.held, clock(), self.written_at, reset=True)
-        if self.flow.rest is not None:  # it had just been found to take its time, and nobody has it yet
+        if self.flow.rest is not None:  # streaming had just started, and nobody reads the pipe yet
             self.flow.rest.stop()
         return self.finish_attempt(Outcome.RESET, cause=Cause.RESET)
 
     def detach_attempt(self) -> "Attempt | Probe | None":
-        """Let go of the attempt, whatever becomes of it."""
+        """Detach the attempt from this connection, and cancel its timers."""
         deadlines, attempt, self.attempt = self.upstream.loop.deadlines, self.attempt, None
         deadlines.remove(self.deadline_timer)
         self.stop_stall_timer()
@@ -431,18 +423,18 @@
         reusable: bool = False,
         cause: Cause = Cause.FAULT,
     ) -> bool:
-        """Tell what the attempt came to; whether the connection was kept, else it ends for a cause.
+        """Report the outcome of the attempt; return whether the connection is kept.
 
-        It is offered before the outcome is told, as the module may send the next attempt on hearing of it.
+        The connection is returned to the pool first, as the policy may react with the next attempt.
         """
         attempt = self.detach_attempt()
         kept = self.keep_or_close(reusable, cause)
-        if attempt is not None:  # none was waiting for a connection opened ahead
+        if attempt is not None:  # a connection opened ahead of need has none
             attempt.ended(attempt, outcome, served)
         return kept
 
     def keep_or_close(self, reusable: bool, cause: Cause) -> bool:
-        """Offer the connection for another request; whether it was kept, else it ends for a cause."""
+        """Offer the connection for reuse; return whether it was kept, or else closes for a cause."""
         cause_to_close = self.planner.done(self.held, clock()) if reusable else cause
         if cause_to_close is not None:
             self.close_cause = cause_to_close
@@ -454,10 +446,10 @@
         self.close(Cause.REFUSED)
 
     def expired(self) -> None:
-        """The attempt's time is up; it has not run unless it was written whole.
+        """Handle the attempt's deadline; it cannot have been executed unless it was written completely.
 
-        What came in time may be unread: it is read first, and the limit waits for the next sweep. No peek is
-        taken here: one that met a reset would have the read after it see a whole end.
+        A response that arrived in time may be unread: it is read first, and the deadline is checked again at
+        the next sweep. There is no MSG_PEEK here: if that met a reset, the next read would see a plain EOF.
         """
         if self.written_at is not None and not self.rechecked:
             self.rechecked, self.deadline_timer = (
@@ -474,14 +466,14 @@
         self.close(Cause.GIVEN_UP)
 
     def hurry(self) -> None:
-        """The answer takes its time: it is passed on as it comes, or it is waited for a little more."""
+        """Handle a slow response: stream it if possible, or else wait for it until it stalls."""
         self.stall, self.result = None, self.flow.stream_if_possible()
         if self.result is None:
             self.start_stall_timer(RESPONSE_STALL_TIMEOUT_MS, self.response_stalled)
         self.task.wake()
 
     def stream_stalled(self) -> None:
-        """The peer does not go on with what is passed on in pieces."""
+        """Handle a peer that makes no progress on a streamed body."""
         if self.attempt is not None:
             self.finish_attempt(
                 Outcome.NOT_SENT if self.written_at is None else Outcome.ERROR, cause=Cause.GIVEN_UP
@@ -489,12 +481,12 @@
         self.close(Cause.GIVEN_UP)
 
     def response_stalled(self) -> None:
-        """The answer began and does not go on: it may have run, and nothing more will come of it."""
+        """Handle a response that has stopped halfway: the request may have been executed."""
         self.finish_attempt(Outcome.ERROR, cause=Cause.GIVEN_UP)
         self.close(Cause.GIVEN_UP)
 
     def healthy(self) -> bool:
-        """Whether nothing has come on an idle connection, not even its end; else it ends for a cause."""
+        """Whether an idle connection has neither data nor an end of stream pending; else set the cause."""
         try:
             self.close_cause = Cause.STRAY if self.sock.recv(1, socket.MSG_PEEK) else Cause.ENDED
         except BlockingIOError:
@@ -504,14 +496,14 @@
         return False
 
     def close(self, cause: Cause) -> None:
-        """Close the connection; an attempt that is given up tells no outcome from here."""
+        """Close the connection; reports no outcome of its attempt."""
         self.close_cause = cause
         self.detach_attempt()
-        self.planner.closed(self.held, clock(), cause)  # its coroutine may be running, and end a little later
+        self.planner.closed(self.held, clock(), cause)  # its coroutine may be running and end later
         self.task.stop()
 
     def clean_up(self) -> None:
         self.upstream.loop.deadlines.remove(self.connect_timer)
         self.planner.closed(self.held, clock(), self.close_cause)
-        if self.attempt is not None:  # only a fault leaves it here
+        if self.attempt is not None:  # left here only by an unexpected failure
             self.finish_attempt(Outcome.CONNECT_FAILED if self.written_at is None else Outcome.RESET)
--- a/brackenusher/upstream/flow.py
+++ b/brackenusher/upstream/flow.py
@@ -1,4 +1,4 @@
-"""The server-side flow on the wire: one attempt after another on a connection to a pool member."""
+"""HTTP/1.1 client codec of a connection to a pool member, which carries one attempt after another."""
 
 import re
 from dataclasses import dataclass
@@ -11,13 +11,12 @@
 from brackenusher.core.transaction import Served
 
 LONGEST_HEAD = 16 * 1024
-SLACK = 2 * 1024  # bytes of a head beyond those that are counted: spaces, its first line
-LONGEST_STREAM = 8 * LONGEST_BODY  # bytes of a message: a body in chunks of one byte takes six times its own
-FRAMING = 6  # bytes of framing that a byte in a chunk of its own takes
-KEEP_ALIVE_TIMEOUT = re.compile(
-    rb"\btimeout=([0-9]{1,6})\b", re.IGNORECASE
-)  # RFC 2068, 19.7.1.1; servers still send it
-MAX_INTERIM_RESPONSES = 16  # answers of the kind 1xx ahead of the final one
+SLACK = 2 * 1024  # of a head beyond the bytes that the parser reports: spaces, the status line
+LONGEST_STREAM = 8 * LONGEST_BODY  # bytes on the wire: a body in chunks of one byte is six times as long
+FRAMING = 6  # bytes of chunk framing per body byte, at most, with chunks of one byte
+# RFC 2068, 19.7.1.1; servers still send it.
+KEEP_ALIVE_TIMEOUT = re.compile(rb"\btimeout=([0-9]{1,6})\b", re.IGNORECASE)
+MAX_INTERIM_RESPONSES = 16  # 1xx responses before the final one
 HOP_BY_HOP = frozenset(
     (
         b"connection",
@@ -36,51 +35,49 @@
 
 @dataclass(slots=True)
 class AttemptResult:
-    """What an attempt came to."""
+    """The result of an attempt."""
 
     outcome: Outcome
     served: Served | None = None
 
 
 class UnreadableAnswerError(Exception):
-    """Raised to the parser: what follows is not to be read."""
+    """Raised in a parser callback: the response is invalid or exceeds a limit."""
 
 
 class Flow:
-    """The client's side of HTTP on one connection; it is fed bytes and knows no socket."""
+    """Client side of HTTP/1.1 on one connection; is fed bytes and does no I/O."""
 
     def __init__(self, authority: bytes, budget: Budget | None = None) -> None:
-        self.chunked = False  # the present request's body
-        self.authority = authority  # for a request that names no host, as HTTP/1.0 allows
-        self.budget = budget  # none: no answer is passed on in pieces
-        self.may_stream = False  # whether the present request's client can be given one
+        self.chunked = False  # whether the present request's body is sent in chunks
+        self.authority = authority  # for a request without Host, which HTTP/1.0 allows
+        self.budget = budget  # None: responses are not streamed
+        self.may_stream = False  # whether the present response may be streamed to the client
         self.parser = HttpResponseParser(self)
-        self.keep_alive_s: float | None = (
-            None  # for how many seconds the server says it keeps an idle connection
-        )
-        self.reusable = True  # the stream can be trusted to begin the next answer where this one ended
+        self.keep_alive_s: float | None = None  # idle timeout stated by the server, in seconds
+        self.reusable = True  # whether the next response is certain to begin where this one ends
         self.reset()
 
     def reset(self) -> None:
         self.result: AttemptResult | None = None
-        self.begun, self.interim_responses = False, 0  # a byte of the final answer is here
-        self.heads_started, self.received_bytes = 0, 0  # heads that began; bytes that have come of the answer
-        self.rest: Pipe | None = None  # an answer that is passed on in pieces
-        self.ended = False  # the answer is whole, or nothing more will come of it
+        self.begun, self.interim_responses = False, 0  # a byte of the final response has arrived
+        self.heads_started, self.received_bytes = 0, 0  # heads started; bytes of the present message
+        self.rest: Pipe | None = None  # the body, if it is streamed
+        self.ended = False  # the response is complete, or nothing more will follow
         self.begin_head()
 
     def begin_head(self) -> None:
-        """Get ready for a head."""
+        """Prepare for the next response head."""
         self.in_body, self.has_framing, self.connection_close, self.until_close = False, False, False, False
         self.length: int | None = None
-        self.framing_certain = True  # where the answer ends, also to one who reads its head otherwise
+        self.framing_certain = True  # all parsers agree on where the response ends
         self.declined: bool | None = None
         self.content_type: bytes | None = None
         self.content_encoding: bytes | None = None
         self.body, self.head_bytes = bytearray(), 0
 
     def request(self, message: Message, timeout_ms: float) -> bytes:
-        """The bytes of a request or its first part; `wait` tells how many milliseconds the server has."""
+        """Encode a request up to its streamed body; `timeout_ms` is the server's deadline."""
         self.may_stream = message.streams and self.budget is not None
         lines = [b"%s %s HTTP/1.1" % (message.method, message.target)]
         has_host = False
@@ -99,15 +96,15 @@
         return b"\r\n".join(lines) + b"\r\n\r\n" + self.encode_body(message.body)
 
     def encode_body(self, data: bytes) -> bytes:
-        """A part of the body, as it is written."""
+        """Encode a chunk of the body."""
         return b"%x\r\n%b\r\n" % (len(data), data) if self.chunked and data else data
 
     def encode_end(self) -> bytes:
-        """What is written behind the last part of the body."""
+        """Encode the end of the body."""
         return b"0\r\n\r\n" if self.chunked else b""
 
     def receive(self, data: bytes | memoryview) -> AttemptResult | None:
-        """Take bytes, b"" at the end of the stream; return what the attempt came to once that is known."""
+        """Parse bytes, b"" at the end of the stream; return the attempt's result once it is known."""
         if not data:
             self.reusable = False
             if self.rest is not None:
@@ -118,7 +115,7 @@
         heads_before, size = self.heads_started + (not self.begun), len(data)
         try:
             self.parser.feed_data(data)
-            if not self.ended:  # where others came before it, how much is its own is not known
+            if not self.ended:  # if another head preceded, the size of this one is unknown
                 self.count_received_bytes(size if self.heads_started <= heads_before else 0)
         except (HttpParserError, HttpParserUpgrade, UnreadableAnswerError):
             self.reusable = False
@@ -129,7 +126,7 @@
         return self.result
 
     def end_stream(self, complete: bool) -> None:
-        """Nothing more comes of an answer that is passed on in pieces."""
+        """End the pipe of a streamed response."""
         if self.ended:
             return
         self.ended = True
@@ -140,32 +137,32 @@
             self.rest.fail()
 
     def count_head_bytes(self, size: int) -> None:
-        """Count what the parser told of a head; it tells of a header once that is whole."""
+        """Limit the head by the bytes of the headers that the parser has reported."""
         self.head_bytes += size
         if self.head_bytes > LONGEST_HEAD:
             raise UnreadableAnswerError
 
     def count_received_bytes(self, size: int) -> None:
-        """Count bytes as they come, lest what the parser does not tell of yet grows without bound."""
+        """Limit the message by its raw bytes, which include what the parser has not reported yet."""
         self.received_bytes += size
         limit = LONGEST_STREAM + (FRAMING * self.rest.came if self.rest is not None else 0)
         if self.received_bytes > (limit if self.in_body else LONGEST_HEAD + SLACK):
             raise UnreadableAnswerError
 
-    # what the parser calls
+    # Callbacks of the parser
 
     def on_message_begin(self) -> None:
         self.begun, self.heads_started, self.received_bytes = True, self.heads_started + 1, 0
-        if self.ended:  # more than belongs to the answer: the next request could be given it
+        if self.ended:  # surplus data, which could be taken for the next response
             raise UnreadableAnswerError
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        self.count_head_bytes(len(name) + len(value) + 4)  # with its colon, a space and the line's end
+        self.count_head_bytes(len(name) + len(value) + 4)  # with the colon, a space and the end of line
         if self.in_body:
-            return  # a trailer
+            return  # a trailer field
         name, value = name.lower(), value.strip(b" \t")
         if name == b"srv-declined":
-            self.declined = value == b"1" and self.declined is not False  # two that differ prove nothing
+            self.declined = value == b"1" and self.declined is not False  # two that differ are no proof
         elif name == b"content-type":
             self.content_type = value
         elif name == b"content-encoding":
@@ -180,7 +177,7 @@
             self.connection_close = self.connection_close or b"close" in options
         elif name == b"transfer-encoding":
             if self.has_framing or value.lower() != b"chunked":
-                raise UnreadableAnswerError  # a coding that is not undone here would be taken for the body
+                raise UnreadableAnswerError  # a coding that is not decoded here would be taken for the body
             self.has_framing = True
         elif name == b"content-length":
             self.has_framing, self.length = True, int(value)
@@ -198,7 +195,7 @@
                 raise UnreadableAnswerError
         elif not self.has_framing and status not in (204, 304):
             if not self.connection_close and version != "1.0":
-                raise UnreadableAnswerError  # neither its length nor its end with the connection is said
+                raise UnreadableAnswerError  # neither a length nor a close delimits the body
             self.until_close = True
 
     def on_body(self, chunk: bytes) -> None:
@@ -214,7 +211,7 @@
             self.start_streaming()
 
     def start_streaming(self) -> None:
-        """Pass the answer on in pieces from here on: it counts as served, and cannot be tried anew."""
+        """Stream the response from here on: it counts as served and can no longer be retried."""
         assert self.budget is not None
         self.rest = Pipe(self.budget)
         self.rest.put(bytes(self.body))
@@ -223,7 +220,7 @@
         self.result = AttemptResult(Outcome.SERVED, Served(content))
 
     def stream_if_possible(self) -> AttemptResult | None:
-        """An answer that does not say how long it is takes its time: pass on what is there, if it can be."""
+        """Start to stream a slow response of unknown length, if possible."""
         if self.result is None and self.may_stream and self.body and self.length is None:
             if self.parser.get_status_code() == 200:
                 self.start_streaming()
@@ -240,7 +237,7 @@
         self.result, self.ended = self.complete_result(), True
 
     def complete_result(self) -> AttemptResult:
-        """Judge an answer that has come whole."""
+        """The result of a complete response."""
         status = self.parser.get_status_code()
         if status == 200:
             return AttemptResult(
@@ -250,10 +247,10 @@
             return AttemptResult(Outcome.FULL)
         return AttemptResult(Outcome.ERROR)
 
-    # what the driver calls
+    # Called by the driver
 
     def renew(self) -> bool:
-        """Get ready for the next attempt; False where the connection can carry none."""
+        """Prepare for the next attempt; False if the connection cannot be reused."""
         if not self.reusable:
             return False
         self.reset()
--- a/brackenusher/upstream/listing.py
+++ b/brackenusher/upstream/listing.py
@@ -1,4 +1,4 @@
-"""A list of members, in the form that every source of members brings it to the pool."""
+"""A list of members, in the form in which every discovery source passes it to the pool."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,7 @@
 
 @dataclass(slots=True)
 class Host:
-    """One entry of a list."""
+    """A member in a list."""
 
     name: str
     address: Address
@@ -20,7 +20,7 @@
 
 @dataclass(slots=True)
 class Listing:
-    """A version of the list, or what changed since the one before."""
+    """A version of the list: complete, or the changes since the previous one."""
 
     seq: int
     whole: bool
--- a/brackenusher/upstream/pool.py
+++ b/brackenusher/upstream/pool.py
@@ -1,4 +1,4 @@
-"""The pool: discovery's list as members, and what is held toward each of them."""
+"""The pool of backend members from discovery's list, and the connections to each of them."""
 
 from collections.abc import Callable, Iterable
 from dataclasses import replace
@@ -9,7 +9,7 @@
 from barleybarrow.subsets import Subset
 from brackenusher.upstream.listing import Host, Listing
 
-DEFAULT_MAX_CONNECTIONS = 1024  # connections, until the driver says how many it may hold
+DEFAULT_MAX_CONNECTIONS = 1024  # until the driver sets the limit
 STATES = {"ready": face.State.LIVE, "draining": face.State.DRAINING, "gone": face.State.GONE}
 
 
@@ -24,24 +24,24 @@
 
 
 class Member:
-    """A turn server on the list; flows to one that has left it keep theirs. A fleet has thousands of them."""
+    """A backend on the list; connections to a removed one still refer to it. Fleets have thousands."""
 
     __slots__ = ("name", "address", "born_ms", "left_at", "line", "host")
 
     def __init__(self, host: Host, line: Line) -> None:
         self.name, self.address, self.born_ms = host.name, host.address, host.born_ms
-        self.host = host  # its entry, as last told
-        self.left_at: float | None = None  # when this proxy was told that it drains or is gone
-        self.line = line  # the connections to its present life
+        self.host = host  # its latest entry
+        self.left_at: float | None = None  # when this proxy learned that it drains or is gone
+        self.line = line  # the connections to its present process
 
     def hang_up(self) -> None:
-        """Close the idle connections."""
+        """Close its idle connections."""
         for held in list(self.line.idle):
             held.link.close(Cause.LEFT)
 
 
 class NamePositions:
-    """Positions of names; those that the settings lack get the next free ones."""
+    """Indexes of names; names missing from the settings get the next free indexes."""
 
     def __init__(self, names: list[str]) -> None:
         self.positions = {name: i for i, name in enumerate(names)}
@@ -51,7 +51,7 @@
 
 
 class Pool:
-    """All members, by name."""
+    """The members by name."""
 
     def __init__(
         self,
@@ -63,7 +63,7 @@
         subset: Subset | None = None,
     ) -> None:
         self.subset = subset
-        self.listed: dict[str, Host] = {}  # with a subset, all that is on the list
+        self.listed: dict[str, Host] = {}  # the whole list, if this proxy uses a subset
         self.clock, self.unix_offset = clock, unix_offset
         self.planner = Planner(
             connections or ConnectionSettings(),
@@ -76,24 +76,24 @@
         self.drain_grace = settings.drain_grace
         self.zones, self.kinds = NamePositions(settings.zones), NamePositions(settings.kinds)
         self.members: dict[str, Member] = {}
-        self.held = False  # a list has been taken
-        self.bars: list[Callable[[Host], bool]] = []  # whether staff have taken one out of use
+        self.held = False  # whether a list has been applied
+        self.bars: list[Callable[[Host], bool]] = []  # whether administrators have taken one out of use
         self.seq = 0
 
     @property
     def size(self) -> int:
-        """How many are on the list, those that drain among them."""
+        """The number of members on the list, including draining ones."""
         return len(self.listed if self.subset is not None else self.members)
 
     @property
     def hosts(self) -> list[Host]:
-        """The list as it was told last."""
+        """The latest list."""
         if self.subset is not None:
             return list(self.listed.values())
         return [member.host for member in self.members.values()]
 
     def take(self, listing: Listing) -> face.ListChanged:
-        """Apply a list, and word it for the module."""
+        """Apply a list, and return the event for the policy."""
         self.held, self.seq = True, listing.seq
         if self.subset is not None:
             listing = self.select_subset(listing, self.subset)
@@ -106,7 +106,7 @@
         return face.ListChanged(scope, entries, listing.seq)
 
     def select_subset(self, listing: Listing, subset: Subset) -> Listing:
-        """What a list comes to for this proxy's subset, which it may change."""
+        """Reduce a list to this proxy's subset, which the list may change."""
         if listing.whole:
             self.listed = {}
         for host in listing.hosts:
@@ -129,18 +129,18 @@
         )
 
     def update_member(self, host: Host) -> face.Entry:
-        """Bring one member up to date."""
+        """Add or update a member."""
         member = self.members.get(host.name)
         if member is None:
             member = Member(host, self.add_line(host))
             self.members[host.name] = member
         member.host = host
         if (member.address, member.born_ms) != (host.address, host.born_ms):
-            self.drop_connections(member)  # what is held leads to a process that is no longer there
+            self.drop_connections(member)  # the connections lead to a process that no longer exists
             member.address, member.born_ms = host.address, host.born_ms
         health = host.health
         if health == "ready" and self.bars and any(excludes(host) for excludes in self.bars):
-            health = "draining"  # for the module it is on its way out, until staff say otherwise
+            health = "draining"  # for the policy, until administrators put it back into use
         if health == "ready":
             member.left_at = None
             if member.line.left:
@@ -159,7 +159,7 @@
         )
 
     def look_again(self, names: Iterable[str] | None = None) -> face.ListChanged:
-        """Word some of the list anew, or all, after what staff have taken out of use has changed."""
+        """Update some or all members after administrators have taken some out of use or put them back."""
         members = [self.members[name] for name in (names if names is not None else list(self.members))]
         return face.ListChanged(
             face.ListScope.CHANGES, [self.update_member(m.host) for m in members], self.seq
@@ -174,25 +174,25 @@
         return self.planner.join(host.name, self.clock(), self.module_time(host.born_ms))
 
     def drop_connections(self, member: Member) -> None:
-        """Keep nothing toward the member's present life: what is in flight finishes, the rest is closed."""
+        """Close the connections to the member's present process; requests in flight finish first."""
         for held in self.planner.leave(member.line):
             held.link.close(Cause.LEFT)
 
     def module_time(self, born_ms: float) -> float:
-        """Unix time on the module's clock; 0, for long ago, stays 0."""
+        """Convert Unix time to the policy's clock; 0, for long ago, stays 0."""
         return born_ms - self.unix_offset if born_ms else 0.0
 
     def may_begin(self, member: Member) -> bool:
-        """Whether something new may still be written to a member."""
+        """Whether new requests may still be written to a member."""
         return member.left_at is None or self.clock() - member.left_at < self.drain_grace
 
     def lend(self, member: Member, safe: bool) -> Connection | None:
-        """The idle connection to use; None where a new one is to be opened."""
+        """Take an idle connection; None if a new one is to be opened."""
         held = self.planner.lend(member.line, self.clock(), safe)
         return held.link if held is not None else None
 
     def evict_idle(self) -> bool:
-        """Close an idle connection to make room; False where there is none."""
+        """Close an idle connection to stay within the limit; False if there is none."""
         held = self.planner.spare()
         if held is None:
             return False
