--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission by itself: which check speaks first, what it costs whom, and what those who look on hear."""
+"""Admission: order of the checks, charges to the rate limiter, and the summaries for observers."""
 
 import pytest
 from helpers import SETTINGS
@@ -14,28 +14,30 @@
 
 CONF = read_settings(SETTINGS)
 KEYS = TokenSettings({"k1": b"0123456789abcdef"})
-ASK = b"www-authenticate", b"Adw-Token"
+CHALLENGE = b"www-authenticate", b"Adw-Token"
 GOOD = issue(KEYS, "k1", "p77", "read", 2_000).encode()
 
 
-class Module:
-    """Notes what it is told, and decides nothing."""
+class RecordingPolicy:
+    """Records events and returns no actions."""
 
     def __init__(self):
-        self.told = []
+        self.events = []
 
     def handle(self, now, event):
-        self.told.append(event)
+        self.events.append(event)
         return []
 
 
-class World:
+class Harness:
     def __init__(self, burst=1):
-        self.module, self.seen = Module(), []
-        self.owner = Transactions(self.module, lambda: 1000.0, Deadlines(), None)
-        self.owner.observers = Observers(turned_away=(lambda request, words: self.seen.append(words),))
-        self.door = RateLimiter(RateLimiterSettings(tenants={"kente-wars": Limit(2.0, burst)}))
-        self.admission = Admission(self.owner, CONF, self.door, KEYS, lambda: 1_000.0)
+        self.policy, self.denials = RecordingPolicy(), []
+        self.transactions = Transactions(self.policy, lambda: 1000.0, Deadlines(), None)
+        self.transactions.observers = Observers(
+            turned_away=(lambda request, words: self.denials.append(words),)
+        )
+        self.rate_limiter = RateLimiter(RateLimiterSettings(tenants={"kente-wars": Limit(2.0, burst)}))
+        self.admission = Admission(self.transactions, CONF, self.rate_limiter, KEYS, lambda: 1_000.0)
 
     def admit(self, name=b"a", token=GOOD, beyond=False):
         message = Message(b"GET", b"/board-read", [], b"", b"kente-wars")
@@ -43,43 +45,46 @@
         return self.admission.admit(request, lambda answer: None)
 
 
-def test_what_is_taken_reaches_the_module_once_and_can_leave():
-    world = World()
-    taken = world.admit()
-    assert isinstance(taken, Transaction) and taken.message.charged == ("kente-wars", 1000.0)
-    world.admission.left(taken)
-    assert [type(event).__name__ for event in world.module.told] == ["Arrived", "Left"] and not world.seen
+def test_accepted_request_reaches_policy_once_and_can_be_abandoned():
+    harness = Harness()
+    accepted = harness.admit()
+    assert isinstance(accepted, Transaction) and accepted.message.charged == ("kente-wars", 1000.0)
+    harness.admission.left(accepted)
+    assert [type(event).__name__ for event in harness.policy.events] == [
+        "Arrived",
+        "Left",
+    ] and not harness.denials
 
 
-def test_the_checks_come_in_their_order_and_what_fails_one_is_not_charged_for_the_next():
-    # guards against a flood without tokens, or beyond the share of descriptors, draining a tenant's bucket
-    world = World()
-    assert world.admit(token=None, beyond=True) == Verdict(Bar.ROOM, "", 600.0)
-    assert world.admit(token=None) == Verdict(Bar.TOKEN, "missing")
-    assert not world.door.buckets
-    assert isinstance(world.admit(), Transaction)
-    assert world.admit() == Verdict(Bar.DOOR, "", 500.0)  # before its id is looked at
-    assert world.seen == ["room 600 refused", "token missing rejected", "door 500 refused"]
-    assert len(world.module.told) == 1
+def test_failed_check_is_not_charged_to_the_next():
+    # guards against requests without tokens, or beyond the descriptor limit, draining a tenant's bucket
+    harness = Harness()
+    assert harness.admit(token=None, beyond=True) == Verdict(Bar.ROOM, "", 600.0)
+    assert harness.admit(token=None) == Verdict(Bar.TOKEN, "missing")
+    assert not harness.rate_limiter.buckets
+    assert isinstance(harness.admit(), Transaction)
+    assert harness.admit() == Verdict(Bar.DOOR, "", 500.0)  # before the id is checked
+    assert harness.denials == ["room 600 refused", "token missing rejected", "door 500 refused"]
+    assert len(harness.policy.events) == 1
 
 
-def test_the_id_of_an_open_request_is_turned_away():
-    world = World(burst=2)
-    world.admit()
-    assert world.admit() == Verdict(Bar.ID, "open") and world.seen == ["id open rejected"]
+def test_duplicate_id_is_denied():
+    harness = Harness(burst=2)
+    harness.admit()
+    assert harness.admit() == Verdict(Bar.ID, "open") and harness.denials == ["id open rejected"]
 
 
 @pytest.mark.parametrize(
     ("verdict", "status", "headers", "fatal"),
     [
         (Verdict(Bar.ROOM, "", 600.0), 503, ((b"retry-after", b"0.600"),), True),
-        (Verdict(Bar.TOKEN, "missing"), 401, ((b"adw-auth", b"missing"), ASK), False),
-        (Verdict(Bar.TOKEN, "expired"), 401, ((b"adw-auth", b"expired"), ASK), False),
+        (Verdict(Bar.TOKEN, "missing"), 401, ((b"adw-auth", b"missing"), CHALLENGE), False),
+        (Verdict(Bar.TOKEN, "expired"), 401, ((b"adw-auth", b"expired"), CHALLENGE), False),
         (Verdict(Bar.TOKEN, "rights"), 403, ((b"adw-auth", b"rights"),), False),
         (Verdict(Bar.DOOR, "", 350.0), 429, ((b"retry-after", b"0.350"),), False),
         (Verdict(Bar.ID, "open"), 409, (), True),
     ],
 )
-def test_how_http_words_each_verdict(verdict, status, headers, fatal):
-    answer = worded(verdict)
-    assert (answer.status, answer.headers, answer.fatal) == (status, headers, fatal)
+def test_http_response_to_each_denial(verdict, status, headers, fatal):
+    response = worded(verdict)
+    assert (response.status, response.headers, response.fatal) == (status, headers, fatal)
--- a/tests/test_long.py
+++ b/tests/test_long.py
@@ -1,4 +1,4 @@
-"""Long bodies and answers: pipes, the machines of both sides, and the real program between slow peers."""
+"""Long request and response bodies: pipes, the codecs of both sides, and the proxy between slow peers."""
 
 import contextlib
 import hashlib
@@ -27,8 +27,8 @@
 
 
 @given(st.lists(st.binary(max_size=50), max_size=20), st.integers(1, 7))
-def test_a_pipe_gives_what_it_got_and_ends_once(parts, every):
-    # guards against bytes lost, doubled or out of order, and a pipe that is counted twice
+def test_pipe_preserves_bytes_and_ends_once(parts, every):
+    # guards against lost, duplicated or reordered bytes, and a pipe that is counted twice
     budget, got, ends = Budget(MB), b"", []
     pipe = Pipe(budget)
     pipe.tell.append(ends.append)
@@ -44,7 +44,7 @@
     assert ends == [End.WHOLE] and budget.pipes == 0
 
 
-def test_the_budget_leaves_each_pipe_a_buffer_and_keeps_no_more_than_it_has():
+def test_budget_guarantees_minimum_and_bounds_buffered_bodies():
     budget = Budget(4 * MB)
     pipes = [Pipe(budget) for _ in range(1000)]
     assert budget.window_bytes == MIN_WINDOW_BYTES and not pipes[0].full
@@ -62,13 +62,13 @@
     return b"".join(b"%x;a=b\r\n%b\r\n" % (len(p), p) for p in parts) + b"0\r\nTrailer: x\r\n\r\n"
 
 
-def hear(data, size, budget):
-    """Feed a client's bytes; what the machine made of them, and the body."""
-    machine = VirtualServer(Front(read_settings(SETTINGS)), lambda: True, budget)
+def parse_request(data, size, budget):
+    """Feed a client's bytes in chunks; the result, the body, and whether it is complete."""
+    server = VirtualServer(Front(read_settings(SETTINGS)), lambda: True, budget)
     body, item = b"", None
     for at in range(0, len(data), size):
-        machine.receive(data[at : at + size])
-        item = item or machine.next()
+        server.receive(data[at : at + size])
+        item = item or server.next()
         if isinstance(item, Request) and item.message.rest is not None:
             body += item.message.rest.take()
     if isinstance(item, Rejection):
@@ -77,12 +77,12 @@
     return "taken", item.message.body + body, whole
 
 
-SMALL = Budget(LONGEST_BODY)
+SMALL_BUDGET = Budget(LONGEST_BODY)
 LONG = BIG[: 3 * LONGEST_BODY]
 
 
 @pytest.mark.parametrize("size", [1, 1000, 16384, MB])
-@pytest.mark.parametrize("budget", [SMALL, Budget(64 * MB)], ids=["passed on", "kept"])
+@pytest.mark.parametrize("budget", [SMALL_BUDGET, Budget(64 * MB)], ids=["passed on", "kept"])
 @pytest.mark.parametrize(
     ("data", "expected"),
     [
@@ -93,11 +93,11 @@
     ],
     ids=["length", "chunks", "too long", "of a read"],
 )
-def test_a_long_body_comes_to_the_same_however_it_is_cut(data, expected, budget, size):
-    assert hear(data, size, budget) == expected
+def test_long_body_is_independent_of_chunking(data, expected, budget, size):
+    assert parse_request(data, size, budget) == expected
 
 
-def answer(extra, body):
+def make_response(extra, body):
     return b"HTTP/1.1 200 OK\r\n" + extra + b"\r\n" + body
 
 
@@ -105,18 +105,18 @@
 @pytest.mark.parametrize(
     ("data", "close", "whole"),
     [
-        (answer(b"Content-Length: %d\r\n" % len(LONG), LONG), False, True),
-        (answer(b"Transfer-Encoding: chunked\r\n", chunked(LONG)), False, True),
-        (answer(b"Connection: close\r\n", LONG), True, True),
-        (answer(b"Content-Length: %d\r\n" % (len(LONG) + 1), LONG), True, False),
-        (answer(b"Transfer-Encoding: chunked\r\n", chunked(LONG)[:-5]), True, False),
-        (answer(b"Transfer-Encoding: chunked\r\n", chunked(LONG)[:-17] + b"zz\r\n"), False, False),
+        (make_response(b"Content-Length: %d\r\n" % len(LONG), LONG), False, True),
+        (make_response(b"Transfer-Encoding: chunked\r\n", chunked(LONG)), False, True),
+        (make_response(b"Connection: close\r\n", LONG), True, True),
+        (make_response(b"Content-Length: %d\r\n" % (len(LONG) + 1), LONG), True, False),
+        (make_response(b"Transfer-Encoding: chunked\r\n", chunked(LONG)[:-5]), True, False),
+        (make_response(b"Transfer-Encoding: chunked\r\n", chunked(LONG)[:-17] + b"zz\r\n"), False, False),
     ],
     ids=["length", "chunks", "to the end", "short", "cut", "spoilt"],
 )
-def test_a_long_answer_comes_to_the_same_however_it_is_cut(data, close, whole, size):
-    # guards against a cut answer that passes for whole, and one that waits for its end before it is passed on
-    flow, got, pipe = Flow(b"m:1", SMALL), b"", None
+def test_long_response_is_independent_of_chunking(data, close, whole, size):
+    # guards against a truncated response taken for complete, and one that is forwarded only at its end
+    flow, got, pipe = Flow(b"m:1", SMALL_BUDGET), b"", None
     flow.request(Message(b"GET", b"/r", streams=True), 500.0)
     for at in range(0, len(data), size):
         reply = flow.receive(data[at : at + size])
@@ -132,18 +132,18 @@
 
 
 class Server(Listener):
-    """Reads requests with bodies of any framing; `serve_one` says what happens on a connection."""
+    """Reads requests with bodies of any framing; `respond` handles each of them."""
 
-    def __init__(self, serve_one):
-        self.serve_one, self.bodies, self.ends = serve_one, [], []
+    def __init__(self, respond):
+        self.respond, self.bodies, self.truncated_sizes = respond, [], []
         super().__init__()
 
     def serve(self, sock):
         with contextlib.closing(sock):
-            self.converse(sock)
+            self.handle_requests(sock)
             sock.shutdown(socket.SHUT_RDWR)
 
-    def converse(self, sock):
+    def handle_requests(self, sock):
         file = sock.makefile("rb")
         while True:
             first = file.readline()
@@ -154,18 +154,18 @@
                 name, _, value = line.decode().partition(":")
                 headers[name.lower()] = value.strip()
             digest, size = hashlib.sha256(), 0
-            for part in self.parts(file, headers):
+            for part in self.read_body(file, headers):
                 digest.update(part)
                 size += len(part)
                 time.sleep(0)
-            if part_is_missing(headers, size):
-                self.ends.append(size)
+            if is_truncated(headers, size):
+                self.truncated_sizes.append(size)
                 return
             self.bodies.append((size, digest.hexdigest()))
-            if not self.serve_one(sock, headers):
+            if not self.respond(sock, headers):
                 return
 
-    def parts(self, file, headers):
+    def read_body(self, file, headers):
         if "transfer-encoding" in headers:
             while size := int(file.readline() or b"0", 16):
                 yield file.read(size)
@@ -178,20 +178,20 @@
                 yield part
 
 
-def part_is_missing(headers, size):
+def is_truncated(headers, size):
     return "content-length" in headers and size < int(headers["content-length"])
 
 
-def say(extra, body):
-    def serve_one(sock, headers):
-        sock.sendall(answer(extra, body))
+def respond_with(extra, body):
+    def respond(sock, headers):
+        sock.sendall(make_response(extra, body))
         return True
 
-    return serve_one
+    return respond
 
 
-def read_answer(sock, pause=0.0):
-    """Head and body as the client sees them, and whether it can tell that they are whole."""
+def read_response(sock, pause=0.0):
+    """Status and body as the client sees them, and whether it can tell that the body is complete."""
     file = sock.makefile("rb")
     try:
         status = int(file.readline().split()[1])
@@ -218,18 +218,21 @@
 
 
 @pytest.mark.parametrize("framing", ["length", "chunks"])
-def test_a_long_body_and_a_long_answer_pass_through(tmp_path, framing):
-    # guards against a body that is cut, spoilt or sent twice on its way
+def test_long_body_and_response_are_forwarded(tmp_path, framing):
+    # guards against a body that is truncated, corrupted or sent twice
     extra, body = b"Content-Length: %d\r\n" % len(BIG), BIG
     if framing == "chunks":
         extra, body = b"Transfer-Encoding: chunked\r\n", chunked(BIG)
-    with Program(tmp_path, Server(say(extra, body)), control=True) as program, program.connect() as sock:
-        for number in range(2):  # both connections serve on
+    with (
+        Program(tmp_path, Server(respond_with(extra, body)), control=True) as program,
+        program.connect() as sock,
+    ):
+        for number in range(2):  # both connections are reused
             sock.sendall(submit_request(number)[: submit_request(number).index(b"Content-Length")])
             sock.sendall(extra + b"Expect: 100-continue\r\n\r\n")
             assert sock.recv(1000) == b"HTTP/1.1 100 Continue\r\n\r\n"
             sock.sendall(body)
-            status, got, whole = read_answer(sock)
+            status, got, whole = read_response(sock)
             assert (status, whole) == (200, True) and got == BIG
         digest = hashlib.sha256(BIG).hexdigest()
         assert program.servers[0].bodies == [(len(BIG), digest)] * 2
@@ -241,26 +244,26 @@
 @pytest.mark.parametrize(
     "extra", [b"Content-Length: %d\r\n" % (len(BIG) + 1), b"Transfer-Encoding: chunked\r\n"]
 )
-def test_an_answer_that_cannot_be_finished_is_seen_as_not_whole(tmp_path, extra):
-    # guards against half a board that passes for a whole one
+def test_truncated_response_is_visible_to_client(tmp_path, extra):
+    # guards against a truncated response that the client takes for complete
     body = chunked(BIG)[:-5] if b"chunked" in extra else BIG
 
     def cut(sock, headers):
-        sock.sendall(answer(extra, body))
+        sock.sendall(make_response(extra, body))
         return False
 
     with Program(tmp_path, Server(cut), control=True) as program, program.connect() as sock:
         sock.sendall(read_request())
-        status, got, whole = read_answer(sock)
+        status, got, whole = read_response(sock)
         assert status == 200 and not whole and len(got) > LONGEST_BODY
         until(lambda: program.figures()["calls"]["board-read"]["failure"] == 1, "the failure")
-        assert len(program.servers[0].bodies) == 1  # what has begun is not tried anew
+        assert len(program.servers[0].bodies) == 1  # a response that has started is not retried
 
 
-def test_slow_readers_hold_no_more_than_their_buffers(tmp_path):
-    # guards against answers piled up in memory for clients that do not take them
+def test_slow_readers_use_bounded_memory(tmp_path):
+    # guards against responses buffered in memory for clients that do not read
     body = bytes(16 * MB)
-    server = Server(say(b"Content-Length: %d\r\n" % len(body), body))
+    server = Server(respond_with(b"Content-Length: %d\r\n" % len(body), body))
     with Program(tmp_path, server, control=True) as program, contextlib.ExitStack() as stack:
         before = psutil.Process(program.process.pid).memory_info().rss
         socks = [stack.enter_context(program.connect()) for _ in range(4)]
@@ -271,7 +274,7 @@
         assert psutil.Process(program.process.pid).memory_info().rss < before + 12 * MB
         assert 0 < program.figures()["inflight"] <= 4
         results = []
-        threads = [threading.Thread(target=lambda s=s: results.append(read_answer(s))) for s in socks]
+        threads = [threading.Thread(target=lambda s=s: results.append(read_response(s))) for s in socks]
         for thread in threads:
             thread.start()
         for thread in threads:
@@ -279,10 +282,10 @@
         assert [(status, len(got), whole) for status, got, whole in results] == [(200, len(body), True)] * 4
 
 
-def test_a_drain_waits_for_a_long_answer_to_a_slow_reader(tmp_path):
-    # guards against a drain, or a resume after it, that cuts off what is being passed on
+def test_drain_waits_for_long_response_to_slow_reader(tmp_path):
+    # guards against a drain, or a resume after it, that truncates a streamed response
     body = bytes(4 * MB)
-    server = Server(say(b"Content-Length: %d\r\n" % len(body), body))
+    server = Server(respond_with(b"Content-Length: %d\r\n" % len(body), body))
     with Program(tmp_path, server, control=True) as program, program.connect() as sock:
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 65536)
         sock.sendall(read_request())
@@ -290,26 +293,26 @@
         assert program.call("POST", "/-/drain")[0] == 200
         time.sleep(1.7)
         assert program.call("POST", "/-/resume")[0] == 200
-        assert read_answer(sock) == (200, body, True)
+        assert read_response(sock) == (200, body, True)
         until(lambda: program.figures()["calls"]["board-read"]["success"] == 1, "the end")
 
 
-def test_a_client_that_leaves_within_its_body_runs_nothing(tmp_path):
-    # guards against a body cut by its client that a turn server takes for whole
-    with Program(tmp_path, Server(say(b"Content-Length: 0\r\n", b"")), control=True) as program:
+def test_client_disconnect_within_body_executes_nothing(tmp_path):
+    # guards against a body truncated by its client that a backend takes for complete
+    with Program(tmp_path, Server(respond_with(b"Content-Length: 0\r\n", b"")), control=True) as program:
         with program.connect() as sock:
             sock.sendall(head(b"Content-Length: %d\r\n" % (2 * len(BIG))) + BIG)
             until(lambda: program.figures()["inflight"] == 1, "the request")
             time.sleep(0.2)
-        until(lambda: program.servers[0].ends, "the end of the attempt")
+        until(lambda: program.servers[0].truncated_sizes, "the end of the attempt")
         until(lambda: program.figures()["inflight"] == 0, "the end of the request")
         assert program.servers[0].bodies == [] and program.figures()["backend_calls"] == 0
 
 
-def test_a_body_too_long_to_be_kept_is_sent_once_and_refused_where_it_never_ran(tmp_path):
-    # guards against a repeat with half of its body, and a failure told where trying again is harmless
+def test_unbuffered_body_is_sent_once_and_refused_if_not_executed(tmp_path):
+    # guards against a retry with half of its body, and against a failure where a retry is safe
     def deny(sock):
-        sock.recv(100000)  # and closes, long before the body is whole
+        sock.recv(100000)  # and closes, long before the body is complete
         sock.shutdown(socket.SHUT_RDWR)
 
     server = Server(None)
@@ -320,10 +323,10 @@
         assert sock.recv(1000).startswith(b"HTTP/1.1 503")
 
 
-def test_an_answer_that_does_not_say_how_long_it_is_goes_on_as_it_comes(tmp_path):
-    # guards against one that moves all the time, but is not whole by its aim, and is given up for that
+def test_response_of_unknown_length_is_streamed(tmp_path):
+    # guards against giving up a response that makes progress but is not complete within its target latency
     def drip(sock, headers):
-        sock.sendall(answer(b"Transfer-Encoding: chunked\r\n", b""))
+        sock.sendall(make_response(b"Transfer-Encoding: chunked\r\n", b""))
         for _ in range(20):
             sock.sendall(b"5\r\nboard\r\n")
             time.sleep(0.06)
@@ -332,13 +335,13 @@
 
     with Program(tmp_path, Server(drip), control=True) as program, program.connect() as sock:
         sock.sendall(read_request(span="900m"))
-        assert read_answer(sock) == (200, b"board" * 20, True)
+        assert read_response(sock) == (200, b"board" * 20, True)
         assert len(program.servers[0].bodies) == 1
 
 
-def test_a_slow_body_has_the_time_it_takes_and_one_that_stops_has_not(tmp_path):
-    # guards against 408 for a client on a slow line, and a connection held for one that has gone silent
-    with Program(tmp_path, Server(say(b"Content-Length: 0\r\n", b"")), control=True) as program:
+def test_slow_body_is_accepted_and_stalled_one_times_out(tmp_path):
+    # guards against 408 for a client on a slow link, and a connection kept for a silent client
+    with Program(tmp_path, Server(respond_with(b"Content-Length: 0\r\n", b"")), control=True) as program:
         slow, silent = program.connect(), program.connect()
         body = bytes(200 * 1024)
         for sock in (slow, silent):
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -1,4 +1,4 @@
-"""The machines that are fed bytes, the pool, the deadlines and the buffers: each without a socket."""
+"""Codecs, pool, deadlines and buffers, each without a network connection."""
 
 import json
 import socket
@@ -23,16 +23,16 @@
 READ = Message(b"GET", b"/board-read?k=1", [(b"host", b"x"), (b"req-id", b"1"), (b"req-deadline", b"1400m")])
 
 
-def flow_reply(data, step=None):
-    """What a flow makes of an answer, fed in pieces of `step` bytes."""
-    flow = Flow(b"a:1")
-    flow.request(READ, 500.0)
+def codec_result(data, step=None):
+    """The codec, and its result for a response fed in chunks of `step` bytes."""
+    codec = Flow(b"a:1")
+    codec.request(READ, 500.0)
     step = step or len(data)
     for i in range(0, len(data), step):
-        reply = flow.receive(data[i : i + step])
-        if reply is not None:
-            return flow, reply
-    return flow, flow.receive(b"")
+        result = codec.receive(data[i : i + step])
+        if result is not None:
+            return codec, result
+    return codec, codec.receive(b"")
 
 
 @pytest.mark.parametrize(
@@ -56,11 +56,11 @@
     ],
 )
 @pytest.mark.parametrize("step", [1, None])
-def test_what_an_answer_means(data, outcome, step):
-    # guards against taking an undeclined 503 for proof that nothing ran, and a cut-off answer for a whole one
-    _, reply = flow_reply(data, step)
-    assert reply.outcome is outcome
-    assert (reply.served == Served(Content(b"board"))) is (outcome is Outcome.SERVED)
+def test_outcome_of_each_response(data, outcome, step):
+    # guards against taking any 503 for proof of non-execution, and a truncated response for a complete one
+    _, result = codec_result(data, step)
+    assert result.outcome is outcome
+    assert (result.served == Served(Content(b"board"))) is (outcome is Outcome.SERVED)
 
 
 @pytest.mark.parametrize(
@@ -78,12 +78,12 @@
     ],
 )
 @pytest.mark.parametrize("step", [1, 4096])
-def test_an_answer_that_can_come_to_nothing_is_known_as_spoilt_at_once(data, step):
-    # guards against waiting for what never ends: the connection stays open, and the client's time goes by
-    flow = Flow(b"a:1")
-    flow.request(READ, 500.0)
-    replies = [flow.receive(data[i : i + step]) for i in range(0, len(data), step)]
-    assert replies[-1].outcome is Outcome.ERROR and not flow.renew()
+def test_invalid_response_is_detected_at_once(data, step):
+    # guards against waiting for an endless response: the connection stays open until the client's deadline
+    codec = Flow(b"a:1")
+    codec.request(READ, 500.0)
+    results = [codec.receive(data[i : i + step]) for i in range(0, len(data), step)]
+    assert results[-1].outcome is Outcome.ERROR and not codec.renew()
 
 
 @pytest.mark.parametrize(
@@ -96,84 +96,84 @@
         (b"HTTP/1.1 banana\r\n\r\n", False),
     ],
 )
-def test_a_connection_is_used_again_only_where_it_stands_between_messages(data, again):
-    # guards against taking stray bytes of one answer for the answer to the next request
-    flow, _ = flow_reply(data)
-    assert flow.renew() is again
+def test_connection_is_reused_only_between_messages(data, again):
+    # guards against taking surplus bytes of one response for the response to the next request
+    codec, _ = codec_result(data)
+    assert codec.renew() is again
 
 
-def test_a_flow_says_how_long_the_proxy_will_wait_and_drops_what_concerned_one_hop():
+def test_request_carries_deadline_and_drops_hop_by_hop_headers():
     message = Message(b"POST", b"/t", [(b"host", b"x"), (b"connection", b"close"), (b"a", b"b")], b"move")
     data = Flow(b"a:1").request(message, 812.7)
     assert b"req-deadline: 812m" in data and b"close" not in data and b"a: b" in data
     assert data.endswith(b"content-length: 4\r\n\r\nmove")
 
 
-def test_a_request_that_names_no_host_gets_the_members():
-    # guards against HTTP/1.0 clients, who need not name one: the attempt failed before it was written
+def test_request_without_host_gets_host_of_member():
+    # HTTP/1.0 clients need not send Host; the attempt failed before it was written
     assert b"host: a:1\r\n" in Flow(b"a:1").request(Message(b"GET", b"/r"), 5.0)
 
 
-def front():
+def make_server():
     return VirtualServer(Front(CONF), lambda: True)
 
 
 @pytest.mark.parametrize("data", [read_request(), submit_request(body=b"a move")])
-def test_a_dribbled_request_is_the_same_as_a_whole_one(data):
-    # guards against acting on part of a request
-    whole, dribbled = front(), front()
+def test_request_in_single_bytes_parses_like_a_complete_one(data):
+    # guards against accepting an incomplete request
+    whole, bytewise = make_server(), make_server()
     whole.receive(data)
     for i in range(len(data)):
-        assert dribbled.next() is None
-        dribbled.receive(data[i : i + 1])
+        assert bytewise.next() is None
+        bytewise.receive(data[i : i + 1])
     item = whole.next()
-    assert isinstance(item, Request) and dribbled.next() == item
+    assert isinstance(item, Request) and bytewise.next() == item
 
 
-def test_a_request_sent_ahead_waits_for_the_answer_to_the_one_before():
-    machine = front()
-    machine.receive(read_request(1) + read_request(2))
-    assert dict(machine.next().message.headers)[b"req-id"] == b"id1"
-    assert not machine.between
-    machine.answer(Failed(), False)
-    assert dict(machine.next().message.headers)[b"req-id"] == b"id2" and machine.between
+def test_pipelined_request_waits_for_previous_response():
+    server = make_server()
+    server.receive(read_request(1) + read_request(2))
+    assert dict(server.next().message.headers)[b"req-id"] == b"id1"
+    assert not server.between
+    server.answer(Failed(), False)
+    assert dict(server.next().message.headers)[b"req-id"] == b"id2" and server.between
 
 
-def test_only_so_many_requests_are_read_ahead():
-    # guards against one client's stream filling the memory
-    machine = front()
-    machine.receive(read_request() * 16)
-    assert machine.full
-    machine.next()
-    assert not machine.full
+def test_pipelined_requests_are_bounded():
+    # guards against one client filling the memory with pipelined requests
+    server = make_server()
+    server.receive(read_request() * 16)
+    assert server.full
+    server.next()
+    assert not server.full
 
 
 @pytest.mark.parametrize(("text", "span"), [("480m", 480.0), ("480000u", 480.0), ("0.5m", 0.5)])
-def test_the_units_of_a_deadline(text, span):
-    machine = front()
-    machine.receive(read_request(span=text))
-    assert machine.next().span == span
+def test_deadline_units(text, span):
+    server = make_server()
+    server.receive(read_request(span=text))
+    assert server.next().span == span
 
 
-def test_the_advice_when_to_come_back_is_in_decimal_seconds():
-    machine = front()
-    machine.receive(read_request())
-    machine.next()
-    data = machine.answer(Refused(299.2), True)
+def test_retry_after_is_in_decimal_seconds():
+    server = make_server()
+    server.receive(read_request())
+    server.next()
+    data = server.answer(Refused(299.2), True)
     assert data.startswith(b"HTTP/1.1 503 ") and b"retry-after: 0.300\r\n" in data
-    assert b"connection: close\r\n" in data and machine.last
+    assert b"connection: close\r\n" in data and server.last
 
 
-def test_a_stream_that_ends_inside_a_request_takes_nothing():
-    machine = front()
-    machine.receive(submit_request()[:-2])
-    assert machine.next() is None
-    machine.receive(b"")
-    machine.reject(machine.next(), False)
-    assert machine.last
+def test_truncated_request_is_not_accepted():
+    server = make_server()
+    server.receive(submit_request()[:-2])
+    assert server.next() is None
+    server.receive(b"")
+    server.reject(server.next(), False)
+    assert server.last
 
 
-LIST = {"seq": 41, "whole": True, "hosts": []}
+LISTING = {"seq": 41, "whole": True, "hosts": []}
 
 
 def chunk(data):
@@ -181,32 +181,34 @@
 
 
 @pytest.mark.parametrize("step", [1, 7, 10_000])
-def test_discovery_fetches_the_list_then_watches_from_there(step):
+def test_discovery_fetches_list_then_watches_from_its_version(step):
     change = json.dumps({"seq": 43, "whole": False, "hosts": []}).encode() + b"\n"
-    data = response(200, json.dumps(LIST).encode()) + b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+    data = (
+        response(200, json.dumps(LISTING).encode()) + b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+    )
     data += chunk(b"\n") + chunk(change[:9]) + chunk(change[9:] + b"\n" + change)
-    machine, seqs, sent = Discovery("a:1", None), [], b""
-    assert machine.start().startswith(b"GET /registry/instances HTTP/1.1\r\n")
+    discovery, seqs, sent = Discovery("a:1", None), [], b""
+    assert discovery.start().startswith(b"GET /registry/instances HTTP/1.1\r\n")
     for i in range(0, len(data), step):
-        listings, call = machine.receive(data[i : i + step])
+        listings, call = discovery.receive(data[i : i + step])
         seqs += [listing.seq for listing in listings]
         sent += call
-    assert seqs == [41, 43, 43] and machine.seq == 43
+    assert seqs == [41, 43, 43] and discovery.seq == 43
     assert sent.startswith(b"GET /registry/instances?watch=1&from=41 HTTP/1.1\r\n")
 
 
-def test_discovery_resumes_from_the_last_version_it_holds():
+def test_discovery_resumes_from_its_last_version():
     assert b"?watch=1&from=43 " in Discovery("a:1", 43).start()
 
 
 @pytest.mark.parametrize(
     "data", [b"", response(500), response(200, b"{"), response(200, b"[]"), b"junk\r\n\r\n"]
 )
-def test_what_discovery_must_not_say_ends_the_connection(data):
-    machine = Discovery("a:1", None)
-    machine.start()
+def test_invalid_discovery_response_ends_the_connection(data):
+    discovery = Discovery("a:1", None)
+    discovery.start()
     with pytest.raises(DiscoveryError):
-        machine.receive(data)
+        discovery.receive(data)
 
 
 class Server:
@@ -214,15 +216,15 @@
 
 
 class FakeConnection:
-    """Has carried one request; `kept` says whether it was kept for another."""
+    """A connection that has carried one request; `reusable` tells whether the planner kept it."""
 
     def __init__(self, pool, member):
         self.planner, self.clock, self.member, self.closed = pool.planner, pool.clock, member, False
         self.held = self.planner.opening(member.line, self, self.clock())
         self.planner.up(self.held, self.clock())
-        self.kept = self.end()
+        self.reusable = self.finish_request()
 
-    def end(self):
+    def finish_request(self):
         return self.planner.done(self.held, self.clock()) is None
 
     def close(self, cause):
@@ -237,18 +239,18 @@
         return self.now
 
 
-def pool_of(*hosts, clock=None):
+def make_pool(*hosts, clock=None):
     pool = Pool(CONF, clock or Clock(), 1_000_000.0)
     pool.take(read_listing({"seq": 1, "whole": True, "hosts": list(hosts)}))
     return pool
 
 
-def changes(pool, *hosts, whole=False):
+def apply_changes(pool, *hosts, whole=False):
     return pool.take(read_listing({"seq": 2, "whole": whole, "hosts": list(hosts)}))
 
 
-def test_times_of_start_are_put_on_the_modules_clock_and_long_ago_stays_so():
-    event = changes(pool_of(), host("a", Server, born_ms=1_040_000), host("b", Server))
+def test_start_times_are_converted_to_policy_clock():
+    event = apply_changes(make_pool(), host("a", Server, born_ms=1_040_000), host("b", Server))
     assert [(e.backend, e.started, e.state) for e in event.entries] == [
         ("a", 40_000.0, State.LIVE),
         ("b", 0.0, State.LIVE),
@@ -256,58 +258,60 @@
     assert event.scope is ListScope.CHANGES
 
 
-def test_an_entry_that_cannot_be_read_costs_only_itself():
-    event = changes(pool_of(), {"host": "a"}, host("b", Server), host("c", Server) | {"dial": "nowhere"})
+def test_malformed_entry_is_skipped():
+    event = apply_changes(
+        make_pool(), {"host": "a"}, host("b", Server), host("c", Server) | {"dial": "nowhere"}
+    )
     assert [e.backend for e in event.entries] == ["b"]
 
 
 @pytest.mark.parametrize("how", ["draining", "gone", "left out"])
-def test_what_was_queued_for_a_member_may_begin_only_inside_the_drain_limit(how):
-    # guards against a send that waits for its connection past the limit
+def test_queued_requests_start_only_within_drain_grace(how):
+    # guards against a request that waits for its connection beyond the drain limit
     clock = Clock()
-    pool = pool_of(host("a", Server), clock=clock)
+    pool = make_pool(host("a", Server), clock=clock)
     member = pool.members["a"]
     idle, busy = FakeConnection(pool, member), FakeConnection(pool, member)
-    assert idle.kept and pool.lend(member, True) is busy and pool.may_begin(member)
+    assert idle.reusable and pool.lend(member, True) is busy and pool.may_begin(member)
     if how == "left out":
-        changes(pool, whole=True)
+        apply_changes(pool, whole=True)
     else:
-        changes(pool, host("a", Server, how))
-    assert idle.closed and not busy.closed and not busy.end() and pool.may_begin(member)
+        apply_changes(pool, host("a", Server, how))
+    assert idle.closed and not busy.closed and not busy.finish_request() and pool.may_begin(member)
     clock.now += 400
-    changes(pool, *([] if how == "left out" else [host("a", Server, how)]))
+    apply_changes(pool, *([] if how == "left out" else [host("a", Server, how)]))
     clock.now += 101
     assert not pool.may_begin(member)
 
 
-def test_idle_connections_to_an_earlier_life_are_closed():
-    # guards against a reset on a dead connection, for which the module shuns the member for seconds
-    pool = pool_of(host("a", Server))
+def test_idle_connections_to_previous_process_are_closed():
+    # guards against a reset on a dead connection, for which the policy would eject the member for seconds
+    pool = make_pool(host("a", Server))
     member = pool.members["a"]
     idle, busy = FakeConnection(pool, member), FakeConnection(pool, member)
     assert pool.lend(member, True) is busy
-    changes(pool, host("a", Server, born_ms=5))
-    assert idle.closed and not busy.end() and pool.lend(member, True) is None
+    apply_changes(pool, host("a", Server, born_ms=5))
+    assert idle.closed and not busy.finish_request() and pool.lend(member, True) is None
 
 
-def test_a_member_that_is_ready_again_gets_connections_anew():
-    # guards against a member that was said to drain and came back: nothing was kept for it any more
-    pool = pool_of(host("a", Server))
-    changes(pool, host("a", Server, "draining"))
-    changes(pool, host("a", Server))
+def test_member_ready_again_gets_new_connections():
+    # guards against a member that drained and came back: none of its connections were kept any more
+    pool = make_pool(host("a", Server))
+    apply_changes(pool, host("a", Server, "draining"))
+    apply_changes(pool, host("a", Server))
     member = pool.members["a"]
-    assert FakeConnection(pool, member).kept and pool.lend(member, True) is not None
+    assert FakeConnection(pool, member).reusable and pool.lend(member, True) is not None
 
 
-def test_the_idle_connection_used_last_is_lent_and_the_one_idle_longest_makes_room():
-    pool = pool_of(host("a", Server))
+def test_most_recent_idle_connection_is_used_and_oldest_evicted():
+    pool = make_pool(host("a", Server))
     member = pool.members["a"]
     old, new = FakeConnection(pool, member), FakeConnection(pool, member)
     assert pool.lend(member, True) is new and pool.evict_idle() and old.closed
     assert pool.lend(member, True) is None and not pool.evict_idle()
 
 
-def test_deadlines_are_swept_in_order_and_a_fault_costs_only_itself():
+def test_deadlines_are_called_in_order_despite_a_failure():
     deadlines, called = Deadlines(), []
     deadlines.add(2.0, lambda: called.append(2))
     deadlines.add(1.0, lambda: 1 / 0)
@@ -318,8 +322,8 @@
     assert called == [2] and deadlines.next() == 3.0
 
 
-def test_what_a_deadline_adds_waits_for_the_next_sweep():
-    # guards against a sweep without end
+def test_deadline_added_during_sweep_waits_for_next_sweep():
+    # guards against an endless sweep
     deadlines, called = Deadlines(), []
 
     def again():
@@ -331,7 +335,7 @@
     assert called == [1, 1]
 
 
-def test_a_buffer_is_used_again_also_after_a_failed_read():
+def test_buffer_is_reused_after_failed_read():
     ours, theirs = socket.socketpair()
     with ours, theirs:
         ours.setblocking(False)
--- a/tests/test_transaction.py
+++ b/tests/test_transaction.py
@@ -1,4 +1,4 @@
-"""The owner of transactions, with a real module or a scripted one and a carrier that keeps notes."""
+"""Transactions with the real policy or a scripted one, and a transport that records attempts."""
 
 import gc
 import logging
@@ -20,7 +20,7 @@
 from brackenusher.records.tally import Tally
 
 
-class Carrier:
+class FakeTransport:
     def __init__(self):
         self.started, self.cancelled = [], []
         self.on_start = lambda attempt: None
@@ -33,162 +33,167 @@
         self.cancelled.append(attempt)
 
 
-class Script:
-    """A module that answers each event as it is told."""
+class ScriptedPolicy:
+    """A policy with a fixed reaction to each kind of event."""
 
     def __init__(self, **replies):
-        self.replies, self.seen = replies, []
+        self.replies, self.events = replies, []
 
     def handle(self, now, event):
-        self.seen.append(event)
-        reply = self.replies.get(type(event).__name__, lambda e: [])
-        return reply(event)
+        self.events.append(event)
+        make_actions = self.replies.get(type(event).__name__, lambda e: [])
+        return make_actions(event)
 
 
-class World:
-    def __init__(self, module=None):
-        self.now, self.deadlines, self.carrier, self.answers = 1000.0, Deadlines(), Carrier(), []
-        self.count = 0
-        module = module or Balancer(settings(), 1, self.now)
-        self.owner = Transactions(module, lambda: self.now, self.deadlines, self.carrier)
+class Harness:
+    def __init__(self, policy=None):
+        self.now, self.deadlines, self.transport, self.answers = 1000.0, Deadlines(), FakeTransport(), []
+        self.last_id = 0
+        policy = policy or Balancer(settings(), 1, self.now)
+        self.owner = Transactions(policy, lambda: self.now, self.deadlines, self.transport)
         self.owner.post(face.ListChanged(ListScope.COMPLETE, [face.Entry("a", State.LIVE)]))
 
-    def arrive(self, span=800.0, klass=0, name=None):
-        self.count += 1
-        name = name or b"%d" % self.count
-        return self.owner.arrive(name, klass, span, Message(b"GET", b"/r"), self.answers.append)
+    def accept(self, timeout_ms=800.0, class_index=0, request_id=None):
+        self.last_id += 1
+        request_id = request_id or b"%d" % self.last_id
+        return self.owner.arrive(
+            request_id, class_index, timeout_ms, Message(b"GET", b"/r"), self.answers.append
+        )
 
-    def pass_time(self, span):
-        end = self.now + span
+    def advance(self, duration_ms):
+        end = self.now + duration_ms
         while self.now < end:
             self.now += 1.0
             self.deadlines.sweep(self.now)
 
 
-SEND = {"Arrived": lambda e: [face.Send(e.request, "a")]}
+SEND_ON_ARRIVAL = {"Arrived": lambda e: [face.Send(e.request, "a")]}
 
 
-def test_a_served_attempt_is_the_final_answer_and_leaves_nothing_behind():
-    world = World()
-    world.arrive()
-    world.owner.finished(world.carrier.started[0], Outcome.SERVED, Served(Content(b"board")))
-    world.owner.finished(world.carrier.started[0], Outcome.TIMEOUT)
-    assert world.answers == [Served(Content(b"board"))]
-    assert not world.owner.open and not world.owner.balancer.requests
+def test_served_attempt_is_final_and_frees_all_state():
+    harness = Harness()
+    harness.accept()
+    harness.owner.finished(harness.transport.started[0], Outcome.SERVED, Served(Content(b"board")))
+    harness.owner.finished(harness.transport.started[0], Outcome.TIMEOUT)
+    assert harness.answers == [Served(Content(b"board"))]
+    assert not harness.owner.open and not harness.owner.balancer.requests
 
 
-def test_each_transaction_is_answered_once_whatever_the_module_says():
+def test_each_transaction_is_answered_once():
     twice = {"Arrived": lambda e: [face.Fail(e.request), face.Refuse(e.request, 5.0)]}
-    world = World(Script(**twice))
-    world.arrive()
-    assert world.answers == [Failed()] and not world.owner.open
-
-
-def test_the_name_of_an_open_transaction_is_not_taken_a_second_time():
-    # guards against two requests that pool members know as one: the answer to one would serve the other
-    world = World()
-    first = world.arrive(name=b"a")
-    assert first and world.arrive(name=b"a") is None and len(world.carrier.started) == 1
-    world.owner.finished(world.carrier.started[0], Outcome.SERVED, Served(Content(b"board")))
-    assert world.answers == [Served(Content(b"board"))] and world.arrive(name=b"a")
-    assert world.owner.open_ids == {b"a"}
-
-
-def test_an_outcome_that_comes_while_acting_waits_its_turn():
-    # guards against the module being entered a second time from inside an action
-    world = World(Script(**SEND))
-    world.carrier.on_start = lambda attempt: world.owner.finished(attempt, Outcome.CONNECT_FAILED)
-    world.arrive()
-    assert [type(e) for e in world.owner.balancer.seen[1:]] == [face.Arrived, face.Finished]
-    world.now += 800
-    world.deadlines.sweep(world.now)
-    assert world.answers == [Failed()]
-
-
-def test_a_held_request_is_refused_at_once_when_the_module_gives_it_up():
-    world = World()
-    world.owner.post(face.ListChanged(ListScope.COMPLETE, []))
-    world.arrive()
-    world.pass_time(799.0)
-    assert [type(a) for a in world.answers] == [Refused] and not world.owner.unanswered
-
-
-def test_the_last_guard_answers_and_logs_what_nobody_answered(caplog):
-    world = World(Script())
-    world.arrive(800.0)
-    world.pass_time(799.0)
-    assert world.answers == []
-    world.pass_time(1.0)
-    assert world.answers == [Failed()] and world.owner.unanswered == 1
+    harness = Harness(ScriptedPolicy(**twice))
+    harness.accept()
+    assert harness.answers == [Failed()] and not harness.owner.open
+
+
+def test_id_of_open_transaction_is_not_accepted_again():
+    # guards against two requests with one id: pool members could answer one with the response to the other
+    harness = Harness()
+    first = harness.accept(request_id=b"a")
+    assert first and harness.accept(request_id=b"a") is None and len(harness.transport.started) == 1
+    harness.owner.finished(harness.transport.started[0], Outcome.SERVED, Served(Content(b"board")))
+    assert harness.answers == [Served(Content(b"board"))] and harness.accept(request_id=b"a")
+    assert harness.owner.open_ids == {b"a"}
+
+
+def test_outcome_during_an_action_is_queued():
+    # guards against re-entering the policy from within an action
+    harness = Harness(ScriptedPolicy(**SEND_ON_ARRIVAL))
+    harness.transport.on_start = lambda attempt: harness.owner.finished(attempt, Outcome.CONNECT_FAILED)
+    harness.accept()
+    assert [type(e) for e in harness.owner.balancer.events[1:]] == [face.Arrived, face.Finished]
+    harness.now += 800
+    harness.deadlines.sweep(harness.now)
+    assert harness.answers == [Failed()]
+
+
+def test_held_request_is_refused_when_policy_gives_it_up():
+    harness = Harness()
+    harness.owner.post(face.ListChanged(ListScope.COMPLETE, []))
+    harness.accept()
+    harness.advance(799.0)
+    assert [type(a) for a in harness.answers] == [Refused] and not harness.owner.unanswered
+
+
+def test_unanswered_request_is_failed_and_logged_at_deadline(caplog):
+    harness = Harness(ScriptedPolicy())
+    harness.accept(800.0)
+    harness.advance(799.0)
+    assert harness.answers == []
+    harness.advance(1.0)
+    assert harness.answers == [Failed()] and harness.owner.unanswered == 1
     assert "unanswered" in caplog.text
-    assert type(world.owner.balancer.seen[-1]) is face.Left
+    assert type(harness.owner.balancer.events[-1]) is face.Left
 
 
-def test_the_modules_deadline_leaves_time_for_the_answers_way():
-    world = World(Script())
-    world.arrive(800.0)
-    assert world.owner.balancer.seen[-1].deadline == world.now + 800.0 - RESERVE
+def test_policy_deadline_reserves_time_for_the_response():
+    harness = Harness(ScriptedPolicy())
+    harness.accept(800.0)
+    assert harness.owner.balancer.events[-1].deadline == harness.now + 800.0 - RESERVE
 
 
-def test_an_attempt_ends_no_later_than_its_own_time_out():
-    world = World(Script(Arrived=lambda e: [face.Send(e.request, "a", 30.0), face.Send(e.request, "a")]))
-    world.arrive(800.0)
-    assert [a.deadline - world.now for a in world.carrier.started] == [30.0, 800.0 - RESERVE]
+def test_attempt_deadline_is_bounded_by_its_timeout():
+    harness = Harness(
+        ScriptedPolicy(Arrived=lambda e: [face.Send(e.request, "a", 30.0), face.Send(e.request, "a")])
+    )
+    harness.accept(800.0)
+    assert [a.deadline - harness.now for a in harness.transport.started] == [30.0, 800.0 - RESERVE]
 
 
-def test_a_client_that_left_has_its_attempts_cancelled_and_gets_no_answer():
-    world = World()
-    transaction = world.arrive(klass=KEYED)
-    world.owner.left(transaction)
-    assert world.carrier.cancelled == world.carrier.started != []
-    assert world.answers == [] and not world.owner.open and not world.owner.balancer.requests
+def test_client_disconnect_cancels_attempts():
+    harness = Harness()
+    transaction = harness.accept(class_index=KEYED)
+    harness.owner.left(transaction)
+    assert harness.transport.cancelled == harness.transport.started != []
+    assert harness.answers == [] and not harness.owner.open and not harness.owner.balancer.requests
 
 
-def test_a_send_for_what_is_over_is_not_carried_out():
-    # guards against sending for a client whose leaving still waits to be told to the module
-    world = World(Script(TimerDue=lambda e: [face.Send(1, "a")]))
-    transaction = world.arrive()
-    world.owner.dispatching = True
-    world.owner.left(transaction)
-    world.owner.dispatching = False
-    world.owner.events.appendleft(face.TimerDue(0))
-    world.owner.post(face.TimerDue(0))
-    outcomes = [e.outcome for e in world.owner.balancer.seen if isinstance(e, face.Finished)]
-    assert outcomes == [Outcome.NOT_SENT, Outcome.NOT_SENT] and world.carrier.started == []
+def test_send_for_closed_transaction_is_not_carried_out():
+    # guards against sending for a disconnected client while the event is still queued for the policy
+    harness = Harness(ScriptedPolicy(TimerDue=lambda e: [face.Send(1, "a")]))
+    transaction = harness.accept()
+    harness.owner.dispatching = True
+    harness.owner.left(transaction)
+    harness.owner.dispatching = False
+    harness.owner.events.appendleft(face.TimerDue(0))
+    harness.owner.post(face.TimerDue(0))
+    outcomes = [e.outcome for e in harness.owner.balancer.events if isinstance(e, face.Finished)]
+    assert outcomes == [Outcome.NOT_SENT, Outcome.NOT_SENT] and harness.transport.started == []
 
 
 @pytest.mark.parametrize("where", ["module", "carrier"])
-def test_an_exception_is_logged_with_its_trace_and_costs_its_transaction_only(where, caplog):
-    script = Script(**SEND)
-    world = World(script)
-    first = world.arrive()
+def test_exception_is_logged_and_fails_its_transaction_only(where, caplog):
+    script = ScriptedPolicy(**SEND_ON_ARRIVAL)
+    harness = Harness(script)
+    first = harness.accept()
     if where == "module":
         script.replies["Arrived"] = lambda e: 1 / 0
     else:
-        world.carrier.on_start = lambda attempt: 1 / 0
+        harness.transport.on_start = lambda attempt: 1 / 0
     with caplog.at_level(logging.ERROR):
-        world.arrive()
+        harness.accept()
     assert "ZeroDivisionError" in caplog.text
-    if where == "carrier":  # the module hears that nothing was sent, and decides
-        assert script.seen[-1].outcome is Outcome.NOT_SENT
-        world.deadlines.sweep(world.now + 800.0)
-    assert world.answers[0] == Failed()
+    if where == "carrier":  # the policy learns that nothing was sent, and decides
+        assert script.events[-1].outcome is Outcome.NOT_SENT
+        harness.deadlines.sweep(harness.now + 800.0)
+    assert harness.answers[0] == Failed()
     assert first.over is (where == "carrier")
 
 
-class Weighed(Message):
+class WeakReferenceableMessage(Message):
     __slots__ = ("__weakref__",)
 
 
-def test_what_a_request_held_goes_with_its_end_and_waits_for_no_collection():
-    # guards against long bodies kept in a circle of transaction and attempts: dozens of MB until it is looked
-    world = World()
+def test_finished_request_is_freed_without_garbage_collection():
+    # guards against long bodies kept by a reference cycle of transaction and attempts: dozens of MB until the
+    # next garbage collection
+    harness = Harness()
     gc.disable()
     try:
-        message = Weighed(b"POST", b"/r", body=b"move")
+        message = WeakReferenceableMessage(b"POST", b"/r", body=b"move")
         seen = weakref.ref(message)
-        world.owner.arrive(b"x", 0, 800.0, message, world.answers.append)
-        world.owner.finished(world.carrier.started.pop(), Outcome.SERVED, Served(Content(b"board")))
+        harness.owner.arrive(b"x", 0, 800.0, message, harness.answers.append)
+        harness.owner.finished(harness.transport.started.pop(), Outcome.SERVED, Served(Content(b"board")))
         del message
         assert seen() is None
     finally:
@@ -209,34 +214,34 @@
 
 
 @hypothesis.given(STEPS)
-def test_the_figures_add_up_at_every_moment(steps):
-    # guards against a request counted twice, or never: what came is what ended and what is in hand
-    world = World()
-    world.owner.balancer.conf.classes[0].name = "c"
-    tally = Tally(settings(), lambda: world.now, lambda now: (1, 0), lambda: world.owner.taken, lambda: 0)
-    world.owner.observers = Observers(answered=(tally.answered,), turned_away=(tally.turned_away,))
-    pipes, taken, away = [], [], 0
+def test_metrics_add_up_at_every_step(steps):
+    # guards against a request counted twice or never: arrived = ended + in flight
+    harness = Harness()
+    harness.owner.balancer.conf.classes[0].name = "c"
+    tally = Tally(settings(), lambda: harness.now, lambda now: (1, 0), lambda: harness.owner.taken, lambda: 0)
+    harness.owner.observers = Observers(answered=(tally.answered,), turned_away=(tally.turned_away,))
+    pipes, accepted, denied = [], [], 0
     for what, how in steps:
-        out = [attempt for attempt in world.carrier.started if attempt.outcome is None]
+        in_flight = [attempt for attempt in harness.transport.started if attempt.outcome is None]
         if what == "arrive":
-            taken.append(world.arrive(klass=how))
+            accepted.append(harness.accept(class_index=how))
         elif what == "away":
-            away += 1
-            world.owner.turn_away(Request(b"x", 0, 1.0, 0, False, Message(b"GET", b"/")), "door" + how)
-        elif what == "finish" and out:
+            denied += 1
+            harness.owner.turn_away(Request(b"x", 0, 1.0, 0, False, Message(b"GET", b"/")), "door" + how)
+        elif what == "finish" and in_flight:
             served = Served(Content(b"board")) if how is Outcome.SERVED else None
-            world.owner.finished(out[0], how, served)
-        elif what == "drip" and out:
+            harness.owner.finished(in_flight[0], how, served)
+        elif what == "drip" and in_flight:
             pipes.append((Pipe(Budget(1)), how))
-            world.owner.finished(out[0], Outcome.SERVED, Served(Content(b"", rest=pipes[-1][0])))
-        elif what == "leave" and taken:
-            world.owner.left(taken[how % len(taken)])
+            harness.owner.finished(in_flight[0], Outcome.SERVED, Served(Content(b"", rest=pipes[-1][0])))
+        elif what == "leave" and accepted:
+            harness.owner.left(accepted[how % len(accepted)])
         elif what == "wait":
-            world.pass_time(how)
+            harness.advance(how)
         ended = sum(tally.success) + sum(tally.busy) + sum(tally.failure) + sum(tally.abandoned)
-        assert world.owner.taken + away == ended + tally.inflight
-        pouring = sum(pipe.end is None for pipe, _ in pipes)
-        assert tally.inflight == sum(not t.over for t in taken) + pouring
+        assert harness.owner.taken + denied == ended + tally.inflight
+        streaming = sum(pipe.end is None for pipe, _ in pipes)
+        assert tally.inflight == sum(not t.over for t in accepted) + streaming
     for pipe, end in pipes:
         pipe.stop(end)
-    assert tally.inflight == sum(not t.over for t in taken)
+    assert tally.inflight == sum(not t.over for t in accepted)
