--- a/brackenusher/assembly/control.py
+++ b/brackenusher/assembly/control.py
@@ -9,7 +9,7 @@
 
 from barleybarrow.documents import Configuration
 from barleybarrow.limits.limits import Limits
-from brackenusher.assembly.process import greeting, limit_bounds, run
+from brackenusher.assembly.process import limit_bounds, own_hello, run
 from brackenusher.cluster.link_metrics import add_link_metrics
 from brackenusher.cluster.links import Links, split_address
 from brackenusher.cluster.monitor import Monitor
@@ -29,10 +29,10 @@
 from brackenusher.storage.writer import StorageWriter
 
 REGISTRY_STORE = "registry"
-TICK_S = 0.1
+TICK_INTERVAL_S = 0.1
 
 
-def check(document: dict[str, Any]) -> Result[Configuration, Exception]:
+def check_configuration(document: dict[str, Any]) -> Result[Configuration, Exception]:
     """Check a document. Its library takes a quarter of a second to import: not while the process starts."""
     from brackenusher.settings.documents import check_document
 
@@ -46,18 +46,18 @@
         loop = asyncio.get_running_loop()
         rng = random.Random(os.urandom(16))
         self.settings = settings
-        self.links = Links(greeting(settings, "control", settings.control_internal_port, rng), rng)
+        self.links = Links(own_hello(settings, "control", settings.control_internal_port, rng), rng)
         self.writer = StorageWriter() if settings.data_dir else None
         store = SlotStore(settings.data_dir, REGISTRY_STORE) if settings.data_dir else None
-        self.shard = ConfigShard(settings, self.links, check, rng)
+        self.shard = ConfigShard(settings, self.links, check_configuration, rng)
         self.registry = RegistryService(
             settings, self.links, store, self.writer, self.shard.voters, lambda: loop.time() * 1000.0
         )
         self.feeds = FeedSource(self.links, self.shard, self.registry)
         self.confirmations = VersionConfirmations(self.links, self.shard, lambda: loop.time() * 1000.0)
-        own = self.links.own.address
+        own_address = self.links.own.address
         self.limits = Limits(
-            own,
+            own_address,
             [],
             rng,
             loop.time() * 1000.0,
@@ -65,12 +65,14 @@
             is_proxy=False,
             bootstrap=settings.bootstrap,
         )
-        roster = SlotStore(settings.data_dir, LIMITS_STORE) if settings.data_dir else None
-        self.shares = SharesDriver(self.limits, self.links, lambda: loop.time() * 1000.0, roster, self.writer)
-        self.shard.on_committed.append(self._configured)
-        self.shard.on_voters.append(self.shares.voters_changed)
+        limits_store = SlotStore(settings.data_dir, LIMITS_STORE) if settings.data_dir else None
+        self.limits_driver = SharesDriver(
+            self.limits, self.links, lambda: loop.time() * 1000.0, limits_store, self.writer
+        )
+        self.shard.on_committed.append(self._configure_limits)
+        self.shard.on_voters.append(self.limits_driver.voters_changed)
         self.monitor = Monitor(settings, self.links, rng)
-        self._ticker: asyncio.Task[None] | None = None
+        self._tick_task: asyncio.Task[None] | None = None
         status = FleetStatus(self.links, self.shard, self.registry, self.feeds, self.monitor)
         metrics = Metrics()
         api = Api(self.shard, self.registry, status=status.tell, metrics=metrics)
@@ -80,7 +82,7 @@
         add_link_metrics(metrics, self.links)
         add_control_metrics(metrics, self.shard, self.registry, self.feeds, self.server)
 
-    def _configured(self, configuration: Configuration) -> None:
+    def _configure_limits(self, configuration: Configuration) -> None:
         now = asyncio.get_running_loop().time() * 1000.0
         self.limits.configure(now, configuration.tenants, configuration.services)
 
@@ -89,17 +91,17 @@
         await self.links.start()
         await self.monitor.start()
         await self.server.start()  # a disk that stalls while it is read holds up no call: each has its time
-        self.shares.start()
+        self.limits_driver.start()
         await self.shard.start()
-        self._ticker = asyncio.get_running_loop().create_task(self._keep_ticking())
+        self._tick_task = asyncio.get_running_loop().create_task(self._run_ticks())
         await self.registry.start()
 
-    async def _keep_ticking(self) -> None:
+    async def _run_ticks(self) -> None:
         while True:
             self.limits.credit_machine.defers_candidacy = self.shard.is_leader
             self.registry.tick()
             self.monitor.tick()
-            await asyncio.sleep(TICK_S)
+            await asyncio.sleep(TICK_INTERVAL_S)
 
     def reload(self, settings: LocalSettings) -> None:
         """Take up a settings file that changed: new seeds are called."""
@@ -111,9 +113,9 @@
         """Hand over what this process leads, then end."""
         await self.shard.stop()
         await self.server.stop()
-        self.shares.stop()
-        if self._ticker is not None:
-            self._ticker.cancel()
+        self.limits_driver.stop()
+        if self._tick_task is not None:
+            self._tick_task.cancel()
         await self.feeds.stop()
         await self.confirmations.stop()
         await self.monitor.stop()
@@ -122,11 +124,11 @@
             self.writer.close()
 
 
-async def make(settings: LocalSettings) -> ControlProcess:
+async def create_process(settings: LocalSettings) -> ControlProcess:
     """Put a control process together; the event loop runs."""
     return ControlProcess(settings)
 
 
 def main() -> int:
     """Run a control process until it is told to end. Returns the exit code."""
-    return run(make)
+    return run(create_process)
--- a/brackenusher/assembly/process.py
+++ b/brackenusher/assembly/process.py
@@ -15,12 +15,12 @@
 from brackenusher.cluster import messages
 from brackenusher.runtime.fleet_log import set_up
 from brackenusher.settings.local import LocalSettings
-from brackenusher.settings.reading import EXIT_BAD_SETTINGS, SETTINGS_VARIABLE, load_settings
+from brackenusher.settings.reading import EXIT_BAD_SETTINGS, SETTINGS_ENV_VAR, load_settings
 
 log = logging.getLogger(__name__)
 
 
-class Runnable(Protocol):
+class RoleProcess(Protocol):
     """A role that was put together."""
 
     async def start(self) -> None:
@@ -33,11 +33,11 @@
         """Take up a settings file that changed."""
 
 
-def read_settings() -> LocalSettings | None:
+def settings_from_environment() -> LocalSettings | None:
     """The settings of this process; None, and one line on standard error, where they can't be used."""
-    path = os.environ.get(SETTINGS_VARIABLE, "")
+    path = os.environ.get(SETTINGS_ENV_VAR, "")
     if not path:
-        print(f"brackenusher: {SETTINGS_VARIABLE} is not set: name the settings file", file=sys.stderr)
+        print(f"brackenusher: {SETTINGS_ENV_VAR} is not set: name the settings file", file=sys.stderr)
         return None
     match load_settings(path):
         case Success(settings):
@@ -47,7 +47,7 @@
     return None
 
 
-def greeting(settings: LocalSettings, role: str, port: int, rng: random.Random) -> messages.Hello:
+def own_hello(settings: LocalSettings, role: str, port: int, rng: random.Random) -> messages.Hello:
     """How this process introduces itself to its peers."""
     return messages.Hello(
         address=f"{settings.ip}:{port}",
@@ -74,34 +74,34 @@
     )
 
 
-async def _serve(make: Callable[[LocalSettings], Awaitable[Runnable]], settings: LocalSettings) -> None:
+async def _serve(create: Callable[[LocalSettings], Awaitable[RoleProcess]], settings: LocalSettings) -> None:
     loop = asyncio.get_running_loop()
-    ending = asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, ending.set)
-    role = await make(settings)
+    stop_requested = asyncio.Event()
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop_requested.set)
+    process = await create(settings)
 
     def reload() -> None:
-        changed = read_settings()
+        changed = settings_from_environment()
         if changed is not None:
-            role.reload(changed)
+            process.reload(changed)
 
     loop.add_signal_handler(signal.SIGHUP, reload)
-    await role.start()
-    await ending.wait()
+    await process.start()
+    await stop_requested.wait()
     log.info("event=ending role=%s", settings.role)
-    await role.stop()
+    await process.stop()
 
 
-def run(make: Callable[[LocalSettings], Awaitable[Runnable]]) -> int:
+def run(create: Callable[[LocalSettings], Awaitable[RoleProcess]]) -> int:
     """Run a role until it is told to end. Returns the exit code."""
-    settings = read_settings()
+    settings = settings_from_environment()
     if settings is None:
         return EXIT_BAD_SETTINGS
     set_up(settings.role, settings.log_level)
     log.info("event=starting role=%s node=%s", settings.role, settings.node_name)
     try:
-        asyncio.run(_serve(make, settings))
+        asyncio.run(_serve(create, settings))
     except OSError as error:
         print(f"brackenusher: {error}: is another process at that address?", file=sys.stderr)
         return 1
--- a/brackenusher/assembly/proxy.py
+++ b/brackenusher/assembly/proxy.py
@@ -9,9 +9,9 @@
 from barleybarrow.replication.records import InstanceRecord, InstanceState
 from barleybarrow.routing.actions import DispatchSettings, ServerInfo, ServerState
 from barleybarrow.routing.dispatcher import Dispatcher
-from brackenusher.assembly.process import greeting, limit_bounds, run
+from brackenusher.assembly.process import limit_bounds, own_hello, run
 from brackenusher.cluster import messages
-from brackenusher.cluster.base_exchange import BaseExchange
+from brackenusher.cluster.base_exchange import FallbackShareExchange
 from brackenusher.cluster.key_leases import KeyLease
 from brackenusher.cluster.limits_driver import LimitsDriver
 from brackenusher.cluster.link_metrics import add_link_metrics
@@ -30,9 +30,9 @@
 from brackenusher.runtime.request_journal import RequestJournal
 from brackenusher.settings.local import LocalSettings
 
-TICK_S = 0.1
-PROXY = "proxy"
-STATUS_PERIOD_S = 1.0  # between two words to the voters on what is in force here, unless it changes
+TICK_INTERVAL_S = 0.1
+PROXY_ROLE = "proxy"
+STATUS_INTERVAL_S = 1.0  # between two words to the voters on what is in force here, unless it changes
 
 
 def server_info(record: InstanceRecord) -> ServerInfo:
@@ -56,7 +56,7 @@
         loop = asyncio.get_running_loop()
         rng = random.Random(os.urandom(16))
         self.settings = settings
-        self.links = Links(greeting(settings, "proxy", settings.proxy_internal_port, rng), rng)
+        self.links = Links(own_hello(settings, "proxy", settings.proxy_internal_port, rng), rng)
         now = loop.time() * 1000.0
         self.limits = Limits(
             self.links.own.address, [], rng, now, limit_bounds(settings), bootstrap=settings.bootstrap
@@ -81,21 +81,21 @@
             keys_hold=lambda: self.key_lease.holds,
             journal=self.journal,
         )
-        self.feed = FeedClient(settings, self.links, self._configured, self._servers_changed)
+        self.feed = FeedClient(settings, self.links, self._apply_configuration, self._servers_changed)
         self.feed.on_voters.append(self.limits_driver.voters_changed)
         self.announcer = Announcer(loop, self.dispatcher, settings.ip, settings.internal_port_range[0])
         self.monitor = Monitor(settings, self.links, rng)
         self.monitor.on_controls.append(self.feed.learn)
         self.monitor.on_version.append(self.feed.hear_of_version)
-        self.monitor.own_version = lambda: self.feed.version
-        self.bases = self.monitor.bases = BaseExchange(self.limits)
+        self.monitor.applied_version = lambda: self.feed.version
+        self.share_exchange = self.monitor.share_exchange = FallbackShareExchange(self.limits)
         self.monitor.key_lease = self.key_lease
         self.monitor.on_members.append(lambda members: self._members_changed())
-        self._ticker: asyncio.Task[None] | None = None
+        self._tick_task: asyncio.Task[None] | None = None
         self.server = DataPlaneServer(self.proxy, settings.limits.max_fds, self._is_ready)
         host, port = split_address(settings.listen.ready)
         metrics = Metrics()
-        self.readiness = HttpServer(host, port, ReadyApi(self.server.readiness, metrics).handle)
+        self.ready_server = HttpServer(host, port, ReadyApi(self.server.readiness, metrics).handle)
         add_process_metrics(metrics)
         add_link_metrics(metrics, self.links)
         add_proxy_metrics(
@@ -107,23 +107,23 @@
             self.key_lease,
             self.announcer,
         )
-        self._told: messages.ProxyStatus | None = None
-        self._tell_at = 0.0
+        self._last_status: messages.ProxyStatus | None = None
+        self._next_status_at = 0.0
 
     def _is_ready(self) -> bool:
         return self.feed.ready and self.key_lease.holds
 
-    def _configured(self, configuration: Configuration) -> None:
+    def _apply_configuration(self, configuration: Configuration) -> None:
         self.proxy.configure(configuration)
         self.key_lease.took(configuration.generation)
 
     def _members_changed(self) -> None:
-        count = self.monitor.proxies()
+        count = self.monitor.count_proxies()
         if count != self.proxy.proxy_count:
             self.proxy.set_proxy_count(count)
             self.dispatcher.proxies_changed(asyncio.get_running_loop().time() * 1000.0, count)
         members = self.monitor.members.values()
-        self.announcer.set_peers({view.address: view.zone for view in members if view.role == PROXY})
+        self.announcer.set_peers({view.address: view.zone for view in members if view.role == PROXY_ROLE})
 
     def _servers_changed(self, service: str, records: list[InstanceRecord]) -> None:
         self.proxy.set_servers(service, [server_info(record) for record in records])
@@ -131,22 +131,22 @@
     async def start(self) -> None:
         """Open what is served. Raises OSError where an address can't be listened on."""
         await self.links.start()
-        await self.readiness.start()
+        await self.ready_server.start()
         await self.server.start(self.settings.listen.front)
         self.limits_driver.start()
         await self.feed.start()
         await self.monitor.start()
         await self.announcer.start()
-        self._ticker = asyncio.get_running_loop().create_task(self._keep_ticking())
+        self._tick_task = asyncio.get_running_loop().create_task(self._run_ticks())
 
-    async def _keep_ticking(self) -> None:
+    async def _run_ticks(self) -> None:
         while True:
             self.monitor.tick()
             self.key_lease.tick(self.feed.sources)
-            self._tell_status()
-            await asyncio.sleep(TICK_S)
+            self._send_status()
+            await asyncio.sleep(TICK_INTERVAL_S)
 
-    def _tell_status(self) -> None:
+    def _send_status(self) -> None:
         """Tell the voters what is in force here: at each change, and once a period."""
         now = asyncio.get_running_loop().time()
         status = messages.ProxyStatus(
@@ -154,14 +154,14 @@
             requests_in_flight=self.proxy.in_flight(),
             ready=self.server.readiness(),
         )
-        before = self._told
-        same = before is not None and (before.config_version, before.ready) == (
+        last = self._last_status
+        unchanged = last is not None and (last.config_version, last.ready) == (
             status.config_version,
             status.ready,
         )
-        if same and now < self._tell_at:
+        if unchanged and now < self._next_status_at:
             return
-        self._told, self._tell_at = status, now + STATUS_PERIOD_S
+        self._last_status, self._next_status_at = status, now + STATUS_INTERVAL_S
         for voter in self.feed.voters:
             self.links.send(voter, status)
 
@@ -171,23 +171,23 @@
 
     async def stop(self) -> None:
         """Serve on until the platform has noticed, answer everything, then end."""
-        self.bases.leaving = True
+        self.share_exchange.leaving = True
         await self.server.shut_down(self.settings.bounds.grace_s)
-        await self.readiness.stop()
-        if self._ticker is not None:
-            self._ticker.cancel()
+        await self.ready_server.stop()
+        if self._tick_task is not None:
+            self._tick_task.cancel()
         self.announcer.stop()
         await self.monitor.stop()
         await self.feed.stop()
-        self.limits_driver.stop(self.bases.is_released(asyncio.get_running_loop().time() * 1000.0))
+        self.limits_driver.stop(self.share_exchange.is_released(asyncio.get_running_loop().time() * 1000.0))
         await self.links.stop()
 
 
-async def make(settings: LocalSettings) -> ProxyProcess:
+async def create_process(settings: LocalSettings) -> ProxyProcess:
     """Put a proxy process together; the event loop runs."""
     return ProxyProcess(settings)
 
 
 def main() -> int:
     """Run a proxy process until it is told to end. Returns the exit code."""
-    return run(make)
+    return run(create_process)
--- a/brackenusher/cli.py
+++ b/brackenusher/cli.py
@@ -24,7 +24,7 @@
 from brackenusher.records.replay import replay_capture
 from brackenusher.runtime.log import TEXT, LogFormatError, take_form
 
-LEVELS = ("debug", "info", "warning", "error")
+LOG_LEVELS = ("debug", "info", "warning", "error")
 
 
 def serve(options: argparse.Namespace) -> int:
@@ -55,7 +55,7 @@
     return 0
 
 
-def replay(options: argparse.Namespace) -> int:
+def run_replay(options: argparse.Namespace) -> int:
     return replay_capture(options.file, load_operator(options.properties), sys.stdout)
 
 
@@ -80,7 +80,7 @@
     return show.diff(options.source, options.other, settings, sys.stdout)
 
 
-def policy(options: argparse.Namespace) -> int:
+def run_policy(options: argparse.Namespace) -> int:
     try:
         from brackenusher.group import policies  # with msgspec: only for who has peers
     except ImportError as error:
@@ -93,7 +93,7 @@
         return 130
 
 
-def replica(options: argparse.Namespace) -> int:
+def run_replica(options: argparse.Namespace) -> int:
     try:
         from brackenusher.group import replicas  # with msgspec: only for who has peers
     except ImportError as error:
@@ -102,7 +102,7 @@
     return replicas.run(options, load_peers(options.properties), sys.stdout)
 
 
-def group(options: argparse.Namespace) -> int:
+def run_group(options: argparse.Namespace) -> int:
     try:
         from brackenusher.group import recovery  # with msgspec: only for who has peers
     except ImportError as error:
@@ -111,18 +111,18 @@
     return recovery.run(options, load_peers, sys.stdout)
 
 
-def add_group(commands: "argparse._SubParsersAction[argparse.ArgumentParser]") -> None:
+def add_group_commands(commands: "argparse._SubParsersAction[argparse.ArgumentParser]") -> None:
     """What staff may do with a whole group, and where a majority of it is gone for good."""
     command = commands.add_parser("group", help="how a group stands; backups, and recovery by hand")
     verbs = command.add_subparsers(dest="verb", required=True, metavar="VERB")
-    for verb, about in (
+    for verb, help_text in (
         ("status", "how proxies stand to each other; exit 1 where any is silent, behind or of another group"),
         ("backup", "copy a proxy's stores, running or not"),
         ("verify", "check stores and backups, and say what they hold; exit 1 where one is damaged"),
         ("recover", "a majority of the voters is gone for good: have one store go on; exit 3 refused"),
         ("restore", "put a backup in the place of a stopped proxy's stores; exit 3 refused"),
     ):
-        command = verbs.add_parser(verb, help=about)
+        command = verbs.add_parser(verb, help=help_text)
         if verb == "status":
             command.add_argument("addresses", nargs="+", metavar="ADDRESS", help="each proxy's peers.listen")
         if verb == "verify":
@@ -142,14 +142,14 @@
             command.add_argument("source", metavar="BACKUP", type=Path, help="the folder of a backup")
         if verb in ("recover", "restore"):
             command.add_argument("--i-know", action="store_true", help="claim what a refusal says")
-        command.set_defaults(call=group)
+        command.set_defaults(call=run_group)
 
 
-def add_replica(commands: "argparse._SubParsersAction[argparse.ArgumentParser]") -> None:
+def add_replica_commands(commands: "argparse._SubParsersAction[argparse.ArgumentParser]") -> None:
     """What staff may do with the state that proxies hold together."""
     command = commands.add_parser("replica", help="mark servers, blocks and tenants; compare copies")
     verbs = command.add_subparsers(dest="verb", required=True, metavar="VERB")
-    for verb, about in (
+    for verb, help_text in (
         ("mark", "take a server or block out of use, or stop a tenant; exit 0 acknowledged, 4 unknown"),
         ("clear", "take a mark back"),
         ("resolve", "end a conflict: the mark stands, over all that was said"),
@@ -158,7 +158,7 @@
         ("verify", "how a proxy's copy stands to the others; exit 1 where it is behind or differs"),
         ("diff", "which marks only one of two proxies holds; exit 1 if any"),
     ):
-        command = verbs.add_parser(verb, help=about)
+        command = verbs.add_parser(verb, help=help_text)
         command.add_argument("address", metavar="ADDRESS", help="host:port of a proxy, its peers.listen")
         command.add_argument("--properties", metavar="FILE", required=True, help="the operators' file")
         if verb in ("mark", "clear", "resolve"):
@@ -172,17 +172,17 @@
             )
         if verb == "diff":
             command.add_argument("other", metavar="OTHER", help="another proxy's")
-        command.set_defaults(call=replica)
+        command.set_defaults(call=run_replica)
 
 
-def add_policy(commands: "argparse._SubParsersAction[argparse.ArgumentParser]") -> None:
+def add_policy_commands(commands: "argparse._SubParsersAction[argparse.ArgumentParser]") -> None:
     """What staff may do with a group's policy."""
     command = commands.add_parser(
         "policy", help="propose, withdraw and show what a group of proxies agrees on"
     )
     verbs = command.add_subparsers(dest="verb", required=True, metavar="VERB")
     user = os.environ.get("USER", "staff")
-    for verb, about in (
+    for verb, help_text in (
         ("check", "whether a document is a policy that this release can act upon"),
         ("propose", "propose a document; exit 0 in force, 3 withdrawn, 4 unknown"),
         ("status", "what is in force and on its way, and who is behind"),
@@ -194,7 +194,7 @@
         ("roster", "the proxies whose taking up is waited for, or drop one"),
         ("voters", "the proxies that vote, or have others vote; exit 0 once they do, 4 unknown"),
     ):
-        command = verbs.add_parser(verb, help=about)
+        command = verbs.add_parser(verb, help=help_text)
         if verb != "check":
             command.add_argument("address", metavar="ADDRESS", help="host:port of a proxy, its peers.listen")
             command.add_argument("--properties", metavar="FILE", required=True, help="the operators' file")
@@ -216,7 +216,7 @@
             command.add_argument("--why", default="", help="for the history")
             command.add_argument("--id", default="", help="proposing again with the same does it once")
             command.add_argument("--wait", type=float, default=30.0, metavar="S", help="(%(default)s)")
-        command.set_defaults(call=policy)
+        command.set_defaults(call=run_policy)
 
 
 def show_members(options: argparse.Namespace) -> int:
@@ -231,7 +231,7 @@
         return 130
 
 
-def demo(options: argparse.Namespace) -> int:
+def run_demo(options: argparse.Namespace) -> int:
     try:
         from testbed.sockets.demo import main as play
     except ImportError as error:
@@ -243,7 +243,7 @@
     return play(options)
 
 
-def version(options: argparse.Namespace) -> int:
+def print_version(options: argparse.Namespace) -> int:
     print(f"brackenusher {__version__}")
     return 0
 
@@ -252,7 +252,7 @@
     parser = argparse.ArgumentParser(prog="brackenusher", description="A reverse proxy for turn servers.")
     commands = parser.add_subparsers(dest="command", required=True, metavar="COMMAND")
     command = commands.add_parser("serve", help="serve until SIGTERM, as GW_CONFIG says")
-    command.add_argument("--log-level", choices=LEVELS, default="info")
+    command.add_argument("--log-level", choices=LOG_LEVELS, default="info")
     command.add_argument(
         "--operator", metavar="FILE", help="the operators' file: features and their settings"
     )
@@ -267,7 +267,7 @@
     )
     command.add_argument("file", help="what capture wrote, or standard error held; - for standard input")
     command.add_argument("properties", help="the operators' file")
-    command.set_defaults(call=replay)
+    command.set_defaults(call=run_replay)
     command = commands.add_parser("token", help="work with tokens")
     verbs = command.add_subparsers(dest="verb", required=True, metavar="VERB")
     command = verbs.add_parser("issue", help="print a token")
@@ -279,16 +279,16 @@
     command.set_defaults(call=issue_token)
     command = commands.add_parser("knowledge", help="print what a snapshot or a running proxy knows")
     verbs = command.add_subparsers(dest="verb", required=True, metavar="VERB")
-    for verb, about in (("show", "print it, with ages and origins"), ("diff", "print where two differ")):
-        command = verbs.add_parser(verb, help=about)
+    for verb, help_text in (("show", "print it, with ages and origins"), ("diff", "print where two differ")):
+        command = verbs.add_parser(verb, help=help_text)
         command.add_argument("source", metavar="FILE|ADDRESS", help="a snapshot; with --properties host:port")
         if verb == "diff":
             command.add_argument("other", metavar="FILE|ADDRESS")
         command.add_argument("--properties", metavar="FILE", help="the operators' file, with the peers' keys")
         command.set_defaults(call=show_knowledge)
-    add_policy(commands)
-    add_replica(commands)
-    add_group(commands)
+    add_policy_commands(commands)
+    add_replica_commands(commands)
+    add_group_commands(commands)
     command = commands.add_parser("members", help="who belongs to a group of proxies, and which links work")
     verbs = command.add_subparsers(dest="verb", required=True, metavar="VERB")
     command = verbs.add_parser("show", help="print it; exit 1 where not all agree and are in touch")
@@ -304,9 +304,9 @@
     command.add_argument("--seconds", type=float, metavar="N", help="of load, 20 where left out")
     command.add_argument("--report", metavar="FILE", help="where to write the report")
     command.add_argument("--scenario", metavar="NAME", help="one of the testbed's scenarios, or a file")
-    command.set_defaults(call=demo)
+    command.set_defaults(call=run_demo)
     command = commands.add_parser("version", help="print the version")
-    command.set_defaults(call=version)
+    command.set_defaults(call=print_version)
     options = parser.parse_args(arguments)
     try:
         return options.call(options)
--- a/brackenusher/cluster/config_pieces.py
+++ b/brackenusher/cluster/config_pieces.py
@@ -9,12 +9,12 @@
 from brackenusher.cluster import messages
 
 KEPT_DELTAS = 16  # steps between versions; who is further behind gets a snapshot
-COMPRESSION = 1  # zlib level: repeated names shrink well at any level, and higher ones cost time
+COMPRESSION_LEVEL = 1  # zlib level: repeated names shrink well at any level, and higher ones cost time
 
 
 def encode_piece(value: Configuration | ConfigurationDelta) -> bytes:
     """A configuration or a change of it as it goes over links."""
-    return zlib.compress(msgspec.json.encode(value), COMPRESSION)
+    return zlib.compress(msgspec.json.encode(value), COMPRESSION_LEVEL)
 
 
 class ConfigPieces:
@@ -23,7 +23,7 @@
     def __init__(self) -> None:
         self._newest: Configuration | None = None
         self._deltas: list[ConfigurationDelta] = []
-        self._pieces: dict[int, messages.ConfigPiece] = {}  # by base version
+        self._updates: dict[int, messages.ConfigPiece] = {}  # by base version
 
     @property
     def version(self) -> int:
@@ -32,14 +32,14 @@
 
     def committed(self, configuration: Configuration) -> bool:
         """Take a newer version; False where it is not newer."""
-        before = self._newest
+        previous = self._newest
         if configuration.generation <= self.version:
             return False
-        if before is not None:
-            self._deltas.append(configuration_delta.diff(before, configuration))
+        if previous is not None:
+            self._deltas.append(configuration_delta.diff(previous, configuration))
             del self._deltas[:-KEPT_DELTAS]
         self._newest = configuration
-        self._pieces.clear()
+        self._updates.clear()
         return True
 
     def piece(self, have_version: int) -> messages.ConfigPiece | None:
@@ -48,21 +48,21 @@
             return None
         delta = self._delta_from(have_version)
         base = 0 if delta is None else have_version
-        if base not in self._pieces:
+        if base not in self._updates:
             document = encode_piece(self._newest if delta is None else delta)
-            self._pieces[base] = messages.ConfigPiece(base, self.version, document)
-        return self._pieces[base]
+            self._updates[base] = messages.ConfigPiece(base, self.version, document)
+        return self._updates[base]
 
     def _delta_from(self, base: int) -> ConfigurationDelta | None:
         """The change from a version; None where it is unknown or hardly smaller than a snapshot."""
         assert self._newest is not None
-        joined: ConfigurationDelta | None = None
+        composed: ConfigurationDelta | None = None
         for delta in self._deltas:
-            if joined is not None:
-                joined = configuration_delta.compose(joined, delta)
+            if composed is not None:
+                composed = configuration_delta.compose(composed, delta)
             elif delta.base_generation == base:
-                joined = delta
+                composed = delta
         items = len(self._newest.routes) + len(self._newest.services) + len(self._newest.tenants)
-        if joined is not None and configuration_delta.item_count(joined) * 2 > items:
+        if composed is not None and configuration_delta.item_count(composed) * 2 > items:
             return None
-        return joined
+        return composed
--- a/brackenusher/cluster/frames.py
+++ b/brackenusher/cluster/frames.py
@@ -10,7 +10,7 @@
 HEADER_BYTES = 5
 
 # The place in this tuple is the kind on the wire: append only, and never reorder.
-KINDS: tuple[type[betterproto.Message], ...] = (
+MESSAGE_KINDS: tuple[type[betterproto.Message], ...] = (
     messages.Hello,
     messages.Members,
     messages.MachineMessage,
@@ -36,7 +36,7 @@
     messages.VersionQuestion,
     messages.VersionAnswer,
 )
-NUMBERS = {kind: number for number, kind in enumerate(KINDS)}
+KIND_NUMBERS = {kind: number for number, kind in enumerate(MESSAGE_KINDS)}
 
 
 class FrameError(Exception):
@@ -48,17 +48,17 @@
     body = bytes(message)
     if len(body) > MAX_FRAME_BYTES:
         raise FrameError(f"{type(message).__name__} of {len(body)} bytes is over {MAX_FRAME_BYTES}")
-    return len(body).to_bytes(4, "big") + bytes((NUMBERS[type(message)],)) + body
+    return len(body).to_bytes(4, "big") + bytes((KIND_NUMBERS[type(message)],)) + body
 
 
 def decode_message(number: int, body: bytes) -> betterproto.Message:
     """The message of a frame. Raises FrameError where it can't be read."""
-    if number >= len(KINDS):
+    if number >= len(MESSAGE_KINDS):
         raise FrameError(f"kind {number} is unknown: is the peer of a newer release?")
     try:
-        return KINDS[number]().parse(body)
+        return MESSAGE_KINDS[number]().parse(body)
     except Exception as error:  # the library raises many kinds for damaged bytes
-        raise FrameError(f"{KINDS[number].__name__} can't be read: {error}") from error
+        raise FrameError(f"{MESSAGE_KINDS[number].__name__} can't be read: {error}") from error
 
 
 class FrameReader:
--- a/brackenusher/cluster/key_leases.py
+++ b/brackenusher/cluster/key_leases.py
@@ -19,13 +19,13 @@
 
 log = logging.getLogger(__name__)
 
-MOST_QUESTIONS = 16  # whose answers are waited for
-LONGEST_AGE_MS = 2**32 - 1  # on the wire
+MAX_PENDING_REQUESTS = 16  # whose answers are waited for
+MAX_AGE_MS = 2**32 - 1  # on the wire
 
 
 def confirmation_fields(confirmation: Confirmation, now: float) -> tuple[int, int]:
     """Version and age (whole milliseconds, rounded up, 1 at least) of a confirmation on the wire."""
-    return confirmation.version, min(LONGEST_AGE_MS, max(1, ceil(confirmation.age(now))))
+    return confirmation.version, min(MAX_AGE_MS, max(1, ceil(confirmation.age(now))))
 
 
 class KeyLease:
@@ -36,13 +36,13 @@
         self._lease = RevocationLease(bounds.revoke_ms)
         self._links = links
         self._now = now
-        self._numbers = count(first_number(links.own))
-        self._questions: dict[int, float] = {}  # when they were sent, by number
-        self._asked = ""  # whom, last
-        self._ask_at = float("-inf")
-        self._held_before = False
+        self._request_numbers = count(first_number(links.own))
+        self._pending_requests: dict[int, float] = {}  # when they were sent, by number
+        self._last_source = ""  # whom, last
+        self._next_request_at = float("-inf")
+        self._was_valid = False
         if self._strict:
-            links.on_message(messages.VersionAnswer, self._take_answer)
+            links.on_message(messages.VersionAnswer, self._handle_version_answer)
 
     @property
     def holds(self) -> bool:
@@ -63,46 +63,46 @@
             return
         self._log_change()
         now = self._now()
-        if now < self._ask_at:
+        if now < self._next_request_at:
             return
-        in_turn = sorted(sources)
-        later = [source for source in in_turn if source > self._asked]
-        for source in later + in_turn:
-            if self._ask(source, now):
+        ordered = sorted(sources)
+        after_last = [source for source in ordered if source > self._last_source]
+        for source in after_last + ordered:
+            if self._request_confirmation(source, now):
                 return
 
-    def _ask(self, source: str, now: float) -> bool:
-        number = next(self._numbers)
+    def _request_confirmation(self, source: str, now: float) -> bool:
+        number = next(self._request_numbers)
         if not self._links.send(source, messages.VersionQuestion(number)):
             return False
-        self._asked, self._ask_at = source, now + self._lease.renewal_interval_ms
-        self._questions[number] = now
-        while len(self._questions) > MOST_QUESTIONS:
-            del self._questions[next(iter(self._questions))]
+        self._last_source, self._next_request_at = source, now + self._lease.renewal_interval_ms
+        self._pending_requests[number] = now
+        while len(self._pending_requests) > MAX_PENDING_REQUESTS:
+            del self._pending_requests[next(iter(self._pending_requests))]
         return True
 
-    def _take_answer(self, sender: str, message: betterproto.Message) -> None:
+    def _handle_version_answer(self, sender: str, message: betterproto.Message) -> None:
         assert isinstance(message, messages.VersionAnswer)
-        asked_at = self._questions.pop(message.number, None)
-        if asked_at is not None:
-            self._lease.on_confirmation(message.version, asked_at, float(message.age_ms))
+        sent_at = self._pending_requests.pop(message.number, None)
+        if sent_at is not None:
+            self._lease.on_confirmation(message.version, sent_at, float(message.age_ms))
 
     # Between peers, in the pings of membership
 
-    def fill_answer(self, answer: messages.PingAck) -> None:
+    def fill_answer(self, ack: messages.PingAck) -> None:
         """An answer is about to be sent to a peer's ping."""
         confirmation = self._lease.shareable_confirmation(self._now()) if self._strict else None
         if confirmation is not None:
             fields = confirmation_fields(confirmation, self._now())
-            answer.confirmed_version, answer.confirmed_age_ms = fields
+            ack.confirmed_version, ack.confirmed_age_ms = fields
 
-    def peer_answered(self, answer: messages.PingAck, asked_at: float) -> None:
+    def peer_answered(self, ack: messages.PingAck, sent_at: float) -> None:
         """A peer has answered a ping that was sent at `asked_at`."""
-        if self._strict and answer.confirmed_age_ms:
-            self._lease.on_confirmation(answer.confirmed_version, asked_at, float(answer.confirmed_age_ms))
+        if self._strict and ack.confirmed_age_ms:
+            self._lease.on_confirmation(ack.confirmed_version, sent_at, float(ack.confirmed_age_ms))
 
     def _log_change(self) -> None:
-        holds = self.holds
-        if holds != self._held_before:
-            self._held_before = holds
-            log.info("keys hold: %s version=%d", "yes" if holds else "no", self._lease.current.version)
+        valid = self.holds
+        if valid != self._was_valid:
+            self._was_valid = valid
+            log.info("keys hold: %s version=%d", "yes" if valid else "no", self._lease.current.version)
--- a/brackenusher/cluster/limits_driver.py
+++ b/brackenusher/cluster/limits_driver.py
@@ -18,7 +18,7 @@
 log = logging.getLogger(__name__)
 
 MACHINE = "shares"  # name of the machine in MachineMessage
-SHORTEST_PAUSE_S = 0.001
+MIN_WAKEUP_DELAY_S = 0.001
 
 
 class LimitsDriver:
@@ -28,16 +28,16 @@
         self.limits, self.links, self.now = limits, links, now
         self._timer: asyncio.TimerHandle | None = None
         self._running = False
-        self._tickets = 0
+        self._last_ticket = 0
         self._waiting: dict[int, asyncio.Future[bool]] = {}
         self._credit_server = ""
 
     def start(self) -> None:
         """Begin to take messages and to wake the machine. Needs a running event loop."""
         self._running = True
-        self.links.on_message(messages.MachineMessage, self._received)
-        self.links.on_change(lambda address, hello: self._links_changed())
-        self._links_changed()
+        self.links.on_message(messages.MachineMessage, self._handle_message)
+        self.links.on_change(lambda address, hello: self._update_reachable())
+        self._update_reachable()
 
     def stop(self, released: bool = False) -> None:
         """Planned end: a credit server lets another follow; the machine is woken no more.
@@ -58,7 +58,7 @@
     def voters_changed(self, voters: list[str], index: int = 0) -> None:
         """The voters of the configuration shard are the acceptors of the limits."""
         self.limits.set_acceptors(self.now(), voters)
-        self._links_changed()
+        self._update_reachable()
 
     # Requests
 
@@ -68,34 +68,34 @@
         A future where the credit server is asked: it is done after some milliseconds, at most
         `spans.CREDIT_WAIT_TIMEOUT_MS`. A future that is cancelled asks no more.
         """
-        self._tickets += 1
-        ticket = self._tickets
+        self._last_ticket += 1
+        ticket = self._last_ticket
         verdict = self.limits.decide(self.now(), tenant, cost, ticket)
         if verdict is not Verdict.PENDING:
-            self._schedule()
+            self._schedule_wakeup()
             return verdict is Verdict.ADMITTED
         future = self._waiting[ticket] = asyncio.get_running_loop().create_future()
-        future.add_done_callback(lambda done: self._decided(ticket, done))
-        self._wake()
+        future.add_done_callback(lambda done: self._forget(ticket, done))
+        self._tick()
         return future
 
-    def _decided(self, ticket: int, done: asyncio.Future[bool]) -> None:
+    def _forget(self, ticket: int, future: asyncio.Future[bool]) -> None:
         self._waiting.pop(ticket, None)
-        if done.cancelled():
+        if future.cancelled():
             self.limits.cancel(ticket)
 
     # The machine
 
-    def _links_changed(self) -> None:
+    def _update_reachable(self) -> None:
         self.limits.set_reachable(self.now(), list(self.links.connected()))
         self._run()
 
-    def _received(self, sender: str, message: betterproto.Message) -> None:
+    def _handle_message(self, sender: str, message: betterproto.Message) -> None:
         if isinstance(message, messages.MachineMessage) and message.machine == MACHINE:
             self.limits.receive(self.now(), sender, message.payload)
             self._run()
 
-    def _wake(self) -> None:
+    def _tick(self) -> None:
         self.limits.tick(self.now())
         self._run()
 
@@ -110,16 +110,16 @@
             future = self._waiting.get(ticket)
             if future is not None and not future.done():
                 future.set_result(admitted)
-        self._schedule()
+        self._schedule_wakeup()
 
-    def _schedule(self) -> None:
+    def _schedule_wakeup(self) -> None:
         if not self._running:
             return
         loop = asyncio.get_running_loop()
-        pause_s = max(SHORTEST_PAUSE_S, (self.limits.next_wakeup() - self.now()) / 1000.0)
-        at = loop.time() + pause_s
+        delay_s = max(MIN_WAKEUP_DELAY_S, (self.limits.next_wakeup() - self.now()) / 1000.0)
+        due_at = loop.time() + delay_s
         if self._timer is not None and not self._timer.cancelled():
-            if self._timer.when() <= at and self._timer.when() > loop.time():
+            if self._timer.when() <= due_at and self._timer.when() > loop.time():
                 return
             self._timer.cancel()
-        self._timer = loop.call_later(pause_s, self._wake)
+        self._timer = loop.call_later(delay_s, self._tick)
--- a/brackenusher/cluster/link_metrics.py
+++ b/brackenusher/cluster/link_metrics.py
@@ -9,25 +9,32 @@
 def add_link_metrics(metrics: Metrics, links: Links) -> None:
     """Add how many links there are and what goes over them."""
 
-    def peers() -> dict[str, float]:
+    def links_by_role() -> dict[str, float]:
         roles = CountByName(hello.role for hello in links.connected().values())
         return {role: float(count) for role, count in roles.items()}
 
-    def bytes_sent() -> dict[str, float]:
+    def bytes_by_message() -> dict[str, float]:
         return {kind: float(size) for kind, size in links.counters.bytes_by_kind.items()}
 
-    def events() -> dict[str, float]:
+    def frames_by_event() -> dict[str, float]:
         counters = links.counters
         return {
             "sent": float(counters.frames_sent),
             "received": float(counters.frames_received),
-            "dropped": float(counters.dropped),
+            "dropped": float(counters.frames_dropped),
         }
 
-    def connects() -> dict[str, float]:
-        return {"tried": float(links.counters.connects), "failed": float(links.counters.failures)}
+    def connects_by_outcome() -> dict[str, float]:
+        return {
+            "tried": float(links.counters.connect_attempts),
+            "failed": float(links.counters.connect_failures),
+        }
 
-    metrics.readings("gauge", "links", "Links to peers that are up.", "role", peers)
-    metrics.readings("counter", "link_sent_bytes_total", "Bytes sent by message.", "message", bytes_sent)
-    metrics.readings("counter", "link_frames_total", "Frames on links.", "event", events)
-    metrics.readings("counter", "link_connects_total", "Connections opened to peers.", "outcome", connects)
+    metrics.readings("gauge", "links", "Links to peers that are up.", "role", links_by_role)
+    metrics.readings(
+        "counter", "link_sent_bytes_total", "Bytes sent by message.", "message", bytes_by_message
+    )
+    metrics.readings("counter", "link_frames_total", "Frames on links.", "event", frames_by_event)
+    metrics.readings(
+        "counter", "link_connects_total", "Connections opened to peers.", "outcome", connects_by_outcome
+    )
--- a/brackenusher/cluster/links.py
+++ b/brackenusher/cluster/links.py
@@ -21,16 +21,18 @@
 
 log = logging.getLogger(__name__)
 
-FIRST_TIMEOUT_S = 0.2  # a machine that is just coming up swallows the first packet: try again soon
-TIMEOUT_GROWTH = 1.5  # regions far apart need longer than the first limit
-CONNECT_TIMEOUT_S = 1.0  # a cut swallows the first packet; the next try must come soon after it heals
-FIRST_PAUSE_S = 0.05  # peers that start together need some hundred milliseconds until they listen
-PAUSE_GROWTH = 1.15  # a peer that comes up is found within about a seventh of the time it was away
-LONGEST_PAUSE_S = 0.8  # a healed cut must be used well within ContactMs
+INITIAL_CONNECT_TIMEOUT_S = 0.2  # a machine that is just coming up swallows the first packet: try again soon
+CONNECT_TIMEOUT_FACTOR = 1.5  # regions far apart need longer than the first limit
+MAX_CONNECT_TIMEOUT_S = 1.0  # a cut swallows the first packet; the next try must come soon after it heals
+INITIAL_RECONNECT_DELAY_S = 0.05  # peers that start together need some hundred milliseconds until they listen
+RECONNECT_DELAY_FACTOR = 1.15  # a peer that comes up is found within about a seventh of the time it was away
+MAX_RECONNECT_DELAY_S = 0.8  # a healed cut must be used well within ContactMs
 KEEP_ALIVE_S = 0.5
-SILENCE_S = 1.6  # three keep-alives missed
-MAX_QUEUED_BYTES = 24 * 1024 * 1024  # a snapshot for a slow link and some more; a peer further behind is cut
-USER_TIMEOUT_MS = 2000  # unacknowledged bytes for so long end the connection (a cut says nothing)
+PEER_TIMEOUT_S = 1.6  # three keep-alives missed
+MAX_SEND_BUFFER_BYTES = (
+    24 * 1024 * 1024
+)  # a snapshot for a slow link and some more; a peer further behind is cut
+TCP_USER_TIMEOUT_MS = 2000  # unacknowledged bytes for so long end the connection (a cut says nothing)
 HELLO_TIMEOUT_S = 2.0
 KEEP_ALIVE_FRAME = encode_frame(messages.KeepAlive())
 
@@ -47,15 +49,15 @@
 class LinkConnection(asyncio.Protocol):
     """One connection; tells its owner what comes."""
 
-    def __init__(self, links: "Links", expected: str = "") -> None:
+    def __init__(self, links: "Links", expected_peer: str = "") -> None:
         self.links = links
-        self.peer = expected  # internal address of the other side; empty until its Hello came
+        self.peer = expected_peer  # internal address of the other side; empty until its Hello came
         self.hello: messages.Hello | None = None
         self.transport: asyncio.Transport | None = None
-        self.reader = FrameReader()
-        self.heard_at = links.loop.time()
-        self.ending = False  # aborted: what still comes is not taken
-        self.ended = links.loop.create_future()
+        self.decoder = FrameReader()
+        self.last_received_at = links.loop.time()
+        self.aborted = False  # aborted: what still comes is not taken
+        self.closed = links.loop.create_future()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
@@ -63,33 +65,33 @@
         sock = transport.get_extra_info("socket")
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         try:
-            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
+            sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS)
         except OSError:
             pass  # keep-alive frames find a dead link as well
-        self.heard_at = self.links.loop.time()
+        self.last_received_at = self.links.loop.time()
         self.links.connections.add(self)
         self.write(encode_frame(self.links.own))
 
     def data_received(self, data: bytes) -> None:
-        self.heard_at = self.links.loop.time()
+        self.last_received_at = self.links.loop.time()
         try:
-            for message in self.reader.feed(data):
-                self.links.received(self, message)
+            for message in self.decoder.feed(data):
+                self.links.handle_message(self, message)
         except FrameError as error:
             log.warning("link ended: peer=%s error=%s", self.peer, error)
             self.abort()
 
     def connection_lost(self, error: Exception | None) -> None:
         self.links.connections.discard(self)
-        self.links.lost(self)
-        if not self.ended.done():
-            self.ended.set_result(None)
+        self.links.handle_disconnect(self)
+        if not self.closed.done():
+            self.closed.set_result(None)
 
     def write(self, frame: bytes) -> bool:
         """Hand a frame to the socket; False, and the end of the link, where too much waits already."""
         if self.transport is None or self.transport.is_closing():
             return False
-        if self.transport.get_write_buffer_size() > MAX_QUEUED_BYTES:
+        if self.transport.get_write_buffer_size() > MAX_SEND_BUFFER_BYTES:
             log.warning("link ended: peer=%s error=its queue is full", self.peer)
             self.abort()
             return False
@@ -97,13 +99,13 @@
         return True
 
     def abort(self) -> None:
-        self.ending = True
+        self.aborted = True
         if self.transport is not None:
             self.transport.abort()
 
 
 @dataclass(slots=True)
-class Wanted:
+class WantedPeer:
     """A peer that a link is kept to."""
 
     task: asyncio.Task[None] | None = None
@@ -116,9 +118,9 @@
     frames_sent: int = 0
     bytes_sent: int = 0
     frames_received: int = 0
-    dropped: int = 0
-    connects: int = 0
-    failures: int = 0
+    frames_dropped: int = 0
+    connect_attempts: int = 0
+    connect_failures: int = 0
     bytes_by_kind: dict[str, int] = field(default_factory=dict)
 
 
@@ -131,12 +133,12 @@
         self.rng = rng or random.Random()
         self.connections: set[LinkConnection] = set()
         self.counters = LinkCounters()
-        self._current: dict[str, LinkConnection] = {}
-        self._wanted: dict[str, Wanted] = {}
-        self._handlers: dict[type[betterproto.Message], list[MessageHandler]] = {}
+        self._active: dict[str, LinkConnection] = {}
+        self._wanted: dict[str, WantedPeer] = {}
+        self._message_handlers: dict[type[betterproto.Message], list[MessageHandler]] = {}
         self._change_handlers: list[ChangeHandler] = []
         self._server: asyncio.Server | None = None
-        self._keeper: asyncio.Task[None] | None = None
+        self._keep_alive_task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
         """Listen at the own address. Raises OSError."""
@@ -144,14 +146,14 @@
         self._server = await self.loop.create_server(
             lambda: LinkConnection(self), host, port, reuse_address=True, backlog=512
         )
-        self._keeper = self.loop.create_task(self._keep_alive())
+        self._keep_alive_task = self.loop.create_task(self._run_keep_alive())
 
     async def stop(self) -> None:
         """End all links and the listener."""
         for address in list(self._wanted):
             self.disconnect(address)
-        if self._keeper is not None:
-            self._keeper.cancel()
+        if self._keep_alive_task is not None:
+            self._keep_alive_task.cancel()
         if self._server is not None:
             self._server.close()
         for connection in list(self.connections):
@@ -163,7 +165,7 @@
         """Keep a link to this peer, from now until `disconnect`."""
         if address in self._wanted or address == self.own.address:
             return
-        wanted = self._wanted[address] = Wanted()
+        wanted = self._wanted[address] = WantedPeer()
         wanted.task = self.loop.create_task(self._keep_connected(address))
 
     def disconnect(self, address: str) -> None:
@@ -172,15 +174,15 @@
         if wanted is not None and wanted.task is not None:
             wanted.task.cancel()
 
-    def wanted(self) -> set[str]:
+    def wanted_addresses(self) -> set[str]:
         """The peers that links are kept to."""
         return set(self._wanted)
 
     def send(self, address: str, message: betterproto.Message) -> bool:
         """Hand a message to the link of a peer; False where there is none or its queue is full."""
-        connection = self._current.get(address)
+        connection = self._active.get(address)
         if connection is None:
-            self.counters.dropped += 1
+            self.counters.frames_dropped += 1
             return False
         frame = encode_frame(message)
         self.counters.frames_sent += 1
@@ -191,11 +193,11 @@
 
     def connected(self) -> dict[str, messages.Hello]:
         """Who can be reached now, by address."""
-        return {address: c.hello for address, c in self._current.items() if c.hello is not None}
+        return {address: c.hello for address, c in self._active.items() if c.hello is not None}
 
     def on_message(self, kind: type[betterproto.Message], handler: MessageHandler) -> None:
         """Have messages of a kind handed over with the address of their sender."""
-        self._handlers.setdefault(kind, []).append(handler)
+        self._message_handlers.setdefault(kind, []).append(handler)
 
     def on_change(self, handler: ChangeHandler) -> None:
         """Have links told that come up (with the peer's Hello) and go down (with None)."""
@@ -203,47 +205,47 @@
 
     # What connections tell
 
-    def received(self, connection: LinkConnection, message: betterproto.Message) -> None:
+    def handle_message(self, connection: LinkConnection, message: betterproto.Message) -> None:
         self.counters.frames_received += 1
         if isinstance(message, messages.Hello):
-            self._greeted(connection, message)
+            self._handle_hello(connection, message)
             return
         if not connection.peer or connection.hello is None:
             connection.abort()
             return
-        if connection.ending:
+        if connection.aborted:
             return
-        for handler in self._handlers.get(type(message), ()):
+        for handler in self._message_handlers.get(type(message), ()):
             try:
                 handler(connection.peer, message)
             except Exception:
                 log.exception("handler failed: kind=%s peer=%s", type(message).__name__, connection.peer)
 
-    def _greeted(self, connection: LinkConnection, hello: messages.Hello) -> None:
+    def _handle_hello(self, connection: LinkConnection, hello: messages.Hello) -> None:
         if connection.peer and hello.address != connection.peer:
             log.warning("link ended: peer=%s error=it says that it is %s", connection.peer, hello.address)
             connection.abort()
             return
         connection.peer, connection.hello = hello.address, hello
-        self._end_earlier_lives(hello)
-        self._current[hello.address] = connection
+        self._abort_earlier_incarnations(hello)
+        self._active[hello.address] = connection
         for handler in self._change_handlers:
             handler(hello.address, hello)
 
-    def _end_earlier_lives(self, hello: messages.Hello) -> None:
+    def _abort_earlier_incarnations(self, hello: messages.Hello) -> None:
         for other in list(self.connections):
             earlier = other.hello is not None and other.hello.incarnation != hello.incarnation
             if earlier and other.peer == hello.address:
                 other.abort()
 
-    def lost(self, connection: LinkConnection) -> None:
+    def handle_disconnect(self, connection: LinkConnection) -> None:
         address = connection.peer
-        if connection.hello is None or self._current.get(address) is not connection:
+        if connection.hello is None or self._active.get(address) is not connection:
             return
-        del self._current[address]
+        del self._active[address]
         for other in self.connections:
             if other.peer == address and other.hello is not None:
-                self._current[address] = other
+                self._active[address] = other
                 return
         for handler in self._change_handlers:
             handler(address, None)
@@ -251,42 +253,42 @@
     # Tasks
 
     async def _keep_connected(self, address: str) -> None:
-        pause, timeout = FIRST_PAUSE_S, FIRST_TIMEOUT_S
+        delay, timeout = INITIAL_RECONNECT_DELAY_S, INITIAL_CONNECT_TIMEOUT_S
         connection: LinkConnection | None = None
         try:
             while True:
-                if address not in self._current:
+                if address not in self._active:
                     connection = await self._connect_once(address, timeout)
                     if connection is not None:
-                        pause, timeout = FIRST_PAUSE_S, FIRST_TIMEOUT_S
-                        await connection.ended
+                        delay, timeout = INITIAL_RECONNECT_DELAY_S, INITIAL_CONNECT_TIMEOUT_S
+                        await connection.closed
                     else:
-                        pause = min(pause * PAUSE_GROWTH, LONGEST_PAUSE_S)
-                        timeout = min(timeout * TIMEOUT_GROWTH, CONNECT_TIMEOUT_S)
-                await asyncio.sleep(pause * (0.5 + self.rng.random()))
+                        delay = min(delay * RECONNECT_DELAY_FACTOR, MAX_RECONNECT_DELAY_S)
+                        timeout = min(timeout * CONNECT_TIMEOUT_FACTOR, MAX_CONNECT_TIMEOUT_S)
+                await asyncio.sleep(delay * (0.5 + self.rng.random()))
         finally:
             if connection is not None:
                 connection.abort()
 
     async def _connect_once(self, address: str, timeout_s: float) -> LinkConnection | None:
         host, port = split_address(address)
-        self.counters.connects += 1
+        self.counters.connect_attempts += 1
         try:
             _, connection = await asyncio.wait_for(
                 self.loop.create_connection(lambda: LinkConnection(self, address), host, port),
                 timeout_s,
             )
         except (OSError, TimeoutError):
-            self.counters.failures += 1
+            self.counters.connect_failures += 1
             return None
         return connection
 
-    async def _keep_alive(self) -> None:
+    async def _run_keep_alive(self) -> None:
         while True:
             await asyncio.sleep(KEEP_ALIVE_S)
             now = self.loop.time()
             for connection in list(self.connections):
-                if now - connection.heard_at > SILENCE_S:
+                if now - connection.last_received_at > PEER_TIMEOUT_S:
                     connection.abort()
                 elif connection.hello is not None:
                     connection.write(KEEP_ALIVE_FRAME)
--- a/brackenusher/cluster/lives.py
+++ b/brackenusher/cluster/lives.py
@@ -6,9 +6,9 @@
 
 from brackenusher.cluster import messages
 
-NUMBERS_BITS = 11  # left below an incarnation (53 bits) in an unsigned 64-bit number
+REQUEST_NUMBER_BITS = 11  # left below an incarnation (53 bits) in an unsigned 64-bit number
 
 
 def first_number(own: messages.Hello) -> int:
     """The first number that this life of a process gives to its questions; the others count up from it."""
-    return (own.incarnation << NUMBERS_BITS) + 1
+    return (own.incarnation << REQUEST_NUMBER_BITS) + 1
--- a/brackenusher/cluster/monitor.py
+++ b/brackenusher/cluster/monitor.py
@@ -26,7 +26,7 @@
 )
 from barleybarrow.replication.rendezvous import ranked
 from brackenusher.cluster import messages
-from brackenusher.cluster.base_exchange import BaseExchange
+from brackenusher.cluster.base_exchange import FallbackShareExchange
 from brackenusher.cluster.frames import FrameError, FrameReader, encode_frame
 from brackenusher.cluster.key_leases import KeyLease
 from brackenusher.cluster.links import Links, split_address
@@ -35,13 +35,13 @@
 
 log = logging.getLogger(__name__)
 
-CONTROL = "control"
-PROXY = "proxy"
-TELL_PERIOD_MS = 1000.0  # between two looks of a control process at what has changed
-TELLERS = 2  # control processes that tell one member: one may be cut off
+CONTROL_ROLE = "control"
+PROXY_ROLE = "proxy"
+VIEW_UPDATE_INTERVAL_MS = 1000.0  # between two looks of a control process at what has changed
+VIEW_SENDERS_PER_MEMBER = 2  # control processes that tell one member: one may be cut off
 MAX_DATAGRAM_BYTES = 1400  # pings are far shorter
-MOST_ASKED = 64  # pings whose answers are waited for
-EXTRA_NUMBERS = 1 << 10  # beside those of regular pings, which come once a second
+MAX_PENDING_PINGS = 64  # pings whose answers are waited for
+EXTRA_PING_NUMBER_OFFSET = 1 << 10  # beside those of regular pings, which come once a second
 
 
 class Monitor(asyncio.DatagramProtocol):
@@ -52,32 +52,34 @@
         self.on_members: list[Callable[[list[messages.MemberView]], None]] = []  # all, at each change
         self.on_controls: list[Callable[[list[str]], None]] = []  # voters that a peer's ping names
         self.on_version: list[Callable[[str, int], None]] = []  # a peer, and what it has in force
-        self.own_version: Callable[[], int] = lambda: 0  # of the configuration in force here
-        self.bases: BaseExchange | None = None  # of a proxy
+        self.applied_version: Callable[[], int] = lambda: 0  # of the configuration in force here
+        self.share_exchange: FallbackShareExchange | None = None  # of a proxy
         self.key_lease: KeyLease | None = None  # of a proxy
-        self._numbers = count(first_number(links.own) + EXTRA_NUMBERS)
-        self._asked: dict[int, float] = {}  # when pings were sent that may still be answered, by number
+        self._extra_ping_numbers = count(first_number(links.own) + EXTRA_PING_NUMBER_OFFSET)
+        self._pending_pings: dict[
+            int, float
+        ] = {}  # when pings were sent that may still be answered, by number
         self._links = links
-        self._own = links.own.address
-        self._is_control = links.own.role == CONTROL
+        self._own_address = links.own.address
+        self._is_control = links.own.role == CONTROL_ROLE
         self._loop = asyncio.get_running_loop()
-        self._pings = PeerMonitor(self._own, first_number(links.own))
-        self._table = MemberTable()
-        self._told = MergedMemberLists()
+        self._peer_monitor = PeerMonitor(self._own_address, first_number(links.own))
+        self._member_table = MemberTable()
+        self._merged_lists = MergedMemberLists()
         if self._is_control:
-            self._table.on_connected(self._own, _member(links.own))
+            self._member_table.on_connected(self._own_address, _member_from_hello(links.own))
         self._voters: list[str] = []
         self._voters_index = -1
-        self._told_at = self._now() - rng.random() * TELL_PERIOD_MS
+        self._views_sent_at = self._now() - rng.random() * VIEW_UPDATE_INTERVAL_MS
         self._transport: asyncio.DatagramTransport | None = None
-        links.on_message(messages.Members, self._take_members)
-        links.on_message(messages.MemberViews, self._take_views)
-        links.on_message(messages.PeerReport, self._take_report)
-        links.on_change(self._link_changed)
+        links.on_message(messages.Members, self._handle_members)
+        links.on_message(messages.MemberViews, self._handle_member_views)
+        links.on_message(messages.PeerReport, self._handle_peer_report)
+        links.on_change(self._handle_link_change)
 
     async def start(self) -> None:
         """Listen for pings at the internal address. Raises OSError."""
-        host, port = split_address(self._own)
+        host, port = split_address(self._own_address)
         await self._loop.create_datagram_endpoint(lambda: self, local_addr=(host, port))
 
     async def stop(self) -> None:
@@ -88,28 +90,28 @@
     def tick(self) -> None:
         """Do what is due; call it every 100 ms or more often."""
         now = self._now()
-        for order in self._pings.tick(now):
-            self._ping(order.target, order.number, now)
-        for report in self._pings.take_reports():
-            self._report(report, now)
-        if self._is_control and now - self._told_at >= TELL_PERIOD_MS:
-            self._told_at = now
-            self._tell_changes(now)
-
-    def _ping(self, target: str, number: int, now: float) -> None:
-        ping = messages.Ping(number, self._own, self._voters[:MAX_VOTERS], self.own_version())
-        if self.bases is not None:
-            self.bases.fill_ping(ping, target, now)
-        self._asked[number] = now
-        while len(self._asked) > MOST_ASKED:
-            del self._asked[next(iter(self._asked))]
-        self._send(target, ping)
-
-    def proxies(self) -> int:
+        for ping in self._peer_monitor.tick(now):
+            self._send_ping(ping.target, ping.number, now)
+        for report in self._peer_monitor.take_reports():
+            self._send_report(report, now)
+        if self._is_control and now - self._views_sent_at >= VIEW_UPDATE_INTERVAL_MS:
+            self._views_sent_at = now
+            self._send_changes(now)
+
+    def _send_ping(self, target: str, number: int, now: float) -> None:
+        ping = messages.Ping(number, self._own_address, self._voters[:MAX_VOTERS], self.applied_version())
+        if self.share_exchange is not None:
+            self.share_exchange.fill_ping(ping, target, now)
+        self._pending_pings[number] = now
+        while len(self._pending_pings) > MAX_PENDING_PINGS:
+            del self._pending_pings[next(iter(self._pending_pings))]
+        self._send_datagram(target, ping)
+
+    def count_proxies(self) -> int:
         """How many proxies run, as far as known; this one counts."""
-        running = {a for a, view in self.members.items() if view.role == PROXY and not view.suspected}
+        running = {a for a, view in self.members.items() if view.role == PROXY_ROLE and not view.suspected}
         if not self._is_control:
-            running.add(self._own)
+            running.add(self._own_address)
         return len(running)
 
     # Datagrams
@@ -123,40 +125,40 @@
             return
         try:
             for message in FrameReader().feed(data):
-                self._take_datagram(message)
+                self._handle_datagram(message)
         except FrameError as error:
             log.warning("datagram ignored: sender=%s error=%s", addr, error)
 
     def error_received(self, exc: Exception) -> None:
         """A port is closed: the ping has no answer, which is noticed anyway."""
 
-    def _take_datagram(self, message: betterproto.Message) -> None:
+    def _handle_datagram(self, message: betterproto.Message) -> None:
         if isinstance(message, messages.Ping):
-            self._answer(message)
-            self._hear_of_controls(message.controls)
-            self._hear_of_version(message.sender, message.config_version)
+            self._answer_ping(message)
+            self._handle_control_addresses(message.controls)
+            self._handle_peer_version(message.sender, message.config_version)
         elif isinstance(message, messages.PingAck):
             now = self._now()
-            self._pings.on_answer(message.sender, message.number, now)
-            self._hear_of_version(message.sender, message.config_version)
-            asked_at = self._asked.pop(message.number, None)
-            if self.bases is not None and asked_at is not None:
-                self.bases.answered(message, asked_at, now)
-            if self.key_lease is not None and asked_at is not None:
-                self.key_lease.peer_answered(message, asked_at)
-
-    def _answer(self, ping: messages.Ping) -> None:
+            self._peer_monitor.on_answer(message.sender, message.number, now)
+            self._handle_peer_version(message.sender, message.config_version)
+            sent_at = self._pending_pings.pop(message.number, None)
+            if self.share_exchange is not None and sent_at is not None:
+                self.share_exchange.on_ping_ack(message, sent_at, now)
+            if self.key_lease is not None and sent_at is not None:
+                self.key_lease.peer_answered(message, sent_at)
+
+    def _answer_ping(self, ping: messages.Ping) -> None:
         now = self._now()
-        answer = messages.PingAck(ping.number, self._own, self.own_version())
-        if self.bases is not None:
-            self.bases.fill_answer(answer, ping, now)
+        ack = messages.PingAck(ping.number, self._own_address, self.applied_version())
+        if self.share_exchange is not None:
+            self.share_exchange.fill_ping_ack(ack, ping, now)
         if self.key_lease is not None:
-            self.key_lease.fill_answer(answer)
-        self._send(ping.sender, answer)
-        if self.bases is not None and self.bases.wants_answer(ping, now):
-            self._ping(ping.sender, next(self._numbers), now)
+            self.key_lease.fill_answer(ack)
+        self._send_datagram(ping.sender, ack)
+        if self.share_exchange is not None and self.share_exchange.should_ping_back(ping, now):
+            self._send_ping(ping.sender, next(self._extra_ping_numbers), now)
 
-    def _send(self, address: str, message: betterproto.Message) -> None:
+    def _send_datagram(self, address: str, message: betterproto.Message) -> None:
         if self._transport is None or self._transport.is_closing():
             return
         try:
@@ -164,7 +166,7 @@
         except (OSError, ValueError) as error:
             log.warning("datagram not sent: peer=%s error=%s", address, error)
 
-    def _hear_of_controls(self, addresses: list[str]) -> None:
+    def _handle_control_addresses(self, addresses: list[str]) -> None:
         if not addresses:
             return
         for handler in self.on_controls:
@@ -173,7 +175,7 @@
             for address in addresses:
                 self._links.connect(address)
 
-    def _hear_of_version(self, peer: str, version: int) -> None:
+    def _handle_peer_version(self, peer: str, version: int) -> None:
         if version:
             for handler in self.on_version:
                 handler(peer, version)
@@ -181,65 +183,71 @@
     # Reports and views
 
     def _control_peers(self) -> list[str]:
-        return [a for a, hello in self._links.connected().items() if hello.role == CONTROL and a != self._own]
+        return [
+            a
+            for a, hello in self._links.connected().items()
+            if hello.role == CONTROL_ROLE and a != self._own_address
+        ]
 
-    def _report(self, report: ReachabilityReport, now: float) -> None:
+    def _send_report(self, report: ReachabilityReport, now: float) -> None:
         if self._is_control:
-            self._table.on_report(self._own, report, now)
+            self._member_table.on_report(self._own_address, report, now)
         message = messages.PeerReport(address=report.address, reachable=report.reachable)
         for peer in self._control_peers():
             self._links.send(peer, message)
 
-    def _take_report(self, sender: str, message: betterproto.Message) -> None:
+    def _handle_peer_report(self, sender: str, message: betterproto.Message) -> None:
         assert isinstance(message, messages.PeerReport)
-        self._table.on_report(sender, ReachabilityReport(message.address, message.reachable), self._now())
+        self._member_table.on_report(
+            sender, ReachabilityReport(message.address, message.reachable), self._now()
+        )
 
-    def _link_changed(self, address: str, hello: messages.Hello | None) -> None:
+    def _handle_link_change(self, address: str, hello: messages.Hello | None) -> None:
         if not self._is_control:
             if hello is not None:
-                self._told.on_connected(address)
+                self._merged_lists.on_connected(address)
             return
         if hello is None:
-            self._table.on_disconnected(address, self._now())
+            self._member_table.on_disconnected(address, self._now())
             return
-        self._table.on_connected(address, _member(hello))
-        if self._tells(address):
-            self._send_views(address, self._table.statuses(self._now()))
+        self._member_table.on_connected(address, _member_from_hello(hello))
+        if self._sends_views_to(address):
+            self._send_views(address, self._member_table.statuses(self._now()))
 
-    def _tell_changes(self, now: float) -> None:
-        changed = self._table.take_changes(now)
+    def _send_changes(self, now: float) -> None:
+        changed = self._member_table.take_changes(now)
         if not changed:
             return
         for address in self._links.connected():
-            if self._tells(address):
+            if self._sends_views_to(address):
                 self._send_views(address, changed)
-        self._use({view.address: view for view in self._table.statuses(now)})
+        self._set_members({view.address: view for view in self._member_table.statuses(now)})
 
-    def _tells(self, address: str) -> bool:
+    def _sends_views_to(self, address: str) -> bool:
         """Whether it is this control process that tells a member: each is told by few."""
-        return not self._voters or self._own in self._tellers(address)
+        return not self._voters or self._own_address in self._view_senders(address)
 
-    def _tellers(self, address: str) -> list[str]:
-        return ranked(address, self._voters)[:TELLERS]
+    def _view_senders(self, address: str) -> list[str]:
+        return ranked(address, self._voters)[:VIEW_SENDERS_PER_MEMBER]
 
     def _send_views(self, address: str, views: list[MemberStatus]) -> None:
         self._links.send(address, messages.MemberViews([to_message(view) for view in views]))
 
-    def _take_views(self, sender: str, message: betterproto.Message) -> None:
+    def _handle_member_views(self, sender: str, message: betterproto.Message) -> None:
         assert isinstance(message, messages.MemberViews)
         if not self._is_control:
-            self._told.apply_update(sender, [from_message(view) for view in message.members])
+            self._merged_lists.apply_update(sender, [from_message(view) for view in message.members])
             if self._voters:
-                self._told.retain_sources(self._tellers(self._own))
-            self._use(self._told.members())
+                self._merged_lists.retain_sources(self._view_senders(self._own_address))
+            self._set_members(self._merged_lists.members())
 
-    def _use(self, members: dict[str, MemberStatus]) -> None:
+    def _set_members(self, members: dict[str, MemberStatus]) -> None:
         self.members = {address: to_message(view) for address, view in members.items()}
-        self._pings.set_members(members)
+        self._peer_monitor.set_members(members)
         for handler in self.on_members:
             handler(list(self.members.values()))
 
-    def _take_members(self, sender: str, message: betterproto.Message) -> None:
+    def _handle_members(self, sender: str, message: betterproto.Message) -> None:
         assert isinstance(message, messages.Members)
         if message.voters and message.voters_index > self._voters_index:
             self._voters, self._voters_index = list(message.voters), message.voters_index
@@ -248,7 +256,7 @@
         return self._loop.time() * 1000.0
 
 
-def _member(hello: messages.Hello) -> Member:
+def _member_from_hello(hello: messages.Hello) -> Member:
     return Member(hello.role, hello.node_name, hello.zone, hello.incarnation)
 
 
--- a/brackenusher/cluster/status_calls.py
+++ b/brackenusher/cluster/status_calls.py
@@ -23,14 +23,14 @@
 class StatusResponder:
     """Answers each question with what a function says; None: nothing is known, which is answered too."""
 
-    def __init__(self, links: Links, tell: Callable[[str], object | None]) -> None:
+    def __init__(self, links: Links, get_status: Callable[[str], object | None]) -> None:
         self._links = links
-        self._tell = tell
-        links.on_message(messages.StatusRequest, self._answer)
+        self._get_status = get_status
+        links.on_message(messages.StatusRequest, self._handle_request)
 
-    def _answer(self, sender: str, request: betterproto.Message) -> None:
+    def _handle_request(self, sender: str, request: betterproto.Message) -> None:
         assert isinstance(request, messages.StatusRequest)
-        document = self._tell(request.topic)
+        document = self._get_status(request.topic)
         data = b"" if document is None else json.dumps(document, separators=(",", ":")).encode()
         if len(data) > MAX_ANSWER_BYTES:
             log.warning("status answer too large: topic=%s bytes=%d", request.topic, len(data))
@@ -39,12 +39,12 @@
 
 
 @dataclass(slots=True)
-class _Question:
+class _PendingQuery:
     """One question to several processes."""
 
-    waiting: set[str]
+    pending: set[str]
     done: "asyncio.Future[None]"
-    answers: dict[str, object] = field(default_factory=dict)
+    replies: dict[str, object] = field(default_factory=dict)
 
 
 class StatusCaller:
@@ -52,46 +52,46 @@
 
     def __init__(self, links: Links) -> None:
         self._links = links
-        self._questions: dict[int, _Question] = {}
+        self._pending_queries: dict[int, _PendingQuery] = {}
         self._last_id = first_number(links.own)
-        links.on_message(messages.StatusReply, self._take_reply)
-        links.on_change(self._link_changed)
+        links.on_message(messages.StatusReply, self._handle_reply)
+        links.on_change(self._handle_link_change)
 
     async def ask(self, addresses: Iterable[str], topic: str, timeout_s: float) -> dict[str, object]:
         """What those say who answer in time and know something, by their address."""
         self._last_id += 1
         request = messages.StatusRequest(id=self._last_id, topic=topic)
-        waiting = {address for address in addresses if self._links.send(address, request)}
-        if not waiting:
+        recipients = {address for address in addresses if self._links.send(address, request)}
+        if not recipients:
             return {}
-        question = _Question(waiting, asyncio.get_running_loop().create_future())
-        self._questions[request.id] = question
+        pending_query = _PendingQuery(recipients, asyncio.get_running_loop().create_future())
+        self._pending_queries[request.id] = pending_query
         try:
-            await asyncio.wait_for(question.done, timeout_s)
+            await asyncio.wait_for(pending_query.done, timeout_s)
         except TimeoutError:
             pass  # who is slow or cut off is left out
         finally:
-            del self._questions[request.id]
-        return question.answers
+            del self._pending_queries[request.id]
+        return pending_query.replies
 
-    def _take_reply(self, sender: str, reply: betterproto.Message) -> None:
+    def _handle_reply(self, sender: str, reply: betterproto.Message) -> None:
         assert isinstance(reply, messages.StatusReply)
-        question = self._questions.get(reply.id)
-        if question is None or sender not in question.waiting:
+        query = self._pending_queries.get(reply.id)
+        if query is None or sender not in query.pending:
             return
         if reply.document:
             try:
-                question.answers[sender] = json.loads(reply.document)
+                query.replies[sender] = json.loads(reply.document)
             except ValueError:
                 log.warning("status answer unreadable: peer=%s", sender)
-        self._no_longer_waits(question, sender)
+        self._stop_waiting_for(query, sender)
 
-    def _link_changed(self, address: str, hello: messages.Hello | None) -> None:
+    def _handle_link_change(self, address: str, hello: messages.Hello | None) -> None:
         if hello is None:
-            for question in self._questions.values():
-                self._no_longer_waits(question, address)
+            for query in self._pending_queries.values():
+                self._stop_waiting_for(query, address)
 
-    def _no_longer_waits(self, question: _Question, address: str) -> None:
-        question.waiting.discard(address)
-        if not question.waiting and not question.done.done():
-            question.done.set_result(None)
+    def _stop_waiting_for(self, query: _PendingQuery, address: str) -> None:
+        query.pending.discard(address)
+        if not query.pending and not query.done.done():
+            query.done.set_result(None)
--- a/brackenusher/commands/application.py
+++ b/brackenusher/commands/application.py
@@ -10,33 +10,38 @@
 import typer
 from returns.result import Failure, Result, Success
 
-from brackenusher.commands.client import Answer, ControlClient
+from brackenusher.commands.client import ControlClient, ControlResponse
 from brackenusher.commands.difference import differences
 from brackenusher.commands.errors import CommandError, ExitCode
-from brackenusher.commands.printing import as_json, as_text, with_times
+from brackenusher.commands.printing import as_json, as_text, with_utc_times
 from brackenusher.settings.local import LocalSettings
-from brackenusher.settings.reading import DEFAULT_PATH, SETTINGS_VARIABLE, SettingsError, load_settings
+from brackenusher.settings.reading import (
+    DEFAULT_SETTINGS_PATH,
+    SETTINGS_ENV_VAR,
+    SettingsError,
+    load_settings,
+)
 
-CONTROL_VARIABLE = "BRACKENUSHER_CONTROL"
+CONTROL_ENV_VAR = "BRACKENUSHER_CONTROL"
 
-Control = Annotated[
+ControlOption = Annotated[
     list[str] | None,
     typer.Option(
-        "--control", metavar="IP:PORT", help=f"A control process (or {CONTROL_VARIABLE}); repeatable."
+        "--control", metavar="IP:PORT", help=f"A control process (or {CONTROL_ENV_VAR}); repeatable."
     ),
 ]
-Json = Annotated[bool, typer.Option("--json", help="Print one JSON document.")]
-Base = Annotated[
+JsonOption = Annotated[bool, typer.Option("--json", help="Print one JSON document.")]
+BaseOption = Annotated[
     int | None,
     typer.Option(
         "--base", min=0, help="The version it builds on, 0 for the first; left out: the current one."
     ),
 ]
-Document = Annotated[Path, typer.Argument(metavar="FILE", help="A JSON file.")]
+DocumentArgument = Annotated[Path, typer.Argument(metavar="FILE", help="A JSON file.")]
 
 app = typer.Typer(name="brackenusher", no_args_is_help=True, add_completion=False, rich_markup_mode=None)
-config = typer.Typer(no_args_is_help=True, help="The configuration: read, change and compare it.")
-app.add_typer(config, name="config")
+config_app = typer.Typer(no_args_is_help=True, help="The configuration: read, change and compare it.")
+app.add_typer(config_app, name="config")
 
 
 def run_command(arguments: Sequence[str]) -> int:
@@ -61,42 +66,42 @@
 # What the commands share
 
 
-def _client(control: list[str] | None) -> ControlClient:
+def _control_client(control: list[str] | None) -> ControlClient:
     """A client for the addresses that are named, in the environment or in the settings file."""
-    named = control or os.environ.get(CONTROL_VARIABLE, "").replace(",", " ").split()
-    if named:
-        return ControlClient(named)
-    match load_settings(os.environ.get(SETTINGS_VARIABLE, DEFAULT_PATH)):
+    addresses = control or os.environ.get(CONTROL_ENV_VAR, "").replace(",", " ").split()
+    if addresses:
+        return ControlClient(addresses)
+    match load_settings(os.environ.get(SETTINGS_ENV_VAR, DEFAULT_SETTINGS_PATH)):
         case Success(settings):
             own = [settings.listen.control] if settings.listen.control else []
             return ControlClient(own + [seed for seed in settings.seed_nodes if seed not in own])
     raise CommandError(ExitCode.USAGE, "no control process is known: name one with --control IP:PORT")
 
 
-def _show(document: object, as_document: bool) -> None:
+def _print_document(document: object, as_document: bool) -> None:
     typer.echo(as_json(document) if as_document else as_text(document))
 
 
-def _topic(topic: str, control: list[str] | None) -> Any:
-    answer = _client(control).get(f"/-/status/{topic}")
-    if answer.status != 200:
-        raise CommandError(ExitCode.REFUSED, answer.error())
-    return answer.document()
+def _fetch_status(topic: str, control: list[str] | None) -> Any:
+    response = _control_client(control).get(f"/-/status/{topic}")
+    if response.status != 200:
+        raise CommandError(ExitCode.REFUSED, response.error_message())
+    return response.document()
 
 
-def _show_topic(topic: str, control: list[str] | None, as_document: bool) -> None:
-    _show(_topic(topic, control), as_document)
+def _print_status(topic: str, control: list[str] | None, as_document: bool) -> None:
+    _print_document(_fetch_status(topic, control), as_document)
 
 
-def _current(client: ControlClient) -> dict[str, Any]:
-    answer = client.get("/-/Config.Get")
-    document = answer.document() if answer.status == 200 else None
+def _fetch_configuration(client: ControlClient) -> dict[str, Any]:
+    response = client.get("/-/Config.Get")
+    document = response.document() if response.status == 200 else None
     if not isinstance(document, dict):
-        raise CommandError(ExitCode.REFUSED, answer.error())
+        raise CommandError(ExitCode.REFUSED, response.error_message())
     return document
 
 
-def _read_document(path: Path) -> tuple[bytes, dict[str, Any]]:
+def _load_document(path: Path) -> tuple[bytes, dict[str, Any]]:
     """The bytes of a file and the JSON object in it."""
     try:
         body = path.read_bytes()
@@ -114,39 +119,39 @@
 
 
 @app.command()
-def status(control: Control = None, as_document: Json = False) -> None:
+def status(control: ControlOption = None, as_document: JsonOption = False) -> None:
     """How the fleet stands: versions, leader, voters, servers, proxies."""
-    _show_topic("summary", control, as_document)
+    _print_status("summary", control, as_document)
 
 
 @app.command()
-def members(control: Control = None, as_document: Json = False) -> None:
+def members(control: ControlOption = None, as_document: JsonOption = False) -> None:
     """The processes of the fleet and who is suspected to be down."""
-    _show_topic("members", control, as_document)
+    _print_status("members", control, as_document)
 
 
 @app.command()
-def servers(control: Control = None, as_document: Json = False) -> None:
+def servers(control: ControlOption = None, as_document: JsonOption = False) -> None:
     """The model servers that are known, with their state."""
-    _show_topic("servers", control, as_document)
+    _print_status("servers", control, as_document)
 
 
 @app.command()
-def explain(request_id: str, control: Control = None, as_document: Json = False) -> None:
+def explain(request_id: str, control: ControlOption = None, as_document: JsonOption = False) -> None:
     """What became of a request, by the id that its client gave it."""
     from urllib.parse import quote
 
-    _show_topic(f"explain/{quote(request_id, safe='')}", control, as_document)
+    _print_status(f"explain/{quote(request_id, safe='')}", control, as_document)
 
 
 @app.command("check-settings")
 def check_settings(
-    path: Annotated[Path | None, typer.Argument(metavar="FILE")] = None, as_document: Json = False
+    path: Annotated[Path | None, typer.Argument(metavar="FILE")] = None, as_document: JsonOption = False
 ) -> None:
     """Read a settings file and say what it holds; exit 2 where it can't be used."""
-    chosen = str(path or os.environ.get(SETTINGS_VARIABLE, DEFAULT_PATH))
-    settings = _settings_or_fail(load_settings(chosen))
-    _show(_settings_summary(settings), as_document)
+    settings_path = str(path or os.environ.get(SETTINGS_ENV_VAR, DEFAULT_SETTINGS_PATH))
+    settings = _settings_or_fail(load_settings(settings_path))
+    _print_document(_settings_summary(settings), as_document)
 
 
 def _settings_or_fail(result: Result[LocalSettings, SettingsError]) -> LocalSettings:
@@ -177,46 +182,58 @@
 # The configuration
 
 
-@config.command("get")
-def config_get(control: Control = None) -> None:
+@config_app.command("get")
+def config_get(control: ControlOption = None) -> None:
     """Print the configuration that is in force, whole, as JSON."""
-    typer.echo(as_json(_current(_client(control))))
+    typer.echo(as_json(_fetch_configuration(_control_client(control))))
 
 
-@config.command("put")
-def config_put(path: Document, base: Base = None, control: Control = None, as_document: Json = False) -> None:
+@config_app.command("put")
+def config_put(
+    path: DocumentArgument,
+    base: BaseOption = None,
+    control: ControlOption = None,
+    as_document: JsonOption = False,
+) -> None:
     """Put a whole configuration in force."""
-    _order("Config.Replace", path, base, control, as_document)
+    _submit_order("Config.Replace", path, base, control, as_document)
 
 
-@config.command("patch")
+@config_app.command("patch")
 def config_patch(
-    path: Document, base: Base = None, control: Control = None, as_document: Json = False
+    path: DocumentArgument,
+    base: BaseOption = None,
+    control: ControlOption = None,
+    as_document: JsonOption = False,
 ) -> None:
     """Change named items: the file has Generation, Upsert and Remove."""
-    _order("Config.Patch", path, base, control, as_document)
+    _submit_order("Config.Patch", path, base, control, as_document)
 
 
-def _order(call: str, path: Path, base: int | None, control: list[str] | None, as_document: bool) -> None:
-    body, document = _read_document(path)
-    client = _client(control)
-    base_version = int(_current(client).get("Generation", 0)) if base is None else base
-    answer = client.order(call, base_version, body)
-    if answer.status != 200:
-        raise _order_error(answer)
-    _show({"taken": document.get("Generation"), "base": base_version}, as_document)
+def _submit_order(
+    call: str, path: Path, base: int | None, control: list[str] | None, as_document: bool
+) -> None:
+    body, document = _load_document(path)
+    client = _control_client(control)
+    base_version = int(_fetch_configuration(client).get("Generation", 0)) if base is None else base
+    response = client.submit_order(call, base_version, body)
+    if response.status != 200:
+        raise _order_error(response)
+    _print_document({"taken": document.get("Generation"), "base": base_version}, as_document)
 
 
-def _order_error(answer: Answer) -> CommandError:
-    code = ExitCode.CONFLICT if answer.status in (409, 412) else ExitCode.REFUSED
-    return CommandError(code, answer.error())
+def _order_error(response: ControlResponse) -> CommandError:
+    code = ExitCode.CONFLICT if response.status in (409, 412) else ExitCode.REFUSED
+    return CommandError(code, response.error_message())
 
 
-@config.command("diff")
-def config_diff(path: Document, control: Control = None, as_document: Json = False) -> None:
+@config_app.command("diff")
+def config_diff(
+    path: DocumentArgument, control: ControlOption = None, as_document: JsonOption = False
+) -> None:
     """What a whole configuration would change; exit 1 where it would change anything."""
-    _, document = _read_document(path)
-    changes = differences(_current(_client(control)), document)
+    _, document = _load_document(path)
+    changes = differences(_fetch_configuration(_control_client(control)), document)
     if as_document:
         listed = [{"sign": c.sign, "item": c.item, "fields": list(c.fields)} for c in changes]
         typer.echo(as_json(listed))
@@ -225,8 +242,10 @@
     raise typer.Exit(ExitCode.REFUSED if changes else ExitCode.OK)
 
 
-@config.command("history")
-def config_history(control: Control = None, as_document: Json = False) -> None:
+@config_app.command("history")
+def config_history(control: ControlOption = None, as_document: JsonOption = False) -> None:
     """The versions that were taken, the newest last."""
-    taken = _topic("history", control)
-    _show(taken if as_document or not isinstance(taken, list) else with_times(taken), as_document)
+    history = _fetch_status("history", control)
+    _print_document(
+        history if as_document or not isinstance(history, list) else with_utc_times(history), as_document
+    )
--- a/brackenusher/commands/client.py
+++ b/brackenusher/commands/client.py
@@ -11,16 +11,16 @@
 from brackenusher.commands.errors import CommandError, ExitCode
 
 BASE_VERSION_HEADER = "X-Brackenusher-Base-Version"
-CONNECT_AND_ANSWER_S = 2.0  # a control process answers or gives up within about a second
-SLOW_BODY_BYTES_PER_S = 256 * 1024
+REQUEST_TIMEOUT_S = 2.0  # a control process answers or gives up within about a second
+MIN_UPLOAD_BYTES_PER_S = 256 * 1024
 MAX_REDIRECTS = 2
-ROUNDS = 4  # over all addresses
-FIRST_PAUSE_S = 0.2  # between rounds; doubles
-TRY_AGAIN = frozenset({408, 429})
+MAX_ROUNDS = 4  # over all addresses
+INITIAL_BACKOFF_S = 0.2  # between rounds; doubles
+RETRYABLE_STATUSES = frozenset({408, 429})
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
+class ControlResponse:
     """The answer of a control process."""
 
     status: int
@@ -34,7 +34,7 @@
             remedy = "is this the Control address of the fleet?"
             raise CommandError(ExitCode.UNREACHABLE, f"the answer is not JSON: {remedy}") from None
 
-    def error(self) -> str:
+    def error_message(self) -> str:
         """What the answer says is wrong."""
         try:
             return str(json.loads(self.body)["Error"])
@@ -49,52 +49,54 @@
         self.addresses = list(addresses)
         self._sleep = sleep
 
-    def get(self, path: str) -> Answer:
+    def get(self, path: str) -> ControlResponse:
         """A read. Raises CommandError where nobody answers."""
-        return self._call("GET", path, b"", {})
+        return self._request("GET", path, b"", {})
 
-    def order(self, call: str, base_version: int, body: bytes) -> Answer:
+    def submit_order(self, call: str, base_version: int, body: bytes) -> ControlResponse:
         """An order of the operator; the same one is sent again where there was no clear answer."""
         headers = {BASE_VERSION_HEADER: str(base_version), "Content-Type": "application/json"}
-        return self._call("POST", f"/-/{call}", body, headers)
-
-    def _call(self, method: str, path: str, body: bytes, headers: dict[str, str]) -> Answer:
-        problem, pause = "", FIRST_PAUSE_S
-        for turn in range(ROUNDS):
-            if turn:
-                self._sleep(pause)
-                pause *= 2
+        return self._request("POST", f"/-/{call}", body, headers)
+
+    def _request(self, method: str, path: str, body: bytes, headers: dict[str, str]) -> ControlResponse:
+        last_error, backoff_s = "", INITIAL_BACKOFF_S
+        for round_number in range(MAX_ROUNDS):
+            if round_number:
+                self._sleep(backoff_s)
+                backoff_s *= 2
             for address in self.addresses:
                 try:
-                    answer = self._call_one(address, method, path, body, headers)
+                    response = self._request_from(address, method, path, body, headers)
                 except (OSError, http.client.HTTPException) as error:
-                    problem = f"{address}: {error or type(error).__name__}"
+                    last_error = f"{address}: {error or type(error).__name__}"
                     continue
-                if answer.status < 500 and answer.status not in TRY_AGAIN:
-                    return answer
-                problem = f"{address}: {answer.error()}"
+                if response.status < 500 and response.status not in RETRYABLE_STATUSES:
+                    return response
+                last_error = f"{address}: {response.error_message()}"
         remedy = "name a control process that runs with --control IP:PORT, or wait for a majority"
-        raise CommandError(ExitCode.UNREACHABLE, f"no clear answer ({problem}): {remedy}")
+        raise CommandError(ExitCode.UNREACHABLE, f"no clear answer ({last_error}): {remedy}")
 
-    def _call_one(self, address: str, method: str, path: str, body: bytes, headers: dict[str, str]) -> Answer:
+    def _request_from(
+        self, address: str, method: str, path: str, body: bytes, headers: dict[str, str]
+    ) -> ControlResponse:
         for _ in range(MAX_REDIRECTS + 1):
-            answer, location = _exchange(address, method, path, body, headers)
-            if answer.status != 307 or not location:
-                return answer
-            parts = urlsplit(location)
-            address, path = parts.netloc or address, parts.path or path
+            response, location = _send_request(address, method, path, body, headers)
+            if response.status != 307 or not location:
+                return response
+            location_parts = urlsplit(location)
+            address, path = location_parts.netloc or address, location_parts.path or path
         raise http.client.HTTPException("too many redirects")
 
 
-def _exchange(
+def _send_request(
     address: str, method: str, path: str, body: bytes, headers: dict[str, str]
-) -> tuple[Answer, str]:
+) -> tuple[ControlResponse, str]:
     """One request on a connection of its own: the answer, and its Location."""
-    timeout_s = CONNECT_AND_ANSWER_S + len(body) / SLOW_BODY_BYTES_PER_S
+    timeout_s = REQUEST_TIMEOUT_S + len(body) / MIN_UPLOAD_BYTES_PER_S
     connection = http.client.HTTPConnection(address, timeout=timeout_s)
     try:
         connection.request(method, path, body if method == "POST" else None, headers)
         response = connection.getresponse()
-        return Answer(response.status, response.read()), response.getheader("Location", "")
+        return ControlResponse(response.status, response.read()), response.getheader("Location", "")
     finally:
         connection.close()
--- a/brackenusher/commands/difference.py
+++ b/brackenusher/commands/difference.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-NAMED_SECTIONS = ("Routes", "Services", "Tenants")
+SECTIONS_BY_NAME = ("Routes", "Services", "Tenants")
 SECRET_KEYS = frozenset({"ApiKeys"})  # shown as counts, never in the clear
 
 
@@ -25,10 +25,10 @@
     changes: list[Change] = []
     for section in [*first, *(key for key in second if key not in first)]:
         old, new = first.get(section), second.get(section)
-        if section in NAMED_SECTIONS:
+        if section in SECTIONS_BY_NAME:
             changes.extend(_named_changes(section, old or [], new or []))
         elif old != new:
-            changes.append(Change("~", section, (f"{_shown(section, old)} -> {_shown(section, new)}",)))
+            changes.append(Change("~", section, (f"{_display(section, old)} -> {_display(section, new)}",)))
     return changes
 
 
@@ -51,10 +51,10 @@
 def _field_changes(old: dict[str, Any], new: dict[str, Any]) -> Iterator[str]:
     for key in [*old, *(key for key in new if key not in old)]:
         if old.get(key) != new.get(key):
-            yield f"{key}: {_shown(key, old.get(key))} -> {_shown(key, new.get(key))}"
+            yield f"{key}: {_display(key, old.get(key))} -> {_display(key, new.get(key))}"
 
 
-def _shown(key: str, value: object) -> str:
+def _display(key: str, value: object) -> str:
     if key in SECRET_KEYS and isinstance(value, list):
         return f"{len(value)} keys"
     return "absent" if value is None else repr(value)
--- a/brackenusher/commands/printing.py
+++ b/brackenusher/commands/printing.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 COLUMN_GAP = "  "
-LONGEST_CELL = 60
+MAX_CELL_CHARS = 60
 
 
 def as_json(document: object) -> str:
@@ -43,21 +43,21 @@
     """Rows under their keys; a key that a row lacks is left blank."""
     columns = list(dict.fromkeys(key for row in rows for key in row))
     cells = [columns] + [[_cell(row.get(column, "")) for column in columns] for row in rows]
-    widths = [max(len(line[place]) for line in cells) for place in range(len(columns))]
+    widths = [max(len(line[column_index]) for line in cells) for column_index in range(len(columns))]
     for line in cells:
         padded = (cell.ljust(width) for cell, width in zip(line, widths, strict=True))
         yield COLUMN_GAP.join(padded).rstrip()
 
 
-def with_times(rows: Sequence[dict[str, Any]]) -> list[dict[str, Any]]:
+def with_utc_times(rows: Sequence[dict[str, Any]]) -> list[dict[str, Any]]:
     """Rows whose `at_ms`, Unix milliseconds, is told as a time of day instead, first."""
     return [
-        {"at": _time_of(row["at_ms"]), **{key: value for key, value in row.items() if key != "at_ms"}}
+        {"at": _format_time(row["at_ms"]), **{key: value for key, value in row.items() if key != "at_ms"}}
         for row in rows
     ]
 
 
-def _time_of(milliseconds: int) -> str:
+def _format_time(milliseconds: int) -> str:
     return datetime.fromtimestamp(milliseconds / 1000.0, UTC).isoformat(" ", "milliseconds")
 
 
@@ -73,4 +73,4 @@
     else:
         text = str(value)
     text = text if text.isprintable() else ascii(text)[1:-1]
-    return text if len(text) <= LONGEST_CELL else text[: LONGEST_CELL - 3] + "..."
+    return text if len(text) <= MAX_CELL_CHARS else text[: MAX_CELL_CHARS - 3] + "..."
--- a/brackenusher/settings/document_fields.py
+++ b/brackenusher/settings/document_fields.py
@@ -24,8 +24,8 @@
 )
 
 LOWER_CASE_KEYS = frozenset({"gap_aim_ms", "stride"})  # as they are; others are in Pascal case
-LARGEST_NUMBER = 2.0**63  # beyond it nothing is meant; also refuses infinity
-LONGEST_SHOWN_VALUE = 60  # characters of a wrong value in a message
+MAX_NUMBER = 2.0**63  # beyond it nothing is meant; also refuses infinity
+MAX_SHOWN_VALUE_CHARS = 60  # characters of a wrong value in a message
 
 
 class FieldError(Exception):
@@ -36,16 +36,16 @@
         self.remedy = remedy
 
 
-def _wrong(key: str, value: object, remedy: str) -> FieldError:
+def _field_error(key: str, value: object, remedy: str) -> FieldError:
     shown = ascii(value)
-    shown = shown if len(shown) <= LONGEST_SHOWN_VALUE else shown[:LONGEST_SHOWN_VALUE] + "..."
+    shown = shown if len(shown) <= MAX_SHOWN_VALUE_CHARS else shown[:MAX_SHOWN_VALUE_CHARS] + "..."
     return FieldError(f"{key} is {shown}", remedy)
 
 
-def read_item(kind: type[Any], raw: dict[str, Any]) -> Any:
+def read_item(item_type: type[Any], raw: dict[str, Any]) -> Any:
     """One item as a dataclass of `barleybarrow.documents`. Raises FieldError."""
     try:
-        return from_dict(kind, _present(raw))
+        return from_dict(item_type, _without_nulls(raw))
     except SerdeError as error:
         cause: BaseException = error
         while isinstance(cause, SerdeError) and cause.args and isinstance(cause.args[0], BaseException):
@@ -55,7 +55,7 @@
         raise FieldError(str(cause).partition(" while ")[0], "add it") from None
 
 
-def _present(raw: dict[str, Any]) -> dict[str, Any]:
+def _without_nulls(raw: dict[str, Any]) -> dict[str, Any]:
     """Without nulls: they say the same as absence."""
     return {key: value for key, value in raw.items() if value is not None}
 
@@ -63,60 +63,60 @@
 # Readers of fields. Each is told the key, for its message.
 
 
-def _read_text(key: str, value: object) -> str:
+def _read_string(key: str, value: object) -> str:
     if not isinstance(value, str):
-        raise _wrong(key, value, "make it a string")
+        raise _field_error(key, value, "make it a string")
     return value
 
 
-def _read_flag(key: str, value: object) -> bool:
+def _read_bool(key: str, value: object) -> bool:
     if not isinstance(value, bool):
-        raise _wrong(key, value, "make it true or false")
+        raise _field_error(key, value, "make it true or false")
     return value
 
 
 def _read_number(key: str, value: object) -> float:
-    if isinstance(value, bool) or not isinstance(value, int | float) or not abs(value) <= LARGEST_NUMBER:
-        raise _wrong(key, value, "make it a number")
+    if isinstance(value, bool) or not isinstance(value, int | float) or not abs(value) <= MAX_NUMBER:
+        raise _field_error(key, value, "make it a number")
     return float(value)
 
 
-def _read_whole(key: str, value: object) -> int:
+def _read_int(key: str, value: object) -> int:
     number = _read_number(key, value)
     if number != int(number):
-        raise _wrong(key, value, "make it a whole number")
+        raise _field_error(key, value, "make it a whole number")
     return int(number)
 
 
-def _read_parts(kind: type[Any], key: str, value: object) -> list[Any]:
+def _read_list(item_type: type[Any], key: str, value: object) -> list[Any]:
     if not isinstance(value, list):
-        raise _wrong(key, value, "make it a list")
-    return [_read_part(kind, key, item) for item in value]
+        raise _field_error(key, value, "make it a list")
+    return [_read_value(item_type, key, item) for item in value]
 
 
-def _read_part(kind: type[Any], key: str, value: object) -> Any:
-    reader = _PLAIN_READERS.get(kind)
+def _read_value(value_type: type[Any], key: str, value: object) -> Any:
+    reader = _SCALAR_READERS.get(value_type)
     if reader is not None:
         return reader(key, value)
     if not isinstance(value, dict):
-        raise _wrong(key, value, "make it an object")
-    return from_dict(kind, _present(value))
+        raise _field_error(key, value, "make it an object")
+    return from_dict(value_type, _without_nulls(value))
 
 
-_PLAIN_READERS: dict[Any, Callable[[str, object], Any]] = {
-    str: _read_text,
-    bool: _read_flag,
+_SCALAR_READERS: dict[Any, Callable[[str, object], Any]] = {
+    str: _read_string,
+    bool: _read_bool,
     float: _read_number,
-    int: _read_whole,
+    int: _read_int,
 }
 
 
-def _reader_of(kind: Any, key: str) -> Callable[[object], Any]:
+def _field_reader(field_type: Any, key: str) -> Callable[[object], Any]:
     """The reader of a field of that type: a list, or one value that may be absent."""
-    if get_origin(kind) is list:
-        return partial(_read_parts, get_args(kind)[0], key)
-    present = [part for part in get_args(kind) if part is not type(None)] or [kind]
-    return partial(_read_part, present[0], key)
+    if get_origin(field_type) is list:
+        return partial(_read_list, get_args(field_type)[0], key)
+    alternatives = [part for part in get_args(field_type) if part is not type(None)] or [field_type]
+    return partial(_read_value, alternatives[0], key)
 
 
 def _document_key(name: str) -> str:
@@ -125,17 +125,17 @@
     return "".join(part.capitalize() for part in name.split("_"))
 
 
-def _make_readable(kind: type[Any]) -> None:
+def _register_dataclass(item_type: type[Any]) -> None:
     """Have pyserde read a dataclass of `barleybarrow.documents`, which must not know of pyserde itself."""
-    for field in fields(kind):
+    for field in fields(item_type):
         key = _document_key(field.name)
-        hints = {"serde_rename": key, "serde_deserializer": _reader_of(field.type, key)}
-        field.metadata = MappingProxyType(hints)
-    deserialize(kind, type_check=disabled)
+        metadata = {"serde_rename": key, "serde_deserializer": _field_reader(field.type, key)}
+        field.metadata = MappingProxyType(metadata)
+    deserialize(item_type, type_check=disabled)
 
 
 @contextmanager
-def _numpy_left_out() -> Iterator[None]:
+def _numpy_import_blocked() -> Iterator[None]:
     """Meanwhile numpy can't be imported: pyserde would, where it is installed, for 0.15 s and 10 MB."""
     if "numpy" in sys.modules:
         yield
@@ -147,6 +147,6 @@
         del sys.modules["numpy"]
 
 
-with _numpy_left_out():
-    for _kind in (WeightedService, Route, EngineModel, Engine, Service, ClientLimits, Tenant):
-        _make_readable(_kind)
+with _numpy_import_blocked():
+    for _item_type in (WeightedService, Route, EngineModel, Engine, Service, ClientLimits, Tenant):
+        _register_dataclass(_item_type)
--- a/brackenusher/settings/documents.py
+++ b/brackenusher/settings/documents.py
@@ -13,8 +13,8 @@
 from barleybarrow.consensus.configuration_state import OrderError, generation_of
 from barleybarrow.documents import ClientLimits, Configuration, Route, Service, Tenant
 
-LONGEST_SHOWN_NAME = 60  # characters of a name in a message
-ITEM_NAMES = {"Routes": "route", "Services": "service", "Tenants": "tenant"}
+MAX_SHOWN_NAME_CHARS = 60  # characters of a name in a message
+SECTION_ITEM_LABELS = {"Routes": "route", "Services": "service", "Tenants": "tenant"}
 
 
 class ConfigurationError(Exception):
@@ -32,7 +32,7 @@
     try:
         configuration = _read_configuration(raw)
         _check_routes(configuration)
-        _check_keys(configuration)
+        _check_api_keys(configuration)
     except ConfigurationError as error:
         return Failure(error)
     return Success(configuration)
@@ -59,68 +59,68 @@
         raise ConfigurationError("the document", str(error), "give one above the current") from None
 
 
-def _read_section(kind: type[Any], raw: dict[str, Any], section: str) -> list[Any]:
+def _read_section(item_type: type[Any], raw: dict[str, Any], section: str) -> list[Any]:
     items = raw.get(section)
     if items is None:
         return []
     if not isinstance(items, list):
         raise ConfigurationError(section, "is not a list", "send a list")
-    names: set[object] = set()
-    read: list[Any] = []
+    seen_names: set[object] = set()
+    parsed: list[Any] = []
     for position, item in enumerate(items):
-        label = _label(section, position, item)
-        read.append(_read_item(kind, item, label))
-        if read[-1].name in names:
+        label = _item_label(section, position, item)
+        parsed.append(_read_item(item_type, item, label))
+        if parsed[-1].name in seen_names:
             raise ConfigurationError(label, "its Name is there twice", "name each item once")
-        names.add(read[-1].name)
-    return read
+        seen_names.add(parsed[-1].name)
+    return parsed
 
 
-def _name(item: object) -> object:
+def _item_name(item: object) -> object:
     return item.get("Name") if isinstance(item, dict) else None
 
 
-def _label(section: str, position: int, item: object) -> str:
-    name = _name(item)
+def _item_label(section: str, position: int, item: object) -> str:
+    name = _item_name(item)
     if isinstance(name, str):
-        return f"{ITEM_NAMES[section]} {_shown(name)}"
+        return f"{SECTION_ITEM_LABELS[section]} {_printable(name)}"
     return f"{section}[{position}]"
 
 
-def _read_item(kind: type[Any], raw: object, label: str) -> Any:
+def _read_item(item_type: type[Any], raw: object, label: str) -> Any:
     """One item by pyserde; raises ConfigurationError with the label."""
     if not isinstance(raw, dict):
         raise ConfigurationError(label, "is not an object", "send an object")
     from brackenusher.settings import document_fields  # late: pyserde takes long to import
 
     try:
-        return document_fields.read_item(kind, raw)
+        return document_fields.read_item(item_type, raw)
     except document_fields.FieldError as error:
         raise ConfigurationError(label, str(error), error.remedy) from None
 
 
-def _shown(name: str) -> str:
-    return ascii(name)[1:-1][:LONGEST_SHOWN_NAME]
+def _printable(name: str) -> str:
+    return ascii(name)[1:-1][:MAX_SHOWN_NAME_CHARS]
 
 
 def _check_routes(configuration: Configuration) -> None:
     services = {service.name for service in configuration.services}
-    places: dict[tuple[str, str], str] = {}
+    names_by_match: dict[tuple[str, str], str] = {}
     for route in configuration.routes:
-        label = f"route {_shown(route.name)}"
+        label = f"route {_printable(route.name)}"
         if route.timeout_ms <= 0:
             raise ConfigurationError(label, "TimeoutMs is 0 or less", "give the longest time in milliseconds")
-        for service in _services_of(route, label):
+        for service in _referenced_services(route, label):
             if service not in services:
-                problem = f"names the unknown service {_shown(service)}"
+                problem = f"names the unknown service {_printable(service)}"
                 raise ConfigurationError(label, problem, "add that service")
-        other = places.setdefault((route.hostname.lower(), route.path_prefix), route.name)
+        other = names_by_match.setdefault((route.hostname.lower(), route.path_prefix), route.name)
         if other != route.name:
-            problem = f"has the host and prefix of route {_shown(other)}"
+            problem = f"has the host and prefix of route {_printable(other)}"
             raise ConfigurationError(label, problem, "keep one of them")
 
 
-def _services_of(route: Route, label: str) -> Iterator[str]:
+def _referenced_services(route: Route, label: str) -> Iterator[str]:
     if not route.traffic_split:
         if not route.service:
             raise ConfigurationError(label, "names no service", "give it a Service or a TrafficSplit")
@@ -135,12 +135,12 @@
         yield route.service
 
 
-def _check_keys(configuration: Configuration) -> None:
-    holders: dict[str, str] = {}
+def _check_api_keys(configuration: Configuration) -> None:
+    tenants_by_key: dict[str, str] = {}
     for tenant in configuration.tenants:
         for key in tenant.api_keys:
-            other = holders.setdefault(key, tenant.name)
+            other = tenants_by_key.setdefault(key, tenant.name)
             if other != tenant.name:
-                label = f"tenant {_shown(tenant.name)}"
-                problem = f"shares a key with tenant {_shown(other)}"
+                label = f"tenant {_printable(tenant.name)}"
+                problem = f"shares a key with tenant {_printable(other)}"
                 raise ConfigurationError(label, problem, "give the key to one of them")
--- a/brackenusher/settings/reading.py
+++ b/brackenusher/settings/reading.py
@@ -14,13 +14,13 @@
 from brackenusher.settings.local import LocalSettings
 
 EXIT_BAD_SETTINGS = 2
-SETTINGS_VARIABLE = "BRACKENUSHER_CONFIG"
-DEFAULT_PATH = "/etc/brackenusher/local.toml"
+SETTINGS_ENV_VAR = "BRACKENUSHER_CONFIG"
+DEFAULT_SETTINGS_PATH = "/etc/brackenusher/local.toml"
 MAX_PORT = 65535
 LOG_LEVELS = ("debug", "info", "warning", "error")  # those of `runtime.fleet_log`
 LOWER_CASE_KEYS = frozenset({"pass_ms", "again_s"})  # as they are; others are in Pascal case
-LARGEST_NUMBER = 2.0**63  # beyond it nothing is meant; also refuses infinity
-LONGEST_SHOWN_VALUE = 60  # characters of a wrong value in a message
+MAX_NUMBER = 2.0**63  # beyond it nothing is meant; also refuses infinity
+MAX_SHOWN_VALUE_CHARS = 60  # characters of a wrong value in a message
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -37,14 +37,14 @@
         return f"{self.path}:{key} {self.remedy}"
 
 
-class _WrongKeyError(Exception):
+class _InvalidKeyError(Exception):
     """A key that can't be read; becomes a `SettingsError` of the file."""
 
     def __init__(self, key: str, value: object, remedy: str) -> None:
         super().__init__(key, value, remedy)
         self.key, self.remedy = key, remedy
         shown = "(missing)" if value is dataclasses.MISSING else ascii(value)
-        self.value = shown if len(shown) <= LONGEST_SHOWN_VALUE else shown[:LONGEST_SHOWN_VALUE] + "..."
+        self.value = shown if len(shown) <= MAX_SHOWN_VALUE_CHARS else shown[:MAX_SHOWN_VALUE_CHARS] + "..."
 
 
 def load_settings(path: str) -> Result[LocalSettings, SettingsError]:
@@ -52,7 +52,7 @@
     try:
         text = Path(path).read_bytes().decode("utf-8")
     except OSError as error:
-        remedy = f"can't be read ({error.strerror}): name a readable file in {SETTINGS_VARIABLE}"
+        remedy = f"can't be read ({error.strerror}): name a readable file in {SETTINGS_ENV_VAR}"
         return Failure(SettingsError(path, "", "", remedy))
     except UnicodeDecodeError:
         return Failure(SettingsError(path, "", "", "is not UTF-8: write the file anew"))
@@ -67,9 +67,9 @@
         return Failure(SettingsError(path, "", "", f"is not TOML ({error}): mend that line"))
     try:
         settings = _read_table(LocalSettings, table, "")
-        _check(settings)
-    except _WrongKeyError as wrong:
-        return Failure(SettingsError(path, wrong.key, wrong.value, wrong.remedy))
+        _validate(settings)
+    except _InvalidKeyError as invalid:
+        return Failure(SettingsError(path, invalid.key, invalid.value, invalid.remedy))
     return Success(settings)
 
 
@@ -80,54 +80,54 @@
     return "".join(part.capitalize() for part in name.split("_"))
 
 
-def _read_table(kind: type, table: dict[str, Any], prefix: str) -> Any:
+def _read_table(table_type: type, table: dict[str, Any], prefix: str) -> Any:
     """A dataclass of a table; keys that are not fields are ignored."""
     values: dict[str, Any] = {}
-    for field in dataclasses.fields(kind):
+    for field in dataclasses.fields(table_type):
         key = file_key(field.name)
         value = table.get(key, dataclasses.MISSING)
-        optional = not _required(field)
+        optional = not _is_required(field)
         if optional and (value is dataclasses.MISSING or value == "" or value == []):
             continue  # keys that don't matter in a deployment may be empty
         if value is dataclasses.MISSING:
-            raise _WrongKeyError(prefix + key, value, "add this key")
+            raise _InvalidKeyError(prefix + key, value, "add this key")
         values[field.name] = _read_value(field.type, value, prefix + key)
-    return kind(**values)
+    return table_type(**values)
 
 
-def _required(field: "dataclasses.Field[Any]") -> bool:
+def _is_required(field: "dataclasses.Field[Any]") -> bool:
     return field.default is dataclasses.MISSING and field.default_factory is dataclasses.MISSING
 
 
-def _read_value(kind: Any, value: object, key: str) -> Any:
-    if dataclasses.is_dataclass(kind) and isinstance(kind, type):
+def _read_value(value_type: Any, value: object, key: str) -> Any:
+    if dataclasses.is_dataclass(value_type) and isinstance(value_type, type):
         if not isinstance(value, dict):
-            raise _WrongKeyError(key, value, f"make it a table [{key}]")
-        return _read_table(kind, value, key + ".")
-    origin = get_origin(kind)
+            raise _InvalidKeyError(key, value, f"make it a table [{key}]")
+        return _read_table(value_type, value, key + ".")
+    origin = get_origin(value_type)
     if origin is list:
-        return _read_list(get_args(kind)[0], value, key)
+        return _read_list(get_args(value_type)[0], value, key)
     if origin is dict:
-        return _read_names(value, key)
-    return _read_plain(kind, value, key)
+        return _read_string_table(value, key)
+    return _read_scalar(value_type, value, key)
 
 
-def _read_list(kind: type, value: object, key: str) -> list[Any]:
+def _read_list(item_type: type, value: object, key: str) -> list[Any]:
     if not isinstance(value, list):
-        raise _WrongKeyError(key, value, "make it a list")
+        raise _InvalidKeyError(key, value, "make it a list")
     for item in value:
-        if type(item) is not kind:
-            raise _WrongKeyError(key, item, f"make each item {_ARTICLES[kind]}")
+        if type(item) is not item_type:
+            raise _InvalidKeyError(key, item, f"make each item {_TYPE_DESCRIPTIONS[item_type]}")
     return list(value)
 
 
-def _read_names(value: object, key: str) -> dict[str, str]:
+def _read_string_table(value: object, key: str) -> dict[str, str]:
     if not isinstance(value, dict) or not all(isinstance(item, str) for item in value.values()):
-        raise _WrongKeyError(key, value, f"make it a table [{key}] of strings")
+        raise _InvalidKeyError(key, value, f"make it a table [{key}] of strings")
     return dict(value)
 
 
-_ARTICLES: dict[type, str] = {
+_TYPE_DESCRIPTIONS: dict[type, str] = {
     str: "a string",
     bool: "true or false",
     int: "a whole number",
@@ -135,34 +135,34 @@
 }
 
 
-def _read_plain(kind: Any, value: object, key: str) -> Any:
-    if kind in (int, float):
-        if isinstance(value, bool) or not isinstance(value, int | float) or not abs(value) <= LARGEST_NUMBER:
-            raise _WrongKeyError(key, value, f"make it {_ARTICLES[kind]}")
+def _read_scalar(scalar_type: Any, value: object, key: str) -> Any:
+    if scalar_type in (int, float):
+        if isinstance(value, bool) or not isinstance(value, int | float) or not abs(value) <= MAX_NUMBER:
+            raise _InvalidKeyError(key, value, f"make it {_TYPE_DESCRIPTIONS[scalar_type]}")
         if value < 0:
-            raise _WrongKeyError(key, value, "make it 0 or more")
-        return kind(value)  # a fraction of a unit is dropped
-    if type(value) is not kind:
-        raise _WrongKeyError(key, value, f"make it {_ARTICLES[kind]}")
+            raise _InvalidKeyError(key, value, "make it 0 or more")
+        return scalar_type(value)  # a fraction of a unit is dropped
+    if type(value) is not scalar_type:
+        raise _InvalidKeyError(key, value, f"make it {_TYPE_DESCRIPTIONS[scalar_type]}")
     return value
 
 
-def _check(settings: LocalSettings) -> None:
+def _validate(settings: LocalSettings) -> None:
     """What must hold between keys; raises _WrongKeyError."""
     ports = settings.internal_port_range
     if len(ports) != 2 or not 0 < ports[0] < ports[1] <= MAX_PORT:
-        raise _WrongKeyError("InternalPortRange", ports, "give the first and last of two or more ports")
-    for key, address in _addresses(settings):
+        raise _InvalidKeyError("InternalPortRange", ports, "give the first and last of two or more ports")
+    for key, address in _configured_addresses(settings):
         if not _is_address(address):
-            raise _WrongKeyError(key, address, 'write "IP:PORT"')
+            raise _InvalidKeyError(key, address, 'write "IP:PORT"')
     if settings.log_level not in LOG_LEVELS:
-        raise _WrongKeyError("LogLevel", settings.log_level, f"say one of {', '.join(LOG_LEVELS)}")
+        raise _InvalidKeyError("LogLevel", settings.log_level, f"say one of {', '.join(LOG_LEVELS)}")
     for key, name in (("NodeName", settings.node_name), ("Ip", settings.ip), ("Zone", settings.zone)):
         if not name:
-            raise _WrongKeyError(key, name, "give it a value")
+            raise _InvalidKeyError(key, name, "give it a value")
 
 
-def _addresses(settings: LocalSettings) -> list[tuple[str, str]]:
+def _configured_addresses(settings: LocalSettings) -> list[tuple[str, str]]:
     listen = settings.listen
     named = [
         ("Listen.Front", listen.front),
--- a/brackenusher/storage/files.py
+++ b/brackenusher/storage/files.py
@@ -15,13 +15,13 @@
     """The disk has no room, or refuses writes."""
 
 
-FULL_ERRNOS = frozenset({errno.ENOSPC, errno.EDQUOT, errno.EROFS})
+NO_SPACE_ERRNOS = frozenset({errno.ENOSPC, errno.EDQUOT, errno.EROFS})
 
 
-def storage_error(error: OSError) -> StorageError:
+def to_storage_error(error: OSError) -> StorageError:
     """The typed error for what the system reported."""
-    kind = StorageFullError if error.errno in FULL_ERRNOS else StorageError
-    return kind(f"{error.filename or ''}: {error.strerror or error}")
+    error_type = StorageFullError if error.errno in NO_SPACE_ERRNOS else StorageError
+    return error_type(f"{error.filename or ''}: {error.strerror or error}")
 
 
 class FileSystem(Protocol):
@@ -49,17 +49,17 @@
         """Release what is held open."""
 
 
-class OsFiles:
+class OsFileSystem:
     """The files of the operating system. Descriptors stay open, one a file."""
 
     def __init__(self) -> None:
         self._descriptors: dict[str, int] = {}
 
     def _descriptor(self, path: str) -> int:
-        found = self._descriptors.get(path)
-        if found is None:
-            found = self._descriptors[path] = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
-        return found
+        descriptor = self._descriptors.get(path)
+        if descriptor is None:
+            descriptor = self._descriptors[path] = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
+        return descriptor
 
     def make_folder(self, path: str) -> None:
         """Make a folder and those above it, where absent."""
@@ -77,9 +77,9 @@
         """Write at an offset; makes the file where absent."""
         descriptor = self._descriptor(path)
         os.lseek(descriptor, offset, os.SEEK_SET)
-        rest = memoryview(data)
-        while rest:
-            rest = rest[os.write(descriptor, rest) :]
+        remaining = memoryview(data)
+        while remaining:
+            remaining = remaining[os.write(descriptor, remaining) :]
 
     def truncate(self, path: str, size: int) -> None:
         """Set the length."""
--- a/brackenusher/storage/slot_store.py
+++ b/brackenusher/storage/slot_store.py
@@ -17,14 +17,20 @@
 import zlib
 from dataclasses import dataclass, field
 
-from brackenusher.storage.files import FileSystem, OsFiles, StorageError, StorageFullError, storage_error
+from brackenusher.storage.files import (
+    FileSystem,
+    OsFileSystem,
+    StorageError,
+    StorageFullError,
+    to_storage_error,
+)
 
 MAGIC = b"BRKS"
 HEADER = struct.Struct(
     ">4sQIII"
 )  # magic, generation, length, checksum of the snapshot, checksum of all before
 RECORD = struct.Struct(">II")  # length, chained checksum
-SLOTS = ("a", "b")
+SLOT_SUFFIXES = ("a", "b")
 
 
 @dataclass(slots=True)
@@ -76,9 +82,9 @@
     return slot
 
 
-def record_checksum(record: bytes, before: int) -> int:
+def record_checksum(record: bytes, previous: int) -> int:
     """The checksum of a record that follows one with the checksum `before`."""
-    return zlib.crc32(record, zlib.crc32(len(record).to_bytes(4, "big"), before))
+    return zlib.crc32(record, zlib.crc32(len(record).to_bytes(4, "big"), previous))
 
 
 class SlotStore:
@@ -86,19 +92,19 @@
 
     def __init__(self, folder: str, name: str, files: FileSystem | None = None) -> None:
         self.folder = folder
-        self.files: FileSystem = files if files is not None else OsFiles()
-        self.paths = [os.path.join(folder, f"{name}.{slot}") for slot in SLOTS]
+        self.files: FileSystem = files if files is not None else OsFileSystem()
+        self.paths = [os.path.join(folder, f"{name}.{slot}") for slot in SLOT_SUFFIXES]
         self.generation = 0
         self.current: int | None = None  # the slot in use
         self.end = 0  # where the next record goes
         self.checksum = 0
         self.dirty = False  # bytes behind `end` may be left by a write that failed
-        self.doubtful = (
+        self.suspect_path = (
             ""  # the slot of a `replace` that failed: it may be whole, and newer than the one in use
         )
 
     @property
-    def log_bytes(self) -> int:
+    def slot_bytes(self) -> int:
         """The length of the slot in use: the snapshot and its log."""
         return self.end
 
@@ -111,18 +117,18 @@
         """
         try:
             contents = [self.files.read(path) for path in self.paths]
-            found = [read_slot(data) if data else None for data in contents]
-            whole = [(slot.generation, i) for i, slot in enumerate(found) if slot is not None]
-            if not whole:
+            slots = [read_slot(data) if data else None for data in contents]
+            valid = [(slot.generation, i) for i, slot in enumerate(slots) if slot is not None]
+            if not valid:
                 return Loaded(damaged=any(data for data in contents))
-            self.generation, self.current = max(whole)
-            slot = found[self.current]
+            self.generation, self.current = max(valid)
+            slot = slots[self.current]
             assert slot is not None
             self.end, self.checksum = slot.end, slot.checksum
             self.dirty = slot.size > slot.end  # a torn tail: the first append cuts it
             self.files.sync(self.paths[self.current])
         except OSError as error:
-            raise storage_error(error) from error
+            raise to_storage_error(error) from error
         return Loaded(slot.snapshot, slot.records)
 
     def append(self, records: list[bytes]) -> None:
@@ -132,21 +138,21 @@
         """
         if self.current is None:
             raise StorageError("append before the first snapshot")
-        checksum, parts = self.checksum, list[bytes]()
+        checksum, chunks = self.checksum, list[bytes]()
         for record in records:
             checksum = record_checksum(record, checksum)
-            parts += (RECORD.pack(len(record), checksum), record)
-        data, path = b"".join(parts), self.paths[self.current]
+            chunks += (RECORD.pack(len(record), checksum), record)
+        data, path = b"".join(chunks), self.paths[self.current]
         try:
-            if self.doubtful:
-                self._empty_doubtful()
+            if self.suspect_path:
+                self._truncate_suspect()
             if self.dirty:
                 self._cut()
             self.dirty = True
             self.files.write(path, self.end, data)
             self.files.sync(path)
         except OSError as error:
-            raise storage_error(error) from error
+            raise to_storage_error(error) from error
         self.dirty = False
         self.end += len(data)
         self.checksum = checksum
@@ -158,7 +164,7 @@
         """
         target = 0 if self.current is None else 1 - self.current
         header = encode_header(self.generation + 1, snapshot)
-        path = self.doubtful = self.paths[target]
+        path = self.suspect_path = self.paths[target]
         try:
             self.files.make_folder(self.folder)
             self.files.truncate(path, 0)
@@ -167,9 +173,9 @@
             self.files.sync_folder(self.folder)
         except OSError as error:
             self.generation += 1  # a failed write may still reach the disk: its number is never used again
-            raise storage_error(error) from error
+            raise to_storage_error(error) from error
         self.generation += 1
-        self.current, self.dirty, self.doubtful = target, False, ""
+        self.current, self.dirty, self.suspect_path = target, False, ""
         self.end = len(header) + len(snapshot)
         self.checksum = zlib.crc32(header[:-4])
 
@@ -181,11 +187,11 @@
         self.files.sync(path)
         self.dirty = False
 
-    def _empty_doubtful(self) -> None:
+    def _truncate_suspect(self) -> None:
         """Take away what a failed `replace` may have left: else records appended now would be lost to it."""
-        self.files.truncate(self.doubtful, 0)
-        self.files.sync(self.doubtful)
-        self.doubtful = ""
+        self.files.truncate(self.suspect_path, 0)
+        self.files.sync(self.suspect_path)
+        self.suspect_path = ""
 
     def close(self) -> None:
         """Release the files."""
--- a/brackenusher/storage/writer.py
+++ b/brackenusher/storage/writer.py
@@ -19,13 +19,13 @@
         )
         self._thread = threading.Thread(target=self._run, name="storage", daemon=True)
         self._thread.start()
-        self.waiting = 0  # submitted and not done yet
+        self.pending_count = 0  # submitted and not done yet
 
-    def submit(self, work: Callable[[], T]) -> "asyncio.Future[T]":
+    def submit(self, operation: Callable[[], T]) -> "asyncio.Future[T]":
         """Have a function run on the thread; the future has what it returns or raises."""
         future: asyncio.Future[T] = self._loop.create_future()
-        self.waiting += 1
-        self._queue.put((work, future))
+        self.pending_count += 1
+        self._queue.put((operation, future))
         return future
 
     def close(self) -> None:
@@ -34,20 +34,20 @@
 
     def _run(self) -> None:
         while (item := self._queue.get()) is not None:
-            work, future = item
+            operation, future = item
             result: Any = None
             error: BaseException | None = None
             try:
-                result = work()
-            except BaseException as raised:  # the caller gets whatever it was
-                error = raised
+                result = operation()
+            except BaseException as caught:  # the caller gets whatever it was
+                error = caught
             try:
-                self._loop.call_soon_threadsafe(self._finish, future, result, error)
+                self._loop.call_soon_threadsafe(self._complete, future, result, error)
             except RuntimeError:  # the loop is closed: nobody waits any more
                 return
 
-    def _finish(self, future: "asyncio.Future[Any]", result: Any, error: BaseException | None) -> None:
-        self.waiting -= 1
+    def _complete(self, future: "asyncio.Future[Any]", result: Any, error: BaseException | None) -> None:
+        self.pending_count -= 1
         if future.done():
             return
         if error is not None:
--- a/tests/fleet/test_commands.py
+++ b/tests/fleet/test_commands.py
@@ -15,10 +15,10 @@
 from unittest import mock
 
 from brackenusher import __main__ as program
-from brackenusher.commands.client import Answer, ControlClient
+from brackenusher.commands.client import ControlClient, ControlResponse
 from brackenusher.commands.difference import differences
 from brackenusher.commands.errors import CommandError, ExitCode
-from brackenusher.commands.printing import LONGEST_CELL, as_text
+from brackenusher.commands.printing import MAX_CELL_CHARS, as_text
 from tests.fleet.document_examples import example
 from tests.fleet.test_settings import SETTINGS
 
@@ -216,12 +216,12 @@
     """Whom the client calls, how often, and when it gives up."""
 
     def client(
-        self, answers: dict[str, list[Answer | Exception]]
+        self, answers: dict[str, list[ControlResponse | Exception]]
     ) -> tuple[ControlClient, list[str], list[float]]:
         calls: list[str] = []
         pauses: list[float] = []
 
-        def exchange(address: str, method: str, path: str, *rest: object) -> tuple[Answer, str]:
+        def exchange(address: str, method: str, path: str, *rest: object) -> tuple[ControlResponse, str]:
             calls.append(address + path)
             given = answers[address]
             answer = given.pop(0) if len(given) > 1 else given[0]
@@ -229,44 +229,52 @@
                 raise answer
             return answer, answer.body.decode() if answer.status == 307 else ""
 
-        patched = mock.patch("brackenusher.commands.client._exchange", exchange)
+        patched = mock.patch("brackenusher.commands.client._send_request", exchange)
         patched.start()
         self.addCleanup(patched.stop)
         return ControlClient(list(answers), pauses.append), calls, pauses
 
     def test_any_5xx_is_unclear(self) -> None:
         for status in (500, 502, 503, 504, 599, 408, 429):
-            client, calls, _ = self.client({"a": [Answer(status, b"{}")], "b": [Answer(200, b"3")]})
+            client, calls, _ = self.client(
+                {"a": [ControlResponse(status, b"{}")], "b": [ControlResponse(200, b"3")]}
+            )
             self.assertEqual((client.get("/x").status, len(calls)), (200, 2), status)
 
     def test_moves_on_after_failures(self) -> None:
-        unclear: list[Answer | Exception] = [OSError("refused"), Answer(503, b"{}"), Answer(429, b"")]
-        client, calls, pauses = self.client({"a": unclear, "b": [TimeoutError()], "c": [Answer(200, b"3")]})
+        unclear: list[ControlResponse | Exception] = [
+            OSError("refused"),
+            ControlResponse(503, b"{}"),
+            ControlResponse(429, b""),
+        ]
+        client, calls, pauses = self.client(
+            {"a": unclear, "b": [TimeoutError()], "c": [ControlResponse(200, b"3")]}
+        )
         self.assertEqual(client.get("/x").document(), 3)
         self.assertEqual((calls, pauses), (["a/x", "b/x", "c/x"], []))
 
     def test_goes_round_with_growing_pauses_and_gives_up(self) -> None:
         client, calls, pauses = self.client(
-            {"a": [OSError("refused")], "b": [Answer(503, b'{"Error":"later"}')]}
+            {"a": [OSError("refused")], "b": [ControlResponse(503, b'{"Error":"later"}')]}
         )
         with self.assertRaises(CommandError) as raised:
-            client.order("Config.Replace", 1, b"{}")
+            client.submit_order("Config.Replace", 1, b"{}")
         self.assertEqual(raised.exception.exit_code, ExitCode.UNREACHABLE)
         self.assertIn("b: later", str(raised.exception))
         self.assertEqual((len(calls), pauses), (8, [0.2, 0.4, 0.8]))
 
     def test_clear_answers_end_it(self) -> None:
         for status in (200, 400, 404, 412):
-            client, calls, _ = self.client({"a": [Answer(status, b"{}")], "b": [OSError()]})
+            client, calls, _ = self.client({"a": [ControlResponse(status, b"{}")], "b": [OSError()]})
             self.assertEqual(client.get("/x").status, status)
             self.assertEqual(len(calls), 1)
 
     def test_follows_two_redirects(self) -> None:
         client, calls, _ = self.client(
             {
-                "a": [Answer(307, b"http://b/y"), Answer(307, b"http://b/y")],
-                "b": [Answer(307, b"http://c/z")],
-                "c": [Answer(200, b"1")],
+                "a": [ControlResponse(307, b"http://b/y"), ControlResponse(307, b"http://b/y")],
+                "b": [ControlResponse(307, b"http://c/z")],
+                "c": [ControlResponse(200, b"1")],
             }
         )
         self.assertEqual(client.get("/x").document(), 1)
@@ -319,8 +327,8 @@
         self.assertEqual(as_text([{"a": {"b": 1, "c": None}}]), "a\nb=1 c=-")
 
     def test_long_cells_are_cut_and_letters_of_any_kind_are_shown(self) -> None:
-        self.assertEqual(as_text("x" * LONGEST_CELL), "x" * LONGEST_CELL)
-        self.assertEqual(as_text("x" * (LONGEST_CELL + 1)), "x" * (LONGEST_CELL - 3) + "...")
+        self.assertEqual(as_text("x" * MAX_CELL_CHARS), "x" * MAX_CELL_CHARS)
+        self.assertEqual(as_text("x" * (MAX_CELL_CHARS + 1)), "x" * (MAX_CELL_CHARS - 3) + "...")
         self.assertEqual(as_text("törn"), "törn")
 
     def test_nested_objects_are_indented(self) -> None:
--- a/tests/fleet/test_key_leases.py
+++ b/tests/fleet/test_key_leases.py
@@ -193,7 +193,7 @@
             honest(self, version, arrived_at[0], age_ms)
 
         honest, arrived_at = RevocationLease.on_confirmation, [0.0]
-        take_answer, peer_answered = KeyLease._take_answer, KeyLease.peer_answered
+        handle_answer, peer_answered = KeyLease._handle_version_answer, KeyLease.peer_answered
 
         def noting(method: Any) -> Any:
             def wrapper(self: KeyLease, *arguments: Any) -> None:
@@ -204,7 +204,7 @@
 
         with (
             mock.patch.object(KeyLease, "peer_answered", noting(peer_answered)),
-            mock.patch.object(KeyLease, "_take_answer", noting(take_answer)),
+            mock.patch.object(KeyLease, "_handle_version_answer", noting(handle_answer)),
         ):
             self.found(RevocationLease, "on_confirmation", confirmed)
 
--- a/tests/fleet/test_links.py
+++ b/tests/fleet/test_links.py
@@ -10,7 +10,7 @@
 
 from brackenusher.cluster import messages
 from brackenusher.cluster.frames import FrameError, FrameReader, decode_message, encode_frame
-from brackenusher.cluster.links import CONNECT_TIMEOUT_S, LinkConnection, Links
+from brackenusher.cluster.links import MAX_CONNECT_TIMEOUT_S, LinkConnection, Links
 from tests.fleet.virtual_time import VirtualLoop
 
 
@@ -183,7 +183,7 @@
         self.assertLess(after, 2.3)
         late = [at for at, _ in calls if at > calls[0][0] + 30.0]
         self.assertLess(len(late), 30)
-        self.assertEqual(max(timeout for _, timeout in calls), CONNECT_TIMEOUT_S)
+        self.assertEqual(max(timeout for _, timeout in calls), MAX_CONNECT_TIMEOUT_S)
 
 
 class FramesTest(unittest.TestCase):
--- a/tests/fleet/test_monitor.py
+++ b/tests/fleet/test_monitor.py
@@ -247,7 +247,7 @@
     async def test_everybody_is_told_of_everybody(self, fleet: Fleet) -> None:
         for address, monitor in fleet.datagrams.monitors.items():
             self.assertEqual(fleet.views(address), dict.fromkeys(fleet.datagrams.monitors, False), address)
-            self.assertEqual(monitor.proxies(), 6)
+            self.assertEqual(monitor.count_proxies(), 6)
 
     @story
     async def test_lost_datagrams_make_nobody_suspected(self, fleet: Fleet) -> None:
@@ -261,7 +261,7 @@
         dark = next(
             a
             for a in fleet.datagrams.monitors
-            if sum(a in other._pings.targets for other in fleet.datagrams.monitors.values()) > 1
+            if sum(a in other._peer_monitor.targets for other in fleet.datagrams.monitors.values()) > 1
         )
         fleet.datagrams.dark.add(dark)
         await asyncio.sleep(8.0)
@@ -280,7 +280,7 @@
         await asyncio.sleep(8.0)
         for address, monitor in fleet.datagrams.monitors.items():
             self.assertTrue(fleet.views(address)[ended], address)
-            self.assertEqual(monitor.proxies(), 5)
+            self.assertEqual(monitor.count_proxies(), 5)
         await asyncio.sleep(40.0)
         for address in fleet.datagrams.monitors:
             self.assertNotIn(ended, fleet.views(address))
--- a/tests/fleet/test_storage_files.py
+++ b/tests/fleet/test_storage_files.py
@@ -7,7 +7,7 @@
 import threading
 import unittest
 
-from brackenusher.storage.files import OsFiles, StorageError, StorageFullError, storage_error
+from brackenusher.storage.files import OsFileSystem, StorageError, StorageFullError, to_storage_error
 from brackenusher.storage.slot_store import SlotStore
 from brackenusher.storage.writer import StorageWriter
 
@@ -42,12 +42,12 @@
             SlotStore(os.path.join(file.name, "below"), "state").load()
 
     def test_errors_by_their_number(self) -> None:
-        self.assertIsInstance(storage_error(OSError(errno.ENOSPC, "full")), StorageFullError)
-        self.assertNotIsInstance(storage_error(OSError(errno.EIO, "broken")), StorageFullError)
+        self.assertIsInstance(to_storage_error(OSError(errno.ENOSPC, "full")), StorageFullError)
+        self.assertNotIsInstance(to_storage_error(OSError(errno.EIO, "broken")), StorageFullError)
 
     def test_files_release_their_descriptors(self) -> None:
         with tempfile.TemporaryDirectory() as root:
-            files = OsFiles()
+            files = OsFileSystem()
             path = os.path.join(root, "file")
             files.write(path, 3, b"abc")
             files.truncate(path, 5)
@@ -68,7 +68,7 @@
             writer.close()
             self.assertEqual([number for number, _ in seen], list(range(20)))
             self.assertEqual(len({thread for _, thread in seen} - {threading.get_ident()}), 1)
-            self.assertEqual(writer.waiting, 0)
+            self.assertEqual(writer.pending_count, 0)
 
         asyncio.run(story())
 
