--- a/brackenusher/assembly/__init__.py
+++ b/brackenusher/assembly/__init__.py
@@ -1,1 +1,1 @@
-"""One short module a role that puts the parts together, and nothing else."""
+"""One short module per role that wires its components together, and nothing else."""
--- a/brackenusher/assembly/control.py
+++ b/brackenusher/assembly/control.py
@@ -1,4 +1,4 @@
-"""The role `control`: the configuration shard, the service shards, feeds, and the interface for operators."""
+"""The role `control`: configuration shard, service shards, feeds, and the HTTP API for operators."""
 
 import asyncio
 import os
@@ -33,7 +33,7 @@
 
 
 def check_configuration(document: dict[str, Any]) -> Result[Configuration, Exception]:
-    """Check a document. Its library takes a quarter of a second to import: not while the process starts."""
+    """Validates a document. Imports pyserde late: that takes a quarter of a second at startup."""
     from brackenusher.settings.documents import check_document
 
     return check_document(document)
@@ -87,10 +87,10 @@
         self.limits.configure(now, configuration.tenants, configuration.services)
 
     async def start(self) -> None:
-        """Open what is served. Raises OSError where an address can't be listened on."""
+        """Opens the listeners and starts all services. Raises OSError if an address can't be bound."""
         await self.links.start()
         await self.monitor.start()
-        await self.server.start()  # a disk that stalls while it is read holds up no call: each has its time
+        await self.server.start()  # before stores are read: a stalled disk delays no call beyond its timeout
         self.limits_driver.start()
         await self.shard.start()
         self._tick_task = asyncio.get_running_loop().create_task(self._run_ticks())
@@ -104,13 +104,13 @@
             await asyncio.sleep(TICK_INTERVAL_S)
 
     def reload(self, settings: LocalSettings) -> None:
-        """Take up a settings file that changed: new seeds are called."""
+        """Applies a changed settings file: connects to new seeds."""
         for seed in settings.seed_nodes:
             host, _ = split_address(seed)
             self.links.connect(f"{host}:{settings.control_internal_port}")
 
     async def stop(self) -> None:
-        """Hand over what this process leads, then end."""
+        """Hands over leadership, then stops all services."""
         await self.shard.stop()
         await self.server.stop()
         self.limits_driver.stop()
@@ -125,10 +125,10 @@
 
 
 async def create_process(settings: LocalSettings) -> ControlProcess:
-    """Put a control process together; the event loop runs."""
+    """Creates a control process; needs a running event loop."""
     return ControlProcess(settings)
 
 
 def main() -> int:
-    """Run a control process until it is told to end. Returns the exit code."""
+    """Runs a control process until it is stopped by a signal. Returns the exit code."""
     return run(create_process)
--- a/brackenusher/assembly/process.py
+++ b/brackenusher/assembly/process.py
@@ -1,4 +1,4 @@
-"""What both roles do alike: read the settings, run one event loop, end in order at SIGTERM or SIGINT."""
+"""Common to both roles: loads the settings, runs the event loop, shuts down on SIGTERM or SIGINT."""
 
 import asyncio
 import logging
@@ -21,20 +21,20 @@
 
 
 class RoleProcess(Protocol):
-    """A role that was put together."""
+    """A process of either role."""
 
     async def start(self) -> None:
-        """Open what is served. Raises OSError where an address can't be listened on."""
+        """Opens the listeners and starts all services. Raises OSError if an address can't be bound."""
 
     async def stop(self) -> None:
-        """End in order; returns when nothing is left to be done."""
+        """Shuts down in order; returns when everything has stopped."""
 
     def reload(self, settings: LocalSettings) -> None:
-        """Take up a settings file that changed."""
+        """Applies a changed settings file (on SIGHUP)."""
 
 
 def settings_from_environment() -> LocalSettings | None:
-    """The settings of this process; None, and one line on standard error, where they can't be used."""
+    """Loads the settings of this process; on an error prints one line to standard error and returns None."""
     path = os.environ.get(SETTINGS_ENV_VAR, "")
     if not path:
         print(f"brackenusher: {SETTINGS_ENV_VAR} is not set: name the settings file", file=sys.stderr)
@@ -48,7 +48,7 @@
 
 
 def own_hello(settings: LocalSettings, role: str, port: int, rng: random.Random) -> messages.Hello:
-    """How this process introduces itself to its peers."""
+    """Returns the Hello that this process sends to its peers, with a new random incarnation."""
     return messages.Hello(
         address=f"{settings.ip}:{port}",
         role=role,
@@ -62,7 +62,7 @@
 
 
 def limit_bounds(settings: LocalSettings) -> LimitBounds:
-    """The bounds of quotas and retries, as the settings file has them."""
+    """Returns the bounds of quotas and retries from the settings."""
     bounds = settings.bounds
     return LimitBounds(
         quota_window_s=bounds.quota_window_s,
@@ -94,7 +94,7 @@
 
 
 def run(create: Callable[[LocalSettings], Awaitable[RoleProcess]]) -> int:
-    """Run a role until it is told to end. Returns the exit code."""
+    """Runs a role until it is stopped by a signal. Returns the exit code."""
     settings = settings_from_environment()
     if settings is None:
         return EXIT_BAD_SETTINGS
--- a/brackenusher/assembly/proxy.py
+++ b/brackenusher/assembly/proxy.py
@@ -1,4 +1,4 @@
-"""The role `proxy`: feeds from control, decisions, and the data plane between clients and servers."""
+"""The role `proxy`: feeds from control, routing decisions, and the data plane between clients and servers."""
 
 import asyncio
 import os
@@ -32,11 +32,11 @@
 
 TICK_INTERVAL_S = 0.1
 PROXY_ROLE = "proxy"
-STATUS_INTERVAL_S = 1.0  # between two words to the voters on what is in force here, unless it changes
+STATUS_INTERVAL_S = 1.0  # between status messages to the voters while nothing changes
 
 
 def server_info(record: InstanceRecord) -> ServerInfo:
-    """A record of the registry as the dispatcher wants it."""
+    """Converts a record of the registry for the dispatcher."""
     state = ServerState.DRAINING if record.state is InstanceState.DRAINING else ServerState.READY
     return ServerInfo(
         id=record.id,
@@ -129,7 +129,7 @@
         self.proxy.set_servers(service, [server_info(record) for record in records])
 
     async def start(self) -> None:
-        """Open what is served. Raises OSError where an address can't be listened on."""
+        """Opens the listeners and starts all services. Raises OSError if an address can't be bound."""
         await self.links.start()
         await self.ready_server.start()
         await self.server.start(self.settings.listen.front)
@@ -147,7 +147,7 @@
             await asyncio.sleep(TICK_INTERVAL_S)
 
     def _send_status(self) -> None:
-        """Tell the voters what is in force here: at each change, and once a period."""
+        """Sends the status of this proxy to the voters: on each change, and periodically."""
         now = asyncio.get_running_loop().time()
         status = messages.ProxyStatus(
             config_version=self.feed.version,
@@ -166,11 +166,11 @@
             self.links.send(voter, status)
 
     def reload(self, settings: LocalSettings) -> None:
-        """Take up a settings file that changed: new seeds are used."""
+        """Applies a changed settings file: new seeds are used."""
         self.feed.configure(settings)
 
     async def stop(self) -> None:
-        """Serve on until the platform has noticed, answer everything, then end."""
+        """Keeps serving until the platform has noticed the shutdown, completes all requests, then stops."""
         self.share_exchange.leaving = True
         await self.server.shut_down(self.settings.bounds.grace_s)
         await self.ready_server.stop()
@@ -184,10 +184,10 @@
 
 
 async def create_process(settings: LocalSettings) -> ProxyProcess:
-    """Put a proxy process together; the event loop runs."""
+    """Creates a proxy process; needs a running event loop."""
     return ProxyProcess(settings)
 
 
 def main() -> int:
-    """Run a proxy process until it is told to end. Returns the exit code."""
+    """Runs a proxy process until it is stopped by a signal. Returns the exit code."""
     return run(create_process)
--- a/brackenusher/cli.py
+++ b/brackenusher/cli.py
@@ -1,4 +1,4 @@
-"""The command line."""
+"""The command line of the reverse proxy for turn servers: `serve`, `policy`, `replica`, `group` and others."""
 
 import argparse
 import logging
@@ -70,7 +70,7 @@
 
 def show_knowledge(options: argparse.Namespace) -> int:
     try:
-        from brackenusher.membership import show  # with msgspec: only for who shares
+        from brackenusher.membership import show  # imports msgspec, an optional dependency
     except ImportError as error:
         needs = "knowledge needs the extra knowledge: pip install 'brackenusher[knowledge]'"
         raise ConfigError(f"{needs} ({error})") from error
@@ -82,7 +82,7 @@
 
 def run_policy(options: argparse.Namespace) -> int:
     try:
-        from brackenusher.group import policies  # with msgspec: only for who has peers
+        from brackenusher.group import policies  # imports msgspec, an optional dependency
     except ImportError as error:
         needs = "policy needs the extra knowledge: pip install 'brackenusher[knowledge]'"
         raise ConfigError(f"{needs} ({error})") from error
@@ -95,7 +95,7 @@
 
 def run_replica(options: argparse.Namespace) -> int:
     try:
-        from brackenusher.group import replicas  # with msgspec: only for who has peers
+        from brackenusher.group import replicas  # imports msgspec, an optional dependency
     except ImportError as error:
         needs = "replica needs the extra knowledge: pip install 'brackenusher[knowledge]'"
         raise ConfigError(f"{needs} ({error})") from error
@@ -104,7 +104,7 @@
 
 def run_group(options: argparse.Namespace) -> int:
     try:
-        from brackenusher.group import recovery  # with msgspec: only for who has peers
+        from brackenusher.group import recovery  # imports msgspec, an optional dependency
     except ImportError as error:
         needs = "group needs the extra knowledge: pip install 'brackenusher[knowledge]'"
         raise ConfigError(f"{needs} ({error})") from error
@@ -112,7 +112,7 @@
 
 
 def add_group_commands(commands: "argparse._SubParsersAction[argparse.ArgumentParser]") -> None:
-    """What staff may do with a whole group, and where a majority of it is gone for good."""
+    """Adds the commands on a whole group, including recovery after the permanent loss of a majority."""
     command = commands.add_parser("group", help="how a group stands; backups, and recovery by hand")
     verbs = command.add_subparsers(dest="verb", required=True, metavar="VERB")
     for verb, help_text in (
@@ -146,7 +146,7 @@
 
 
 def add_replica_commands(commands: "argparse._SubParsersAction[argparse.ArgumentParser]") -> None:
-    """What staff may do with the state that proxies hold together."""
+    """Adds the commands on the replicated state of a group of proxies."""
     command = commands.add_parser("replica", help="mark servers, blocks and tenants; compare copies")
     verbs = command.add_subparsers(dest="verb", required=True, metavar="VERB")
     for verb, help_text in (
@@ -176,7 +176,7 @@
 
 
 def add_policy_commands(commands: "argparse._SubParsersAction[argparse.ArgumentParser]") -> None:
-    """What staff may do with a group's policy."""
+    """Adds the commands on a group's policy."""
     command = commands.add_parser(
         "policy", help="propose, withdraw and show what a group of proxies agrees on"
     )
@@ -221,7 +221,7 @@
 
 def show_members(options: argparse.Namespace) -> int:
     try:
-        from brackenusher.membership import members  # with msgspec: only for who shares
+        from brackenusher.membership import members  # imports msgspec, an optional dependency
     except ImportError as error:
         needs = "members needs the extra knowledge: pip install 'brackenusher[knowledge]'"
         raise ConfigError(f"{needs} ({error})") from error
--- a/brackenusher/cluster/__init__.py
+++ b/brackenusher/cluster/__init__.py
@@ -1,4 +1,4 @@
-"""What processes of the fleet say to each other: messages, links, membership.
+"""Communication between the processes of a fleet: messages, links and membership.
 
-It decides nothing about requests.
+Nothing here takes routing decisions.
 """
--- a/brackenusher/cluster/config_pieces.py
+++ b/brackenusher/cluster/config_pieces.py
@@ -1,4 +1,4 @@
-"""Configurations as they go over links: whole, or as changes from a version to another."""
+"""Encoding of configurations for links: as a snapshot, or as a delta between two versions."""
 
 import zlib
 
@@ -8,17 +8,17 @@
 from barleybarrow.replication import configuration_delta
 from brackenusher.cluster import messages
 
-KEPT_DELTAS = 16  # steps between versions; who is further behind gets a snapshot
-COMPRESSION_LEVEL = 1  # zlib level: repeated names shrink well at any level, and higher ones cost time
+KEPT_DELTAS = 16  # a proxy that is more versions behind gets a snapshot
+COMPRESSION_LEVEL = 1  # zlib level: repeated names compress well at any level, higher ones cost time
 
 
 def encode_piece(value: Configuration | ConfigurationDelta) -> bytes:
-    """A configuration or a change of it as it goes over links."""
+    """Encodes a configuration or a delta for the wire."""
     return zlib.compress(msgspec.json.encode(value), COMPRESSION_LEVEL)
 
 
 class ConfigPieces:
-    """Pieces of the newest configuration, made once each."""
+    """Updates to the newest configuration, encoded once per base version."""
 
     def __init__(self) -> None:
         self._newest: Configuration | None = None
@@ -27,11 +27,11 @@
 
     @property
     def version(self) -> int:
-        """The newest version; 0 where there is none."""
+        """The newest version; 0 if there is none."""
         return 0 if self._newest is None else self._newest.generation
 
     def committed(self, configuration: Configuration) -> bool:
-        """Take a newer version; False where it is not newer."""
+        """Adds a committed version; returns False if it is not newer."""
         previous = self._newest
         if configuration.generation <= self.version:
             return False
@@ -43,7 +43,7 @@
         return True
 
     def piece(self, have_version: int) -> messages.ConfigPiece | None:
-        """What brings a proxy from its version to the newest; None where there is nothing newer."""
+        """Returns the update from a proxy's version to the newest; None if there is nothing newer."""
         if self._newest is None or have_version >= self.version:
             return None
         delta = self._delta_from(have_version)
@@ -54,7 +54,7 @@
         return self._updates[base]
 
     def _delta_from(self, base: int) -> ConfigurationDelta | None:
-        """The change from a version; None where it is unknown or hardly smaller than a snapshot."""
+        """Returns the delta from a version; None if it is unknown or hardly smaller than a snapshot."""
         assert self._newest is not None
         composed: ConfigurationDelta | None = None
         for delta in self._deltas:
--- a/brackenusher/cluster/frames.py
+++ b/brackenusher/cluster/frames.py
@@ -1,4 +1,4 @@
-"""Frames on links between processes: length (four bytes), kind (one byte), message. No sockets here."""
+"""Framing of messages on links: length (four bytes), kind (one byte), message. Does no I/O."""
 
 from collections.abc import Iterator
 
@@ -6,10 +6,10 @@
 
 from brackenusher.cluster import messages
 
-MAX_FRAME_BYTES = 16 * 1024 * 1024  # the largest configuration with room to spare; longer ones end the link
+MAX_FRAME_BYTES = 16 * 1024 * 1024  # well above the largest configuration; a larger frame ends the link
 HEADER_BYTES = 5
 
-# The place in this tuple is the kind on the wire: append only, and never reorder.
+# The index in this tuple is the kind on the wire: append only, never reorder.
 MESSAGE_KINDS: tuple[type[betterproto.Message], ...] = (
     messages.Hello,
     messages.Members,
@@ -40,40 +40,42 @@
 
 
 class FrameError(Exception):
-    """Bytes that are not frames of this protocol: end the link; the peer may run another release."""
+    """The bytes are not a valid frame: the link has to be closed; the peer may run another release."""
 
 
 def encode_frame(message: betterproto.Message) -> bytes:
-    """One message as a frame. Raises FrameError where it is too long to be sent."""
+    """Encodes a message as a frame. Raises FrameError if it exceeds the maximum size."""
     body = bytes(message)
     if len(body) > MAX_FRAME_BYTES:
-        raise FrameError(f"{type(message).__name__} of {len(body)} bytes is over {MAX_FRAME_BYTES}")
+        raise FrameError(
+            f"{type(message).__name__} of {len(body)} bytes exceeds the limit of {MAX_FRAME_BYTES}"
+        )
     return len(body).to_bytes(4, "big") + bytes((KIND_NUMBERS[type(message)],)) + body
 
 
 def decode_message(number: int, body: bytes) -> betterproto.Message:
-    """The message of a frame. Raises FrameError where it can't be read."""
+    """Decodes the message of a frame. Raises FrameError if it can't be decoded."""
     if number >= len(MESSAGE_KINDS):
         raise FrameError(f"kind {number} is unknown: is the peer of a newer release?")
     try:
         return MESSAGE_KINDS[number]().parse(body)
-    except Exception as error:  # the library raises many kinds for damaged bytes
+    except Exception as error:  # the library raises various exceptions for corrupt bytes
         raise FrameError(f"{MESSAGE_KINDS[number].__name__} can't be read: {error}") from error
 
 
 class FrameReader:
-    """Collects bytes and gives whole messages."""
+    """Incremental decoder: buffers bytes and yields complete messages."""
 
     def __init__(self) -> None:
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> Iterator[betterproto.Message]:
-        """The messages that are complete with these bytes. Raises FrameError."""
+        """Yields the messages that these bytes complete. Raises FrameError."""
         self._buffer += data
         while len(self._buffer) >= HEADER_BYTES:
             length = int.from_bytes(self._buffer[:4], "big")
             if length > MAX_FRAME_BYTES:
-                raise FrameError(f"a frame of {length} bytes is over {MAX_FRAME_BYTES}")
+                raise FrameError(f"a frame of {length} bytes exceeds the limit of {MAX_FRAME_BYTES}")
             if len(self._buffer) < HEADER_BYTES + length:
                 return
             number = self._buffer[4]
--- a/brackenusher/cluster/key_leases.py
+++ b/brackenusher/cluster/key_leases.py
@@ -1,7 +1,7 @@
-"""The lease on API keys in a proxy: asks control for confirmations, takes those of peers, passes its own on.
+"""The lease on API keys in a proxy: requests confirmations from control, and shares them with peers.
 
-See `barleybarrow.replication.revocation_lease`. Where `StrictRevocation` is false nothing is asked, and keys
-always hold.
+See `barleybarrow.replication.revocation_lease`. With `StrictRevocation` off nothing is requested and keys are
+always valid.
 """
 
 import logging
@@ -19,17 +19,17 @@
 
 log = logging.getLogger(__name__)
 
-MAX_PENDING_REQUESTS = 16  # whose answers are waited for
-MAX_AGE_MS = 2**32 - 1  # on the wire
+MAX_PENDING_REQUESTS = 16  # unanswered requests that are remembered
+MAX_AGE_MS = 2**32 - 1  # the field on the wire has 32 bits
 
 
 def confirmation_fields(confirmation: Confirmation, now: float) -> tuple[int, int]:
-    """Version and age (whole milliseconds, rounded up, 1 at least) of a confirmation on the wire."""
+    """Returns version and age of a confirmation for the wire; whole milliseconds, rounded up, at least 1."""
     return confirmation.version, min(MAX_AGE_MS, max(1, ceil(confirmation.age(now))))
 
 
 class KeyLease:
-    """The lease of one proxy. `now` gives milliseconds of its monotonic clock."""
+    """The lease of one proxy. `now` returns milliseconds of its monotonic clock."""
 
     def __init__(self, bounds: Bounds, links: Links, now: Callable[[], float]) -> None:
         self._strict = bounds.strict_revocation
@@ -37,8 +37,8 @@
         self._links = links
         self._now = now
         self._request_numbers = count(first_number(links.own))
-        self._pending_requests: dict[int, float] = {}  # when they were sent, by number
-        self._last_source = ""  # whom, last
+        self._pending_requests: dict[int, float] = {}  # send times, by number
+        self._last_source = ""  # control process that was asked last
         self._next_request_at = float("-inf")
         self._was_valid = False
         if self._strict:
@@ -46,19 +46,19 @@
 
     @property
     def holds(self) -> bool:
-        """Whether a request that was received by now may use its key. Looks at the clock."""
+        """Whether a request received now may use its key. Reads the clock: a timer lags a freeze."""
         return not self._strict or self._lease.is_valid(self._now())
 
     def left_s(self) -> float:
-        """For how many seconds keys hold without another confirmation; 0 also where the rule is off."""
+        """Returns the seconds until the lease expires unless renewed; also 0 with `StrictRevocation` off."""
         return max(0.0, self._lease.duration_ms - self._lease.current.age(self._now())) / 1000.0
 
     def took(self, version: int) -> None:
-        """A version is in force here."""
+        """Records that a configuration version has been applied here."""
         self._lease.on_applied(version)
 
     def tick(self, sources: Iterable[str]) -> None:
-        """Ask one of these linked control processes, where it is time to; call it each 100 ms."""
+        """Renews the lease with one of these control processes if it is due; to be called every 100 ms."""
         if not self._strict:
             return
         self._log_change()
@@ -87,17 +87,17 @@
         if sent_at is not None:
             self._lease.on_confirmation(message.version, sent_at, float(message.age_ms))
 
-    # Between peers, in the pings of membership
+    # Between peers, carried by the membership pings
 
     def fill_answer(self, ack: messages.PingAck) -> None:
-        """An answer is about to be sent to a peer's ping."""
+        """Adds the current confirmation to the answer to a peer's ping."""
         confirmation = self._lease.shareable_confirmation(self._now()) if self._strict else None
         if confirmation is not None:
             fields = confirmation_fields(confirmation, self._now())
             ack.confirmed_version, ack.confirmed_age_ms = fields
 
     def peer_answered(self, ack: messages.PingAck, sent_at: float) -> None:
-        """A peer has answered a ping that was sent at `asked_at`."""
+        """Handles a peer's answer to a ping that was sent at `sent_at`."""
         if self._strict and ack.confirmed_age_ms:
             self._lease.on_confirmation(ack.confirmed_version, sent_at, float(ack.confirmed_age_ms))
 
@@ -105,4 +105,4 @@
         valid = self.holds
         if valid != self._was_valid:
             self._was_valid = valid
-            log.info("keys hold: %s version=%d", "yes" if valid else "no", self._lease.current.version)
+            log.info("API keys valid: %s version=%d", "yes" if valid else "no", self._lease.current.version)
--- a/brackenusher/cluster/limits_driver.py
+++ b/brackenusher/cluster/limits_driver.py
@@ -1,7 +1,6 @@
-"""Connects a process's limits to its links: carries the messages of the machine and wakes it when it is due.
+"""Connects a process's limits to its links: carries the messages of the state machine and runs its timer.
 
-Requests ask `LimitsDriver.admit`; where this proxy has no credit at hand they wait for the credit
-server's reply.
+Requests call `LimitsDriver.admit`; if this proxy has no credit left they wait for the credit server's reply.
 """
 
 import asyncio
@@ -17,12 +16,12 @@
 
 log = logging.getLogger(__name__)
 
-MACHINE = "shares"  # name of the machine in MachineMessage
+MACHINE = "shares"  # name of the state machine in MachineMessage
 MIN_WAKEUP_DELAY_S = 0.001
 
 
 class LimitsDriver:
-    """Runs a `Limits` machine on the event loop. `now` gives monotonic milliseconds."""
+    """Runs a `Limits` state machine on the event loop. `now` returns monotonic milliseconds."""
 
     def __init__(self, limits: Limits, links: Links, now: Callable[[], float]) -> None:
         self.limits, self.links, self.now = limits, links, now
@@ -33,14 +32,14 @@
         self._credit_server = ""
 
     def start(self) -> None:
-        """Begin to take messages and to wake the machine. Needs a running event loop."""
+        """Starts to handle messages and timers. Needs a running event loop."""
         self._running = True
         self.links.on_message(messages.MachineMessage, self._handle_message)
         self.links.on_change(lambda address, hello: self._update_reachable())
         self._update_reachable()
 
     def stop(self, released: bool = False) -> None:
-        """Planned end: a credit server lets another follow; the machine is woken no more.
+        """Planned shutdown: a credit server resigns, timers stop, and pending requests are refused.
 
         `released`: see `Limits.resign`.
         """
@@ -56,17 +55,17 @@
                 future.set_result(False)
 
     def voters_changed(self, voters: list[str], index: int = 0) -> None:
-        """The voters of the configuration shard are the acceptors of the limits."""
+        """Uses the voters of the configuration shard as acceptors of the limits."""
         self.limits.set_acceptors(self.now(), voters)
         self._update_reachable()
 
     # Requests
 
     def admit(self, tenant: Tenant, cost: float) -> bool | asyncio.Future[bool]:
-        """Take the cost of a request from its tenant's quota.
+        """Charges the cost of a request to its tenant's quota and returns whether it is admitted.
 
-        A future where the credit server is asked: it is done after some milliseconds, at most
-        `spans.CREDIT_WAIT_TIMEOUT_MS`. A future that is cancelled asks no more.
+        Returns a future if the credit server has to be asked. It completes after some milliseconds, at most
+        `spans.CREDIT_WAIT_TIMEOUT_MS`; cancelling it withdraws the request.
         """
         self._last_ticket += 1
         ticket = self._last_ticket
@@ -84,7 +83,7 @@
         if future.cancelled():
             self.limits.cancel(ticket)
 
-    # The machine
+    # The state machine
 
     def _update_reachable(self) -> None:
         self.limits.set_reachable(self.now(), list(self.links.connected()))
@@ -100,10 +99,10 @@
         self._run()
 
     def _run(self) -> None:
-        """Send what the machine wants sent, tell requests their decisions, and set the timer anew."""
+        """Sends the outgoing messages, completes decided requests and resets the timer."""
         if self.limits.credit_machine.credit_server != self._credit_server:
             self._credit_server = self.limits.credit_machine.credit_server
-            log.info("limits: warden=%s term=%d", self._credit_server, self.limits.credit_machine.term)
+            log.info("limits: credit_server=%s term=%d", self._credit_server, self.limits.credit_machine.term)
         for address, payload in self.limits.outbox():
             self.links.send(address, messages.MachineMessage(machine=MACHINE, payload=payload))
         for ticket, admitted in self.limits.take_decisions():
--- a/brackenusher/cluster/link_metrics.py
+++ b/brackenusher/cluster/link_metrics.py
@@ -1,4 +1,4 @@
-"""Figures of the links of a process."""
+"""Metrics of the links of a process."""
 
 from collections import Counter as CountByName
 
@@ -7,7 +7,7 @@
 
 
 def add_link_metrics(metrics: Metrics, links: Links) -> None:
-    """Add how many links there are and what goes over them."""
+    """Registers the number of links and their traffic."""
 
     def links_by_role() -> dict[str, float]:
         roles = CountByName(hello.role for hello in links.connected().values())
--- a/brackenusher/cluster/links.py
+++ b/brackenusher/cluster/links.py
@@ -1,10 +1,10 @@
-"""Links between processes of the fleet: TCP connections that carry framed messages, kept up while wanted.
+"""Links between processes of the fleet: persistent TCP connections that carry framed messages.
 
-A process names its peers by the address of their internal listener. A link may have been opened by either
-side; messages go over the newest one. A greeting of another incarnation of a peer ends all connections of
-the one before: what an earlier life of it sent is taken no more. A link that is silent for `SILENCE_S` is
-ended: both sides send a keep-alive frame often enough. Nothing is retried here: a message is handed to the
-socket once, or `send` says False.
+A peer is identified by the address of its internal listener. Either side may open the connection; messages
+are sent over the newest one. A Hello of another incarnation of a peer aborts all connections of the earlier
+one, so that messages it has sent are no longer handled. A connection without data for `PEER_TIMEOUT_S` is
+aborted: both sides send keep-alive frames at shorter intervals. Messages are not retried: one is written to
+the socket once, or `send` returns False.
 """
 
 import asyncio
@@ -21,18 +21,18 @@
 
 log = logging.getLogger(__name__)
 
-INITIAL_CONNECT_TIMEOUT_S = 0.2  # a machine that is just coming up swallows the first packet: try again soon
-CONNECT_TIMEOUT_FACTOR = 1.5  # regions far apart need longer than the first limit
-MAX_CONNECT_TIMEOUT_S = 1.0  # a cut swallows the first packet; the next try must come soon after it heals
-INITIAL_RECONNECT_DELAY_S = 0.05  # peers that start together need some hundred milliseconds until they listen
-RECONNECT_DELAY_FACTOR = 1.15  # a peer that comes up is found within about a seventh of the time it was away
-MAX_RECONNECT_DELAY_S = 0.8  # a healed cut must be used well within ContactMs
+INITIAL_CONNECT_TIMEOUT_S = 0.2  # a machine that is booting drops the first SYN: retry soon
+CONNECT_TIMEOUT_FACTOR = 1.5  # links between distant regions need more than the initial timeout
+MAX_CONNECT_TIMEOUT_S = 1.0  # a partition drops the SYN; the next attempt must follow soon after it heals
+INITIAL_RECONNECT_DELAY_S = 0.05  # peers that start together take some hundred milliseconds to listen
+RECONNECT_DELAY_FACTOR = 1.15  # a returning peer is reached within about 1/7 of its downtime
+MAX_RECONNECT_DELAY_S = 0.8  # a healed partition must be noticed well within ContactMs
 KEEP_ALIVE_S = 0.5
-PEER_TIMEOUT_S = 1.6  # three keep-alives missed
+PEER_TIMEOUT_S = 1.6  # three missed keep-alives
 MAX_SEND_BUFFER_BYTES = (
     24 * 1024 * 1024
-)  # a snapshot for a slow link and some more; a peer further behind is cut
-TCP_USER_TIMEOUT_MS = 2000  # unacknowledged bytes for so long end the connection (a cut says nothing)
+)  # room for a snapshot on a slow link; a peer further behind is dropped
+TCP_USER_TIMEOUT_MS = 2000  # a partition sends no RST: unacknowledged data ends the connection
 HELLO_TIMEOUT_S = 2.0
 KEEP_ALIVE_FRAME = encode_frame(messages.KeepAlive())
 
@@ -41,22 +41,22 @@
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """The host and port of "ip:port"."""
+    """Splits "ip:port"."""
     host, _, port = address.rpartition(":")
     return host, int(port)
 
 
 class LinkConnection(asyncio.Protocol):
-    """One connection; tells its owner what comes."""
+    """One TCP connection; passes messages on to its `Links`."""
 
     def __init__(self, links: "Links", expected_peer: str = "") -> None:
         self.links = links
-        self.peer = expected_peer  # internal address of the other side; empty until its Hello came
+        self.peer = expected_peer  # internal address of the peer; empty until its Hello arrives
         self.hello: messages.Hello | None = None
         self.transport: asyncio.Transport | None = None
         self.decoder = FrameReader()
         self.last_received_at = links.loop.time()
-        self.aborted = False  # aborted: what still comes is not taken
+        self.aborted = False  # messages that still arrive are dropped
         self.closed = links.loop.create_future()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -67,7 +67,7 @@
         try:
             sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, TCP_USER_TIMEOUT_MS)
         except OSError:
-            pass  # keep-alive frames find a dead link as well
+            pass  # not supported here: keep-alive frames detect a dead link, too
         self.last_received_at = self.links.loop.time()
         self.links.connections.add(self)
         self.write(encode_frame(self.links.own))
@@ -88,11 +88,11 @@
             self.closed.set_result(None)
 
     def write(self, frame: bytes) -> bool:
-        """Hand a frame to the socket; False, and the end of the link, where too much waits already."""
+        """Writes a frame to the socket; aborts the link and returns False if the send buffer is full."""
         if self.transport is None or self.transport.is_closing():
             return False
         if self.transport.get_write_buffer_size() > MAX_SEND_BUFFER_BYTES:
-            log.warning("link ended: peer=%s error=its queue is full", self.peer)
+            log.warning("link ended: peer=%s error=send buffer full", self.peer)
             self.abort()
             return False
         self.transport.write(frame)
@@ -106,14 +106,14 @@
 
 @dataclass(slots=True)
 class WantedPeer:
-    """A peer that a link is kept to."""
+    """A peer to which a link is kept open."""
 
     task: asyncio.Task[None] | None = None
 
 
 @dataclass(slots=True)
 class LinkCounters:
-    """Figures of all links of the process since its start."""
+    """Counters over all links since the start of the process."""
 
     frames_sent: int = 0
     bytes_sent: int = 0
@@ -141,7 +141,7 @@
         self._keep_alive_task: asyncio.Task[None] | None = None
 
     async def start(self) -> None:
-        """Listen at the own address. Raises OSError."""
+        """Listens at the own address. Raises OSError."""
         host, port = split_address(self.own.address)
         self._server = await self.loop.create_server(
             lambda: LinkConnection(self), host, port, reuse_address=True, backlog=512
@@ -149,7 +149,7 @@
         self._keep_alive_task = self.loop.create_task(self._run_keep_alive())
 
     async def stop(self) -> None:
-        """End all links and the listener."""
+        """Closes all links and the listener."""
         for address in list(self._wanted):
             self.disconnect(address)
         if self._keep_alive_task is not None:
@@ -159,27 +159,27 @@
         for connection in list(self.connections):
             connection.abort()
 
-    # What the owner calls
+    # Interface of the owner
 
     def connect(self, address: str) -> None:
-        """Keep a link to this peer, from now until `disconnect`."""
+        """Keeps a link to this peer open until `disconnect`."""
         if address in self._wanted or address == self.own.address:
             return
         wanted = self._wanted[address] = WantedPeer()
         wanted.task = self.loop.create_task(self._keep_connected(address))
 
     def disconnect(self, address: str) -> None:
-        """Keep no link to this peer any more, and end the one that was opened from here."""
+        """Stops keeping a link to this peer, and closes the one that was opened from this side."""
         wanted = self._wanted.pop(address, None)
         if wanted is not None and wanted.task is not None:
             wanted.task.cancel()
 
     def wanted_addresses(self) -> set[str]:
-        """The peers that links are kept to."""
+        """Returns the peers to which links are kept open."""
         return set(self._wanted)
 
     def send(self, address: str, message: betterproto.Message) -> bool:
-        """Hand a message to the link of a peer; False where there is none or its queue is full."""
+        """Sends a message to a peer; returns False if there is no link or its send buffer is full."""
         connection = self._active.get(address)
         if connection is None:
             self.counters.frames_dropped += 1
@@ -192,18 +192,18 @@
         return connection.write(frame)
 
     def connected(self) -> dict[str, messages.Hello]:
-        """Who can be reached now, by address."""
+        """Returns the Hello of each connected peer, by address."""
         return {address: c.hello for address, c in self._active.items() if c.hello is not None}
 
     def on_message(self, kind: type[betterproto.Message], handler: MessageHandler) -> None:
-        """Have messages of a kind handed over with the address of their sender."""
+        """Registers a handler for messages of a kind; it gets the address of the sender."""
         self._message_handlers.setdefault(kind, []).append(handler)
 
     def on_change(self, handler: ChangeHandler) -> None:
-        """Have links told that come up (with the peer's Hello) and go down (with None)."""
+        """Registers a handler for links that come up (with the peer's Hello) or go down (with None)."""
         self._change_handlers.append(handler)
 
-    # What connections tell
+    # Events of connections
 
     def handle_message(self, connection: LinkConnection, message: betterproto.Message) -> None:
         self.counters.frames_received += 1
@@ -223,7 +223,7 @@
 
     def _handle_hello(self, connection: LinkConnection, hello: messages.Hello) -> None:
         if connection.peer and hello.address != connection.peer:
-            log.warning("link ended: peer=%s error=it says that it is %s", connection.peer, hello.address)
+            log.warning("link ended: peer=%s error=its Hello names %s", connection.peer, hello.address)
             connection.abort()
             return
         connection.peer, connection.hello = hello.address, hello
@@ -250,7 +250,7 @@
         for handler in self._change_handlers:
             handler(address, None)
 
-    # Tasks
+    # Background tasks
 
     async def _keep_connected(self, address: str) -> None:
         delay, timeout = INITIAL_RECONNECT_DELAY_S, INITIAL_CONNECT_TIMEOUT_S
--- a/brackenusher/cluster/lives.py
+++ b/brackenusher/cluster/lives.py
@@ -1,14 +1,14 @@
-"""Fencing between the lives of a process: numbers that no earlier life at the same address has given away.
+"""Fencing between incarnations of a process: request numbers that no earlier incarnation has used.
 
-Replies go to an address. What a peer was asked by a process that has died is answered to the process that
-runs there next; a number of a life of its own keeps it from taking that for a reply to itself.
+Replies are sent to an address, so a reply to a process that has died arrives at the process that runs there
+next. Numbers derived from the incarnation keep that process from accepting it as a reply to its own request.
 """
 
 from brackenusher.cluster import messages
 
-REQUEST_NUMBER_BITS = 11  # left below an incarnation (53 bits) in an unsigned 64-bit number
+REQUEST_NUMBER_BITS = 11  # below the incarnation (53 bits) in an unsigned 64-bit number
 
 
 def first_number(own: messages.Hello) -> int:
-    """The first number that this life of a process gives to its questions; the others count up from it."""
+    """Returns the first request number of this incarnation; later requests count up from it."""
     return (own.incarnation << REQUEST_NUMBER_BITS) + 1
--- a/brackenusher/cluster/monitor.py
+++ b/brackenusher/cluster/monitor.py
@@ -1,9 +1,9 @@
-"""Membership: pings between peers by datagram, reports to the control plane, and its view of all members.
+"""Membership: pings between peers over UDP, reports to the control plane, and the resulting member list.
 
-Runs in every process. Control processes learn of members by their links, bring the reports of monitors
-together and tell each member what has changed. Pings carry the addresses of the voters, so that a process
-that comes back while its seeds are down finds control again. They carry the version of the configuration in
-force, so that it knows of a newer one than control may have left.
+Runs in every process. Control processes learn of members by their links, merge the reports of the monitoring
+peers and send each member the changes. Pings carry the addresses of the voters, so that a process that
+restarts while its seeds are down finds the control plane again. They also carry the version of the applied
+configuration, so that a proxy learns of a newer version even if the control process it asks does not have it.
 """
 
 import asyncio
@@ -37,28 +37,28 @@
 
 CONTROL_ROLE = "control"
 PROXY_ROLE = "proxy"
-VIEW_UPDATE_INTERVAL_MS = 1000.0  # between two looks of a control process at what has changed
-VIEW_SENDERS_PER_MEMBER = 2  # control processes that tell one member: one may be cut off
-MAX_DATAGRAM_BYTES = 1400  # pings are far shorter
-MAX_PENDING_PINGS = 64  # pings whose answers are waited for
-EXTRA_PING_NUMBER_OFFSET = 1 << 10  # beside those of regular pings, which come once a second
+VIEW_UPDATE_INTERVAL_MS = 1000.0  # between updates that a control process sends to members
+VIEW_SENDERS_PER_MEMBER = 2  # control processes that update one member: one may be disconnected
+MAX_DATAGRAM_BYTES = 1400  # pings are far smaller; larger datagrams are ignored
+MAX_PENDING_PINGS = 64  # unanswered pings that are remembered
+EXTRA_PING_NUMBER_OFFSET = 1 << 10  # apart from the numbers of the periodic pings, one a second
 
 
 class Monitor(asyncio.DatagramProtocol):
-    """The part of one process in membership. Times are milliseconds of the loop's clock."""
+    """Membership of one process. Times are milliseconds of the event loop's clock."""
 
     def __init__(self, settings: LocalSettings, links: Links, rng: random.Random) -> None:
-        self.members: dict[str, messages.MemberView] = {}  # as told by control, by internal address
-        self.on_members: list[Callable[[list[messages.MemberView]], None]] = []  # all, at each change
-        self.on_controls: list[Callable[[list[str]], None]] = []  # voters that a peer's ping names
-        self.on_version: list[Callable[[str, int], None]] = []  # a peer, and what it has in force
-        self.applied_version: Callable[[], int] = lambda: 0  # of the configuration in force here
-        self.share_exchange: FallbackShareExchange | None = None  # of a proxy
-        self.key_lease: KeyLease | None = None  # of a proxy
+        self.members: dict[
+            str, messages.MemberView
+        ] = {}  # latest list from the control plane, by internal address
+        self.on_members: list[Callable[[list[messages.MemberView]], None]] = []  # get all members
+        self.on_controls: list[Callable[[list[str]], None]] = []  # get the voters named in a ping
+        self.on_version: list[Callable[[str, int], None]] = []  # get a peer and its version
+        self.applied_version: Callable[[], int] = lambda: 0  # version of the configuration applied here
+        self.share_exchange: FallbackShareExchange | None = None  # proxies only
+        self.key_lease: KeyLease | None = None  # proxies only
         self._extra_ping_numbers = count(first_number(links.own) + EXTRA_PING_NUMBER_OFFSET)
-        self._pending_pings: dict[
-            int, float
-        ] = {}  # when pings were sent that may still be answered, by number
+        self._pending_pings: dict[int, float] = {}  # send times of unanswered pings, by number
         self._links = links
         self._own_address = links.own.address
         self._is_control = links.own.role == CONTROL_ROLE
@@ -78,17 +78,17 @@
         links.on_change(self._handle_link_change)
 
     async def start(self) -> None:
-        """Listen for pings at the internal address. Raises OSError."""
+        """Listens for pings at the internal address. Raises OSError."""
         host, port = split_address(self._own_address)
         await self._loop.create_datagram_endpoint(lambda: self, local_addr=(host, port))
 
     async def stop(self) -> None:
-        """Listen no more."""
+        """Closes the datagram socket."""
         if self._transport is not None:
             self._transport.close()
 
     def tick(self) -> None:
-        """Do what is due; call it every 100 ms or more often."""
+        """Sends due pings, reports and updates; to be called at least every 100 ms."""
         now = self._now()
         for ping in self._peer_monitor.tick(now):
             self._send_ping(ping.target, ping.number, now)
@@ -108,7 +108,7 @@
         self._send_datagram(target, ping)
 
     def count_proxies(self) -> int:
-        """How many proxies run, as far as known; this one counts."""
+        """Returns the number of proxies known to run, including this process if it is one."""
         running = {a for a, view in self.members.items() if view.role == PROXY_ROLE and not view.suspected}
         if not self._is_control:
             running.add(self._own_address)
@@ -117,7 +117,7 @@
     # Datagrams
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        # The loop's own datagram transport derives from another base than DatagramTransport.
+        # The event loop's datagram transport doesn't derive from DatagramTransport.
         self._transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
@@ -130,7 +130,7 @@
             log.warning("datagram ignored: sender=%s error=%s", addr, error)
 
     def error_received(self, exc: Exception) -> None:
-        """A port is closed: the ping has no answer, which is noticed anyway."""
+        """Ignored: a closed port shows as an unanswered ping."""
 
     def _handle_datagram(self, message: betterproto.Message) -> None:
         if isinstance(message, messages.Ping):
@@ -180,7 +180,7 @@
             for handler in self.on_version:
                 handler(peer, version)
 
-    # Reports and views
+    # Reports and member lists
 
     def _control_peers(self) -> list[str]:
         return [
@@ -224,7 +224,7 @@
         self._set_members({view.address: view for view in self._member_table.statuses(now)})
 
     def _sends_views_to(self, address: str) -> bool:
-        """Whether it is this control process that tells a member: each is told by few."""
+        """Whether this control process sends updates to a member: only a few do for each member."""
         return not self._voters or self._own_address in self._view_senders(address)
 
     def _view_senders(self, address: str) -> list[str]:
@@ -261,7 +261,7 @@
 
 
 def to_message(view: MemberStatus) -> messages.MemberView:
-    """A view as a message; a removed member has no incarnation."""
+    """Encodes a member's status; incarnation 0 marks a removed member."""
     return messages.MemberView(
         address=view.address,
         role=view.role,
@@ -273,7 +273,7 @@
 
 
 def from_message(message: messages.MemberView) -> MemberStatus:
-    """A message as a view."""
+    """Decodes a member's status."""
     return MemberStatus(
         address=message.address,
         role=message.role,
--- a/brackenusher/cluster/records.py
+++ b/brackenusher/cluster/records.py
@@ -1,4 +1,4 @@
-"""Records of servers as messages of the internal protocol, and back."""
+"""Conversion of server records to messages of the internal protocol and back."""
 
 from collections.abc import Iterable
 
@@ -7,7 +7,7 @@
 
 
 def to_message(record: InstanceRecord) -> messages.InstanceRecord:
-    """A record as a message."""
+    """Encodes a record."""
     return messages.InstanceRecord(
         id=record.id,
         service=record.service,
@@ -24,7 +24,7 @@
 
 
 def from_message(message: messages.InstanceRecord) -> InstanceRecord:
-    """A message as a record; a state of a newer release counts as UNKNOWN."""
+    """Decodes a record; a state added by a newer release becomes UNKNOWN."""
     number = int(message.state)
     return InstanceRecord(
         id=message.id,
@@ -42,20 +42,20 @@
 
 
 def to_messages(records: Iterable[InstanceRecord]) -> list[messages.InstanceRecord]:
-    """Records as messages."""
+    """Encodes records."""
     return [to_message(record) for record in records]
 
 
 def from_messages(received: Iterable[messages.InstanceRecord]) -> list[InstanceRecord]:
-    """Messages as records."""
+    """Decodes records."""
     return [from_message(message) for message in received]
 
 
 def to_renewals(renewals: Iterable[Renewal]) -> list[messages.Renewal]:
-    """Renewals as messages."""
+    """Encodes renewals."""
     return [messages.Renewal(renewal.id, renewal.sequence) for renewal in renewals]
 
 
 def from_renewals(received: Iterable[messages.Renewal]) -> list[Renewal]:
-    """Messages as renewals."""
+    """Decodes renewals."""
     return [Renewal(message.id, message.sequence) for message in received]
--- a/brackenusher/cluster/status_calls.py
+++ b/brackenusher/cluster/status_calls.py
@@ -1,6 +1,6 @@
-"""Questions about the status of a process, asked over links for the operator's command line.
+"""Status queries between processes, for the operator's command line.
 
-Any process answers with `StatusResponder`; a control process asks with `StatusCaller`. Answers are JSON.
+Every process replies with a `StatusResponder`; control processes send the queries. Replies are JSON.
 """
 
 import asyncio
@@ -17,11 +17,11 @@
 
 log = logging.getLogger(__name__)
 
-MAX_ANSWER_BYTES = 1024 * 1024  # an operator reads it; more would hold up the link
+MAX_ANSWER_BYTES = 1024 * 1024  # read by a person; a larger reply would delay other messages of the link
 
 
 class StatusResponder:
-    """Answers each question with what a function says; None: nothing is known, which is answered too."""
+    """Replies to each query with the document of a function; None is sent as an empty reply."""
 
     def __init__(self, links: Links, get_status: Callable[[str], object | None]) -> None:
         self._links = links
@@ -33,14 +33,14 @@
         document = self._get_status(request.topic)
         data = b"" if document is None else json.dumps(document, separators=(",", ":")).encode()
         if len(data) > MAX_ANSWER_BYTES:
-            log.warning("status answer too large: topic=%s bytes=%d", request.topic, len(data))
+            log.warning("status reply too large: topic=%s bytes=%d", request.topic, len(data))
             data = b""
         self._links.send(sender, messages.StatusReply(id=request.id, document=data))
 
 
 @dataclass(slots=True)
 class _PendingQuery:
-    """One question to several processes."""
+    """One query to several processes."""
 
     pending: set[str]
     done: "asyncio.Future[None]"
@@ -48,7 +48,7 @@
 
 
 class StatusCaller:
-    """Asks processes that this one has links to."""
+    """Queries processes that this one has links to."""
 
     def __init__(self, links: Links) -> None:
         self._links = links
@@ -58,7 +58,7 @@
         links.on_change(self._handle_link_change)
 
     async def ask(self, addresses: Iterable[str], topic: str, timeout_s: float) -> dict[str, object]:
-        """What those say who answer in time and know something, by their address."""
+        """Returns the documents of the processes that reply in time and have one, by address."""
         self._last_id += 1
         request = messages.StatusRequest(id=self._last_id, topic=topic)
         recipients = {address for address in addresses if self._links.send(address, request)}
@@ -69,7 +69,7 @@
         try:
             await asyncio.wait_for(pending_query.done, timeout_s)
         except TimeoutError:
-            pass  # who is slow or cut off is left out
+            pass  # slow or disconnected processes are left out
         finally:
             del self._pending_queries[request.id]
         return pending_query.replies
@@ -83,7 +83,7 @@
             try:
                 query.replies[sender] = json.loads(reply.document)
             except ValueError:
-                log.warning("status answer unreadable: peer=%s", sender)
+                log.warning("status reply is not valid JSON: peer=%s", sender)
         self._stop_waiting_for(query, sender)
 
     def _handle_link_change(self, address: str, hello: messages.Hello | None) -> None:
--- a/brackenusher/commands/__init__.py
+++ b/brackenusher/commands/__init__.py
@@ -1,1 +1,1 @@
-"""The command line of the fleet: roles, and the operator's commands. It talks to the fleet over HTTP only."""
+"""The fleet's command line: starts roles and runs the operator's commands, which use the HTTP API only."""
--- a/brackenusher/commands/application.py
+++ b/brackenusher/commands/application.py
@@ -1,4 +1,4 @@
-"""The operator's commands. Imported for them only, never by a role: typer takes a while to import."""
+"""The operator's commands. Never imported by a role: typer is slow to import."""
 
 import json
 import os
@@ -45,7 +45,7 @@
 
 
 def run_command(arguments: Sequence[str]) -> int:
-    """Run a command; the exit code. Errors are one line on standard error."""
+    """Runs a command and returns its exit code. An error is one line on standard error."""
     command = typer.main.get_command(app)
     try:
         outcome = command.main(list(arguments), prog_name="brackenusher", standalone_mode=False)
@@ -63,11 +63,11 @@
     return int(exit_code)
 
 
-# What the commands share
+# Shared by the commands
 
 
 def _control_client(control: list[str] | None) -> ControlClient:
-    """A client for the addresses that are named, in the environment or in the settings file."""
+    """Returns a client for the addresses of the option, else of the environment, else of the settings file."""
     addresses = control or os.environ.get(CONTROL_ENV_VAR, "").replace(",", " ").split()
     if addresses:
         return ControlClient(addresses)
@@ -102,7 +102,7 @@
 
 
 def _load_document(path: Path) -> tuple[bytes, dict[str, Any]]:
-    """The bytes of a file and the JSON object in it."""
+    """Reads a file; returns its bytes and the JSON object in it."""
     try:
         body = path.read_bytes()
         document = json.loads(body)
@@ -115,7 +115,7 @@
     return body, document
 
 
-# Looking
+# Queries
 
 
 @app.command()
@@ -179,7 +179,7 @@
     }
 
 
-# The configuration
+# Configuration
 
 
 @config_app.command("get")
--- a/brackenusher/commands/client.py
+++ b/brackenusher/commands/client.py
@@ -1,4 +1,4 @@
-"""Calls control processes over HTTP for the commands. Tries one address after the other; knows no command."""
+"""HTTP client for control processes. Tries the addresses in turn and retries inconclusive replies."""
 
 import http.client
 import json
@@ -11,23 +11,23 @@
 from brackenusher.commands.errors import CommandError, ExitCode
 
 BASE_VERSION_HEADER = "X-Brackenusher-Base-Version"
-REQUEST_TIMEOUT_S = 2.0  # a control process answers or gives up within about a second
+REQUEST_TIMEOUT_S = 2.0  # a control process replies or times out within about a second
 MIN_UPLOAD_BYTES_PER_S = 256 * 1024
 MAX_REDIRECTS = 2
-MAX_ROUNDS = 4  # over all addresses
-INITIAL_BACKOFF_S = 0.2  # between rounds; doubles
+MAX_ROUNDS = 4  # a round tries every address
+INITIAL_BACKOFF_S = 0.2  # between rounds; doubles each time
 RETRYABLE_STATUSES = frozenset({408, 429})
 
 
 @dataclass(frozen=True, slots=True)
 class ControlResponse:
-    """The answer of a control process."""
+    """The response of a control process."""
 
     status: int
     body: bytes
 
     def document(self) -> Any:
-        """The JSON in the body. Raises CommandError."""
+        """Decodes the JSON body. Raises CommandError."""
         try:
             return json.loads(self.body)
         except ValueError:
@@ -35,7 +35,7 @@
             raise CommandError(ExitCode.UNREACHABLE, f"the answer is not JSON: {remedy}") from None
 
     def error_message(self) -> str:
-        """What the answer says is wrong."""
+        """Returns the error in the body, or the start of the body, or the status."""
         try:
             return str(json.loads(self.body)["Error"])
         except (ValueError, KeyError, TypeError):
@@ -43,18 +43,18 @@
 
 
 class ControlClient:
-    """Calls whichever control process answers."""
+    """Calls the first control process that replies conclusively."""
 
     def __init__(self, addresses: Sequence[str], sleep: Callable[[float], None] = time.sleep) -> None:
         self.addresses = list(addresses)
         self._sleep = sleep
 
     def get(self, path: str) -> ControlResponse:
-        """A read. Raises CommandError where nobody answers."""
+        """Sends a read. Raises CommandError if no control process replies."""
         return self._request("GET", path, b"", {})
 
     def submit_order(self, call: str, base_version: int, body: bytes) -> ControlResponse:
-        """An order of the operator; the same one is sent again where there was no clear answer."""
+        """Sends an order; it is resent unchanged after an inconclusive reply."""
         headers = {BASE_VERSION_HEADER: str(base_version), "Content-Type": "application/json"}
         return self._request("POST", f"/-/{call}", body, headers)
 
@@ -91,7 +91,7 @@
 def _send_request(
     address: str, method: str, path: str, body: bytes, headers: dict[str, str]
 ) -> tuple[ControlResponse, str]:
-    """One request on a connection of its own: the answer, and its Location."""
+    """Sends one request on a new connection; returns the response and its Location header."""
     timeout_s = REQUEST_TIMEOUT_S + len(body) / MIN_UPLOAD_BYTES_PER_S
     connection = http.client.HTTPConnection(address, timeout=timeout_s)
     try:
--- a/brackenusher/commands/difference.py
+++ b/brackenusher/commands/difference.py
@@ -1,16 +1,16 @@
-"""What differs between two configuration documents, item by item. Pure; reads raw documents."""
+"""Item-by-item comparison of two raw configuration documents."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass
 from typing import Any
 
 SECTIONS_BY_NAME = ("Routes", "Services", "Tenants")
-SECRET_KEYS = frozenset({"ApiKeys"})  # shown as counts, never in the clear
+SECRET_KEYS = frozenset({"ApiKeys"})  # only their number is shown
 
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """One item that differs; `fields` are "Key: old -> new" where both have it."""
+    """One item that differs; `fields` lists "Key: old -> new" for an item in both documents."""
 
     sign: str  # "+" only in the second, "-" only in the first, "~" in both
     item: str  # "Routes r-1", "Generation"
@@ -21,7 +21,7 @@
 
 
 def differences(first: dict[str, Any], second: dict[str, Any]) -> list[Change]:
-    """The changes that turn the first document into the second."""
+    """Returns the changes that turn the first document into the second."""
     changes: list[Change] = []
     for section in [*first, *(key for key in second if key not in first)]:
         old, new = first.get(section), second.get(section)
--- a/brackenusher/commands/errors.py
+++ b/brackenusher/commands/errors.py
@@ -1,20 +1,20 @@
-"""Exit codes of the commands, and the error that ends one."""
+"""Exit codes of the commands, and the exception that ends a command with one."""
 
 from enum import IntEnum
 
 
 class ExitCode(IntEnum):
-    """What the caller of a command is told."""
+    """Exit codes; part of the command line interface."""
 
     OK = 0
-    REFUSED = 1  # the fleet said no, or what was asked for is not there, or `config diff` found differences
-    USAGE = 2  # the command line, a settings file or an input file is wrong
-    UNREACHABLE = 3  # no control process gave a clear answer; an order may have been taken
-    CONFLICT = 4  # another version of the configuration is current
+    REFUSED = 1  # the fleet refused, the item does not exist, or `config diff` found differences
+    USAGE = 2  # invalid command line, settings file or input file
+    UNREACHABLE = 3  # no conclusive reply from a control process; an order may have been accepted
+    CONFLICT = 4  # the base version is not the current one
 
 
 class CommandError(Exception):
-    """Ends a command; `str` is one line with the remedy."""
+    """Ends a command with an exit code; `str` is one line with the remedy."""
 
     def __init__(self, exit_code: ExitCode, message: str) -> None:
         super().__init__(" ".join(message.split()))
--- a/brackenusher/commands/printing.py
+++ b/brackenusher/commands/printing.py
@@ -1,4 +1,4 @@
-"""How the commands show what the fleet tells: tables and lists for people, one JSON document for programs."""
+"""Output formats of the commands: tables and lists for people, one JSON document for programs."""
 
 import json
 from collections.abc import Iterator, Sequence
@@ -10,12 +10,12 @@
 
 
 def as_json(document: object) -> str:
-    """One document, indented, in the order it came."""
+    """Formats a document as indented JSON, keys in their original order."""
     return json.dumps(document, indent=2)
 
 
 def as_text(document: object) -> str:
-    """Any document as lines: lists of objects as tables, objects as "key: value"."""
+    """Formats any document as text: lists of objects as tables, objects as "key: value" lines."""
     return "\n".join(_lines(document, ""))
 
 
@@ -40,7 +40,7 @@
 
 
 def table(rows: Sequence[dict[str, Any]]) -> Iterator[str]:
-    """Rows under their keys; a key that a row lacks is left blank."""
+    """Yields the lines of a table with a column per key; missing values are left blank."""
     columns = list(dict.fromkeys(key for row in rows for key in row))
     cells = [columns] + [[_cell(row.get(column, "")) for column in columns] for row in rows]
     widths = [max(len(line[column_index]) for line in cells) for column_index in range(len(columns))]
@@ -50,7 +50,7 @@
 
 
 def with_utc_times(rows: Sequence[dict[str, Any]]) -> list[dict[str, Any]]:
-    """Rows whose `at_ms`, Unix milliseconds, is told as a time of day instead, first."""
+    """Replaces `at_ms` (Unix milliseconds) of each row by an ISO date and time in UTC as first column."""
     return [
         {"at": _format_time(row["at_ms"]), **{key: value for key, value in row.items() if key != "at_ms"}}
         for row in rows
--- a/brackenusher/commands/roles.py
+++ b/brackenusher/commands/roles.py
@@ -1,8 +1,8 @@
-"""Starts a role. Nothing heavy is imported here: each process of the fleet comes this way."""
+"""Starts a role. Every process of the fleet imports this: keep it free of slow imports."""
 
 
 def run_role(role: str) -> int:
-    """Run a role until the process is told to end; the exit code (see docs/operations-fleet.md)."""
+    """Runs a role until the process is stopped; returns the exit code (see docs/operations-fleet.md)."""
     if role == "proxy":
         from brackenusher.assembly import proxy
 
--- a/brackenusher/settings/__init__.py
+++ b/brackenusher/settings/__init__.py
@@ -1,4 +1,4 @@
-"""The settings file of a process and the configuration documents of the operator: reading and checking.
+"""Parsing and validation of a process's settings file and of the operator's configuration documents.
 
-It never does I/O on sockets.
+Does no network I/O.
 """
--- a/brackenusher/settings/document_fields.py
+++ b/brackenusher/settings/document_fields.py
@@ -1,6 +1,7 @@
-"""Reads items of a configuration document with pyserde into the values of `barleybarrow.documents`.
+"""Deserializes items of a configuration document into `barleybarrow.documents` with pyserde.
 
-Import this late: with pyserde it costs a small machine a second or more. `documents.check_document` calls it.
+Import this late: with pyserde it takes a second or more on a small machine. Used by
+`documents.check_document`.
 """
 
 import sys
@@ -23,13 +24,13 @@
     WeightedService,
 )
 
-LOWER_CASE_KEYS = frozenset({"gap_aim_ms", "stride"})  # as they are; others are in Pascal case
-MAX_NUMBER = 2.0**63  # beyond it nothing is meant; also refuses infinity
-MAX_SHOWN_VALUE_CHARS = 60  # characters of a wrong value in a message
+LOWER_CASE_KEYS = frozenset({"gap_aim_ms", "stride"})  # spelt as the field; all others are in Pascal case
+MAX_NUMBER = 2.0**63  # larger numbers make no sense; also excludes infinity
+MAX_SHOWN_VALUE_CHARS = 60  # of an invalid value in a message
 
 
 class FieldError(Exception):
-    """A value that its field can't hold, or that is missing; with the remedy."""
+    """A missing or invalid value of a field, with the remedy."""
 
     def __init__(self, problem: str, remedy: str) -> None:
         super().__init__(problem)
@@ -43,7 +44,7 @@
 
 
 def read_item(item_type: type[Any], raw: dict[str, Any]) -> Any:
-    """One item as a dataclass of `barleybarrow.documents`. Raises FieldError."""
+    """Deserializes one item into a dataclass of `barleybarrow.documents`. Raises FieldError."""
     try:
         return from_dict(item_type, _without_nulls(raw))
     except SerdeError as error:
@@ -56,11 +57,11 @@
 
 
 def _without_nulls(raw: dict[str, Any]) -> dict[str, Any]:
-    """Without nulls: they say the same as absence."""
+    """Drops nulls, which mean the same as absence."""
     return {key: value for key, value in raw.items() if value is not None}
 
 
-# Readers of fields. Each is told the key, for its message.
+# Readers of fields. The key is for the error message.
 
 
 def _read_string(key: str, value: object) -> str:
@@ -112,7 +113,7 @@
 
 
 def _field_reader(field_type: Any, key: str) -> Callable[[object], Any]:
-    """The reader of a field of that type: a list, or one value that may be absent."""
+    """Returns the reader for a field of this type: a list, or a single and possibly optional value."""
     if get_origin(field_type) is list:
         return partial(_read_list, get_args(field_type)[0], key)
     alternatives = [part for part in get_args(field_type) if part is not type(None)] or [field_type]
@@ -126,7 +127,7 @@
 
 
 def _register_dataclass(item_type: type[Any]) -> None:
-    """Have pyserde read a dataclass of `barleybarrow.documents`, which must not know of pyserde itself."""
+    """Makes a dataclass deserializable; `barleybarrow.documents` itself must not depend on pyserde."""
     for field in fields(item_type):
         key = _document_key(field.name)
         metadata = {"serde_rename": key, "serde_deserializer": _field_reader(field.type, key)}
@@ -136,7 +137,7 @@
 
 @contextmanager
 def _numpy_import_blocked() -> Iterator[None]:
-    """Meanwhile numpy can't be imported: pyserde would, where it is installed, for 0.15 s and 10 MB."""
+    """Blocks the import of numpy: pyserde imports it if installed, at a cost of 0.15 s and 10 MB."""
     if "numpy" in sys.modules:
         yield
         return
--- a/brackenusher/settings/documents.py
+++ b/brackenusher/settings/documents.py
@@ -1,8 +1,8 @@
-"""Checks the operator's configuration documents; control processes only.
+"""Validation of the operator's configuration documents; control processes only.
 
-`check_document` makes the typed configuration of a whole document, or names the item that is wrong and the
-remedy. Fields that are not known don't matter here. Reading orders, applying patches, and whether the version
-is the next one are for `barleybarrow.consensus.configuration_state`.
+`check_document` converts a full document to a typed configuration, or names the invalid item and the remedy.
+Unknown fields are ignored. Parsing orders, applying patches and checking the order of versions is up to
+`barleybarrow.consensus.configuration_state`.
 """
 
 from collections.abc import Iterator
@@ -13,12 +13,12 @@
 from barleybarrow.consensus.configuration_state import OrderError, generation_of
 from barleybarrow.documents import ClientLimits, Configuration, Route, Service, Tenant
 
-MAX_SHOWN_NAME_CHARS = 60  # characters of a name in a message
+MAX_SHOWN_NAME_CHARS = 60  # of a name in a message
 SECTION_ITEM_LABELS = {"Routes": "route", "Services": "service", "Tenants": "tenant"}
 
 
 class ConfigurationError(Exception):
-    """Why a document is refused; `str` gives one line."""
+    """Why a document is rejected; `str` gives one line."""
 
     def __init__(self, item: str, problem: str, remedy: str) -> None:
         super().__init__(f"{item}: {problem}: {remedy}")
@@ -28,7 +28,7 @@
 
 
 def check_document(raw: dict[str, Any]) -> Result[Configuration, ConfigurationError]:
-    """The configuration that a whole document describes, or what makes it invalid."""
+    """Returns the configuration in a full document, or the error that makes it invalid."""
     try:
         configuration = _read_configuration(raw)
         _check_routes(configuration)
@@ -88,10 +88,10 @@
 
 
 def _read_item(item_type: type[Any], raw: object, label: str) -> Any:
-    """One item by pyserde; raises ConfigurationError with the label."""
+    """Deserializes one item; raises ConfigurationError with the label."""
     if not isinstance(raw, dict):
         raise ConfigurationError(label, "is not an object", "send an object")
-    from brackenusher.settings import document_fields  # late: pyserde takes long to import
+    from brackenusher.settings import document_fields  # late: pyserde is slow to import
 
     try:
         return document_fields.read_item(item_type, raw)
--- a/brackenusher/settings/local.py
+++ b/brackenusher/settings/local.py
@@ -1,6 +1,6 @@
-"""The settings file of one process, as typed values; `brackenusher.settings.reading` reads and checks it.
+"""The settings of one process as typed values; `brackenusher.settings.reading` parses and validates them.
 
-Names, units and meanings are those of the file (TOML, keys in Pascal case; here in snake case).
+Names, units and meanings are those of the settings file (TOML, keys in Pascal case; here in snake case).
 """
 
 from dataclasses import dataclass, field
@@ -8,7 +8,7 @@
 
 @dataclass(slots=True)
 class ListenAddresses:
-    """Addresses "ip:port" for what the process serves; empty where it does not serve that."""
+    """Listen addresses "ip:port"; empty where the process has no such listener."""
 
     front: str = ""
     ready: str = ""
@@ -17,7 +17,7 @@
 
 @dataclass(slots=True)
 class MachineLimits:
-    """What the process may use of its machine."""
+    """Resources of the machine that the process may use."""
 
     cpu_share: float = 1.0
     cpu_cores: int = 1
@@ -29,7 +29,7 @@
 
 @dataclass(slots=True)
 class FaultTolerance:
-    """What may be lost at once while all rules hold: machines that count for the quorum, zones, regions."""
+    """Simultaneous failures tolerated without breaking any guarantee: quorum machines, zones, regions."""
 
     machines: int = 1
     zones: int = 0
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True)
 class Bounds:
-    """Bounds of the rules that are in force; the unit is the suffix of the name (seconds or milliseconds)."""
+    """Bounds of the guarantees; the suffix of a name is its unit (seconds or milliseconds)."""
 
     seed_lag_s: float = 3.0
     addr_reuse_s: float = 2.0
@@ -66,7 +66,7 @@
 
 @dataclass(slots=True)
 class LocalSettings:
-    """All that one process is told at its start."""
+    """All settings of one process."""
 
     node_name: str
     role: str
@@ -77,11 +77,11 @@
     serves: list[str] = field(default_factory=list)
     internal_port_range: list[int] = field(default_factory=lambda: [0, 0])
     seed_nodes: list[str] = field(default_factory=list)  # control addresses "ip:port"
-    bootstrap: bool = False  # true at the first start of the whole system, on empty disks, only
+    bootstrap: bool = False  # true only for the first start of a new system, on empty disks
     counts_for_quorum: bool = False
-    data_dir: str = ""  # empty: no disk
+    data_dir: str = ""  # empty: diskless
     heartbeat_ms: float = 1000.0
-    log_level: str = "info"  # of this project: "debug", "info", "warning" or "error"
+    log_level: str = "info"  # of this project's loggers: "debug", "info", "warning" or "error"
     contracts: list[str] = field(default_factory=list)
     zones: dict[str, str] = field(default_factory=dict)
     listen: ListenAddresses = field(default_factory=ListenAddresses)
@@ -91,10 +91,10 @@
 
     @property
     def control_internal_port(self) -> int:
-        """Where the control process of any machine listens for its peers."""
+        """The port on which a control process listens for peers; the same on all machines."""
         return self.internal_port_range[0]
 
     @property
     def proxy_internal_port(self) -> int:
-        """Where the proxy process of any machine listens for its peers."""
+        """The port on which a proxy process listens for peers; the same on all machines."""
         return self.internal_port_range[0] + 1
--- a/brackenusher/settings/reading.py
+++ b/brackenusher/settings/reading.py
@@ -1,7 +1,7 @@
-"""Reads the settings file (TOML) of a process into `LocalSettings`. All processes import this: keep it cheap.
+"""Parses a process's settings file (TOML) into `LocalSettings`. Every process imports this: keep it cheap.
 
-Unknown keys are ignored. A key that is wrong or missing gives a `SettingsError` of one line that names the
-key, the value and the remedy; the caller prints it and exits with `EXIT_BAD_SETTINGS`.
+Unknown keys are ignored. An invalid or missing key yields a one-line `SettingsError` with the key, its value
+and the remedy; the caller prints it and exits with `EXIT_BAD_SETTINGS`.
 """
 
 import dataclasses
@@ -18,9 +18,9 @@
 DEFAULT_SETTINGS_PATH = "/etc/brackenusher/local.toml"
 MAX_PORT = 65535
 LOG_LEVELS = ("debug", "info", "warning", "error")  # those of `runtime.fleet_log`
-LOWER_CASE_KEYS = frozenset({"pass_ms", "again_s"})  # as they are; others are in Pascal case
-MAX_NUMBER = 2.0**63  # beyond it nothing is meant; also refuses infinity
-MAX_SHOWN_VALUE_CHARS = 60  # characters of a wrong value in a message
+LOWER_CASE_KEYS = frozenset({"pass_ms", "again_s"})  # spelt as the field; all others are in Pascal case
+MAX_NUMBER = 2.0**63  # larger numbers make no sense; also excludes infinity
+MAX_SHOWN_VALUE_CHARS = 60  # of an invalid value in a message
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -28,7 +28,7 @@
     """Why the settings can't be used; `str` gives one line."""
 
     path: str
-    key: str  # empty: the file as a whole, which has no value
+    key: str  # empty if the error concerns the whole file
     value: str
     remedy: str
 
@@ -38,7 +38,7 @@
 
 
 class _InvalidKeyError(Exception):
-    """A key that can't be read; becomes a `SettingsError` of the file."""
+    """An invalid or missing key; converted to a `SettingsError` of the file."""
 
     def __init__(self, key: str, value: object, remedy: str) -> None:
         super().__init__(key, value, remedy)
@@ -48,7 +48,7 @@
 
 
 def load_settings(path: str) -> Result[LocalSettings, SettingsError]:
-    """Read and check a settings file."""
+    """Reads, parses and validates a settings file."""
     try:
         text = Path(path).read_bytes().decode("utf-8")
     except OSError as error:
@@ -60,7 +60,7 @@
 
 
 def read_settings(text: str, path: str = "settings") -> Result[LocalSettings, SettingsError]:
-    """Read and check the text of a settings file; the path is for messages only."""
+    """Parses and validates the text of a settings file; the path is only used in messages."""
     try:
         table = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
@@ -74,21 +74,21 @@
 
 
 def file_key(name: str) -> str:
-    """The key in the file of a field of `LocalSettings` and of its parts."""
+    """Returns the key in the file for a field of `LocalSettings` or of its nested tables."""
     if name in LOWER_CASE_KEYS:
         return name
     return "".join(part.capitalize() for part in name.split("_"))
 
 
 def _read_table(table_type: type, table: dict[str, Any], prefix: str) -> Any:
-    """A dataclass of a table; keys that are not fields are ignored."""
+    """Reads a table into a dataclass; keys without a field are ignored."""
     values: dict[str, Any] = {}
     for field in dataclasses.fields(table_type):
         key = file_key(field.name)
         value = table.get(key, dataclasses.MISSING)
         optional = not _is_required(field)
         if optional and (value is dataclasses.MISSING or value == "" or value == []):
-            continue  # keys that don't matter in a deployment may be empty
+            continue  # a deployment may leave optional keys empty
         if value is dataclasses.MISSING:
             raise _InvalidKeyError(prefix + key, value, "add this key")
         values[field.name] = _read_value(field.type, value, prefix + key)
@@ -141,14 +141,14 @@
             raise _InvalidKeyError(key, value, f"make it {_TYPE_DESCRIPTIONS[scalar_type]}")
         if value < 0:
             raise _InvalidKeyError(key, value, "make it 0 or more")
-        return scalar_type(value)  # a fraction of a unit is dropped
+        return scalar_type(value)  # an integer field truncates fractions
     if type(value) is not scalar_type:
         raise _InvalidKeyError(key, value, f"make it {_TYPE_DESCRIPTIONS[scalar_type]}")
     return value
 
 
 def _validate(settings: LocalSettings) -> None:
-    """What must hold between keys; raises _WrongKeyError."""
+    """Checks constraints beyond types; raises _InvalidKeyError."""
     ports = settings.internal_port_range
     if len(ports) != 2 or not 0 < ports[0] < ports[1] <= MAX_PORT:
         raise _InvalidKeyError("InternalPortRange", ports, "give the first and last of two or more ports")
--- a/brackenusher/storage/__init__.py
+++ b/brackenusher/storage/__init__.py
@@ -1,4 +1,4 @@
-"""What must outlive a process: two slots written in turn and a short log between.
+"""Durable state of a process: snapshots in two alternating slots, each followed by a short log.
 
-It never knows what the bytes mean.
+The contents are opaque bytes here.
 """
--- a/brackenusher/storage/files.py
+++ b/brackenusher/storage/files.py
@@ -1,6 +1,4 @@
-"""The few file operations that storage needs, as one small interface, so that tests can put an
-emulated disk in its place.
-"""
+"""The file operations that storage needs, as an interface that tests implement with an emulated disk."""
 
 import errno
 import os
@@ -8,49 +6,49 @@
 
 
 class StorageError(Exception):
-    """The disk did not do what was asked; the same call may be made again later."""
+    """A disk operation failed; the call may be retried later."""
 
 
 class StorageFullError(StorageError):
-    """The disk has no room, or refuses writes."""
+    """The disk is full or read-only."""
 
 
 NO_SPACE_ERRNOS = frozenset({errno.ENOSPC, errno.EDQUOT, errno.EROFS})
 
 
 def to_storage_error(error: OSError) -> StorageError:
-    """The typed error for what the system reported."""
+    """Converts an OSError."""
     error_type = StorageFullError if error.errno in NO_SPACE_ERRNOS else StorageError
     return error_type(f"{error.filename or ''}: {error.strerror or error}")
 
 
 class FileSystem(Protocol):
-    """Files by their path. All calls raise OSError and may wait on the disk."""
+    """File operations by path. All calls may raise OSError and may block on the disk."""
 
     def make_folder(self, path: str) -> None:
-        """Make a folder and those above it, where absent."""
+        """Creates a directory and its parents if they don't exist."""
 
     def read(self, path: str) -> bytes | None:
-        """The whole content; None where there is no such file."""
+        """Returns the content; None if there is no such file."""
 
     def write(self, path: str, offset: int, data: bytes) -> None:
-        """Write at an offset; makes the file where absent. Not durable before `sync`."""
+        """Writes at an offset; creates the file if needed. Not durable before `sync`."""
 
     def truncate(self, path: str, size: int) -> None:
-        """Set the length. Not durable before `sync`."""
+        """Sets the length. Not durable before `sync`."""
 
     def sync(self, path: str) -> None:
-        """Make the content of a file durable."""
+        """Makes the content of a file durable."""
 
     def sync_folder(self, path: str) -> None:
-        """Make names that were added to a folder or removed from it durable."""
+        """Makes names that were added to or removed from a directory durable."""
 
     def close(self) -> None:
-        """Release what is held open."""
+        """Closes all open files."""
 
 
 class OsFileSystem:
-    """The files of the operating system. Descriptors stay open, one a file."""
+    """Files of the operating system. Keeps one descriptor open per file."""
 
     def __init__(self) -> None:
         self._descriptors: dict[str, int] = {}
@@ -62,11 +60,11 @@
         return descriptor
 
     def make_folder(self, path: str) -> None:
-        """Make a folder and those above it, where absent."""
+        """Creates a directory and its parents if they don't exist."""
         os.makedirs(path, exist_ok=True)
 
     def read(self, path: str) -> bytes | None:
-        """The whole content; None where there is no such file."""
+        """Returns the content; None if there is no such file."""
         try:
             with open(path, "rb") as file:
                 return file.read()
@@ -74,7 +72,7 @@
             return None
 
     def write(self, path: str, offset: int, data: bytes) -> None:
-        """Write at an offset; makes the file where absent."""
+        """Writes at an offset; creates the file if needed."""
         descriptor = self._descriptor(path)
         os.lseek(descriptor, offset, os.SEEK_SET)
         remaining = memoryview(data)
@@ -82,15 +80,15 @@
             remaining = remaining[os.write(descriptor, remaining) :]
 
     def truncate(self, path: str, size: int) -> None:
-        """Set the length."""
+        """Sets the length."""
         os.ftruncate(self._descriptor(path), size)
 
     def sync(self, path: str) -> None:
-        """Make the content of a file durable."""
+        """Makes the content of a file durable."""
         os.fsync(self._descriptor(path))
 
     def sync_folder(self, path: str) -> None:
-        """Make the names in a folder durable."""
+        """Makes the names in a directory durable."""
         descriptor = os.open(path, os.O_RDONLY | os.O_CLOEXEC)
         try:
             os.fsync(descriptor)
@@ -98,7 +96,7 @@
             os.close(descriptor)
 
     def close(self) -> None:
-        """Close all descriptors."""
+        """Closes all descriptors."""
         for descriptor in self._descriptors.values():
             os.close(descriptor)
         self._descriptors.clear()
--- a/brackenusher/storage/slot_store.py
+++ b/brackenusher/storage/slot_store.py
@@ -1,15 +1,15 @@
-"""A durable state of bounded size: two slot files written in turn, each a snapshot and a short log behind it.
+"""Durable state of bounded size: two slot files written alternately, each a snapshot followed by a short log.
 
-`replace` writes a snapshot into the slot that is not in use; from its sync on that slot is the one in use.
-`append` adds records behind the snapshot. The newest slot whose snapshot is whole holds; its log ends
-before the first record that is not whole. So power may be lost at any moment, and no file is ever renamed
-or removed.
+`replace` writes a snapshot to the inactive slot, which becomes the active one with its sync. `append` adds
+records after the snapshot. On load the slot with the highest generation and an intact snapshot is used; its
+log ends before the first record that is not intact. The state therefore survives a loss of power at any
+moment, and no file is ever renamed or removed.
 
-Layout of a slot: magic, generation, length and checksum of the snapshot, the snapshot; then records, each its
-length, its checksum and its bytes. A record's checksum goes on from the one before it, and the first from the
-header's, so bytes that an earlier use of the file left behind are never taken for records.
+Layout of a slot: magic, generation, length and checksum of the snapshot, header checksum, the snapshot; then
+records of length, checksum and data. The checksum of a record is chained to the previous one, and the first
+one to that of the header, so that records left over from an earlier use of the file are never accepted.
 
-One caller at a time, from one thread (see `writer`): every call waits on the disk.
+Not thread-safe: one caller at a time, on one thread (see `writer`). All calls block on the disk.
 """
 
 import os
@@ -26,42 +26,40 @@
 )
 
 MAGIC = b"BRKS"
-HEADER = struct.Struct(
-    ">4sQIII"
-)  # magic, generation, length, checksum of the snapshot, checksum of all before
+HEADER = struct.Struct(">4sQIII")  # magic, generation, snapshot length, snapshot checksum, checksum of these
 RECORD = struct.Struct(">II")  # length, chained checksum
 SLOT_SUFFIXES = ("a", "b")
 
 
 @dataclass(slots=True)
 class Loaded:
-    """What a store held at its start."""
+    """The contents of a store when it was loaded."""
 
     snapshot: bytes | None = None
     records: list[bytes] = field(default_factory=list)
-    damaged: bool = False  # there are files, and no slot is whole: what was stored is lost
+    damaged: bool = False  # there are files, but no intact slot: the state is lost
 
 
 @dataclass(slots=True)
 class Slot:
-    """One slot file as it was read."""
+    """The contents of one slot file."""
 
     generation: int
     snapshot: bytes
     records: list[bytes]
-    end: int  # offset behind the last whole record
+    end: int  # offset after the last intact record
     checksum: int
     size: int
 
 
 def encode_header(generation: int, snapshot: bytes) -> bytes:
-    """The bytes in front of a snapshot."""
+    """Encodes the header of a slot."""
     head = HEADER.pack(MAGIC, generation, len(snapshot), zlib.crc32(snapshot), 0)[:-4]
     return head + struct.pack(">I", zlib.crc32(head))
 
 
 def read_slot(data: bytes) -> Slot | None:
-    """What a slot file holds; None where its snapshot is not whole."""
+    """Decodes a slot file; None if its snapshot is not intact."""
     if len(data) < HEADER.size:
         return None
     magic, generation, length, snapshot_checksum, checksum = HEADER.unpack_from(data)
@@ -83,37 +81,35 @@
 
 
 def record_checksum(record: bytes, previous: int) -> int:
-    """The checksum of a record that follows one with the checksum `before`."""
+    """Returns the checksum of a record that follows one with the checksum `previous`."""
     return zlib.crc32(record, zlib.crc32(len(record).to_bytes(4, "big"), previous))
 
 
 class SlotStore:
-    """The state kept under one name in a folder."""
+    """The state stored under one name in a directory."""
 
     def __init__(self, folder: str, name: str, files: FileSystem | None = None) -> None:
         self.folder = folder
         self.files: FileSystem = files if files is not None else OsFileSystem()
         self.paths = [os.path.join(folder, f"{name}.{slot}") for slot in SLOT_SUFFIXES]
         self.generation = 0
-        self.current: int | None = None  # the slot in use
-        self.end = 0  # where the next record goes
+        self.current: int | None = None  # index of the active slot
+        self.end = 0  # offset of the next record in the active slot
         self.checksum = 0
-        self.dirty = False  # bytes behind `end` may be left by a write that failed
-        self.suspect_path = (
-            ""  # the slot of a `replace` that failed: it may be whole, and newer than the one in use
-        )
+        self.dirty = False  # a failed write may have left bytes after `end`
+        self.suspect_path = ""  # slot of a failed `replace`: may be intact and newer than the active one
 
     @property
     def slot_bytes(self) -> int:
-        """The length of the slot in use: the snapshot and its log."""
+        """The length of the active slot: header, snapshot and log."""
         return self.end
 
     def load(self) -> Loaded:
-        """What is stored, and durable. Raises StorageError.
+        """Returns the stored state once it is durable. Raises StorageError.
 
-        It writes nothing, so that it succeeds on a full disk. What a process wrote that was killed before its
-        sync is synced here: whoever reads it will rely on it. Called before all else, and again where it
-        failed.
+        Writes nothing, so that it succeeds on a full disk. Syncs the active slot, because the caller relies
+        on data that a killed process may have written without a sync. Has to be called first, and again if it
+        fails.
         """
         try:
             contents = [self.files.read(path) for path in self.paths]
@@ -125,16 +121,17 @@
             slot = slots[self.current]
             assert slot is not None
             self.end, self.checksum = slot.end, slot.checksum
-            self.dirty = slot.size > slot.end  # a torn tail: the first append cuts it
+            self.dirty = slot.size > slot.end  # a torn tail: the first append truncates it
             self.files.sync(self.paths[self.current])
         except OSError as error:
             raise to_storage_error(error) from error
         return Loaded(slot.snapshot, slot.records)
 
     def append(self, records: list[bytes]) -> None:
-        """Make records durable behind what is there, all or a first part of them. Raises StorageError.
+        """Appends records and makes them durable. Raises StorageError.
 
-        After an error none of them counts; the same or other records may be appended later.
+        If power is lost meanwhile, a prefix of the records may survive. After an error none of them is part
+        of the state; the same or other records may be appended later.
         """
         if self.current is None:
             raise StorageError("append before the first snapshot")
@@ -158,9 +155,9 @@
         self.checksum = checksum
 
     def replace(self, snapshot: bytes) -> None:
-        """Make a snapshot durable in the place of all that was stored. Raises StorageError.
+        """Replaces the stored state by a snapshot and makes it durable. Raises StorageError.
 
-        After an error what was stored before still holds.
+        After an error the previous state is still the current one.
         """
         target = 0 if self.current is None else 1 - self.current
         header = encode_header(self.generation + 1, snapshot)
@@ -172,7 +169,7 @@
             self.files.sync(path)
             self.files.sync_folder(self.folder)
         except OSError as error:
-            self.generation += 1  # a failed write may still reach the disk: its number is never used again
+            self.generation += 1  # a failed write may still reach the disk: never reuse its generation
             raise to_storage_error(error) from error
         self.generation += 1
         self.current, self.dirty, self.suspect_path = target, False, ""
@@ -180,7 +177,7 @@
         self.checksum = zlib.crc32(header[:-4])
 
     def _cut(self) -> None:
-        """Take away what stands behind the last whole record."""
+        """Truncates the active slot after the last intact record."""
         assert self.current is not None
         path = self.paths[self.current]
         self.files.truncate(path, self.end)
@@ -188,13 +185,13 @@
         self.dirty = False
 
     def _truncate_suspect(self) -> None:
-        """Take away what a failed `replace` may have left: else records appended now would be lost to it."""
+        """Empties the slot of a failed `replace`, which could otherwise supersede records appended now."""
         self.files.truncate(self.suspect_path, 0)
         self.files.sync(self.suspect_path)
         self.suspect_path = ""
 
     def close(self) -> None:
-        """Release the files."""
+        """Closes the files."""
         self.files.close()
 
 
--- a/brackenusher/storage/writer.py
+++ b/brackenusher/storage/writer.py
@@ -1,4 +1,4 @@
-"""One thread that does the work of a process that waits on the disk, in the order it was submitted."""
+"""A thread that runs blocking disk operations of the process in the order of their submission."""
 
 import asyncio
 import queue
@@ -10,7 +10,7 @@
 
 
 class StorageWriter:
-    """Runs functions one after the other on a thread of its own. Needs a running event loop."""
+    """Runs functions one by one on a dedicated thread. Needs a running event loop."""
 
     def __init__(self) -> None:
         self._loop = asyncio.get_running_loop()
@@ -19,17 +19,17 @@
         )
         self._thread = threading.Thread(target=self._run, name="storage", daemon=True)
         self._thread.start()
-        self.pending_count = 0  # submitted and not done yet
+        self.pending_count = 0  # operations submitted and not completed
 
     def submit(self, operation: Callable[[], T]) -> "asyncio.Future[T]":
-        """Have a function run on the thread; the future has what it returns or raises."""
+        """Runs a function on the thread; the future gets its result or exception."""
         future: asyncio.Future[T] = self._loop.create_future()
         self.pending_count += 1
         self._queue.put((operation, future))
         return future
 
     def close(self) -> None:
-        """End the thread once all that was submitted is done. Does not wait."""
+        """Ends the thread after all submitted operations. Does not wait."""
         self._queue.put(None)
 
     def _run(self) -> None:
@@ -39,11 +39,11 @@
             error: BaseException | None = None
             try:
                 result = operation()
-            except BaseException as caught:  # the caller gets whatever it was
+            except BaseException as caught:  # passed on to the caller, whatever it is
                 error = caught
             try:
                 self._loop.call_soon_threadsafe(self._complete, future, result, error)
-            except RuntimeError:  # the loop is closed: nobody waits any more
+            except RuntimeError:  # the loop is closed: nobody waits for the result
                 return
 
     def _complete(self, future: "asyncio.Future[Any]", result: Any, error: BaseException | None) -> None:
