--- a/brackenusher/assembly/control.py
+++ b/brackenusher/assembly/control.py
@@ -47,14 +47,19 @@
         rng = random.Random(os.urandom(16))
         self.settings = settings
         self.links = Links(own_hello(settings, "control", settings.control_internal_port, rng), rng)
-        self.writer = StorageWriter() if settings.data_dir else None
-        store = SlotStore(settings.data_dir, REGISTRY_STORE) if settings.data_dir else None
-        self.shard = ConfigShard(settings, self.links, check_configuration, rng)
+        self.storage_writer = StorageWriter() if settings.data_dir else None
+        registry_store = SlotStore(settings.data_dir, REGISTRY_STORE) if settings.data_dir else None
+        self.config_shard = ConfigShard(settings, self.links, check_configuration, rng)
         self.registry = RegistryService(
-            settings, self.links, store, self.writer, self.shard.voters, lambda: loop.time() * 1000.0
+            settings,
+            self.links,
+            registry_store,
+            self.storage_writer,
+            self.config_shard.voters,
+            lambda: loop.time() * 1000.0,
         )
-        self.feeds = FeedSource(self.links, self.shard, self.registry)
-        self.confirmations = VersionConfirmations(self.links, self.shard, lambda: loop.time() * 1000.0)
+        self.feeds = FeedSource(self.links, self.config_shard, self.registry)
+        self.confirmations = VersionConfirmations(self.links, self.config_shard, lambda: loop.time() * 1000.0)
         own_address = self.links.own.address
         self.limits = Limits(
             own_address,
@@ -67,20 +72,20 @@
         )
         limits_store = SlotStore(settings.data_dir, LIMITS_STORE) if settings.data_dir else None
         self.limits_driver = SharesDriver(
-            self.limits, self.links, lambda: loop.time() * 1000.0, limits_store, self.writer
+            self.limits, self.links, lambda: loop.time() * 1000.0, limits_store, self.storage_writer
         )
-        self.shard.on_committed.append(self._configure_limits)
-        self.shard.on_voters.append(self.limits_driver.voters_changed)
+        self.config_shard.on_committed.append(self._configure_limits)
+        self.config_shard.on_voters.append(self.limits_driver.voters_changed)
         self.monitor = Monitor(settings, self.links, rng)
         self._tick_task: asyncio.Task[None] | None = None
-        status = FleetStatus(self.links, self.shard, self.registry, self.feeds, self.monitor)
+        fleet_status = FleetStatus(self.links, self.config_shard, self.registry, self.feeds, self.monitor)
         metrics = Metrics()
-        api = Api(self.shard, self.registry, status=status.tell, metrics=metrics)
+        api = Api(self.config_shard, self.registry, status=fleet_status.tell, metrics=metrics)
         host, port = split_address(settings.listen.control)
         self.server = HttpServer(host, port, api.handle)
         add_process_metrics(metrics)
         add_link_metrics(metrics, self.links)
-        add_control_metrics(metrics, self.shard, self.registry, self.feeds, self.server)
+        add_control_metrics(metrics, self.config_shard, self.registry, self.feeds, self.server)
 
     def _configure_limits(self, configuration: Configuration) -> None:
         now = asyncio.get_running_loop().time() * 1000.0
@@ -92,13 +97,13 @@
         await self.monitor.start()
         await self.server.start()  # before stores are read: a stalled disk delays no call beyond its timeout
         self.limits_driver.start()
-        await self.shard.start()
+        await self.config_shard.start()
         self._tick_task = asyncio.get_running_loop().create_task(self._run_ticks())
         await self.registry.start()
 
     async def _run_ticks(self) -> None:
         while True:
-            self.limits.credit_machine.defers_candidacy = self.shard.is_leader
+            self.limits.credit_machine.defers_candidacy = self.config_shard.is_leader
             self.registry.tick()
             self.monitor.tick()
             await asyncio.sleep(TICK_INTERVAL_S)
@@ -111,7 +116,7 @@
 
     async def stop(self) -> None:
         """Hands over leadership, then stops all services."""
-        await self.shard.stop()
+        await self.config_shard.stop()
         await self.server.stop()
         self.limits_driver.stop()
         if self._tick_task is not None:
@@ -120,8 +125,8 @@
         await self.confirmations.stop()
         await self.monitor.stop()
         await self.links.stop()
-        if self.writer is not None:
-            self.writer.close()
+        if self.storage_writer is not None:
+            self.storage_writer.close()
 
 
 async def create_process(settings: LocalSettings) -> ControlProcess:
--- a/brackenusher/assembly/process.py
+++ b/brackenusher/assembly/process.py
@@ -82,9 +82,9 @@
     process = await create(settings)
 
     def reload() -> None:
-        changed = settings_from_environment()
-        if changed is not None:
-            process.reload(changed)
+        new_settings = settings_from_environment()
+        if new_settings is not None:
+            process.reload(new_settings)
 
     loop.add_signal_handler(signal.SIGHUP, reload)
     await process.start()
--- a/brackenusher/assembly/proxy.py
+++ b/brackenusher/assembly/proxy.py
@@ -81,7 +81,7 @@
             keys_hold=lambda: self.key_lease.holds,
             journal=self.journal,
         )
-        self.feed = FeedClient(settings, self.links, self._apply_configuration, self._servers_changed)
+        self.feed = FeedClient(settings, self.links, self._apply_configuration, self._set_servers)
         self.feed.on_voters.append(self.limits_driver.voters_changed)
         self.announcer = Announcer(loop, self.dispatcher, settings.ip, settings.internal_port_range[0])
         self.monitor = Monitor(settings, self.links, rng)
@@ -90,7 +90,7 @@
         self.monitor.applied_version = lambda: self.feed.version
         self.share_exchange = self.monitor.share_exchange = FallbackShareExchange(self.limits)
         self.monitor.key_lease = self.key_lease
-        self.monitor.on_members.append(lambda members: self._members_changed())
+        self.monitor.on_members.append(lambda members: self._update_peers())
         self._tick_task: asyncio.Task[None] | None = None
         self.server = DataPlaneServer(self.proxy, settings.limits.max_fds, self._is_ready)
         host, port = split_address(settings.listen.ready)
@@ -117,15 +117,15 @@
         self.proxy.configure(configuration)
         self.key_lease.took(configuration.generation)
 
-    def _members_changed(self) -> None:
-        count = self.monitor.count_proxies()
-        if count != self.proxy.proxy_count:
-            self.proxy.set_proxy_count(count)
-            self.dispatcher.proxies_changed(asyncio.get_running_loop().time() * 1000.0, count)
+    def _update_peers(self) -> None:
+        proxy_count = self.monitor.count_proxies()
+        if proxy_count != self.proxy.proxy_count:
+            self.proxy.set_proxy_count(proxy_count)
+            self.dispatcher.proxies_changed(asyncio.get_running_loop().time() * 1000.0, proxy_count)
         members = self.monitor.members.values()
         self.announcer.set_peers({view.address: view.zone for view in members if view.role == PROXY_ROLE})
 
-    def _servers_changed(self, service: str, records: list[InstanceRecord]) -> None:
+    def _set_servers(self, service: str, records: list[InstanceRecord]) -> None:
         self.proxy.set_servers(service, [server_info(record) for record in records])
 
     async def start(self) -> None:
--- a/brackenusher/cli.py
+++ b/brackenusher/cli.py
@@ -1,4 +1,4 @@
-"""The command line of the reverse proxy for turn servers: `serve`, `policy`, `replica`, `group` and others."""
+"""The command line of the reverse proxy for turn servers: serving, groups, policies, replicas and others."""
 
 import argparse
 import logging
--- a/brackenusher/cluster/frames.py
+++ b/brackenusher/cluster/frames.py
@@ -53,14 +53,14 @@
     return len(body).to_bytes(4, "big") + bytes((KIND_NUMBERS[type(message)],)) + body
 
 
-def decode_message(number: int, body: bytes) -> betterproto.Message:
+def decode_message(kind_number: int, body: bytes) -> betterproto.Message:
     """Decodes the message of a frame. Raises FrameError if it can't be decoded."""
-    if number >= len(MESSAGE_KINDS):
-        raise FrameError(f"kind {number} is unknown: is the peer of a newer release?")
+    if kind_number >= len(MESSAGE_KINDS):
+        raise FrameError(f"kind {kind_number} is unknown: is the peer of a newer release?")
     try:
-        return MESSAGE_KINDS[number]().parse(body)
+        return MESSAGE_KINDS[kind_number]().parse(body)
     except Exception as error:  # the library raises various exceptions for corrupt bytes
-        raise FrameError(f"{MESSAGE_KINDS[number].__name__} can't be read: {error}") from error
+        raise FrameError(f"{MESSAGE_KINDS[kind_number].__name__} can't be read: {error}") from error
 
 
 class FrameReader:
@@ -78,7 +78,7 @@
                 raise FrameError(f"a frame of {length} bytes exceeds the limit of {MAX_FRAME_BYTES}")
             if len(self._buffer) < HEADER_BYTES + length:
                 return
-            number = self._buffer[4]
+            kind_number = self._buffer[4]
             body = bytes(self._buffer[HEADER_BYTES : HEADER_BYTES + length])
             del self._buffer[: HEADER_BYTES + length]
-            yield decode_message(number, body)
+            yield decode_message(kind_number, body)
--- a/brackenusher/cluster/link_metrics.py
+++ b/brackenusher/cluster/link_metrics.py
@@ -10,8 +10,8 @@
     """Registers the number of links and their traffic."""
 
     def links_by_role() -> dict[str, float]:
-        roles = CountByName(hello.role for hello in links.connected().values())
-        return {role: float(count) for role, count in roles.items()}
+        counts = CountByName(hello.role for hello in links.connected().values())
+        return {role: float(count) for role, count in counts.items()}
 
     def bytes_by_message() -> dict[str, float]:
         return {kind: float(size) for kind, size in links.counters.bytes_by_kind.items()}
--- a/brackenusher/cluster/monitor.py
+++ b/brackenusher/cluster/monitor.py
@@ -37,8 +37,8 @@
 
 CONTROL_ROLE = "control"
 PROXY_ROLE = "proxy"
-VIEW_UPDATE_INTERVAL_MS = 1000.0  # between updates that a control process sends to members
-VIEW_SENDERS_PER_MEMBER = 2  # control processes that update one member: one may be disconnected
+MEMBER_UPDATE_INTERVAL_MS = 1000.0  # between updates that a control process sends to members
+UPDATE_SENDERS_PER_MEMBER = 2  # control processes that update one member: one may be disconnected
 MAX_DATAGRAM_BYTES = 1400  # pings are far smaller; larger datagrams are ignored
 MAX_PENDING_PINGS = 64  # unanswered pings that are remembered
 EXTRA_PING_NUMBER_OFFSET = 1 << 10  # apart from the numbers of the periodic pings, one a second
@@ -70,7 +70,7 @@
             self._member_table.on_connected(self._own_address, _member_from_hello(links.own))
         self._voters: list[str] = []
         self._voters_index = -1
-        self._views_sent_at = self._now() - rng.random() * VIEW_UPDATE_INTERVAL_MS
+        self._updates_sent_at = self._now() - rng.random() * MEMBER_UPDATE_INTERVAL_MS
         self._transport: asyncio.DatagramTransport | None = None
         links.on_message(messages.Members, self._handle_members)
         links.on_message(messages.MemberViews, self._handle_member_views)
@@ -94,8 +94,8 @@
             self._send_ping(ping.target, ping.number, now)
         for report in self._peer_monitor.take_reports():
             self._send_report(report, now)
-        if self._is_control and now - self._views_sent_at >= VIEW_UPDATE_INTERVAL_MS:
-            self._views_sent_at = now
+        if self._is_control and now - self._updates_sent_at >= MEMBER_UPDATE_INTERVAL_MS:
+            self._updates_sent_at = now
             self._send_changes(now)
 
     def _send_ping(self, target: str, number: int, now: float) -> None:
@@ -211,34 +211,34 @@
             self._member_table.on_disconnected(address, self._now())
             return
         self._member_table.on_connected(address, _member_from_hello(hello))
-        if self._sends_views_to(address):
-            self._send_views(address, self._member_table.statuses(self._now()))
+        if self._sends_updates_to(address):
+            self._send_update(address, self._member_table.statuses(self._now()))
 
     def _send_changes(self, now: float) -> None:
-        changed = self._member_table.take_changes(now)
-        if not changed:
+        changed_statuses = self._member_table.take_changes(now)
+        if not changed_statuses:
             return
         for address in self._links.connected():
-            if self._sends_views_to(address):
-                self._send_views(address, changed)
+            if self._sends_updates_to(address):
+                self._send_update(address, changed_statuses)
         self._set_members({view.address: view for view in self._member_table.statuses(now)})
 
-    def _sends_views_to(self, address: str) -> bool:
+    def _sends_updates_to(self, address: str) -> bool:
         """Whether this control process sends updates to a member: only a few do for each member."""
-        return not self._voters or self._own_address in self._view_senders(address)
+        return not self._voters or self._own_address in self._update_senders(address)
 
-    def _view_senders(self, address: str) -> list[str]:
-        return ranked(address, self._voters)[:VIEW_SENDERS_PER_MEMBER]
+    def _update_senders(self, address: str) -> list[str]:
+        return ranked(address, self._voters)[:UPDATE_SENDERS_PER_MEMBER]
 
-    def _send_views(self, address: str, views: list[MemberStatus]) -> None:
-        self._links.send(address, messages.MemberViews([to_message(view) for view in views]))
+    def _send_update(self, address: str, statuses: list[MemberStatus]) -> None:
+        self._links.send(address, messages.MemberViews([to_message(view) for view in statuses]))
 
     def _handle_member_views(self, sender: str, message: betterproto.Message) -> None:
         assert isinstance(message, messages.MemberViews)
         if not self._is_control:
             self._merged_lists.apply_update(sender, [from_message(view) for view in message.members])
             if self._voters:
-                self._merged_lists.retain_sources(self._view_senders(self._own_address))
+                self._merged_lists.retain_sources(self._update_senders(self._own_address))
             self._set_members(self._merged_lists.members())
 
     def _set_members(self, members: dict[str, MemberStatus]) -> None:
@@ -260,15 +260,15 @@
     return Member(hello.role, hello.node_name, hello.zone, hello.incarnation)
 
 
-def to_message(view: MemberStatus) -> messages.MemberView:
+def to_message(status: MemberStatus) -> messages.MemberView:
     """Encodes a member's status; incarnation 0 marks a removed member."""
     return messages.MemberView(
-        address=view.address,
-        role=view.role,
-        node_name=view.node_name,
-        zone=view.zone,
-        incarnation=0 if view.removed else view.incarnation,
-        suspected=view.suspected,
+        address=status.address,
+        role=status.role,
+        node_name=status.node_name,
+        zone=status.zone,
+        incarnation=0 if status.removed else status.incarnation,
+        suspected=status.suspected,
     )
 
 
--- a/brackenusher/cluster/records.py
+++ b/brackenusher/cluster/records.py
@@ -25,7 +25,7 @@
 
 def from_message(message: messages.InstanceRecord) -> InstanceRecord:
     """Decodes a record; a state added by a newer release becomes UNKNOWN."""
-    number = int(message.state)
+    state_number = int(message.state)
     return InstanceRecord(
         id=message.id,
         service=message.service,
@@ -33,7 +33,7 @@
         zone=message.zone,
         generation=message.generation,
         slots=message.slots,
-        state=InstanceState(number) if number <= InstanceState.SILENT else InstanceState.UNKNOWN,
+        state=InstanceState(state_number) if state_number <= InstanceState.SILENT else InstanceState.UNKNOWN,
         sequence=message.sequence,
         cold_remaining_ms=message.cold_remaining_ms,
         stage=message.stage,
--- a/brackenusher/commands/application.py
+++ b/brackenusher/commands/application.py
@@ -48,14 +48,14 @@
     """Runs a command and returns its exit code. An error is one line on standard error."""
     command = typer.main.get_command(app)
     try:
-        outcome = command.main(list(arguments), prog_name="brackenusher", standalone_mode=False)
+        exit_code = command.main(list(arguments), prog_name="brackenusher", standalone_mode=False)
     except CommandError as error:
         return _fail(str(error), error.exit_code)
     except typer.TyperException as error:
         return _fail(f"{error.format_message()} Try --help.", ExitCode.USAGE)
     except typer.Abort:
         return _fail("interrupted: start the command again", ExitCode.REFUSED)
-    return int(outcome or 0)
+    return int(exit_code or 0)
 
 
 def _fail(message: str, exit_code: ExitCode) -> int:
@@ -67,7 +67,7 @@
 
 
 def _control_client(control: list[str] | None) -> ControlClient:
-    """Returns a client for the addresses of the option, else of the environment, else of the settings file."""
+    """Returns a client for the addresses of the option, the environment or else the settings file."""
     addresses = control or os.environ.get(CONTROL_ENV_VAR, "").replace(",", " ").split()
     if addresses:
         return ControlClient(addresses)
@@ -211,18 +211,18 @@
 
 
 def _submit_order(
-    call: str, path: Path, base: int | None, control: list[str] | None, as_document: bool
+    operation: str, path: Path, base: int | None, control: list[str] | None, as_document: bool
 ) -> None:
     body, document = _load_document(path)
     client = _control_client(control)
     base_version = int(_fetch_configuration(client).get("Generation", 0)) if base is None else base
-    response = client.submit_order(call, base_version, body)
+    response = client.submit_order(operation, base_version, body)
     if response.status != 200:
-        raise _order_error(response)
+        raise _rejection_error(response)
     _print_document({"taken": document.get("Generation"), "base": base_version}, as_document)
 
 
-def _order_error(response: ControlResponse) -> CommandError:
+def _rejection_error(response: ControlResponse) -> CommandError:
     code = ExitCode.CONFLICT if response.status in (409, 412) else ExitCode.REFUSED
     return CommandError(code, response.error_message())
 
--- a/brackenusher/commands/client.py
+++ b/brackenusher/commands/client.py
@@ -53,10 +53,10 @@
         """Sends a read. Raises CommandError if no control process replies."""
         return self._request("GET", path, b"", {})
 
-    def submit_order(self, call: str, base_version: int, body: bytes) -> ControlResponse:
+    def submit_order(self, operation: str, base_version: int, body: bytes) -> ControlResponse:
         """Sends an order; it is resent unchanged after an inconclusive reply."""
         headers = {BASE_VERSION_HEADER: str(base_version), "Content-Type": "application/json"}
-        return self._request("POST", f"/-/{call}", body, headers)
+        return self._request("POST", f"/-/{operation}", body, headers)
 
     def _request(self, method: str, path: str, body: bytes, headers: dict[str, str]) -> ControlResponse:
         last_error, backoff_s = "", INITIAL_BACKOFF_S
@@ -66,7 +66,7 @@
                 backoff_s *= 2
             for address in self.addresses:
                 try:
-                    response = self._request_from(address, method, path, body, headers)
+                    response = self._request_with_redirects(address, method, path, body, headers)
                 except (OSError, http.client.HTTPException) as error:
                     last_error = f"{address}: {error or type(error).__name__}"
                     continue
@@ -76,7 +76,7 @@
         remedy = "name a control process that runs with --control IP:PORT, or wait for a majority"
         raise CommandError(ExitCode.UNREACHABLE, f"no clear answer ({last_error}): {remedy}")
 
-    def _request_from(
+    def _request_with_redirects(
         self, address: str, method: str, path: str, body: bytes, headers: dict[str, str]
     ) -> ControlResponse:
         for _ in range(MAX_REDIRECTS + 1):
--- a/brackenusher/commands/difference.py
+++ b/brackenusher/commands/difference.py
@@ -33,7 +33,7 @@
 
 
 def _named_changes(section: str, old: list[Any], new: list[Any]) -> Iterator[Change]:
-    before, after = _by_name(old), _by_name(new)
+    before, after = _items_by_name(old), _items_by_name(new)
     for name in before:
         if name not in after:
             yield Change("-", f"{section} {name}")
@@ -44,7 +44,7 @@
             yield Change("~", f"{section} {name}", tuple(_field_changes(before[name], item)))
 
 
-def _by_name(items: list[Any]) -> dict[str, dict[str, Any]]:
+def _items_by_name(items: list[Any]) -> dict[str, dict[str, Any]]:
     return {str(item.get("Name")): item for item in items if isinstance(item, dict)}
 
 
--- a/brackenusher/commands/printing.py
+++ b/brackenusher/commands/printing.py
@@ -45,8 +45,8 @@
     cells = [columns] + [[_cell(row.get(column, "")) for column in columns] for row in rows]
     widths = [max(len(line[column_index]) for line in cells) for column_index in range(len(columns))]
     for line in cells:
-        padded = (cell.ljust(width) for cell, width in zip(line, widths, strict=True))
-        yield COLUMN_GAP.join(padded).rstrip()
+        padded_cells = (cell.ljust(width) for cell, width in zip(line, widths, strict=True))
+        yield COLUMN_GAP.join(padded_cells).rstrip()
 
 
 def with_utc_times(rows: Sequence[dict[str, Any]]) -> list[dict[str, Any]]:
--- a/brackenusher/settings/document_fields.py
+++ b/brackenusher/settings/document_fields.py
@@ -123,7 +123,7 @@
 def _document_key(name: str) -> str:
     if name in LOWER_CASE_KEYS:
         return name
-    return "".join(part.capitalize() for part in name.split("_"))
+    return "".join(word.capitalize() for word in name.split("_"))
 
 
 def _register_dataclass(item_type: type[Any]) -> None:
--- a/brackenusher/settings/documents.py
+++ b/brackenusher/settings/documents.py
@@ -67,8 +67,8 @@
         raise ConfigurationError(section, "is not a list", "send a list")
     seen_names: set[object] = set()
     parsed: list[Any] = []
-    for position, item in enumerate(items):
-        label = _item_label(section, position, item)
+    for index, item in enumerate(items):
+        label = _item_label(section, index, item)
         parsed.append(_read_item(item_type, item, label))
         if parsed[-1].name in seen_names:
             raise ConfigurationError(label, "its Name is there twice", "name each item once")
@@ -80,11 +80,11 @@
     return item.get("Name") if isinstance(item, dict) else None
 
 
-def _item_label(section: str, position: int, item: object) -> str:
+def _item_label(section: str, index: int, item: object) -> str:
     name = _item_name(item)
     if isinstance(name, str):
         return f"{SECTION_ITEM_LABELS[section]} {_printable(name)}"
-    return f"{section}[{position}]"
+    return f"{section}[{index}]"
 
 
 def _read_item(item_type: type[Any], raw: object, label: str) -> Any:
@@ -114,9 +114,9 @@
             if service not in services:
                 problem = f"names the unknown service {_printable(service)}"
                 raise ConfigurationError(label, problem, "add that service")
-        other = names_by_match.setdefault((route.hostname.lower(), route.path_prefix), route.name)
-        if other != route.name:
-            problem = f"has the host and prefix of route {_printable(other)}"
+        first_name = names_by_match.setdefault((route.hostname.lower(), route.path_prefix), route.name)
+        if first_name != route.name:
+            problem = f"has the host and prefix of route {_printable(first_name)}"
             raise ConfigurationError(label, problem, "keep one of them")
 
 
@@ -139,8 +139,8 @@
     tenants_by_key: dict[str, str] = {}
     for tenant in configuration.tenants:
         for key in tenant.api_keys:
-            other = tenants_by_key.setdefault(key, tenant.name)
-            if other != tenant.name:
+            first_holder = tenants_by_key.setdefault(key, tenant.name)
+            if first_holder != tenant.name:
                 label = f"tenant {_printable(tenant.name)}"
-                problem = f"shares a key with tenant {_printable(other)}"
+                problem = f"shares a key with tenant {_printable(first_holder)}"
                 raise ConfigurationError(label, problem, "give the key to one of them")
--- a/brackenusher/settings/reading.py
+++ b/brackenusher/settings/reading.py
@@ -164,12 +164,12 @@
 
 def _configured_addresses(settings: LocalSettings) -> list[tuple[str, str]]:
     listen = settings.listen
-    named = [
+    addresses = [
         ("Listen.Front", listen.front),
         ("Listen.Ready", listen.ready),
         ("Listen.Control", listen.control),
     ]
-    return [(key, address) for key, address in named if address] + [
+    return [(key, address) for key, address in addresses if address] + [
         ("SeedNodes", address) for address in settings.seed_nodes
     ]
 
--- a/brackenusher/storage/files.py
+++ b/brackenusher/storage/files.py
@@ -53,7 +53,7 @@
     def __init__(self) -> None:
         self._descriptors: dict[str, int] = {}
 
-    def _descriptor(self, path: str) -> int:
+    def _open_descriptor(self, path: str) -> int:
         descriptor = self._descriptors.get(path)
         if descriptor is None:
             descriptor = self._descriptors[path] = os.open(path, os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o600)
@@ -73,7 +73,7 @@
 
     def write(self, path: str, offset: int, data: bytes) -> None:
         """Writes at an offset; creates the file if needed."""
-        descriptor = self._descriptor(path)
+        descriptor = self._open_descriptor(path)
         os.lseek(descriptor, offset, os.SEEK_SET)
         remaining = memoryview(data)
         while remaining:
@@ -81,11 +81,11 @@
 
     def truncate(self, path: str, size: int) -> None:
         """Sets the length."""
-        os.ftruncate(self._descriptor(path), size)
+        os.ftruncate(self._open_descriptor(path), size)
 
     def sync(self, path: str) -> None:
         """Makes the content of a file durable."""
-        os.fsync(self._descriptor(path))
+        os.fsync(self._open_descriptor(path))
 
     def sync_folder(self, path: str) -> None:
         """Makes the names in a directory durable."""
--- a/brackenusher/storage/slot_store.py
+++ b/brackenusher/storage/slot_store.py
@@ -54,8 +54,8 @@
 
 def encode_header(generation: int, snapshot: bytes) -> bytes:
     """Encodes the header of a slot."""
-    head = HEADER.pack(MAGIC, generation, len(snapshot), zlib.crc32(snapshot), 0)[:-4]
-    return head + struct.pack(">I", zlib.crc32(head))
+    fields = HEADER.pack(MAGIC, generation, len(snapshot), zlib.crc32(snapshot), 0)[:-4]
+    return fields + struct.pack(">I", zlib.crc32(fields))
 
 
 def read_slot(data: bytes) -> Slot | None:
@@ -70,13 +70,13 @@
         return None
     slot = Slot(generation, snapshot, [], HEADER.size + length, checksum, len(data))
     while slot.end + RECORD.size <= len(data):
-        length, expected = RECORD.unpack_from(data, slot.end)
+        length, expected_checksum = RECORD.unpack_from(data, slot.end)
         record = data[slot.end + RECORD.size : slot.end + RECORD.size + length]
-        if len(record) < length or record_checksum(record, slot.checksum) != expected:
+        if len(record) < length or record_checksum(record, slot.checksum) != expected_checksum:
             break
         slot.records.append(record)
         slot.end += RECORD.size + length
-        slot.checksum = expected
+        slot.checksum = expected_checksum
     return slot
 
 
@@ -159,9 +159,9 @@
 
         After an error the previous state is still the current one.
         """
-        target = 0 if self.current is None else 1 - self.current
+        slot_index = 0 if self.current is None else 1 - self.current
         header = encode_header(self.generation + 1, snapshot)
-        path = self.suspect_path = self.paths[target]
+        path = self.suspect_path = self.paths[slot_index]
         try:
             self.files.make_folder(self.folder)
             self.files.truncate(path, 0)
@@ -172,7 +172,7 @@
             self.generation += 1  # a failed write may still reach the disk: never reuse its generation
             raise to_storage_error(error) from error
         self.generation += 1
-        self.current, self.dirty, self.suspect_path = target, False, ""
+        self.current, self.dirty, self.suspect_path = slot_index, False, ""
         self.end = len(header) + len(snapshot)
         self.checksum = zlib.crc32(header[:-4])
 
