--- a/brackenusher/assembly/control.py
+++ b/brackenusher/assembly/control.py
@@ -33,10 +33,10 @@
 
 
 def check_configuration(document: dict[str, Any]) -> Result[Configuration, Exception]:
-    """Validates a document. Imports pyserde late: that takes a quarter of a second at startup."""
-    from brackenusher.settings.documents import check_document
+    """Validates a document. Imports pyserde late, as that takes a quarter of a second."""
+    from brackenusher.settings.documents import validate_document
 
-    return check_document(document)
+    return validate_document(document)
 
 
 class ControlProcess:
--- a/brackenusher/assembly/proxy.py
+++ b/brackenusher/assembly/proxy.py
@@ -85,8 +85,8 @@
         self.feed.on_voters.append(self.limits_driver.voters_changed)
         self.announcer = Announcer(loop, self.dispatcher, settings.ip, settings.internal_port_range[0])
         self.monitor = Monitor(settings, self.links, rng)
-        self.monitor.on_controls.append(self.feed.learn)
-        self.monitor.on_version.append(self.feed.hear_of_version)
+        self.monitor.on_control_addresses.append(self.feed.learn)
+        self.monitor.on_peer_version.append(self.feed.hear_of_version)
         self.monitor.applied_version = lambda: self.feed.version
         self.share_exchange = self.monitor.share_exchange = FallbackShareExchange(self.limits)
         self.monitor.key_lease = self.key_lease
--- a/brackenusher/cluster/monitor.py
+++ b/brackenusher/cluster/monitor.py
@@ -52,8 +52,8 @@
             str, messages.MemberView
         ] = {}  # latest list from the control plane, by internal address
         self.on_members: list[Callable[[list[messages.MemberView]], None]] = []  # get all members
-        self.on_controls: list[Callable[[list[str]], None]] = []  # get the voters named in a ping
-        self.on_version: list[Callable[[str, int], None]] = []  # get a peer and its version
+        self.on_control_addresses: list[Callable[[list[str]], None]] = []  # get the voters named in a ping
+        self.on_peer_version: list[Callable[[str, int], None]] = []  # get a peer and its version
         self.applied_version: Callable[[], int] = lambda: 0  # version of the configuration applied here
         self.share_exchange: FallbackShareExchange | None = None  # proxies only
         self.key_lease: KeyLease | None = None  # proxies only
@@ -169,7 +169,7 @@
     def _handle_control_addresses(self, addresses: list[str]) -> None:
         if not addresses:
             return
-        for handler in self.on_controls:
+        for handler in self.on_control_addresses:
             handler(list(addresses))
         if self._is_control and not self._control_peers():
             for address in addresses:
@@ -177,7 +177,7 @@
 
     def _handle_peer_version(self, peer: str, version: int) -> None:
         if version:
-            for handler in self.on_version:
+            for handler in self.on_peer_version:
                 handler(peer, version)
 
     # Reports and member lists
--- a/brackenusher/settings/document_fields.py
+++ b/brackenusher/settings/document_fields.py
@@ -1,7 +1,7 @@
 """Deserializes items of a configuration document into `barleybarrow.documents` with pyserde.
 
 Import this late: with pyserde it takes a second or more on a small machine. Used by
-`documents.check_document`.
+`documents.validate_document`.
 """
 
 import sys
@@ -24,7 +24,7 @@
     WeightedService,
 )
 
-LOWER_CASE_KEYS = frozenset({"gap_aim_ms", "stride"})  # spelt as the field; all others are in Pascal case
+LOWER_CASE_KEYS = frozenset({"gap_aim_ms", "stride"})  # spelled as the field; all others are in Pascal case
 MAX_NUMBER = 2.0**63  # larger numbers make no sense; also excludes infinity
 MAX_SHOWN_VALUE_CHARS = 60  # of an invalid value in a message
 
--- a/brackenusher/settings/documents.py
+++ b/brackenusher/settings/documents.py
@@ -1,8 +1,8 @@
 """Validation of the operator's configuration documents; control processes only.
 
-`check_document` converts a full document to a typed configuration, or names the invalid item and the remedy.
-Unknown fields are ignored. Parsing orders, applying patches and checking the order of versions is up to
-`barleybarrow.consensus.configuration_state`.
+`validate_document` converts a full document to a typed configuration, or names the invalid item and the
+remedy. Unknown fields are ignored. Parsing orders, applying patches and checking the order of versions is up
+to `barleybarrow.consensus.configuration_state`.
 """
 
 from collections.abc import Iterator
@@ -27,7 +27,7 @@
         self.remedy = remedy
 
 
-def check_document(raw: dict[str, Any]) -> Result[Configuration, ConfigurationError]:
+def validate_document(raw: dict[str, Any]) -> Result[Configuration, ConfigurationError]:
     """Returns the configuration in a full document, or the error that makes it invalid."""
     try:
         configuration = _read_configuration(raw)
--- a/brackenusher/settings/reading.py
+++ b/brackenusher/settings/reading.py
@@ -18,7 +18,7 @@
 DEFAULT_SETTINGS_PATH = "/etc/brackenusher/local.toml"
 MAX_PORT = 65535
 LOG_LEVELS = ("debug", "info", "warning", "error")  # those of `runtime.fleet_log`
-LOWER_CASE_KEYS = frozenset({"pass_ms", "again_s"})  # spelt as the field; all others are in Pascal case
+LOWER_CASE_KEYS = frozenset({"pass_ms", "again_s"})  # spelled as the field; all others are in Pascal case
 MAX_NUMBER = 2.0**63  # larger numbers make no sense; also excludes infinity
 MAX_SHOWN_VALUE_CHARS = 60  # of an invalid value in a message
 
@@ -73,7 +73,7 @@
     return Success(settings)
 
 
-def file_key(name: str) -> str:
+def settings_key(name: str) -> str:
     """Returns the key in the file for a field of `LocalSettings` or of its nested tables."""
     if name in LOWER_CASE_KEYS:
         return name
@@ -84,7 +84,7 @@
     """Reads a table into a dataclass; keys without a field are ignored."""
     values: dict[str, Any] = {}
     for field in dataclasses.fields(table_type):
-        key = file_key(field.name)
+        key = settings_key(field.name)
         value = table.get(key, dataclasses.MISSING)
         optional = not _is_required(field)
         if optional and (value is dataclasses.MISSING or value == "" or value == []):
--- a/tests/fleet/fake_links.py
+++ b/tests/fleet/fake_links.py
@@ -10,16 +10,16 @@
 from brackenusher.cluster import messages
 from brackenusher.cluster.frames import FrameReader, encode_frame
 
-SILENCE_S = 1.6  # a cut link is noticed so late, as with real links
-RECONNECT_S = 0.3
-LONGEST_DELAY_S = 0.02
-APART_S = 1e-6  # timers at the very same moment may fire in any order
+PEER_TIMEOUT_S = 1.6  # a cut link is noticed so late, as with real links
+RECONNECT_INTERVAL_S = 0.3
+MAX_DELAY_S = 0.02
+MIN_TIMER_GAP_S = 1e-6  # timers at the very same moment may fire in any order
 
-Pair = tuple[str, str]
+AddressPair = tuple[str, str]
 
 
-def pair(one: str, other: str) -> Pair:
-    return (one, other) if one < other else (other, one)
+def pair(first: str, second: str) -> AddressPair:
+    return (first, second) if first < second else (second, first)
 
 
 @dataclass
@@ -27,8 +27,10 @@
     """One connection between two processes."""
 
     alive: bool = True
-    lossy: bool = False  # something was lost in a cut: the session ends when the cut heals
-    free_at: dict[str, float] = field(default_factory=dict)  # by receiver: messages of a link stay in order
+    lost_data: bool = False  # something was lost in a cut: the session ends when the cut heals
+    last_due_at: dict[str, float] = field(
+        default_factory=dict
+    )  # by receiver: messages of a link stay in order
 
 
 class FakeLinks:
@@ -56,7 +58,7 @@
             return False
         frame = encode_frame(message)
         self.sent_bytes += len(frame)
-        self.network.carry(self.own.address, address, self.sessions[address][0], frame)
+        self.network.transmit(self.own.address, address, self.sessions[address][0], frame)
         return True
 
     def connected(self) -> dict[str, messages.Hello]:
@@ -68,19 +70,19 @@
     def on_change(self, handler: Callable[[str, messages.Hello | None], None]) -> None:
         self.change_handlers.append(handler)
 
-    def greeted(self, address: str, session: Session, hello: messages.Hello) -> None:
+    def handle_hello(self, address: str, session: Session, hello: messages.Hello) -> None:
         if self.alive and session.alive:
             self.sessions[address] = (session, hello)
             for handler in self.change_handlers:
                 handler(address, hello)
 
-    def lost(self, address: str, session: Session) -> None:
+    def handle_disconnect(self, address: str, session: Session) -> None:
         if self.alive and address in self.sessions and self.sessions[address][0] is session:
             del self.sessions[address]
             for handler in self.change_handlers:
                 handler(address, None)
 
-    def take(self, sender: str, session: Session, frame: bytes) -> None:
+    def handle_frame(self, sender: str, session: Session, frame: bytes) -> None:
         if not self.alive or sender not in self.sessions or self.sessions[sender][0] is not session:
             return
         for message in FrameReader().feed(frame):
@@ -94,46 +96,48 @@
     def __init__(self, rng: random.Random) -> None:
         self.loop, self.rng = asyncio.get_running_loop(), rng
         self.processes: dict[str, FakeLinks] = {}
-        self.sessions: dict[Pair, Session] = {}
-        self.cuts: set[Pair] = set()
+        self.sessions: dict[AddressPair, Session] = {}
+        self.cuts: set[AddressPair] = set()
         self.errors: list[BaseException] = []
-        self.loop.set_exception_handler(self._failed)
-        self.keeper = self.loop.create_task(self._keep_connecting())
+        self.loop.set_exception_handler(self._record_error)
+        self.connect_task = self.loop.create_task(self._run_connects())
 
     def open(self, own: messages.Hello) -> FakeLinks:
         links = self.processes[own.address] = FakeLinks(self, own)
         return links
 
-    def carry(self, sender: str, receiver: str, session: Session, frame: bytes) -> None:
+    def transmit(self, sender: str, receiver: str, session: Session, frame: bytes) -> None:
         if pair(sender, receiver) in self.cuts:
-            session.lossy = True
+            session.lost_data = True
             return
-        due = max(self._soon(), session.free_at.get(receiver, 0.0) + APART_S)
-        session.free_at[receiver] = due
+        due = max(self._random_due(), session.last_due_at.get(receiver, 0.0) + MIN_TIMER_GAP_S)
+        session.last_due_at[receiver] = due
         self.loop.call_at(due, self._deliver, sender, receiver, session, frame)
 
     def _deliver(self, sender: str, receiver: str, session: Session, frame: bytes) -> None:
         if pair(sender, receiver) in self.cuts:
-            session.lossy = True
+            session.lost_data = True
         elif session.alive:
             links = self.processes[receiver]
             if links.frozen_until > self.loop.time():
-                due = session.free_at[receiver] = max(links.frozen_until, session.free_at[receiver]) + APART_S
+                due = session.last_due_at[receiver] = (
+                    max(links.frozen_until, session.last_due_at[receiver]) + MIN_TIMER_GAP_S
+                )
                 self.loop.call_at(due, self._deliver, sender, receiver, session, frame)
             else:
-                links.take(sender, session, frame)
+                links.handle_frame(sender, session, frame)
 
     def cut(self, one: str, other: str) -> None:
         """Nothing passes between two processes any more; both notice late."""
         self.cuts.add(pair(one, other))
         session = self.sessions.get(pair(one, other))
         if session is not None:
-            self.loop.call_later(SILENCE_S, self._end_if_cut, one, other, session)
+            self.loop.call_later(PEER_TIMEOUT_S, self._end_if_partitioned, one, other, session)
 
     def heal(self, one: str, other: str) -> None:
         self.cuts.discard(pair(one, other))
         session = self.sessions.get(pair(one, other))
-        if session is not None and session.lossy:
+        if session is not None and session.lost_data:
             self._end(one, other)
 
     def reset(self, one: str, other: str) -> None:
@@ -144,12 +148,12 @@
         """A process stands still for a while; peers end its links once it has been silent for long."""
         links = self.processes[address]
         links.frozen_until = self.loop.time() + seconds
-        if seconds > SILENCE_S:
-            for key, session in self.sessions.items():
-                if address in key:
-                    self.loop.call_later(SILENCE_S, self._end_if_same, *key, session)
+        if seconds > PEER_TIMEOUT_S:
+            for addresses, session in self.sessions.items():
+                if address in addresses:
+                    self.loop.call_later(PEER_TIMEOUT_S, self._end_session, *addresses, session)
 
-    def _end_if_same(self, one: str, other: str, session: Session) -> None:
+    def _end_session(self, one: str, other: str, session: Session) -> None:
         if self.sessions.get((one, other)) is session:
             self._end(one, other)
 
@@ -162,9 +166,11 @@
                 session.alive = False
                 del self.sessions[one, other]
                 links = self.processes[peer]
-                self.loop.call_later(SILENCE_S if silent else 0.002, links.lost, address, session)
+                self.loop.call_later(
+                    PEER_TIMEOUT_S if silent else 0.002, links.handle_disconnect, address, session
+                )
 
-    def _end_if_cut(self, one: str, other: str, session: Session) -> None:
+    def _end_if_partitioned(self, one: str, other: str, session: Session) -> None:
         if pair(one, other) in self.cuts and self.sessions.get(pair(one, other)) is session:
             self._end(one, other)
 
@@ -172,34 +178,34 @@
         session = self.sessions.pop(pair(one, other), None)
         if session is not None:
             session.alive = False
-            self.processes[one].lost(other, session)
-            self.processes[other].lost(one, session)
+            self.processes[one].handle_disconnect(other, session)
+            self.processes[other].handle_disconnect(one, session)
 
-    def _soon(self) -> float:
-        return self.loop.time() + self.rng.uniform(0.0005, LONGEST_DELAY_S)
+    def _random_due(self) -> float:
+        return self.loop.time() + self.rng.uniform(0.0005, MAX_DELAY_S)
 
-    async def _keep_connecting(self) -> None:
+    async def _run_connects(self) -> None:
         while True:
-            await asyncio.sleep(RECONNECT_S / 3)
+            await asyncio.sleep(RECONNECT_INTERVAL_S / 3)
             for one, links in list(self.processes.items()):
                 for other in sorted(links.wanted_peers):
                     self._connect(one, other)
 
     def _connect(self, one: str, other: str) -> None:
-        key, peer = pair(one, other), self.processes.get(other)
+        addresses, peer = pair(one, other), self.processes.get(other)
         if peer is None or not peer.alive or not self.processes[one].alive:
             return
         if max(peer.frozen_until, self.processes[one].frozen_until) > self.loop.time():
             return
-        if key in self.sessions or key in self.cuts or self.rng.random() < 0.5:
+        if addresses in self.sessions or addresses in self.cuts or self.rng.random() < 0.5:
             return
-        session = self.sessions[key] = Session()
-        for here, there in ((one, other), (other, one)):
-            due = session.free_at[here] = self._soon()  # the greeting comes before all else
-            hello = self.processes[there].own
-            self.loop.call_at(due, self.processes[here].greeted, there, session, hello)
+        session = self.sessions[addresses] = Session()
+        for local, remote in ((one, other), (other, one)):
+            due = session.last_due_at[local] = self._random_due()  # the greeting comes before all else
+            hello = self.processes[remote].own
+            self.loop.call_at(due, self.processes[local].handle_hello, remote, session, hello)
 
-    def _failed(self, loop: asyncio.AbstractEventLoop, context: dict[str, object]) -> None:
+    def _record_error(self, loop: asyncio.AbstractEventLoop, context: dict[str, object]) -> None:
         error = context.get("exception")
         if isinstance(error, BaseException):
             self.errors.append(error)
--- a/tests/fleet/test_documents.py
+++ b/tests/fleet/test_documents.py
@@ -10,7 +10,7 @@
 from returns.result import Failure, Success
 
 from barleybarrow.documents import Configuration, QuotaUnit, Route, RouteKind, WeightedService
-from brackenusher.settings.documents import check_document
+from brackenusher.settings.documents import validate_document
 from tests.fleet.document_examples import example
 
 Change = Callable[[dict[str, Any]], Any]
@@ -18,7 +18,7 @@
 
 def configuration_of(document: dict[str, Any]) -> Configuration:
     """The typed form; fails the test where the document is refused."""
-    match check_document(document):
+    match validate_document(document):
         case Success(configuration):
             return configuration
         case Failure(error):
@@ -28,7 +28,7 @@
 
 def refusal_of(document: Any) -> str:
     """The message; fails the test where the document is taken."""
-    match check_document(document):
+    match validate_document(document):
         case Failure(error):
             return str(error)
     raise AssertionError("taken")
@@ -244,7 +244,7 @@
     def test_values_exchanged_at_random(self) -> None:
         taken = refused = 0
         for seed in range(3000):
-            match check_document(odd_document(random.Random(seed))):
+            match validate_document(odd_document(random.Random(seed))):
                 case Success(configuration):
                     self.assert_sound(configuration, f"seed {seed}")
                     taken += 1
@@ -315,9 +315,9 @@
     def test_checking_does_not_import_numpy(self) -> None:
         """pyserde would, where it is installed; it costs a control process 10 MB."""
         code = (
-            "import sys; from brackenusher.settings.documents import check_document;"
+            "import sys; from brackenusher.settings.documents import validate_document;"
             "from tests.fleet.document_examples import example;"
-            "check_document(example()).unwrap();"
+            "validate_document(example()).unwrap();"
             "print('serde' in sys.modules, 'numpy' in sys.modules); import numpy"
         )
         done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True)
--- a/tests/fleet/test_key_leases.py
+++ b/tests/fleet/test_key_leases.py
@@ -17,24 +17,24 @@
 from tests.fleet.lease_world import REVOKE_MS, LeaseSimulation, run_lease_faults
 from tests.fleet.virtual_time import play
 
-DAYS = 12
-MOST_DAYS = 40  # until a planted fault shows
-MOST_RENEWAL_BYTES = 60  # both messages of one, without TCP's own
+SIMULATION_RUNS = 12
+MAX_SIMULATION_RUNS = 40  # until a planted fault shows
+MAX_RENEWAL_BYTES = 60  # both messages of one, without TCP's own
 
 
-def story(test: Callable[[Any, LeaseSimulation], Awaitable[None]]) -> Callable[[Any], None]:
-    """A test that is played in a world of its own, with one version in force."""
+def in_simulation(scenario: Callable[[Any, LeaseSimulation], Awaitable[None]]) -> Callable[[Any], None]:
+    """A test that is played in a simulation of its own, with one version in force."""
 
     def run(self: Any) -> None:
-        async def whole() -> None:
-            world = LeaseSimulation(random.Random(1), proxy_count=2)
-            world.start()
-            world.commit(make_configuration(3))
+        async def run_scenario() -> None:
+            simulation = LeaseSimulation(random.Random(1), proxy_count=2)
+            simulation.start()
+            simulation.commit(make_configuration(3))
             await asyncio.sleep(3.0)
-            await test(self, world)
-            self.assertEqual(world.network.errors, [])
+            await scenario(self, simulation)
+            self.assertEqual(simulation.network.errors, [])
 
-        play(whole())
+        play(run_scenario())
 
     return run
 
@@ -42,15 +42,15 @@
 class LeaseTest(unittest.TestCase):
     """The lease by itself; clocks of two processes may differ by `DRIFT`."""
 
-    def test_it_counts_from_the_question_and_the_age_that_was_told(self) -> None:
+    def test_expiry_counts_from_the_request_and_the_reported_age(self) -> None:
         lease = RevocationLease(5000.0)
         lease.on_applied(7)
         lease.on_confirmation(7, requested_at=1000.0, age_ms=300.0)
-        ends = 1000.0 - 300.0 + 5000.0 / MAX_CLOCK_DRIFT_RATIO
-        self.assertTrue(lease.is_valid(ends - 1.0))
-        self.assertFalse(lease.is_valid(ends + 1.0))
+        expires_at = 1000.0 - 300.0 + 5000.0 / MAX_CLOCK_DRIFT_RATIO
+        self.assertTrue(lease.is_valid(expires_at - 1.0))
+        self.assertFalse(lease.is_valid(expires_at + 1.0))
 
-    def test_a_newer_version_than_the_one_in_force_holds_once_it_is_taken(self) -> None:
+    def test_confirmation_of_a_newer_version_counts_once_it_is_applied(self) -> None:
         lease = RevocationLease(5000.0)
         lease.on_applied(7)
         lease.on_confirmation(8, requested_at=1000.0, age_ms=0.0)
@@ -58,103 +58,106 @@
         lease.on_applied(8)
         self.assertTrue(lease.is_valid(1001.0))
 
-    def test_a_confirmation_of_an_older_version_holds_as_well(self) -> None:
+    def test_confirmation_of_an_older_version_is_valid(self) -> None:
         lease = RevocationLease(5000.0)
         lease.on_applied(9)
         lease.on_confirmation(7, requested_at=1000.0, age_ms=0.0)
         self.assertTrue(lease.is_valid(1001.0))
 
-    def test_an_older_confirmation_takes_nothing_back(self) -> None:
+    def test_older_confirmation_does_not_shorten_the_lease(self) -> None:
         lease = RevocationLease(5000.0)
         lease.on_applied(7)
         lease.on_confirmation(7, requested_at=4000.0, age_ms=0.0)
         lease.on_confirmation(7, requested_at=1000.0, age_ms=0.0)
         self.assertEqual(lease.current.as_of, 4000.0)
 
-    def test_what_is_too_old_is_told_to_nobody(self) -> None:
+    def test_old_confirmation_is_not_shared(self) -> None:
         lease = RevocationLease(5000.0)
         lease.on_applied(7)
         lease.on_confirmation(7, requested_at=0.0, age_ms=0.0)
         self.assertEqual(lease.shareable_confirmation(4000.0), lease.current)
         self.assertIsNone(lease.shareable_confirmation(4900.0))
 
-    def test_it_is_renewed_several_times_in_a_lease_also_where_that_is_short(self) -> None:
+    def test_renewal_interval_is_a_fraction_of_short_leases(self) -> None:
         self.assertLess(4 * RevocationLease(300.0).renewal_interval_ms, 300.0)
         self.assertEqual(RevocationLease(60_000.0).renewal_interval_ms, 1000.0)
 
 
-class FleetTest(unittest.TestCase):
+class LeaseInFleetTest(unittest.TestCase):
     """Proxies, control processes and links in virtual time."""
 
-    async def cut_off(self, world: LeaseSimulation, proxy: ProxyProcess) -> None:
-        for address in [*world.voters, *world.proxies]:
+    async def isolate(self, simulation: LeaseSimulation, proxy: ProxyProcess) -> None:
+        for address in [*simulation.voters, *simulation.proxies]:
             if address != proxy.address:
-                world.network.cut(proxy.address, address)
-
-    @story
-    async def test_a_proxy_that_is_cut_off_stops_in_time_and_goes_on_afterwards(
-        self, world: LeaseSimulation
-    ) -> None:
-        proxy, other = world.proxies.values()
-        lease = world.leases[proxy.address]
+                simulation.network.cut(proxy.address, address)
+
+    @in_simulation
+    async def test_isolated_proxy_stops_in_time_and_resumes(self, simulation: LeaseSimulation) -> None:
+        proxy, other = simulation.proxies.values()
+        lease = simulation.leases[proxy.address]
         self.assertTrue(lease.holds)
-        await self.cut_off(world, proxy)
+        await self.isolate(simulation, proxy)
         await asyncio.sleep(REVOKE_MS / 1000.0)
         self.assertFalse(lease.holds)
-        self.assertTrue(world.leases[other.address].holds, "the other is in touch")
-        for one, two in sorted(world.network.cuts):
-            world.network.heal(one, two)
+        self.assertTrue(simulation.leases[other.address].holds, "the other is in touch")
+        for one, two in sorted(simulation.network.cuts):
+            simulation.network.heal(one, two)
         await asyncio.sleep(2.0)
         self.assertTrue(lease.holds)
 
-    @story
-    async def test_a_peer_passes_on_what_control_told_it(self, world: LeaseSimulation) -> None:
-        proxy = next(iter(world.proxies.values()))
-        for voter in world.voters:
-            world.network.cut(proxy.address, voter)
+    @in_simulation
+    async def test_peer_shares_its_confirmation(self, simulation: LeaseSimulation) -> None:
+        proxy = next(iter(simulation.proxies.values()))
+        for voter in simulation.voters:
+            simulation.network.cut(proxy.address, voter)
         await asyncio.sleep(3 * REVOKE_MS / 1000.0)
-        self.assertTrue(world.leases[proxy.address].holds)
+        self.assertTrue(simulation.leases[proxy.address].holds)
 
-    @story
-    async def test_without_a_majority_all_leases_end(self, world: LeaseSimulation) -> None:
-        for voter in world.voters[1:]:
-            world.kill_control(voter)
+    @in_simulation
+    async def test_leases_expire_without_a_majority(self, simulation: LeaseSimulation) -> None:
+        for voter in simulation.voters[1:]:
+            simulation.kill_control(voter)
         await asyncio.sleep(REVOKE_MS / 1000.0 + 1.0)
-        self.assertEqual([lease.holds for lease in world.leases.values()], [False, False])
+        self.assertEqual([lease.holds for lease in simulation.leases.values()], [False, False])
 
-    @story
-    async def test_many_questions_are_served_by_few_reads(self, world: LeaseSimulation) -> None:
-        voter = world.voters[0]
+    @in_simulation
+    async def test_many_requests_share_few_quorum_reads(self, simulation: LeaseSimulation) -> None:
+        voter = simulation.voters[0]
         reads = 0
-        confirm = world.controls[voter].shard.confirm
+        confirm = simulation.controls[voter].shard.confirm
 
-        async def counted(timeout_s: float) -> bool:
+        async def counting_confirm(timeout_s: float) -> bool:
             nonlocal reads
             reads += 1
             return await confirm(timeout_s)
 
-        world.controls[voter].shard.confirm = counted  # type: ignore[method-assign]
-        asked = world.confirmations[voter]
+        simulation.controls[voter].shard.confirm = counting_confirm  # type: ignore[method-assign]
+        responder = simulation.confirmations[voter]
         for number in range(400):
-            asked._asked(f"10.7.0.{number}:7001", messages.VersionQuestion(number + 1))
+            responder._asked(f"10.7.0.{number}:7001", messages.VersionQuestion(number + 1))
             await asyncio.sleep(0.0025)
         self.assertLessEqual(reads, 6, "a second of questions from 400 proxies")
-        self.assertLessEqual(len(asked._waiting), 400)
+        self.assertLessEqual(len(responder._waiting), 400)
 
-    def test_a_renewal_costs_few_bytes(self) -> None:
+    def test_renewal_messages_are_small(self) -> None:
         question, answer = messages.VersionQuestion(2**60), messages.VersionAnswer(2**60, 10**9, 10**4)
         sizes = [len(encode_frame(message)) for message in (question, answer)]
-        self.assertLess(sum(sizes), MOST_RENEWAL_BYTES)
+        self.assertLess(sum(sizes), MAX_RENEWAL_BYTES)
 
 
-def histories(seed: int, strict: bool = True) -> list[str]:
+def find_violations(seed: int, strict: bool = True) -> list[str]:
     """What the oracle finds on one day."""
-    world = run_lease_faults(seed, strict)
-    errors = [f"ERROR: {error!r}" for error in world.network.errors]
-    return world.find_revoked() + world.refused_while_connected + world.left_without_lease + errors
+    simulation = run_lease_faults(seed, strict)
+    errors = [f"ERROR: {error!r}" for error in simulation.network.errors]
+    return (
+        simulation.find_revoked()
+        + simulation.refused_while_connected
+        + simulation.left_without_lease
+        + errors
+    )
 
 
-class QuietTest(unittest.TestCase):
+class SilentLogTest(unittest.TestCase):
     """Days whose troubles would fill the log."""
 
     def setUp(self) -> None:
@@ -162,40 +165,44 @@
         self.addCleanup(logging.disable, logging.NOTSET)
 
 
-class DaysTest(QuietTest):
+class RandomFaultsTest(SilentLogTest):
     """Days drawn by chance: cuts, freezes, clocks of different rates, lost and late messages."""
 
-    def test_no_key_is_used_after_its_time(self) -> None:
-        for seed in range(DAYS):
-            self.assertEqual(histories(seed), [], f"day {seed}")
+    def test_no_key_is_used_after_its_revocation_deadline(self) -> None:
+        for seed in range(SIMULATION_RUNS):
+            self.assertEqual(find_violations(seed), [], f"day {seed}")
 
-    def test_where_the_rule_is_off_no_request_is_refused_and_nothing_is_asked(self) -> None:
+    def test_without_strict_revocation_nothing_is_refused_or_requested(self) -> None:
         for seed in range(3):
-            world = run_lease_faults(seed, strict=False)
-            self.assertEqual(world.refused_while_connected + world.left_without_lease, [])
-            self.assertTrue(all(not told.held.version for told in world.confirmations.values()))
+            simulation = run_lease_faults(seed, strict=False)
+            self.assertEqual(simulation.refused_while_connected + simulation.left_without_lease, [])
+            self.assertTrue(
+                all(not responder.held.version for responder in simulation.confirmations.values())
+            )
 
-    def test_the_days_are_hard_enough(self) -> None:
+    def test_violations_occur_without_strict_revocation(self) -> None:
         """Where the rule is off, keys are used after their time: the oracle sees it."""
-        self.assertTrue(any(run_lease_faults(seed, strict=False).find_revoked() for seed in range(DAYS)))
+        self.assertTrue(
+            any(run_lease_faults(seed, strict=False).find_revoked() for seed in range(SIMULATION_RUNS))
+        )
 
 
-class PlantedTest(QuietTest):
+class InjectedBugsTest(SilentLogTest):
     """The days find each of these faults."""
 
-    def found(self, owner: Any, name: str, fault: Any) -> None:
-        with mock.patch.object(owner, name, fault):
-            shown = any(run_lease_faults(seed).find_revoked() for seed in range(MOST_DAYS))
-        self.assertTrue(shown, "no day shows it")
+    def assert_revealed(self, owner: Any, name: str, bug: Any) -> None:
+        with mock.patch.object(owner, name, bug):
+            revealed = any(run_lease_faults(seed).find_revoked() for seed in range(MAX_SIMULATION_RUNS))
+        self.assertTrue(revealed, "no day shows it")
 
-    def test_a_lease_that_counts_from_the_answers_arrival(self) -> None:
-        def confirmed(self: RevocationLease, version: int, requested_at: float, age_ms: float) -> None:
-            honest(self, version, arrived_at[0], age_ms)
+    def test_lease_counted_from_the_arrival_of_the_reply(self) -> None:
+        def on_confirmation(self: RevocationLease, version: int, requested_at: float, age_ms: float) -> None:
+            original(self, version, arrived_at[0], age_ms)
 
-        honest, arrived_at = RevocationLease.on_confirmation, [0.0]
+        original, arrived_at = RevocationLease.on_confirmation, [0.0]
         handle_answer, peer_answered = KeyLease._handle_version_answer, KeyLease.peer_answered
 
-        def noting(method: Any) -> Any:
+        def noting_arrival(method: Any) -> Any:
             def wrapper(self: KeyLease, *arguments: Any) -> None:
                 arrived_at[0] = self._now()
                 method(self, *arguments)
@@ -203,47 +210,47 @@
             return wrapper
 
         with (
-            mock.patch.object(KeyLease, "peer_answered", noting(peer_answered)),
-            mock.patch.object(KeyLease, "_handle_version_answer", noting(handle_answer)),
+            mock.patch.object(KeyLease, "peer_answered", noting_arrival(peer_answered)),
+            mock.patch.object(KeyLease, "_handle_version_answer", noting_arrival(handle_answer)),
         ):
-            self.found(RevocationLease, "on_confirmation", confirmed)
+            self.assert_revealed(RevocationLease, "on_confirmation", on_confirmation)
 
-    def test_a_member_that_is_behind_and_confirms_by_what_it_has(self) -> None:
+    def test_lagging_member_confirms_without_a_quorum_read(self) -> None:
         async def confirm(self: VersionConfirmations) -> None:
-            with mock.patch.object(self._config_shard, "confirm", believing):
-                await honest(self)
+            with mock.patch.object(self._config_shard, "confirm", always_confirmed):
+                await original(self)
 
-        async def believing(timeout_s: float) -> bool:
+        async def always_confirmed(timeout_s: float) -> bool:
             return True
 
-        honest = VersionConfirmations._confirm
-        self.found(VersionConfirmations, "_confirm", confirm)
+        original = VersionConfirmations._confirm
+        self.assert_revealed(VersionConfirmations, "_confirm", confirm)
 
-    def test_a_lease_that_is_kept_through_a_freeze(self) -> None:
+    def test_validity_cached_by_a_timer_outlives_a_freeze(self) -> None:
         """The answer is worked out by the timer, and requests that come after a freeze find the old one."""
-        honest_tick, honest_holds = KeyLease.tick, KeyLease.holds.fget
-        assert honest_holds is not None
-        last: dict[int, bool] = {}
+        original_tick, original_holds = KeyLease.tick, KeyLease.holds.fget
+        assert original_holds is not None
+        last_result: dict[int, bool] = {}
 
         def tick(self: KeyLease, sources: list[str]) -> None:
-            last[id(self)] = honest_holds(self)
-            honest_tick(self, sources)
+            last_result[id(self)] = original_holds(self)
+            original_tick(self, sources)
 
         with mock.patch.object(KeyLease, "tick", tick):
-            self.found(KeyLease, "holds", property(lambda self: last.get(id(self), False)))
+            self.assert_revealed(KeyLease, "holds", property(lambda self: last_result.get(id(self), False)))
 
-    def test_a_peer_that_leaves_the_age_out(self) -> None:
+    def test_peer_omits_the_age_of_a_confirmation(self) -> None:
         def fields(confirmation: Any, now: float) -> tuple[int, int]:
             return confirmation.version, 1
 
-        self.found(key_leases, "confirmation_fields", fields)
+        self.assert_revealed(key_leases, "confirmation_fields", fields)
 
-    def test_a_version_that_is_not_in_force_yet_counts(self) -> None:
-        def confirmed(self: RevocationLease, version: int, requested_at: float, age_ms: float) -> None:
-            honest(self, 0, requested_at, age_ms)
+    def test_confirmation_counts_before_its_version_is_applied(self) -> None:
+        def on_confirmation(self: RevocationLease, version: int, requested_at: float, age_ms: float) -> None:
+            original(self, 0, requested_at, age_ms)
 
-        honest = RevocationLease.on_confirmation
-        self.found(RevocationLease, "on_confirmation", confirmed)
+        original = RevocationLease.on_confirmation
+        self.assert_revealed(RevocationLease, "on_confirmation", on_confirmation)
 
 
 if __name__ == "__main__":
--- a/tests/fleet/test_links.py
+++ b/tests/fleet/test_links.py
@@ -32,7 +32,7 @@
         links.on_change(lambda peer, hello: self.changes.put_nowait((peer, hello)))
 
 
-async def opened(role: str, address: str = "") -> Recorder:
+async def start_links(role: str, address: str = "") -> Recorder:
     links = Links(messages.Hello(address=address or free_address(), role=role, incarnation=7))
     recorder = Recorder(links)
     await links.start()
@@ -42,15 +42,15 @@
 class LinksTest(unittest.TestCase):
     """Two processes and a listener between them."""
 
-    def play(self, story: Callable[[], Awaitable[None]]) -> None:
-        async def bounded() -> None:
-            await asyncio.wait_for(story(), 20.0)
+    def run_with_timeout(self, scenario: Callable[[], Awaitable[None]]) -> None:
+        async def with_timeout() -> None:
+            await asyncio.wait_for(scenario(), 20.0)
 
-        asyncio.run(bounded())
+        asyncio.run(with_timeout())
 
-    def test_both_sides_learn_who_the_other_is_and_can_send(self) -> None:
+    def test_both_sides_get_a_hello_and_can_send(self) -> None:
         async def story() -> None:
-            control, proxy = await opened("control"), await opened("proxy")
+            control, proxy = await start_links("control"), await start_links("proxy")
             proxy.links.connect(control.links.own.address)
             peer, hello = await control.changes.get()
             self.assertEqual((peer, hello and hello.role), (proxy.links.own.address, "proxy"))
@@ -63,27 +63,27 @@
             await control.links.stop()
             await proxy.links.stop()
 
-        self.play(story)
+        self.run_with_timeout(story)
 
-    def test_a_peer_that_ends_is_told_and_one_that_comes_back_is_found(self) -> None:
+    def test_stopped_peer_is_reported_and_restarted_peer_is_reconnected(self) -> None:
         async def story() -> None:
-            control, proxy = await opened("control"), await opened("proxy")
+            control, proxy = await start_links("control"), await start_links("proxy")
             address = control.links.own.address
             proxy.links.connect(address)
             await proxy.changes.get()
             await control.links.stop()
             self.assertEqual(await proxy.changes.get(), (address, None))
             self.assertFalse(proxy.links.send(address, messages.ConfigFetch()))
-            again = await opened("control", address)
+            again = await start_links("control", address)
             self.assertEqual((await proxy.changes.get())[0], address)
             await again.links.stop()
             await proxy.links.stop()
 
-        self.play(story)
+        self.run_with_timeout(story)
 
-    def test_a_peer_under_another_name_is_turned_away(self) -> None:
+    def test_hello_with_unexpected_address_is_rejected(self) -> None:
         async def story() -> None:
-            stranger, proxy = await opened("control"), await opened("proxy")
+            stranger, proxy = await start_links("control"), await start_links("proxy")
             listener = stranger.links.own.address
             stranger.links.own = messages.Hello(address="127.0.0.1:1", role="control")
             proxy.links.connect(listener)
@@ -93,11 +93,11 @@
             await stranger.links.stop()
             await proxy.links.stop()
 
-        self.play(story)
+        self.run_with_timeout(story)
 
-    def test_bytes_that_are_no_frames_end_the_link(self) -> None:
+    def test_invalid_frame_closes_the_link(self) -> None:
         async def story() -> None:
-            control = await opened("control")
+            control = await start_links("control")
             host, _, port = control.links.own.address.rpartition(":")
             reader, writer = await asyncio.open_connection(host, int(port))
             writer.write(b"GET / HTTP/1.1\r\n\r\n")
@@ -107,11 +107,11 @@
             writer.close()
             await control.links.stop()
 
-        self.play(story)
+        self.run_with_timeout(story)
 
     def test_messages_before_the_greeting_are_not_heard(self) -> None:
         async def story() -> None:
-            control = await opened("control")
+            control = await start_links("control")
             host, _, port = control.links.own.address.rpartition(":")
             reader, writer = await asyncio.open_connection(host, int(port))
             writer.write(encode_frame(messages.ConfigFetch(have_version=9)))
@@ -121,11 +121,11 @@
             writer.close()
             await control.links.stop()
 
-        self.play(story)
+        self.run_with_timeout(story)
 
-    def test_a_failing_handler_does_not_end_the_link(self) -> None:
+    def test_handler_exception_does_not_close_the_link(self) -> None:
         async def story() -> None:
-            control, proxy = await opened("control"), await opened("proxy")
+            control, proxy = await start_links("control"), await start_links("proxy")
 
             def fail(peer: str, message: betterproto.Message) -> None:
                 raise ValueError("a fault of this handler")
@@ -140,46 +140,46 @@
             await control.links.stop()
             await proxy.links.stop()
 
-        self.play(story)
+        self.run_with_timeout(story)
 
 
-class SilentPeerLinks(Links):
+class UnresponsivePeerLinks(Links):
     """Links whose peer's machine is down until a time: it says nothing to whoever calls."""
 
     up_at = 0.0
-    calls: list[tuple[float, float]]
+    attempts: list[tuple[float, float]]
 
     async def _connect_once(self, address: str, timeout_s: float) -> LinkConnection | None:
-        self.calls.append((self.loop.time(), timeout_s))
+        self.attempts.append((self.loop.time(), timeout_s))
         if self.loop.time() < self.up_at:
             await asyncio.sleep(timeout_s)
             return None
         raise asyncio.CancelledError
 
 
-class PeerThatIsDownTest(unittest.TestCase):
+class ReconnectTest(unittest.TestCase):
     """How soon a peer is found whose machine comes up, in virtual time."""
 
-    def found_after(self, down_s: float) -> tuple[float, list[tuple[float, float]]]:
+    def connect_delay(self, down_s: float) -> tuple[float, list[tuple[float, float]]]:
         loop = VirtualLoop()
         try:
-            return loop.run_until_complete(self.call(loop, down_s))
+            return loop.run_until_complete(self.measure(loop, down_s))
         finally:
             loop.close()
 
-    async def call(self, loop: VirtualLoop, down_s: float) -> tuple[float, list[tuple[float, float]]]:
-        links = SilentPeerLinks(messages.Hello(address="127.0.0.1:1", role="proxy"), random.Random(3))
-        links.up_at, links.calls = loop.time() + down_s, []
+    async def measure(self, loop: VirtualLoop, down_s: float) -> tuple[float, list[tuple[float, float]]]:
+        links = UnresponsivePeerLinks(messages.Hello(address="127.0.0.1:1", role="proxy"), random.Random(3))
+        links.up_at, links.attempts = loop.time() + down_s, []
         links.connect("127.0.0.1:2")
         await asyncio.sleep(down_s + 5.0)
-        return links.calls[-1][0] - links.up_at, links.calls
+        return links.attempts[-1][0] - links.up_at, links.attempts
 
-    def test_one_that_comes_up_just_after_the_call_is_found_at_once(self) -> None:
-        after, _ = self.found_after(0.05)
+    def test_peer_that_boots_during_the_first_attempt_is_reached_quickly(self) -> None:
+        after, _ = self.connect_delay(0.05)
         self.assertLess(after, 0.3)
 
-    def test_one_that_is_away_for_long_is_called_less_often(self) -> None:
-        after, calls = self.found_after(60.0)
+    def test_reconnect_interval_grows_for_a_peer_that_stays_down(self) -> None:
+        after, calls = self.connect_delay(60.0)
         self.assertLess(after, 2.3)
         late = [at for at, _ in calls if at > calls[0][0] + 30.0]
         self.assertLess(len(late), 30)
@@ -189,21 +189,21 @@
 class FramesTest(unittest.TestCase):
     """Bytes to messages and back."""
 
-    def test_frames_cut_anywhere_are_read_alike(self) -> None:
+    def test_frames_split_at_any_byte_decode_the_same(self) -> None:
         sent = [messages.ConfigOffer(version=5, confirmed=True), messages.Members(voters=["a:1", "b:2"])]
         data = b"".join(encode_frame(message) for message in sent)
-        for cut in range(len(data) + 1):
+        for split_at in range(len(data) + 1):
             reader = FrameReader()
-            self.assertEqual([*reader.feed(data[:cut]), *reader.feed(data[cut:])], sent)
+            self.assertEqual([*reader.feed(data[:split_at]), *reader.feed(data[split_at:])], sent)
 
-    def test_an_unknown_kind_is_an_error_with_a_remedy(self) -> None:
+    def test_unknown_kind_is_an_error_with_a_remedy(self) -> None:
         with self.assertRaisesRegex(FrameError, "newer release"):
             decode_message(200, b"")
 
-    def test_damaged_bytes_are_an_error(self) -> None:
+    def test_corrupt_bytes_are_an_error(self) -> None:
         with self.assertRaises(FrameError):
             decode_message(0, b"\xff\xff\xff\xff")
 
-    def test_a_frame_that_claims_to_be_huge_is_an_error_before_it_is_collected(self) -> None:
+    def test_oversized_length_is_rejected_before_the_body_is_buffered(self) -> None:
         with self.assertRaises(FrameError):
             list(FrameReader().feed(b"\xff\xff\xff\xff\x00"))
--- a/tests/fleet/test_monitor.py
+++ b/tests/fleet/test_monitor.py
@@ -27,13 +27,13 @@
 from tests.fleet.feed_world import CONTROL_PORT, PROXY_PORT, make_settings
 from tests.fleet.virtual_time import play
 
-LOSS = 0.1  # of datagrams
+DATAGRAM_LOSS_RATIO = 0.1  # of datagrams
 
 
 class PeerMonitorTest(unittest.TestCase):
     """One process's pings."""
 
-    def test_three_misses_are_reported_once_and_an_answer_after_them(self) -> None:
+    def test_missed_pings_are_reported_once_and_a_later_answer_too(self) -> None:
         monitor = PeerMonitor("me")
         monitor.set_members(["me", "a"])
         now, orders = 0.0, monitor.tick(0.0)
@@ -47,7 +47,7 @@
         monitor.on_answer("a", orders[0].number, now + 10.0)
         self.assertEqual(monitor.take_reports(), [ReachabilityReport("a", True)])
 
-    def test_answers_to_older_pings_count_for_nothing(self) -> None:
+    def test_answers_to_older_pings_are_ignored(self) -> None:
         monitor = PeerMonitor("me")
         monitor.set_members(["a"])
         first = monitor.tick(0.0)[0]
@@ -55,7 +55,7 @@
         monitor.on_answer("a", first.number, PING_INTERVAL_MS)
         self.assertEqual(monitor.take_reports(), [])
 
-    def test_a_process_that_stood_still_blames_nobody(self) -> None:
+    def test_stalled_process_reports_no_peer_unreachable(self) -> None:
         monitor = PeerMonitor("me")
         monitor.set_members(["a"])
         now = 0.0
@@ -65,7 +65,7 @@
         monitor.tick(now + STALL_THRESHOLD_MS)
         self.assertEqual(monitor.take_reports(), [])
 
-    def test_all_members_are_monitored_by_about_as_many(self) -> None:
+    def test_members_have_similar_numbers_of_monitors(self) -> None:
         names = [f"10.0.{i // 200}.{i % 200}:7001" for i in range(400)]
         monitors = dict.fromkeys(names, 0)
         for name in names:
@@ -79,16 +79,16 @@
         self.assertLess(max(monitors.values()), 5 * MONITORED_PEERS)
 
 
-def member(incarnation: int = 1) -> Member:
+def proxy_member(incarnation: int = 1) -> Member:
     return Member("proxy", "n", "z", incarnation)
 
 
 class MemberTableTest(unittest.TestCase):
     """What control makes of reports."""
 
-    def test_a_majority_of_monitors_decides(self) -> None:
+    def test_majority_of_monitors_decides(self) -> None:
         table = MemberTable()
-        table.on_connected("a", member())
+        table.on_connected("a", proxy_member())
         for monitor, reachable in (("x", False), ("y", True), ("z", True)):
             table.on_report(monitor, ReachabilityReport("a", reachable), 0.0)
         self.assertFalse(table.statuses(1.0)[0].suspected)
@@ -97,23 +97,23 @@
         table.on_report("y", ReachabilityReport("a", True), 2.0)
         self.assertFalse(table.statuses(2.0)[0].suspected)
 
-    def test_old_reports_do_not_count(self) -> None:
+    def test_expired_reports_are_ignored(self) -> None:
         table = MemberTable()
-        table.on_connected("a", member())
+        table.on_connected("a", proxy_member())
         table.on_report("x", ReachabilityReport("a", False), 0.0)
         self.assertFalse(table.statuses(REPORT_TTL_MS)[0].suspected)
 
-    def test_a_new_start_clears_the_reports_on_the_one_before(self) -> None:
+    def test_restart_clears_reports_on_the_earlier_incarnation(self) -> None:
         table = MemberTable()
-        table.on_connected("a", member())
+        table.on_connected("a", proxy_member())
         table.on_report("x", ReachabilityReport("a", False), 0.0)
-        table.on_connected("a", member(2))
+        table.on_connected("a", proxy_member(2))
         self.assertFalse(table.statuses(0.0)[0].suspected)
 
-    def test_changes_are_told_once_and_who_is_long_gone_is_removed(self) -> None:
+    def test_changes_are_returned_once_and_absent_members_removed(self) -> None:
         table = MemberTable()
-        table.on_connected("a", member())
-        table.on_connected("b", member())
+        table.on_connected("a", proxy_member())
+        table.on_connected("b", proxy_member())
         self.assertEqual(len(table.take_changes(0.0)), 2)
         self.assertEqual(table.take_changes(1.0), [])
         table.on_disconnected("a", 0.0)
@@ -122,74 +122,78 @@
         self.assertEqual(table.take_changes(DISCONNECTED_REMOVAL_MS + 1.0), [])
 
 
-def view(address: str, suspected: bool = False, removed: bool = False) -> MemberStatus:
+def member_status(address: str, suspected: bool = False, removed: bool = False) -> MemberStatus:
     return MemberStatus(address, "proxy", "n", "z", 1, suspected, removed)
 
 
-class ToldMembersTest(unittest.TestCase):
+class MergedMemberListsTest(unittest.TestCase):
     """What a member makes of the lists of two control processes."""
 
-    def test_a_list_after_a_new_link_replaces_the_one_before(self) -> None:
-        told = MergedMemberLists()
-        told.on_connected("c")
-        told.apply_update("c", [view("a"), view("b")])
-        told.apply_update("c", [view("a", removed=True)])
-        self.assertEqual(set(told.members()), {"b"})
-        told.on_connected("c")
-        told.apply_update("c", [view("d")])
-        self.assertEqual(set(told.members()), {"d"})
-
-    def test_a_control_process_that_starts_takes_nobody_away(self) -> None:
-        told = MergedMemberLists()
-        told.apply_update("c", [view("a"), view("b")])
-        told.on_connected("e")
-        told.apply_update("e", [view("a", suspected=True)])
-        self.assertEqual(set(told.members()), {"a", "b"})
-        self.assertFalse(told.members()["a"].suspected)
-        told.retain_sources(["e", "f"])
-        self.assertEqual(set(told.members()), {"a"})
-        told.retain_sources(["f"])
-        self.assertEqual(set(told.members()), {"a"})
-
-
-class Datagrams:
+    def test_list_after_a_reconnect_replaces_the_previous_one(self) -> None:
+        merged = MergedMemberLists()
+        merged.on_connected("c")
+        merged.apply_update("c", [member_status("a"), member_status("b")])
+        merged.apply_update("c", [member_status("a", removed=True)])
+        self.assertEqual(set(merged.members()), {"b"})
+        merged.on_connected("c")
+        merged.apply_update("c", [member_status("d")])
+        self.assertEqual(set(merged.members()), {"d"})
+
+    def test_incomplete_list_of_a_starting_control_process_removes_nobody(self) -> None:
+        merged = MergedMemberLists()
+        merged.apply_update("c", [member_status("a"), member_status("b")])
+        merged.on_connected("e")
+        merged.apply_update("e", [member_status("a", suspected=True)])
+        self.assertEqual(set(merged.members()), {"a", "b"})
+        self.assertFalse(merged.members()["a"].suspected)
+        merged.retain_sources(["e", "f"])
+        self.assertEqual(set(merged.members()), {"a"})
+        merged.retain_sources(["f"])
+        self.assertEqual(set(merged.members()), {"a"})
+
+
+class FakeDatagramNetwork:
     """Carries datagrams between monitors; some are lost."""
 
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
         self.monitors: dict[str, Monitor] = {}
-        self.dark: set[str] = set()
+        self.unreachable: set[str] = set()
 
-    def carry(self, sender: str, data: bytes, address: tuple[str, int]) -> None:
+    def transmit(self, sender: str, data: bytes, address: tuple[str, int]) -> None:
         target = f"{address[0]}:{address[1]}"
-        if self.rng.random() < LOSS or {sender, target} & self.dark or target not in self.monitors:
+        if (
+            self.rng.random() < DATAGRAM_LOSS_RATIO
+            or {sender, target} & self.unreachable
+            or target not in self.monitors
+        ):
             return
         receive = self.monitors[target].datagram_received
         asyncio.get_running_loop().call_later(0.002, receive, data, ("", 0))
 
 
-class DatagramEnd:
+class FakeDatagramTransport:
     """The transport of one process."""
 
-    def __init__(self, datagrams: Datagrams, own: str) -> None:
-        self.datagrams, self.own = datagrams, own
+    def __init__(self, datagrams: FakeDatagramNetwork, own: str) -> None:
+        self.network, self.own = datagrams, own
 
     def sendto(self, data: bytes, address: tuple[str, int]) -> None:
-        self.datagrams.carry(self.own, data, address)
+        self.network.transmit(self.own, data, address)
 
     def is_closing(self) -> bool:
         return False
 
 
-class Fleet:
+class MonitoredFleet:
     """Control processes and proxies that monitor each other, over fake links and datagrams."""
 
     def __init__(self) -> None:
         self.rng = random.Random(3)
         self.network = FakeNetwork(self.rng)
-        self.datagrams = Datagrams(self.rng)
+        self.datagram_network = FakeDatagramNetwork(self.rng)
         self.voters = [f"10.0.0.{i}:{CONTROL_PORT}" for i in range(3)]
-        self.learnt: dict[str, set[str]] = {}
+        self.control_addresses: dict[str, set[str]] = {}
         self.tasks: list[asyncio.Task[None]] = []
         for address in self.voters:
             self.start(address, "control")
@@ -200,18 +204,20 @@
         hello = messages.Hello(address=address, role=role, incarnation=self.rng.getrandbits(40) + 1)
         links: Any = self.network.open(hello)
         monitor = Monitor(make_settings(address.partition(":")[0], []), links, self.rng)
-        monitor.connection_made(cast(asyncio.BaseTransport, DatagramEnd(self.datagrams, address)))
-        self.datagrams.monitors[address] = monitor
-        self.learnt[address] = set()
-        monitor.on_controls.append(self.learnt[address].update)
+        monitor.connection_made(
+            cast(asyncio.BaseTransport, FakeDatagramTransport(self.datagram_network, address))
+        )
+        self.datagram_network.monitors[address] = monitor
+        self.control_addresses[address] = set()
+        monitor.on_control_addresses.append(self.control_addresses[address].update)
         if role == "control":
-            links.on_change(lambda peer, hello: self._greet(links, peer, hello))
+            links.on_change(lambda peer, hello: self._send_members(links, peer, hello))
         for voter in self.voters if linked else ():
             links.connect(voter)
         self.tasks.append(asyncio.create_task(self._tick(links, monitor)))
         return monitor
 
-    def _greet(self, links: Any, peer: str, hello: messages.Hello | None) -> None:
+    def _send_members(self, links: Any, peer: str, hello: messages.Hello | None) -> None:
         if hello is not None:
             links.send(peer, messages.Members([links.own], self.voters, 1, ""))
 
@@ -220,22 +226,24 @@
             monitor.tick()
             await asyncio.sleep(0.1)
 
-    def views(self, address: str) -> dict[str, bool]:
+    def suspected_by_address(self, address: str) -> dict[str, bool]:
         """Who is a member, and whether it is suspected."""
-        return {a: v.suspected for a, v in self.datagrams.monitors[address].members.items()}
+        return {a: v.suspected for a, v in self.datagram_network.monitors[address].members.items()}
 
 
-def story(test: Callable[["MonitorTest", Fleet], Awaitable[None]]) -> Callable[["MonitorTest"], None]:
+def in_fleet(
+    scenario: Callable[["MonitorTest", MonitoredFleet], Awaitable[None]],
+) -> Callable[["MonitorTest"], None]:
     """A test that is played in a fleet of its own."""
 
     def run(self: "MonitorTest") -> None:
-        async def whole() -> None:
-            fleet = Fleet()
+        async def run_scenario() -> None:
+            fleet = MonitoredFleet()
             await asyncio.sleep(6.0)
-            await test(self, fleet)
+            await scenario(self, fleet)
             self.assertEqual(fleet.network.errors, [])
 
-        play(whole())
+        play(run_scenario())
 
     return run
 
@@ -243,61 +251,65 @@
 class MonitorTest(unittest.TestCase):
     """The driver."""
 
-    @story
-    async def test_everybody_is_told_of_everybody(self, fleet: Fleet) -> None:
-        for address, monitor in fleet.datagrams.monitors.items():
-            self.assertEqual(fleet.views(address), dict.fromkeys(fleet.datagrams.monitors, False), address)
+    @in_fleet
+    async def test_every_process_learns_all_members(self, fleet: MonitoredFleet) -> None:
+        for address, monitor in fleet.datagram_network.monitors.items():
+            self.assertEqual(
+                fleet.suspected_by_address(address),
+                dict.fromkeys(fleet.datagram_network.monitors, False),
+                address,
+            )
             self.assertEqual(monitor.count_proxies(), 6)
 
-    @story
-    async def test_lost_datagrams_make_nobody_suspected(self, fleet: Fleet) -> None:
+    @in_fleet
+    async def test_lost_datagrams_cause_no_suspicion(self, fleet: MonitoredFleet) -> None:
         for _ in range(60):
             await asyncio.sleep(1.0)
-            for address in fleet.datagrams.monitors:
-                self.assertFalse(any(fleet.views(address).values()))
+            for address in fleet.datagram_network.monitors:
+                self.assertFalse(any(fleet.suspected_by_address(address).values()))
 
-    @story
-    async def test_a_process_that_its_monitors_cannot_reach_is_suspected(self, fleet: Fleet) -> None:
-        dark = next(
+    @in_fleet
+    async def test_unreachable_process_is_suspected_until_it_recovers(self, fleet: MonitoredFleet) -> None:
+        target = next(
             a
-            for a in fleet.datagrams.monitors
-            if sum(a in other._peer_monitor.targets for other in fleet.datagrams.monitors.values()) > 1
+            for a in fleet.datagram_network.monitors
+            if sum(a in other._peer_monitor.targets for other in fleet.datagram_network.monitors.values()) > 1
         )
-        fleet.datagrams.dark.add(dark)
+        fleet.datagram_network.unreachable.add(target)
         await asyncio.sleep(8.0)
-        for address in fleet.datagrams.monitors:
-            self.assertTrue(fleet.views(address)[dark], address)
-        fleet.datagrams.dark.clear()
+        for address in fleet.datagram_network.monitors:
+            self.assertTrue(fleet.suspected_by_address(address)[target], address)
+        fleet.datagram_network.unreachable.clear()
         await asyncio.sleep(4.0)
-        for address in fleet.datagrams.monitors:
-            self.assertFalse(fleet.views(address)[dark], address)
-
-    @story
-    async def test_a_process_that_ends_is_suspected_and_then_removed(self, fleet: Fleet) -> None:
-        ended = f"10.1.0.2:{PROXY_PORT}"
-        fleet.network.kill(ended, silent=True)
-        del fleet.datagrams.monitors[ended]
+        for address in fleet.datagram_network.monitors:
+            self.assertFalse(fleet.suspected_by_address(address)[target], address)
+
+    @in_fleet
+    async def test_stopped_process_is_suspected_and_then_removed(self, fleet: MonitoredFleet) -> None:
+        stopped = f"10.1.0.2:{PROXY_PORT}"
+        fleet.network.kill(stopped, silent=True)
+        del fleet.datagram_network.monitors[stopped]
         await asyncio.sleep(8.0)
-        for address, monitor in fleet.datagrams.monitors.items():
-            self.assertTrue(fleet.views(address)[ended], address)
+        for address, monitor in fleet.datagram_network.monitors.items():
+            self.assertTrue(fleet.suspected_by_address(address)[stopped], address)
             self.assertEqual(monitor.count_proxies(), 5)
         await asyncio.sleep(40.0)
-        for address in fleet.datagrams.monitors:
-            self.assertNotIn(ended, fleet.views(address))
+        for address in fleet.datagram_network.monitors:
+            self.assertNotIn(stopped, fleet.suspected_by_address(address))
 
-    @story
-    async def test_a_process_without_seeds_learns_the_voters_by_pings(self, fleet: Fleet) -> None:
+    @in_fleet
+    async def test_process_without_seeds_learns_voters_from_pings(self, fleet: MonitoredFleet) -> None:
         address = f"10.1.0.2:{PROXY_PORT}"
         fleet.network.kill(address, silent=False)
-        del fleet.datagrams.monitors[address]
+        del fleet.datagram_network.monitors[address]
         await asyncio.sleep(1.0)
         fleet.start(address, "proxy", linked=False)
         await asyncio.sleep(4.0)
-        self.assertEqual(fleet.learnt[address], set(fleet.voters))
+        self.assertEqual(fleet.control_addresses[address], set(fleet.voters))
 
-    @story
-    async def test_damaged_datagrams_are_ignored(self, fleet: Fleet) -> None:
-        monitor = fleet.datagrams.monitors[fleet.voters[0]]
+    @in_fleet
+    async def test_corrupt_datagrams_are_ignored(self, fleet: MonitoredFleet) -> None:
+        monitor = fleet.datagram_network.monitors[fleet.voters[0]]
         for size in (0, 1, 4, 5, 9, 200, 3000):
             monitor.datagram_received(fleet.rng.randbytes(size), ("", 0))
 
--- a/tests/fleet/test_operations_page.py
+++ b/tests/fleet/test_operations_page.py
@@ -19,7 +19,7 @@
 from brackenusher.runtime.metrics import Metrics
 from brackenusher.runtime.process_metrics import add_process_metrics
 from brackenusher.settings.local import LocalSettings
-from brackenusher.settings.reading import file_key
+from brackenusher.settings.reading import settings_key
 
 DOCS = Path(__file__).parents[2] / "docs"
 PAGE = (DOCS / "operations-fleet.md").read_text(encoding="utf-8")
@@ -83,7 +83,7 @@
 
     def test_settings(self) -> None:
         told = {key.partition(".")[0] for key in first_cells(section("Settings"))} - {"..."}
-        keys = {file_key(field.name) for field in dataclasses.fields(LocalSettings)}
+        keys = {settings_key(field.name) for field in dataclasses.fields(LocalSettings)}
         self.assertEqual(told, keys - NOT_ON_THE_PAGE)
 
     def test_bounds_of_the_server(self) -> None:
--- a/tests/fleet/test_settings.py
+++ b/tests/fleet/test_settings.py
@@ -6,7 +6,7 @@
 from returns.result import Failure, Success
 
 from brackenusher.settings.local import Bounds, LocalSettings
-from brackenusher.settings.reading import file_key, load_settings, read_settings
+from brackenusher.settings.reading import load_settings, read_settings, settings_key
 
 SETTINGS = """
 NodeName = "front-a-1"
@@ -94,9 +94,9 @@
         self.assertEqual((bounds.pass_ms, bounds.again_s, bounds.strict_revocation), (130.0, 4.0, True))
 
     def test_every_field_has_the_key_of_the_file(self) -> None:
-        keys = {file_key(field.name) for field in dataclasses.fields(Bounds)}
+        keys = {settings_key(field.name) for field in dataclasses.fields(Bounds)}
         self.assertLessEqual({"SeedLagS", "AddrReuseS", "MaxSkewMs", "RecoverS", "pass_ms", "again_s"}, keys)
-        keys = {file_key(field.name) for field in dataclasses.fields(LocalSettings)}
+        keys = {settings_key(field.name) for field in dataclasses.fields(LocalSettings)}
         self.assertLessEqual(
             {"NodeName", "Ip", "InternalPortRange", "CountsForQuorum", "FaultTolerance"}, keys
         )
--- a/tests/fleet/virtual_time.py
+++ b/tests/fleet/virtual_time.py
@@ -31,11 +31,11 @@
         super()._run_once()  # type: ignore[misc]
 
 
-def play(story: Coroutine[Any, Any, T]) -> T:
+def play(main: Coroutine[Any, Any, T]) -> T:
     """Run a story on a loop of its own, in virtual time."""
     loop = VirtualLoop()
     try:
-        return loop.run_until_complete(story)
+        return loop.run_until_complete(main)
     finally:
         for task in asyncio.all_tasks(loop):
             task.cancel()
