--- a/brackenusher/assembly/control.py
+++ b/brackenusher/assembly/control.py
@@ -32,7 +32,7 @@
 TICK_INTERVAL_S = 0.1
 
 
-def check_configuration(document: dict[str, Any]) -> Result[Configuration, Exception]:
+def validate_configuration(document: dict[str, Any]) -> Result[Configuration, Exception]:
     """Validates a document. Imports pyserde late, as that takes a quarter of a second."""
     from brackenusher.settings.documents import validate_document
 
@@ -49,7 +49,7 @@
         self.links = Links(own_hello(settings, "control", settings.control_internal_port, rng), rng)
         self.storage_writer = StorageWriter() if settings.data_dir else None
         registry_store = SlotStore(settings.data_dir, REGISTRY_STORE) if settings.data_dir else None
-        self.config_shard = ConfigShard(settings, self.links, check_configuration, rng)
+        self.config_shard = ConfigShard(settings, self.links, validate_configuration, rng)
         self.registry = RegistryService(
             settings,
             self.links,
--- a/tests/fleet/document_examples.py
+++ b/tests/fleet/document_examples.py
@@ -1,4 +1,4 @@
-"""A configuration document with all that a valid one may hold, for tests of the interface."""
+"""A configuration document that uses every field, for tests."""
 
 import copy
 from typing import Any
@@ -77,5 +77,5 @@
 
 
 def example() -> dict[str, Any]:
-    """A copy that a test may alter."""
+    """Returns a copy that a test may modify."""
     return copy.deepcopy(EXAMPLE)
--- a/tests/fleet/fake_links.py
+++ b/tests/fleet/fake_links.py
@@ -1,4 +1,4 @@
-"""Links in memory, with delays, cuts, lost sessions and dead processes: the calls of `cluster.links`."""
+"""In-memory replacement of `cluster.links` with delays, partitions, resets, stalls and dead processes."""
 
 import asyncio
 import random
@@ -10,10 +10,10 @@
 from brackenusher.cluster import messages
 from brackenusher.cluster.frames import FrameReader, encode_frame
 
-PEER_TIMEOUT_S = 1.6  # a cut link is noticed so late, as with real links
+PEER_TIMEOUT_S = 1.6  # a partition is noticed after this time, as with real links
 RECONNECT_INTERVAL_S = 0.3
 MAX_DELAY_S = 0.02
-MIN_TIMER_GAP_S = 1e-6  # timers at the very same moment may fire in any order
+MIN_TIMER_GAP_S = 1e-6  # timers due at the same time may fire in any order
 
 AddressPair = tuple[str, str]
 
@@ -27,10 +27,10 @@
     """One connection between two processes."""
 
     alive: bool = True
-    lost_data: bool = False  # something was lost in a cut: the session ends when the cut heals
+    lost_data: bool = False  # a frame was lost in a partition: the session ends when it heals
     last_due_at: dict[str, float] = field(
         default_factory=dict
-    )  # by receiver: messages of a link stay in order
+    )  # by receiver: keeps the messages of a link in order
 
 
 class FakeLinks:
@@ -91,7 +91,7 @@
 
 
 class FakeNetwork:
-    """All processes and what is between them. Handlers' exceptions are kept in `errors`."""
+    """All processes and the network between them. Exceptions of handlers are collected in `errors`."""
 
     def __init__(self, rng: random.Random) -> None:
         self.loop, self.rng = asyncio.get_running_loop(), rng
@@ -128,7 +128,7 @@
                 links.handle_frame(sender, session, frame)
 
     def cut(self, one: str, other: str) -> None:
-        """Nothing passes between two processes any more; both notice late."""
+        """Partitions two processes; both notice after the peer timeout."""
         self.cuts.add(pair(one, other))
         session = self.sessions.get(pair(one, other))
         if session is not None:
@@ -141,11 +141,11 @@
             self._end(one, other)
 
     def reset(self, one: str, other: str) -> None:
-        """The connection ends; what is under way is lost."""
+        """Resets the connection; frames in flight are lost."""
         self._end(one, other)
 
     def freeze(self, address: str, seconds: float) -> None:
-        """A process stands still for a while; peers end its links once it has been silent for long."""
+        """Stalls a process; peers end its links if it is silent for longer than the peer timeout."""
         links = self.processes[address]
         links.frozen_until = self.loop.time() + seconds
         if seconds > PEER_TIMEOUT_S:
@@ -158,7 +158,7 @@
             self._end(one, other)
 
     def kill(self, address: str, silent: bool) -> None:
-        """A process ends; with `silent` its machine says nothing, and peers notice late."""
+        """Kills a process; with `silent` no RST is sent, and peers notice after the peer timeout."""
         self.processes[address].alive = False
         for (one, other), session in list(self.sessions.items()):
             if address in (one, other):
@@ -201,7 +201,9 @@
             return
         session = self.sessions[addresses] = Session()
         for local, remote in ((one, other), (other, one)):
-            due = session.last_due_at[local] = self._random_due()  # the greeting comes before all else
+            due = session.last_due_at[local] = (
+                self._random_due()
+            )  # the Hello is delivered before all other frames
             hello = self.processes[remote].own
             self.loop.call_at(due, self.processes[local].handle_hello, remote, session, hello)
 
--- a/tests/fleet/test_documents.py
+++ b/tests/fleet/test_documents.py
@@ -1,4 +1,4 @@
-"""Checks of configuration documents: what is refused and how, and that nothing valid is refused."""
+"""Validation of configuration documents: invalid ones are rejected with a message, valid ones accepted."""
 
 import random
 import subprocess
@@ -17,27 +17,27 @@
 
 
 def configuration_of(document: dict[str, Any]) -> Configuration:
-    """The typed form; fails the test where the document is refused."""
+    """Returns the typed form; fails the test if the document is rejected."""
     match validate_document(document):
         case Success(configuration):
             return configuration
         case Failure(error):
-            raise AssertionError(f"refused: {error}")
-    raise AssertionError("neither taken nor refused")
+            raise AssertionError(f"rejected: {error}")
+    raise AssertionError("neither accepted nor rejected")
 
 
-def refusal_of(document: Any) -> str:
-    """The message; fails the test where the document is taken."""
+def error_of(document: Any) -> str:
+    """Returns the error message; fails the test if the document is accepted."""
     match validate_document(document):
         case Failure(error):
             return str(error)
-    raise AssertionError("taken")
+    raise AssertionError("accepted")
 
 
 class ValidDocumentsTest(unittest.TestCase):
-    """Nothing valid is refused, and everything comes out typed."""
+    """Valid documents are accepted and converted completely."""
 
-    def test_example_is_read_whole(self) -> None:
+    def test_example_is_fully_parsed(self) -> None:
         configuration = configuration_of(example())
         self.assertEqual(configuration.generation, 7)
         first, second = configuration.routes
@@ -71,19 +71,19 @@
         self.assertEqual((tenant.unit, tenant.rate_per_s, tenant.priority), (QuotaUnit.TOKENS, 436251.0, 1))
         self.assertEqual((other.unit, other.rate_per_s, other.priority), (QuotaUnit.REQUESTS, 0.0, None))
 
-    def test_variants_are_taken(self) -> None:
+    def test_variants_are_accepted(self) -> None:
         for name, change in VALID.items():
             with self.subTest(name):
                 document = example()
                 change(document)
                 configuration_of(document)
 
-    def test_reading_alters_nothing(self) -> None:
+    def test_validation_does_not_modify_the_document(self) -> None:
         document = example()
         configuration_of(document)
         self.assertEqual(document, example())
 
-    def test_hundreds_of_routes(self) -> None:
+    def test_document_with_hundreds_of_routes(self) -> None:
         document = example()
         document["Routes"] = [
             {**document["Routes"][n % 2], "Name": f"r-{n}", "PathPrefix": f"/p{n}/"} for n in range(430)
@@ -213,112 +213,114 @@
 }
 
 
-ODD_VALUES: tuple[Any, ...] = (
+UNUSUAL_VALUES: tuple[Any, ...] = (
     *(None, True, False, 0, -1, 7, 1.5, 10**400, float("inf"), float("nan"), "", "0", "r-two", "\n\0"),
     *([], {}, [[]], [{}], {"Name": "oracle"}, [{"Name": "oracle"}], ["key-3"], "x" * 10_000),
 )
 
 
-def odd_document(rng: random.Random) -> dict[str, Any]:
-    """The example with some values exchanged for odd ones, left out, or put twice."""
+def mutated_document(rng: random.Random) -> dict[str, Any]:
+    """Returns the example with one or two values replaced, removed or duplicated at random."""
     document = example()
     for _ in range(rng.randint(1, 2)):
-        place: Any = document
+        container: Any = document
         while True:
-            key = rng.choice(list(place) if isinstance(place, dict) else range(len(place)))
-            if not (isinstance(place[key], dict | list) and place[key]) or rng.random() < 0.2:
+            key = rng.choice(list(container) if isinstance(container, dict) else range(len(container)))
+            if not (isinstance(container[key], dict | list) and container[key]) or rng.random() < 0.2:
                 break
-            place = place[key]
-        if rng.random() < 0.1 and isinstance(place, list):
-            place.append(place[key])
+            container = container[key]
+        if rng.random() < 0.1 and isinstance(container, list):
+            container.append(container[key])
         elif rng.random() < 0.2:
-            del place[key]
+            del container[key]
         else:
-            place[key] = rng.choice(ODD_VALUES)
+            container[key] = rng.choice(UNUSUAL_VALUES)
     return document
 
 
-class OddDocumentsTest(unittest.TestCase):
-    """Whatever comes is taken or refused in a line; nothing else is raised."""
+class MutatedDocumentsTest(unittest.TestCase):
+    """Any document is either accepted or rejected with one line; no other exception is raised."""
 
-    def test_values_exchanged_at_random(self) -> None:
-        taken = refused = 0
+    def test_random_mutations(self) -> None:
+        accepted = rejected = 0
         for seed in range(3000):
-            match validate_document(odd_document(random.Random(seed))):
+            match validate_document(mutated_document(random.Random(seed))):
                 case Success(configuration):
-                    self.assert_sound(configuration, f"seed {seed}")
-                    taken += 1
+                    self.assert_consistent(configuration, f"seed {seed}")
+                    accepted += 1
                 case Failure(error):
                     self.assertEqual(len(str(error).splitlines()), 1, f"seed {seed}")
                     self.assertLess(len(str(error)), 400, f"seed {seed}")
-                    refused += 1
-        self.assertGreater(min(taken, refused), 300)
+                    rejected += 1
+        self.assertGreater(min(accepted, rejected), 300)
 
-    def assert_sound(self, configuration: Configuration, seed: str) -> None:
-        """What every configuration that is taken must have, read from the typed form alone."""
+    def assert_consistent(self, configuration: Configuration, seed: str) -> None:
+        """Checks the invariants of an accepted configuration on its typed form."""
         services = {service.name for service in configuration.services}
-        places = [(route.hostname.lower(), route.path_prefix) for route in configuration.routes]
-        self.assertEqual(len(places), len(set(places)), seed)
+        matches = [(route.hostname.lower(), route.path_prefix) for route in configuration.routes]
+        self.assertEqual(len(matches), len(set(matches)), seed)
         for route in configuration.routes:
             self.assertGreater(route.timeout_ms, 0, seed)
-            parts = [(part.service, part.weight) for part in route.traffic_split] or [(route.service, 1.0)]
-            self.assertLessEqual({service for service, _ in parts}, services, seed)
-            self.assertGreater(sum(weight for _, weight in parts), 0, seed)
-        holders = [(key, tenant.name) for tenant in configuration.tenants for key in set(tenant.api_keys)]
-        self.assertEqual(len(holders), len({key for key, _ in holders}), seed)
+            weights = [(part.service, part.weight) for part in route.traffic_split] or [(route.service, 1.0)]
+            self.assertLessEqual({service for service, _ in weights}, services, seed)
+            self.assertGreater(sum(weight for _, weight in weights), 0, seed)
+        keys_of_tenants = [
+            (key, tenant.name) for tenant in configuration.tenants for key in set(tenant.api_keys)
+        ]
+        self.assertEqual(len(keys_of_tenants), len({key for key, _ in keys_of_tenants}), seed)
         self.assertGreater(configuration.generation, 0, seed)
 
 
 class InvalidDocumentsTest(unittest.TestCase):
-    """What is invalid is refused in one line that names the item."""
+    """Invalid documents are rejected with one line that names the item."""
 
-    def test_each_is_refused(self) -> None:
+    def test_invalid_variants_are_rejected(self) -> None:
         for name, (change, expected) in INVALID.items():
             with self.subTest(name):
                 document = example()
                 change(document)
-                message = refusal_of(document)
+                message = error_of(document)
                 self.assertIn(expected, message)
                 self.assertNotIn("\n", message)
 
-    def test_no_document(self) -> None:
+    def test_document_that_is_not_an_object(self) -> None:
         for document in (None, 3, "text", [], [{"Generation": 7}]):
             with self.subTest(document):
-                self.assertIn("is not an object", refusal_of(document))
+                self.assertIn("is not an object", error_of(document))
 
-    def test_keys_are_not_told(self) -> None:
+    def test_api_keys_are_not_in_error_messages(self) -> None:
         document = example()
         document["Tenants"][1]["ApiKeys"] = ["key-2"]
-        self.assertNotIn("key-2", refusal_of(document))
+        self.assertNotIn("key-2", error_of(document))
 
-    def test_hostile_names_stay_in_one_short_line(self) -> None:
+    def test_hostile_names_are_escaped_and_truncated(self) -> None:
         document = example()
         document["Routes"][0].update(Name="a\nb" * 1000, TimeoutMs=0)
-        message = refusal_of(document)
+        message = error_of(document)
         self.assertNotIn("\n", message)
         self.assertLess(len(message), 300)
 
 
 class ImportsTest(unittest.TestCase):
-    """pyserde takes long to import: neither settings nor the module with the check may do so."""
+    """pyserde is slow to import: neither the settings nor the validation module may import it eagerly."""
 
-    def test_modules_are_light(self) -> None:
+    def test_modules_import_nothing_slow(self) -> None:
         code = (
             "import sys, brackenusher.settings.reading, brackenusher.settings.documents,"
             " brackenusher.control_plane.api, brackenusher.control_plane.http_server;"
             "heavy = {'serde', 'typer', 'pydantic', 'absl', 'prometheus_client'};"
             "print(sorted(heavy & set(sys.modules)))"
         )
-        done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
-        self.assertEqual(done.stdout.strip(), "[]")
+        completed = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, check=True)
+        self.assertEqual(completed.stdout.strip(), "[]")
 
-    def test_checking_does_not_import_numpy(self) -> None:
-        """pyserde would, where it is installed; it costs a control process 10 MB."""
+    def test_validation_does_not_import_numpy(self) -> None:
+        """pyserde imports numpy if it is installed, which costs a control process 10 MB."""
         code = (
             "import sys; from brackenusher.settings.documents import validate_document;"
             "from tests.fleet.document_examples import example;"
             "validate_document(example()).unwrap();"
             "print('serde' in sys.modules, 'numpy' in sys.modules); import numpy"
         )
-        done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True)
-        self.assertEqual(done.stdout.strip(), "True False")
+        completed = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True)
+        self.assertEqual(completed.stdout.strip(), "True False")
--- a/tests/fleet/test_key_leases.py
+++ b/tests/fleet/test_key_leases.py
@@ -1,4 +1,4 @@
-"""StrictRevocation: leases on API keys, by themselves, in a fleet in virtual time, and planted faults."""
+"""StrictRevocation: leases on API keys, alone and in a simulated fleet, and detection of injected bugs."""
 
 import asyncio
 import logging
@@ -18,12 +18,12 @@
 from tests.fleet.virtual_time import play
 
 SIMULATION_RUNS = 12
-MAX_SIMULATION_RUNS = 40  # until a planted fault shows
-MAX_RENEWAL_BYTES = 60  # both messages of one, without TCP's own
+MAX_SIMULATION_RUNS = 40  # until one reveals an injected bug
+MAX_RENEWAL_BYTES = 60  # request and reply, without TCP headers
 
 
 def in_simulation(scenario: Callable[[Any, LeaseSimulation], Awaitable[None]]) -> Callable[[Any], None]:
-    """A test that is played in a simulation of its own, with one version in force."""
+    """Decorates a test to run in a new simulation in which one version is in force."""
 
     def run(self: Any) -> None:
         async def run_scenario() -> None:
@@ -40,7 +40,7 @@
 
 
 class LeaseTest(unittest.TestCase):
-    """The lease by itself; clocks of two processes may differ by `DRIFT`."""
+    """The lease alone; clock rates of two processes may differ by the allowed drift."""
 
     def test_expiry_counts_from_the_request_and_the_reported_age(self) -> None:
         lease = RevocationLease(5000.0)
@@ -99,7 +99,7 @@
         await self.isolate(simulation, proxy)
         await asyncio.sleep(REVOKE_MS / 1000.0)
         self.assertFalse(lease.holds)
-        self.assertTrue(simulation.leases[other.address].holds, "the other is in touch")
+        self.assertTrue(simulation.leases[other.address].holds, "the other is connected")
         for one, two in sorted(simulation.network.cuts):
             simulation.network.heal(one, two)
         await asyncio.sleep(2.0)
@@ -136,7 +136,7 @@
         for number in range(400):
             responder._asked(f"10.7.0.{number}:7001", messages.VersionQuestion(number + 1))
             await asyncio.sleep(0.0025)
-        self.assertLessEqual(reads, 6, "a second of questions from 400 proxies")
+        self.assertLessEqual(reads, 6, "one second of requests from 400 proxies")
         self.assertLessEqual(len(responder._waiting), 400)
 
     def test_renewal_messages_are_small(self) -> None:
@@ -146,7 +146,7 @@
 
 
 def find_violations(seed: int, strict: bool = True) -> list[str]:
-    """What the oracle finds on one day."""
+    """Returns the violations that the oracle finds in one simulation run."""
     simulation = run_lease_faults(seed, strict)
     errors = [f"ERROR: {error!r}" for error in simulation.network.errors]
     return (
@@ -158,7 +158,7 @@
 
 
 class SilentLogTest(unittest.TestCase):
-    """Days whose troubles would fill the log."""
+    """Disables logging, which the injected faults would flood."""
 
     def setUp(self) -> None:
         logging.disable(logging.ERROR)
@@ -166,11 +166,11 @@
 
 
 class RandomFaultsTest(SilentLogTest):
-    """Days drawn by chance: cuts, freezes, clocks of different rates, lost and late messages."""
+    """Random simulation runs: partitions, stalls, clocks of different rates, lost and late messages."""
 
     def test_no_key_is_used_after_its_revocation_deadline(self) -> None:
         for seed in range(SIMULATION_RUNS):
-            self.assertEqual(find_violations(seed), [], f"day {seed}")
+            self.assertEqual(find_violations(seed), [], f"seed {seed}")
 
     def test_without_strict_revocation_nothing_is_refused_or_requested(self) -> None:
         for seed in range(3):
@@ -181,19 +181,19 @@
             )
 
     def test_violations_occur_without_strict_revocation(self) -> None:
-        """Where the rule is off, keys are used after their time: the oracle sees it."""
+        """Without the rule, keys are used after their deadline: checks that the oracle detects it."""
         self.assertTrue(
             any(run_lease_faults(seed, strict=False).find_revoked() for seed in range(SIMULATION_RUNS))
         )
 
 
 class InjectedBugsTest(SilentLogTest):
-    """The days find each of these faults."""
+    """The simulation runs reveal each of these injected bugs."""
 
     def assert_revealed(self, owner: Any, name: str, bug: Any) -> None:
         with mock.patch.object(owner, name, bug):
             revealed = any(run_lease_faults(seed).find_revoked() for seed in range(MAX_SIMULATION_RUNS))
-        self.assertTrue(revealed, "no day shows it")
+        self.assertTrue(revealed, "no simulation run reveals it")
 
     def test_lease_counted_from_the_arrival_of_the_reply(self) -> None:
         def on_confirmation(self: RevocationLease, version: int, requested_at: float, age_ms: float) -> None:
@@ -227,7 +227,7 @@
         self.assert_revealed(VersionConfirmations, "_confirm", confirm)
 
     def test_validity_cached_by_a_timer_outlives_a_freeze(self) -> None:
-        """The answer is worked out by the timer, and requests that come after a freeze find the old one."""
+        """The result is computed by the timer, so that requests after a freeze get an outdated one."""
         original_tick, original_holds = KeyLease.tick, KeyLease.holds.fget
         assert original_holds is not None
         last_result: dict[int, bool] = {}
--- a/tests/fleet/test_links.py
+++ b/tests/fleet/test_links.py
@@ -1,4 +1,4 @@
-"""Links between processes, over loopback sockets: greeting, loss of a peer, strangers, damaged frames."""
+"""Links over loopback sockets: Hello, loss of a peer, unexpected peers, invalid frames."""
 
 import asyncio
 import random
@@ -15,14 +15,14 @@
 
 
 def free_address() -> str:
-    """An address of loopback that nobody listens at."""
+    """Returns a loopback address without a listener."""
     with socket.socket() as probe:
         probe.bind(("127.0.0.1", 0))
         return f"127.0.0.1:{probe.getsockname()[1]}"
 
 
 class Recorder:
-    """Collects what a process is told, and lets a test wait for it."""
+    """Records the messages and link changes of a process, and lets a test wait for them."""
 
     def __init__(self, links: Links) -> None:
         self.links = links
@@ -40,7 +40,7 @@
 
 
 class LinksTest(unittest.TestCase):
-    """Two processes and a listener between them."""
+    """Links between two processes."""
 
     def run_with_timeout(self, scenario: Callable[[], Awaitable[None]]) -> None:
         async def with_timeout() -> None:
@@ -49,7 +49,7 @@
         asyncio.run(with_timeout())
 
     def test_both_sides_get_a_hello_and_can_send(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             control, proxy = await start_links("control"), await start_links("proxy")
             proxy.links.connect(control.links.own.address)
             peer, hello = await control.changes.get()
@@ -63,10 +63,10 @@
             await control.links.stop()
             await proxy.links.stop()
 
-        self.run_with_timeout(story)
+        self.run_with_timeout(scenario)
 
     def test_stopped_peer_is_reported_and_restarted_peer_is_reconnected(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             control, proxy = await start_links("control"), await start_links("proxy")
             address = control.links.own.address
             proxy.links.connect(address)
@@ -79,10 +79,10 @@
             await again.links.stop()
             await proxy.links.stop()
 
-        self.run_with_timeout(story)
+        self.run_with_timeout(scenario)
 
     def test_hello_with_unexpected_address_is_rejected(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             stranger, proxy = await start_links("control"), await start_links("proxy")
             listener = stranger.links.own.address
             stranger.links.own = messages.Hello(address="127.0.0.1:1", role="control")
@@ -93,10 +93,10 @@
             await stranger.links.stop()
             await proxy.links.stop()
 
-        self.run_with_timeout(story)
+        self.run_with_timeout(scenario)
 
     def test_invalid_frame_closes_the_link(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             control = await start_links("control")
             host, _, port = control.links.own.address.rpartition(":")
             reader, writer = await asyncio.open_connection(host, int(port))
@@ -107,10 +107,10 @@
             writer.close()
             await control.links.stop()
 
-        self.run_with_timeout(story)
+        self.run_with_timeout(scenario)
 
     def test_messages_before_the_greeting_are_not_heard(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             control = await start_links("control")
             host, _, port = control.links.own.address.rpartition(":")
             reader, writer = await asyncio.open_connection(host, int(port))
@@ -121,14 +121,14 @@
             writer.close()
             await control.links.stop()
 
-        self.run_with_timeout(story)
+        self.run_with_timeout(scenario)
 
     def test_handler_exception_does_not_close_the_link(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             control, proxy = await start_links("control"), await start_links("proxy")
 
             def fail(peer: str, message: betterproto.Message) -> None:
-                raise ValueError("a fault of this handler")
+                raise ValueError("raised by the handler")
 
             control.links.on_message(messages.ConfigOffer, fail)
             proxy.links.connect(control.links.own.address)
@@ -140,11 +140,11 @@
             await control.links.stop()
             await proxy.links.stop()
 
-        self.run_with_timeout(story)
+        self.run_with_timeout(scenario)
 
 
 class UnresponsivePeerLinks(Links):
-    """Links whose peer's machine is down until a time: it says nothing to whoever calls."""
+    """Links to a peer whose machine is down until a given time: connects time out."""
 
     up_at = 0.0
     attempts: list[tuple[float, float]]
@@ -158,7 +158,7 @@
 
 
 class ReconnectTest(unittest.TestCase):
-    """How soon a peer is found whose machine comes up, in virtual time."""
+    """How soon a peer that was down is reached, in virtual time."""
 
     def connect_delay(self, down_s: float) -> tuple[float, list[tuple[float, float]]]:
         loop = VirtualLoop()
@@ -187,7 +187,7 @@
 
 
 class FramesTest(unittest.TestCase):
-    """Bytes to messages and back."""
+    """Encoding and decoding of frames."""
 
     def test_frames_split_at_any_byte_decode_the_same(self) -> None:
         sent = [messages.ConfigOffer(version=5, confirmed=True), messages.Members(voters=["a:1", "b:2"])]
--- a/tests/fleet/test_monitor.py
+++ b/tests/fleet/test_monitor.py
@@ -1,4 +1,4 @@
-"""Membership: who pings whom, what a majority of monitors says, and what members are told."""
+"""Membership: choice of ping targets, decision by a majority of monitors, and distribution of the list."""
 
 import asyncio
 import random
@@ -31,7 +31,7 @@
 
 
 class PeerMonitorTest(unittest.TestCase):
-    """One process's pings."""
+    """The pings of one process."""
 
     def test_missed_pings_are_reported_once_and_a_later_answer_too(self) -> None:
         monitor = PeerMonitor("me")
@@ -84,7 +84,7 @@
 
 
 class MemberTableTest(unittest.TestCase):
-    """What control makes of reports."""
+    """How control processes merge reports."""
 
     def test_majority_of_monitors_decides(self) -> None:
         table = MemberTable()
@@ -127,7 +127,7 @@
 
 
 class MergedMemberListsTest(unittest.TestCase):
-    """What a member makes of the lists of two control processes."""
+    """How a member merges the lists of two control processes."""
 
     def test_list_after_a_reconnect_replaces_the_previous_one(self) -> None:
         merged = MergedMemberLists()
@@ -153,7 +153,7 @@
 
 
 class FakeDatagramNetwork:
-    """Carries datagrams between monitors; some are lost."""
+    """Delivers datagrams between monitors; drops some at random."""
 
     def __init__(self, rng: random.Random) -> None:
         self.rng = rng
@@ -173,7 +173,7 @@
 
 
 class FakeDatagramTransport:
-    """The transport of one process."""
+    """The datagram transport of one process."""
 
     def __init__(self, datagrams: FakeDatagramNetwork, own: str) -> None:
         self.network, self.own = datagrams, own
@@ -227,14 +227,14 @@
             await asyncio.sleep(0.1)
 
     def suspected_by_address(self, address: str) -> dict[str, bool]:
-        """Who is a member, and whether it is suspected."""
+        """Returns for each member whether it is suspected."""
         return {a: v.suspected for a, v in self.datagram_network.monitors[address].members.items()}
 
 
 def in_fleet(
     scenario: Callable[["MonitorTest", MonitoredFleet], Awaitable[None]],
 ) -> Callable[["MonitorTest"], None]:
-    """A test that is played in a fleet of its own."""
+    """Decorates a test to run in a new fleet, in virtual time."""
 
     def run(self: "MonitorTest") -> None:
         async def run_scenario() -> None:
@@ -249,7 +249,7 @@
 
 
 class MonitorTest(unittest.TestCase):
-    """The driver."""
+    """The monitors of a whole fleet."""
 
     @in_fleet
     async def test_every_process_learns_all_members(self, fleet: MonitoredFleet) -> None:
--- a/tests/fleet/test_settings.py
+++ b/tests/fleet/test_settings.py
@@ -1,4 +1,4 @@
-"""Reading the settings file: keys, defaults, what is ignored, messages with key, value and remedy."""
+"""Parsing of the settings file: keys, defaults, unknown keys, messages with key, value and remedy."""
 
 import dataclasses
 import unittest
@@ -55,27 +55,27 @@
 
 
 def settings_of(text: str) -> LocalSettings:
-    """The settings; fails the test where they are refused."""
+    """Returns the settings; fails the test if they are rejected."""
     match read_settings(text):
         case Success(settings):
             return settings
         case Failure(error):
-            raise AssertionError(f"refused: {error}")
-    raise AssertionError("neither taken nor refused")
+            raise AssertionError(f"rejected: {error}")
+    raise AssertionError("neither accepted nor rejected")
 
 
-def refusal_of(text: str) -> str:
-    """The message; fails the test where the settings are taken."""
+def error_of(text: str) -> str:
+    """Returns the error message; fails the test if the settings are accepted."""
     match read_settings(text, "local.toml"):
         case Failure(error):
             return str(error)
-    raise AssertionError("taken")
+    raise AssertionError("accepted")
 
 
-class ReadingTest(unittest.TestCase):
-    """Settings that can be used."""
+class ValidSettingsTest(unittest.TestCase):
+    """Valid settings."""
 
-    def test_every_key_is_read(self) -> None:
+    def test_every_key_is_parsed(self) -> None:
         settings = settings_of(SETTINGS)
         self.assertEqual((settings.node_name, settings.zone), ("front-a-1", "zone-a"))
         self.assertEqual(settings.serves, ["front", "control"])
@@ -93,7 +93,7 @@
         )
         self.assertEqual((bounds.pass_ms, bounds.again_s, bounds.strict_revocation), (130.0, 4.0, True))
 
-    def test_every_field_has_the_key_of_the_file(self) -> None:
+    def test_keys_of_fields(self) -> None:
         keys = {settings_key(field.name) for field in dataclasses.fields(Bounds)}
         self.assertLessEqual({"SeedLagS", "AddrReuseS", "MaxSkewMs", "RecoverS", "pass_ms", "again_s"}, keys)
         keys = {settings_key(field.name) for field in dataclasses.fields(LocalSettings)}
@@ -101,9 +101,11 @@
             {"NodeName", "Ip", "InternalPortRange", "CountsForQuorum", "FaultTolerance"}, keys
         )
 
-    def test_what_is_absent_or_empty_has_its_default(self) -> None:
-        few = 'NodeName = "n"\nRole = "r"\nIp = "10.0.0.1"\nZone = "z"\nInternalPortRange = [7680,7681]\n'
-        settings = settings_of(few + 'HeartbeatMs = ""\nSeedNodes = []\n[Bounds]\nContactMs = ""\n')
+    def test_absent_or_empty_keys_have_defaults(self) -> None:
+        required_only = (
+            'NodeName = "n"\nRole = "r"\nIp = "10.0.0.1"\nZone = "z"\nInternalPortRange = [7680,7681]\n'
+        )
+        settings = settings_of(required_only + 'HeartbeatMs = ""\nSeedNodes = []\n[Bounds]\nContactMs = ""\n')
         self.assertEqual((settings.data_dir, settings.seed_nodes, settings.heartbeat_ms), ("", [], 1000.0))
         self.assertEqual(settings.bounds, Bounds())
 
@@ -111,13 +113,13 @@
         text = 'Later = [1, "a"]\n' + SETTINGS + "Unknown = 3\n[Unheard]\nOf = true\n"
         self.assertEqual(settings_of(text), settings_of(SETTINGS))
 
-    def test_a_fraction_of_a_core_is_dropped(self) -> None:
+    def test_fractional_core_count_is_truncated(self) -> None:
         settings = settings_of(SETTINGS.replace("CpuCores = 2", "CpuCores = 1.5"))
         self.assertEqual(settings.limits.cpu_cores, 1)
 
 
-class RefusalTest(unittest.TestCase):
-    """Settings that can't be used."""
+class InvalidSettingsTest(unittest.TestCase):
+    """Invalid settings."""
 
     def test_each_message_names_key_value_and_remedy(self) -> None:
         cases = (
@@ -143,20 +145,20 @@
         for old, new, expected in cases:
             with self.subTest(new or old):
                 self.assertIn(old, SETTINGS)
-                message = refusal_of(SETTINGS.replace(old, new))
+                message = error_of(SETTINGS.replace(old, new))
                 self.assertTrue(message.startswith(f"local.toml: {expected}"), message)
                 self.assertNotIn("\n", message)
 
-    def test_long_values_are_cut(self) -> None:
-        message = refusal_of(SETTINGS.replace('"10.1.0.14:8663"', '"' + "x" * 5000 + '"'))
+    def test_long_values_are_truncated_in_messages(self) -> None:
+        message = error_of(SETTINGS.replace('"10.1.0.14:8663"', '"' + "x" * 5000 + '"'))
         self.assertLess(len(message), 200)
 
-    def test_no_toml(self) -> None:
-        message = refusal_of("Ip = ")
+    def test_invalid_toml(self) -> None:
+        message = error_of("Ip = ")
         self.assertIn("is not TOML", message)
         self.assertNotIn("\n", message)
 
-    def test_no_file(self) -> None:
+    def test_missing_file(self) -> None:
         message = str(load_settings("/nowhere/local.toml").failure())
         self.assertEqual(
             message,
--- a/tests/fleet/test_storage_files.py
+++ b/tests/fleet/test_storage_files.py
@@ -1,4 +1,4 @@
-"""Storage on the real file system, and its thread."""
+"""Storage on the real file system, and the storage thread."""
 
 import asyncio
 import errno
@@ -12,8 +12,8 @@
 from brackenusher.storage.writer import StorageWriter
 
 
-class OsFilesTest(unittest.TestCase):
-    def test_a_store_is_read_back_by_the_next_process(self) -> None:
+class OsFileSystemTest(unittest.TestCase):
+    def test_state_is_loaded_by_the_next_process(self) -> None:
         with tempfile.TemporaryDirectory() as root:
             folder = os.path.join(root, "data", "deeper")
             store = SlotStore(folder, "state")
@@ -23,12 +23,12 @@
             store.append([b"a", b""])
             store.append([b"c"])
             store.close()
-            again = SlotStore(folder, "state")
-            loaded = again.load()
+            reopened = SlotStore(folder, "state")
+            loaded = reopened.load()
             self.assertEqual((loaded.snapshot, loaded.records), (b"two", [b"a", b"", b"c"]))
-            again.close()
+            reopened.close()
 
-    def test_a_shorter_snapshot_leaves_nothing_of_a_longer_one(self) -> None:
+    def test_shorter_snapshot_truncates_a_longer_one(self) -> None:
         with tempfile.TemporaryDirectory() as root:
             store = SlotStore(root, "state")
             store.load()
@@ -37,15 +37,15 @@
             self.assertLess(os.path.getsize(store.paths[0]), 100)
             store.close()
 
-    def test_a_folder_that_is_a_file_is_a_typed_error(self) -> None:
+    def test_folder_that_is_a_file_raises_storage_error(self) -> None:
         with tempfile.NamedTemporaryFile() as file, self.assertRaises(StorageError):
             SlotStore(os.path.join(file.name, "below"), "state").load()
 
-    def test_errors_by_their_number(self) -> None:
+    def test_error_type_depends_on_errno(self) -> None:
         self.assertIsInstance(to_storage_error(OSError(errno.ENOSPC, "full")), StorageFullError)
         self.assertNotIsInstance(to_storage_error(OSError(errno.EIO, "broken")), StorageFullError)
 
-    def test_files_release_their_descriptors(self) -> None:
+    def test_files_can_be_used_after_close(self) -> None:
         with tempfile.TemporaryDirectory() as root:
             files = OsFileSystem()
             path = os.path.join(root, "file")
@@ -59,8 +59,8 @@
 
 
 class StorageWriterTest(unittest.TestCase):
-    def test_work_runs_in_order_on_one_other_thread(self) -> None:
-        async def story() -> None:
+    def test_operations_run_in_order_on_one_other_thread(self) -> None:
+        async def scenario() -> None:
             writer = StorageWriter()
             seen = list[tuple[int, int]]()
             futures = [writer.submit(lambda i=i: seen.append((i, threading.get_ident()))) for i in range(20)]
@@ -70,10 +70,10 @@
             self.assertEqual(len({thread for _, thread in seen} - {threading.get_ident()}), 1)
             self.assertEqual(writer.pending_count, 0)
 
-        asyncio.run(story())
+        asyncio.run(scenario())
 
-    def test_an_error_reaches_the_caller_and_the_thread_goes_on(self) -> None:
-        async def story() -> None:
+    def test_exception_reaches_the_caller_and_the_thread_survives(self) -> None:
+        async def scenario() -> None:
             writer = StorageWriter()
 
             def refuse() -> None:
@@ -84,10 +84,10 @@
             self.assertEqual(await writer.submit(lambda: 5), 5)
             writer.close()
 
-        asyncio.run(story())
+        asyncio.run(scenario())
 
-    def test_the_loop_goes_on_while_the_disk_waits(self) -> None:
-        async def story() -> None:
+    def test_event_loop_is_not_blocked_by_an_operation(self) -> None:
+        async def scenario() -> None:
             writer, released = StorageWriter(), threading.Event()
             future = writer.submit(released.wait)
             steps = 0
@@ -100,4 +100,4 @@
             writer.close()
             self.assertEqual(steps, 100)
 
-        asyncio.run(story())
+        asyncio.run(scenario())
--- a/tests/fleet/test_storage_slots.py
+++ b/tests/fleet/test_storage_slots.py
@@ -1,4 +1,4 @@
-"""The slot store keeps all that it said it kept, whatever the disk does."""
+"""Durability of the slot store under power loss, disk errors and corruption."""
 
 import errno
 import random
@@ -9,149 +9,149 @@
 from brackenusher.storage.slot_store import SlotStore
 from tests.fleet.emulated_disk import EmulatedDisk, PowerLost
 
-State = tuple[bytes | None, tuple[bytes, ...]]  # a snapshot and the records behind it
+State = tuple[bytes | None, tuple[bytes, ...]]  # a snapshot and the records after it
 EMPTY: State = (None, ())
-MOST_OPERATIONS = 200  # more than any script below needs
+MAX_STEPS = 200  # more than any test below needs
 
 
-class Script:
-    """A caller that appends and replaces, and knows which states its store may be in."""
+class RandomCaller:
+    """Appends and replaces at random, and tracks the states that the store may be in."""
 
     def __init__(self, store: SlotStore, state: State, rng: random.Random) -> None:
         self.store, self.rng = store, rng
-        self.state, self.attempted = state, [state]
+        self.state, self.possible_states = state, [state]
 
     def step(self, number: int) -> None:
-        """One call; until it returns, the state before and each state on the way may be found."""
+        """Makes one call; until it returns, the store may hold the previous or any intermediate state."""
         label = f"{number}-{self.rng.randrange(10**6)}-".encode()
         if self.state[0] is None or self.rng.random() < 0.25:
             snapshot = label + self.rng.randbytes(self.rng.randrange(300))
-            self.attempted.append((snapshot, ()))
+            self.possible_states.append((snapshot, ()))
             self.store.replace(snapshot)
         else:
             records = [
                 label + self.rng.randbytes(self.rng.randrange(60)) for _ in range(self.rng.randint(1, 3))
             ]
             for i in range(len(records)):
-                self.attempted.append((self.state[0], (*self.state[1], *records[: i + 1])))
+                self.possible_states.append((self.state[0], (*self.state[1], *records[: i + 1])))
             self.store.append(records)
-        self.state = self.attempted[-1]
-        self.attempted = [self.state]
+        self.state = self.possible_states[-1]
+        self.possible_states = [self.state]
 
 
-def load(disk: EmulatedDisk) -> tuple[SlotStore, State, bool]:
-    """A store as a new process finds it."""
+def load_store(disk: EmulatedDisk) -> tuple[SlotStore, State, bool]:
+    """Opens the store as a new process does; returns it, its state and whether it is damaged."""
     store = SlotStore("folder", "state", disk)
     loaded = store.load()
     return store, (loaded.snapshot, tuple(loaded.records)), loaded.damaged
 
 
 class PowerLossTest(unittest.TestCase):
-    def test_power_lost_at_each_operation_in_turn(self) -> None:
+    def test_power_loss_at_every_operation(self) -> None:
         for seed in range(8):
             for operation in range(1, 60):
                 with self.subTest(seed=seed, operation=operation):
                     self.lose_power_at(seed, operation)
 
     def lose_power_at(self, seed: int, operation: int) -> None:
-        """Lose power at one operation and twice more later; after each start go on from what was found."""
+        """Loses power at one operation and twice more later; continues from the loaded state each time."""
         rng = random.Random(seed)
         disk = EmulatedDisk(random.Random(seed * 1000 + operation))
         disk.power_lost_at = operation
-        found = EMPTY
+        expected = EMPTY
         for _ in range(3):
             try:
-                store, state, damaged = load(disk)
-            except PowerLost:  # also while the store is read
+                store, state, damaged = load_store(disk)
+            except PowerLost:  # while the store is loaded
                 disk.lose_power()
-                store, state, damaged = load(disk)
-            self.assertEqual(state, found)
-            script = Script(store, state, rng)
+                store, state, damaged = load_store(disk)
+            self.assertEqual(state, expected)
+            script = RandomCaller(store, state, rng)
             try:
                 for number in range(25):
                     script.step(number)
             except PowerLost:
                 pass
             disk.lose_power()
-            _, found, damaged = load(disk)
-            self.assertIn(found, script.attempted)
+            _, expected, damaged = load_store(disk)
+            self.assertIn(expected, script.possible_states)
             if damaged:
                 self.assertEqual(
-                    script.attempted[0], EMPTY, "only a store that kept nothing yet may be damaged"
+                    script.possible_states[0], EMPTY, "only a store without durable state may be damaged"
                 )
             disk.power_lost_at = disk.operations + rng.randint(1, 40)
 
-    def test_a_process_that_is_killed_loses_nothing_it_kept(self) -> None:
+    def test_killed_process_loses_no_durable_state(self) -> None:
         for seed in range(20):
             rng = random.Random(seed)
             disk = EmulatedDisk(rng)
             disk.power_lost_at = rng.randint(1, 50)
-            script = Script(load(disk)[0], EMPTY, rng)
+            script = RandomCaller(load_store(disk)[0], EMPTY, rng)
             with self.assertRaises(PowerLost):
-                for number in range(MOST_OPERATIONS):
+                for number in range(MAX_STEPS):
                     script.step(number)
-            disk.power_lost_at = 0  # the process is gone, and its files are as they were
-            self.assertIn(load(disk)[1], script.attempted)
+            disk.power_lost_at = 0  # the process was killed: its files stay as they are
+            self.assertIn(load_store(disk)[1], script.possible_states)
 
 
-class ReadingTest(unittest.TestCase):
-    """What a start relies on: it is read whatever the disk refuses, and what was read stays."""
+class LoadTest(unittest.TestCase):
+    """Loading needs no writes, and the loaded state is durable."""
 
-    def test_a_torn_tail_is_read_over_on_a_disk_that_refuses_each_write(self) -> None:
+    def test_torn_tail_is_skipped_on_a_read_only_disk(self) -> None:
         disk = EmulatedDisk(random.Random(1))
-        store = load(disk)[0]
+        store = load_store(disk)[0]
         store.replace(b"snapshot")
         store.append([b"first"])
         disk.files[store.paths[0]].seen += b"torn"
         disk.full = True
-        refusing = RefusingFiles(disk)
-        store = SlotStore("folder", "state", refusing)
+        read_only = ReadOnlyFiles(disk)
+        store = SlotStore("folder", "state", read_only)
         loaded = store.load()
         self.assertEqual((loaded.snapshot, loaded.records), (b"snapshot", [b"first"]))
         with self.assertRaises(StorageFullError):
             store.append([b"second"])
-        disk.full = refusing.refuses = False
+        disk.full = read_only.read_only = False
         store.append([b"second"])
         disk.lose_power()
-        self.assertEqual(load(disk)[1], (b"snapshot", (b"first", b"second")))
+        self.assertEqual(load_store(disk)[1], (b"snapshot", (b"first", b"second")))
 
-    def test_what_was_read_outlives_a_loss_of_power(self) -> None:
+    def test_loaded_state_survives_power_loss(self) -> None:
         for seed in range(40):
             disk = EmulatedDisk(random.Random(seed))
-            store = load(disk)[0]
+            store = load_store(disk)[0]
             store.replace(b"snapshot")
-            disk.power_lost_at = disk.operations + 2  # written, and killed before its sync
+            disk.power_lost_at = disk.operations + 2  # written, killed before the sync
             with self.assertRaises(PowerLost):
                 store.append([b"record"])
             disk.power_lost_at = 0
-            read = load(disk)[1]
+            loaded = load_store(disk)[1]
             disk.lose_power()
-            self.assertEqual(load(disk)[1], read, f"seed {seed}")
+            self.assertEqual(load_store(disk)[1], loaded, f"seed {seed}")
 
-    def test_the_slot_and_the_log_torn_at_each_byte(self) -> None:
+    def test_slot_truncated_at_every_byte(self) -> None:
         disk = EmulatedDisk(random.Random(1))
-        store = load(disk)[0]
+        store = load_store(disk)[0]
         store.replace(b"before")
         store.replace(b"snapshot")
         store.append([b"one", b"two"])
-        whole, known = bytes(disk.files[store.paths[1]].seen), set()
-        for length in range(len(whole) + 1):
-            disk.files[store.paths[1]].seen[:] = whole[:length]
-            state = load(disk)[1]
-            known.add(state)
+        complete, states = bytes(disk.files[store.paths[1]].seen), set()
+        for length in range(len(complete) + 1):
+            disk.files[store.paths[1]].seen[:] = complete[:length]
+            state = load_store(disk)[1]
+            states.add(state)
             self.assertIn(state[0], (b"before", b"snapshot"))
             self.assertEqual(state[1], (b"one", b"two")[: len(state[1])])
-        self.assertEqual(len(known), 4)
+        self.assertEqual(len(states), 4)
 
 
-class RefusingFiles:
-    """Files of a disk that refuses writes of every kind; what is there can be read and synced."""
+class ReadOnlyFiles:
+    """Files of a disk that rejects all writes; existing files can be read and synced."""
 
     def __init__(self, disk: EmulatedDisk) -> None:
-        self.disk, self.refuses = disk, True
+        self.disk, self.read_only = disk, True
 
     def __getattr__(self, name: str) -> Any:
-        if self.refuses and name in ("write", "truncate", "make_folder"):
+        if self.read_only and name in ("write", "truncate", "make_folder"):
             return self.refuse
         return getattr(self.disk, name)
 
@@ -159,34 +159,34 @@
         raise OSError(errno.ENOSPC, "no space left on device")
 
 
-class RefusalTest(unittest.TestCase):
-    def test_each_operation_in_turn_is_refused_once_and_the_call_made_again(self) -> None:
-        for code, kind in ((errno.ENOSPC, StorageFullError), (errno.EIO, StorageError)):
+class DiskErrorTest(unittest.TestCase):
+    def test_single_error_at_every_operation_and_retry(self) -> None:
+        for code, error_type in ((errno.ENOSPC, StorageFullError), (errno.EIO, StorageError)):
             for operation in range(1, 40):
                 with self.subTest(errno=code, operation=operation):
-                    self.refuse_at(operation, code, kind)
+                    self.fail_at(operation, code, error_type)
 
-    def refuse_at(self, operation: int, code: int, kind: type[StorageError]) -> None:
+    def fail_at(self, operation: int, code: int, error_type: type[StorageError]) -> None:
         rng = random.Random(operation)
         disk = EmulatedDisk(rng)
         disk.refuse_at = {operation: code}
-        script = Script(load(disk)[0], EMPTY, rng)
-        refused = 0
+        script = RandomCaller(load_store(disk)[0], EMPTY, rng)
+        failures = 0
         for number in range(30):
             try:
                 script.step(number)
-            except kind:
-                refused += 1
-                self.assertIn(load(disk)[1], script.attempted)
-                script.attempted = [script.state]
-        self.assertEqual(refused, 1)
-        self.assertEqual(load(disk)[1], script.state)
+            except error_type:
+                failures += 1
+                self.assertIn(load_store(disk)[1], script.possible_states)
+                script.possible_states = [script.state]
+        self.assertEqual(failures, 1)
+        self.assertEqual(load_store(disk)[1], script.state)
         disk.lose_power()
-        self.assertEqual(load(disk)[1], script.state)
+        self.assertEqual(load_store(disk)[1], script.state)
 
-    def test_a_full_disk_is_told_apart_and_gives_room_again(self) -> None:
+    def test_full_disk_has_its_own_error_and_recovers(self) -> None:
         disk = EmulatedDisk(random.Random(1))
-        store = load(disk)[0]
+        store = load_store(disk)[0]
         store.replace(b"snapshot")
         disk.full = True
         with self.assertRaises(StorageFullError):
@@ -196,64 +196,64 @@
         disk.full = False
         store.append([b"two"])
         disk.lose_power()
-        self.assertEqual(load(disk)[1], (b"snapshot", (b"two",)))
+        self.assertEqual(load_store(disk)[1], (b"snapshot", (b"two",)))
 
-    def test_a_disk_that_fills_up_within_a_write(self) -> None:
+    def test_disk_that_fills_up_within_a_write(self) -> None:
         for seed in range(30):
             disk = EmulatedDisk(random.Random(seed), capacity=3000)
-            script = Script(load(disk)[0], EMPTY, random.Random(seed))
+            script = RandomCaller(load_store(disk)[0], EMPTY, random.Random(seed))
             for number in range(60):
                 try:
                     script.step(number)
                 except StorageFullError:
-                    script.attempted = [script.state]
-            self.assertEqual(load(disk)[1], script.state)
+                    script.possible_states = [script.state]
+            self.assertEqual(load_store(disk)[1], script.state)
 
 
-class DamageTest(unittest.TestCase):
-    def test_a_damaged_tail_is_cut_and_never_comes_back(self) -> None:
+class CorruptionTest(unittest.TestCase):
+    def test_corrupt_tail_is_truncated_for_good(self) -> None:
         disk = EmulatedDisk(random.Random(1))
-        store = load(disk)[0]
+        store = load_store(disk)[0]
         store.replace(b"snapshot")
         store.append([b"first"])
         end = store.end
         store.append([b"second"])
         store.append([b"third!"])
         disk.files[store.paths[0]].seen[end + 9] ^= 1
-        store, state, _ = load(disk)
+        store, state, _ = load_store(disk)
         self.assertEqual(state, (b"snapshot", (b"first",)))
         store.append([b"longer than both that were there"])
-        self.assertEqual(load(disk)[1], (b"snapshot", (b"first", b"longer than both that were there")))
+        self.assertEqual(load_store(disk)[1], (b"snapshot", (b"first", b"longer than both that were there")))
 
-    def test_records_of_an_earlier_use_of_a_slot_are_never_read(self) -> None:
+    def test_records_of_an_earlier_generation_are_not_accepted(self) -> None:
         disk = EmulatedDisk(random.Random(1))
-        store = load(disk)[0]
+        store = load_store(disk)[0]
         store.replace(b"snapshot one")
         store.append([b"record one"])
         old = bytes(disk.files[store.paths[0]].seen)
         store.replace(b"snapshot two")
         store.replace(b"snapshot 3rd")
         file = disk.files[store.paths[0]]
-        file.seen[len(file.seen) :] = old[len(file.seen) :]  # the cut of the length was lost
-        self.assertEqual(load(disk)[1], (b"snapshot 3rd", ()))
+        file.seen[len(file.seen) :] = old[len(file.seen) :]  # the truncation was lost
+        self.assertEqual(load_store(disk)[1], (b"snapshot 3rd", ()))
 
-    def test_a_damaged_snapshot_gives_way_to_the_one_before(self) -> None:
+    def test_corrupt_snapshot_falls_back_to_the_previous_one(self) -> None:
         disk = EmulatedDisk(random.Random(1))
-        store = load(disk)[0]
+        store = load_store(disk)[0]
         store.replace(b"snapshot one")
         store.replace(b"snapshot two")
         disk.files[store.paths[1]].seen[-1] ^= 1
-        self.assertEqual(load(disk)[1], (b"snapshot one", ()))
+        self.assertEqual(load_store(disk)[1], (b"snapshot one", ()))
 
-    def test_no_whole_slot_is_told_apart_from_an_empty_folder(self) -> None:
+    def test_corrupt_store_differs_from_an_empty_folder(self) -> None:
         disk = EmulatedDisk(random.Random(1))
-        self.assertFalse(load(disk)[2])
-        store = load(disk)[0]
+        self.assertFalse(load_store(disk)[2])
+        store = load_store(disk)[0]
         store.replace(b"snapshot")
         disk.files[store.paths[0]].seen[3] ^= 1
-        self.assertTrue(load(disk)[2])
+        self.assertTrue(load_store(disk)[2])
 
-    def test_random_bytes_are_never_taken_for_a_store(self) -> None:
+    def test_random_bytes_are_not_accepted(self) -> None:
         rng = random.Random(1)
         disk = EmulatedDisk(rng)
         for _ in range(300):
@@ -267,12 +267,12 @@
 class SyncTest(unittest.TestCase):
     def test_an_append_syncs_once(self) -> None:
         disk = EmulatedDisk(random.Random(1))
-        store = load(disk)[0]
+        store = load_store(disk)[0]
         store.replace(b"snapshot")
         before = disk.syncs
         store.append([b"one", b"two"])
         self.assertEqual(disk.syncs - before, 1)
 
-    def test_append_before_a_snapshot_is_refused(self) -> None:
+    def test_append_before_a_snapshot_is_rejected(self) -> None:
         with self.assertRaises(StorageError):
-            load(EmulatedDisk(random.Random(1)))[0].append([b"one"])
+            load_store(EmulatedDisk(random.Random(1)))[0].append([b"one"])
--- a/tests/fleet/virtual_time.py
+++ b/tests/fleet/virtual_time.py
@@ -1,4 +1,4 @@
-"""An event loop whose clock jumps to the next timer where nothing else is due: minutes pass in no time."""
+"""Event loop with a virtual clock: when nothing is ready, the clock jumps to the next timer."""
 
 import asyncio
 import heapq
@@ -9,7 +9,7 @@
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """Time passes only where everything waits for a timer."""
+    """Advances the clock only while everything waits for a timer."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -26,13 +26,13 @@
             self._timer_cancelled_count -= 1  # type: ignore[attr-defined]
         if not self._ready:  # type: ignore[attr-defined]
             if not scheduled:
-                raise RuntimeError("nothing is left that could happen")
+                raise RuntimeError("deadlock: nothing is ready and no timer is pending")
             self._virtual_now = max(self._virtual_now, scheduled[0].when())
         super()._run_once()  # type: ignore[misc]
 
 
 def play(main: Coroutine[Any, Any, T]) -> T:
-    """Run a story on a loop of its own, in virtual time."""
+    """Runs a coroutine on a new event loop with a virtual clock."""
     loop = VirtualLoop()
     try:
         return loop.run_until_complete(main)
