--- a/brackenusher/assembly/proxy.py
+++ b/brackenusher/assembly/proxy.py
@@ -171,7 +171,7 @@
 
     async def stop(self) -> None:
         """Keeps serving until the platform has noticed the shutdown, completes all requests, then stops."""
-        self.share_exchange.leaving = True
+        self.share_exchange.shutting_down = True
         await self.server.shut_down(self.settings.bounds.grace_s)
         await self.ready_server.stop()
         if self._tick_task is not None:
--- a/brackenusher/cli.py
+++ b/brackenusher/cli.py
@@ -233,14 +233,14 @@
 
 def run_demo(options: argparse.Namespace) -> int:
     try:
-        from testbed.sockets.demo import main as play
+        from testbed.sockets.demo import main as demo_main
     except ImportError as error:
         print(
             f"brackenusher: demo needs the extra testbed: pip install 'brackenusher[testbed]' ({error})",
             file=sys.stderr,
         )
         return 2
-    return play(options)
+    return demo_main(options)
 
 
 def print_version(options: argparse.Namespace) -> int:
--- a/brackenusher/cluster/base_exchange.py
+++ b/brackenusher/cluster/base_exchange.py
@@ -12,7 +12,7 @@
     """The exchange of one proxy. Times are milliseconds of its monotonic clock."""
 
     def __init__(self, limits: Limits) -> None:
-        self.leaving = False  # an orderly shutdown has begun: the share is given up
+        self.shutting_down = False  # an orderly shutdown has begun: the share is given up
         self._limits = limits
         self._shares = PredecessorShares()
         self._pinged_back_at = float("-inf")
@@ -27,12 +27,12 @@
 
     def fill_ping_ack(self, ack: messages.PingAck, ping: messages.Ping, now: float) -> None:
         """Adds to the answer to a ping the own share and the remembered share of the sender."""
-        held = NO_SHARE if self.leaving else HeldShare(*self._limits.fallback_share(now))
-        self._shares.record_ping(now, ping.sender, ping.remembers, held)
+        own_share = NO_SHARE if self.shutting_down else HeldShare(*self._limits.fallback_share(now))
+        self._shares.record_ping(now, ping.sender, ping.remembers, own_share)
         sender_share = self._shares.share_of(now, ping.sender)
-        ack.base, ack.base_left_ms = held.fraction, int(held.time_ms)
+        ack.base, ack.base_left_ms = own_share.fraction, int(own_share.time_ms)
         ack.your_base, ack.your_base_left_ms = sender_share.fraction, int(sender_share.time_ms)
-        ack.released = self.leaving
+        ack.released = self.shutting_down
 
     def should_ping_back(self, ping: messages.Ping, now: float) -> bool:
         """Whether to ping the sender at once, because it remembers a share that this process may inherit."""
@@ -44,8 +44,8 @@
 
     def on_ping_ack(self, ack: messages.PingAck, sent_at: float, now: float) -> None:
         """Handles a peer's answer to a ping that was sent at `sent_at`."""
-        held = HeldShare(ack.base, float(ack.base_left_ms))
-        self._shares.record_ping_ack(ack.sender, sent_at, held, ack.released)
+        peer_share = HeldShare(ack.base, float(ack.base_left_ms))
+        self._shares.record_ping_ack(ack.sender, sent_at, peer_share, ack.released)
         if ack.your_base > 0.0:
             self._limits.inherit_fallback_share(
                 now, min(1.0, ack.your_base), sent_at + ack.your_base_left_ms / MAX_CLOCK_RATE_RATIO
--- a/brackenusher/cluster/link_metrics.py
+++ b/brackenusher/cluster/link_metrics.py
@@ -14,7 +14,7 @@
         return {role: float(count) for role, count in counts.items()}
 
     def bytes_by_message() -> dict[str, float]:
-        return {kind: float(size) for kind, size in links.counters.bytes_by_kind.items()}
+        return {kind: float(size) for kind, size in links.counters.bytes_by_message.items()}
 
     def frames_by_event() -> dict[str, float]:
         counters = links.counters
--- a/brackenusher/cluster/links.py
+++ b/brackenusher/cluster/links.py
@@ -49,9 +49,9 @@
 class LinkConnection(asyncio.Protocol):
     """One TCP connection; passes messages on to its `Links`."""
 
-    def __init__(self, links: "Links", expected_peer: str = "") -> None:
+    def __init__(self, links: "Links", expected_address: str = "") -> None:
         self.links = links
-        self.peer = expected_peer  # internal address of the peer; empty until its Hello arrives
+        self.peer_address = expected_address  # internal address of the peer; empty until its Hello arrives
         self.hello: messages.Hello | None = None
         self.transport: asyncio.Transport | None = None
         self.decoder = FrameReader()
@@ -78,7 +78,7 @@
             for message in self.decoder.feed(data):
                 self.links.handle_message(self, message)
         except FrameError as error:
-            log.warning("link ended: peer=%s error=%s", self.peer, error)
+            log.warning("link ended: peer=%s error=%s", self.peer_address, error)
             self.abort()
 
     def connection_lost(self, error: Exception | None) -> None:
@@ -92,7 +92,7 @@
         if self.transport is None or self.transport.is_closing():
             return False
         if self.transport.get_write_buffer_size() > MAX_SEND_BUFFER_BYTES:
-            log.warning("link ended: peer=%s error=send buffer full", self.peer)
+            log.warning("link ended: peer=%s error=send buffer full", self.peer_address)
             self.abort()
             return False
         self.transport.write(frame)
@@ -121,7 +121,7 @@
     frames_dropped: int = 0
     connect_attempts: int = 0
     connect_failures: int = 0
-    bytes_by_kind: dict[str, int] = field(default_factory=dict)
+    bytes_by_message: dict[str, int] = field(default_factory=dict)
 
 
 class Links:
@@ -188,7 +188,7 @@
         self.counters.frames_sent += 1
         self.counters.bytes_sent += len(frame)
         kind = type(message).__name__
-        self.counters.bytes_by_kind[kind] = self.counters.bytes_by_kind.get(kind, 0) + len(frame)
+        self.counters.bytes_by_message[kind] = self.counters.bytes_by_message.get(kind, 0) + len(frame)
         return connection.write(frame)
 
     def connected(self) -> dict[str, messages.Hello]:
@@ -210,23 +210,27 @@
         if isinstance(message, messages.Hello):
             self._handle_hello(connection, message)
             return
-        if not connection.peer or connection.hello is None:
+        if not connection.peer_address or connection.hello is None:
             connection.abort()
             return
         if connection.aborted:
             return
         for handler in self._message_handlers.get(type(message), ()):
             try:
-                handler(connection.peer, message)
+                handler(connection.peer_address, message)
             except Exception:
-                log.exception("handler failed: kind=%s peer=%s", type(message).__name__, connection.peer)
+                log.exception(
+                    "handler failed: kind=%s peer=%s", type(message).__name__, connection.peer_address
+                )
 
     def _handle_hello(self, connection: LinkConnection, hello: messages.Hello) -> None:
-        if connection.peer and hello.address != connection.peer:
-            log.warning("link ended: peer=%s error=its Hello names %s", connection.peer, hello.address)
+        if connection.peer_address and hello.address != connection.peer_address:
+            log.warning(
+                "link ended: peer=%s error=its Hello names %s", connection.peer_address, hello.address
+            )
             connection.abort()
             return
-        connection.peer, connection.hello = hello.address, hello
+        connection.peer_address, connection.hello = hello.address, hello
         self._abort_earlier_incarnations(hello)
         self._active[hello.address] = connection
         for handler in self._change_handlers:
@@ -234,17 +238,17 @@
 
     def _abort_earlier_incarnations(self, hello: messages.Hello) -> None:
         for other in list(self.connections):
-            earlier = other.hello is not None and other.hello.incarnation != hello.incarnation
-            if earlier and other.peer == hello.address:
+            is_earlier = other.hello is not None and other.hello.incarnation != hello.incarnation
+            if is_earlier and other.peer_address == hello.address:
                 other.abort()
 
     def handle_disconnect(self, connection: LinkConnection) -> None:
-        address = connection.peer
+        address = connection.peer_address
         if connection.hello is None or self._active.get(address) is not connection:
             return
         del self._active[address]
         for other in self.connections:
-            if other.peer == address and other.hello is not None:
+            if other.peer_address == address and other.hello is not None:
                 self._active[address] = other
                 return
         for handler in self._change_handlers:
@@ -253,19 +257,19 @@
     # Background tasks
 
     async def _keep_connected(self, address: str) -> None:
-        delay, timeout = INITIAL_RECONNECT_DELAY_S, INITIAL_CONNECT_TIMEOUT_S
+        delay_s, timeout_s = INITIAL_RECONNECT_DELAY_S, INITIAL_CONNECT_TIMEOUT_S
         connection: LinkConnection | None = None
         try:
             while True:
                 if address not in self._active:
-                    connection = await self._connect_once(address, timeout)
+                    connection = await self._connect_once(address, timeout_s)
                     if connection is not None:
-                        delay, timeout = INITIAL_RECONNECT_DELAY_S, INITIAL_CONNECT_TIMEOUT_S
+                        delay_s, timeout_s = INITIAL_RECONNECT_DELAY_S, INITIAL_CONNECT_TIMEOUT_S
                         await connection.closed
                     else:
-                        delay = min(delay * RECONNECT_DELAY_FACTOR, MAX_RECONNECT_DELAY_S)
-                        timeout = min(timeout * CONNECT_TIMEOUT_FACTOR, MAX_CONNECT_TIMEOUT_S)
-                await asyncio.sleep(delay * (0.5 + self.rng.random()))
+                        delay_s = min(delay_s * RECONNECT_DELAY_FACTOR, MAX_RECONNECT_DELAY_S)
+                        timeout_s = min(timeout_s * CONNECT_TIMEOUT_FACTOR, MAX_CONNECT_TIMEOUT_S)
+                await asyncio.sleep(delay_s * (0.5 + self.rng.random()))
         finally:
             if connection is not None:
                 connection.abort()
