--- a/brackenusher/cluster/links.py
+++ b/brackenusher/cluster/links.py
@@ -29,9 +29,7 @@
 MAX_RECONNECT_DELAY_S = 0.8  # a healed partition must be noticed well within ContactMs
 KEEP_ALIVE_S = 0.5
 PEER_TIMEOUT_S = 1.6  # three missed keep-alives
-MAX_SEND_BUFFER_BYTES = (
-    24 * 1024 * 1024
-)  # room for a snapshot on a slow link; a peer further behind is dropped
+MAX_SEND_BUFFER_BYTES = 24 * 1024 * 1024  # holds a snapshot for a slow link; a slower peer is dropped
 TCP_USER_TIMEOUT_MS = 2000  # a partition sends no RST: unacknowledged data ends the connection
 HELLO_TIMEOUT_S = 2.0
 KEEP_ALIVE_FRAME = encode_frame(messages.KeepAlive())
--- a/tests/fleet/fake_links.py
+++ b/tests/fleet/fake_links.py
@@ -28,9 +28,7 @@
 
     alive: bool = True
     lost_data: bool = False  # a frame was lost in a partition: the session ends when it heals
-    last_due_at: dict[str, float] = field(
-        default_factory=dict
-    )  # by receiver: keeps the messages of a link in order
+    last_due_at: dict[str, float] = field(default_factory=dict)  # by receiver: keeps messages in order
 
 
 class FakeLinks:
@@ -201,9 +199,7 @@
             return
         session = self.sessions[addresses] = Session()
         for local, remote in ((one, other), (other, one)):
-            due = session.last_due_at[local] = (
-                self._random_due()
-            )  # the Hello is delivered before all other frames
+            due = session.last_due_at[local] = self._random_due()  # the Hello precedes all other frames
             hello = self.processes[remote].own
             self.loop.call_at(due, self.processes[local].handle_hello, remote, session, hello)
 
