--- a/brackenusher/assembly/control.py
+++ b/brackenusher/assembly/control.py
@@ -1,4 +1,4 @@
-"""The role `control`: the configuration shard, the service shards, feeds, and the interface for operators."""
+"""The role `control`: configuration shard, service shards, feeds, and the HTTP API for operators."""
 
 import asyncio
 import os
@@ -9,7 +9,7 @@
 
 from barleybarrow.documents import Configuration
 from barleybarrow.limits.limits import Limits
-from brackenusher.assembly.process import greeting, limit_bounds, run
+from brackenusher.assembly.process import limit_bounds, own_hello, run
 from brackenusher.cluster.link_metrics import add_link_metrics
 from brackenusher.cluster.links import Links, split_address
 from brackenusher.cluster.monitor import Monitor
@@ -29,14 +29,14 @@
 from brackenusher.storage.writer import StorageWriter
 
 REGISTRY_STORE = "registry"
-TICK_S = 0.1
+TICK_INTERVAL_S = 0.1
 
 
-def check(document: dict[str, Any]) -> Result[Configuration, Exception]:
-    """Check a document. Its library takes a quarter of a second to import: not while the process starts."""
-    from brackenusher.settings.documents import check_document
+def validate_configuration(document: dict[str, Any]) -> Result[Configuration, Exception]:
+    """Validates a document. Imports pyserde late, as that takes a quarter of a second."""
+    from brackenusher.settings.documents import validate_document
 
-    return check_document(document)
+    return validate_document(document)
 
 
 class ControlProcess:
@@ -46,18 +46,23 @@
         loop = asyncio.get_running_loop()
         rng = random.Random(os.urandom(16))
         self.settings = settings
-        self.links = Links(greeting(settings, "control", settings.control_internal_port, rng), rng)
-        self.writer = StorageWriter() if settings.data_dir else None
-        store = SlotStore(settings.data_dir, REGISTRY_STORE) if settings.data_dir else None
-        self.shard = ConfigShard(settings, self.links, check, rng)
+        self.links = Links(own_hello(settings, "control", settings.control_internal_port, rng), rng)
+        self.storage_writer = StorageWriter() if settings.data_dir else None
+        registry_store = SlotStore(settings.data_dir, REGISTRY_STORE) if settings.data_dir else None
+        self.config_shard = ConfigShard(settings, self.links, validate_configuration, rng)
         self.registry = RegistryService(
-            settings, self.links, store, self.writer, self.shard.voters, lambda: loop.time() * 1000.0
+            settings,
+            self.links,
+            registry_store,
+            self.storage_writer,
+            self.config_shard.voters,
+            lambda: loop.time() * 1000.0,
         )
-        self.feeds = FeedSource(self.links, self.shard, self.registry)
-        self.confirmations = VersionConfirmations(self.links, self.shard, lambda: loop.time() * 1000.0)
-        own = self.links.own.address
+        self.feeds = FeedSource(self.links, self.config_shard, self.registry)
+        self.confirmations = VersionConfirmations(self.links, self.config_shard, lambda: loop.time() * 1000.0)
+        own_address = self.links.own.address
         self.limits = Limits(
-            own,
+            own_address,
             [],
             rng,
             loop.time() * 1000.0,
@@ -65,68 +70,70 @@
             is_proxy=False,
             bootstrap=settings.bootstrap,
         )
-        roster = SlotStore(settings.data_dir, LIMITS_STORE) if settings.data_dir else None
-        self.shares = SharesDriver(self.limits, self.links, lambda: loop.time() * 1000.0, roster, self.writer)
-        self.shard.on_committed.append(self._configured)
-        self.shard.on_voters.append(self.shares.voters_changed)
+        limits_store = SlotStore(settings.data_dir, LIMITS_STORE) if settings.data_dir else None
+        self.limits_driver = SharesDriver(
+            self.limits, self.links, lambda: loop.time() * 1000.0, limits_store, self.storage_writer
+        )
+        self.config_shard.on_committed.append(self._configure_limits)
+        self.config_shard.on_voters.append(self.limits_driver.voters_changed)
         self.monitor = Monitor(settings, self.links, rng)
-        self._ticker: asyncio.Task[None] | None = None
-        status = FleetStatus(self.links, self.shard, self.registry, self.feeds, self.monitor)
+        self._tick_task: asyncio.Task[None] | None = None
+        fleet_status = FleetStatus(self.links, self.config_shard, self.registry, self.feeds, self.monitor)
         metrics = Metrics()
-        api = Api(self.shard, self.registry, status=status.tell, metrics=metrics)
+        api = Api(self.config_shard, self.registry, status=fleet_status.tell, metrics=metrics)
         host, port = split_address(settings.listen.control)
         self.server = HttpServer(host, port, api.handle)
         add_process_metrics(metrics)
         add_link_metrics(metrics, self.links)
-        add_control_metrics(metrics, self.shard, self.registry, self.feeds, self.server)
+        add_control_metrics(metrics, self.config_shard, self.registry, self.feeds, self.server)
 
-    def _configured(self, configuration: Configuration) -> None:
+    def _configure_limits(self, configuration: Configuration) -> None:
         now = asyncio.get_running_loop().time() * 1000.0
         self.limits.configure(now, configuration.tenants, configuration.services)
 
     async def start(self) -> None:
-        """Open what is served. Raises OSError where an address can't be listened on."""
+        """Opens the listeners and starts all services. Raises OSError if an address can't be bound."""
         await self.links.start()
         await self.monitor.start()
-        await self.server.start()  # a disk that stalls while it is read holds up no call: each has its time
-        self.shares.start()
-        await self.shard.start()
-        self._ticker = asyncio.get_running_loop().create_task(self._keep_ticking())
+        await self.server.start()  # before stores are read: a stalled disk delays no call beyond its timeout
+        self.limits_driver.start()
+        await self.config_shard.start()
+        self._tick_task = asyncio.get_running_loop().create_task(self._run_ticks())
         await self.registry.start()
 
-    async def _keep_ticking(self) -> None:
+    async def _run_ticks(self) -> None:
         while True:
-            self.limits.credit_machine.defers_candidacy = self.shard.is_leader
+            self.limits.credit_machine.defers_candidacy = self.config_shard.is_leader
             self.registry.tick()
             self.monitor.tick()
-            await asyncio.sleep(TICK_S)
+            await asyncio.sleep(TICK_INTERVAL_S)
 
     def reload(self, settings: LocalSettings) -> None:
-        """Take up a settings file that changed: new seeds are called."""
+        """Applies a changed settings file: connects to new seeds."""
         for seed in settings.seed_nodes:
             host, _ = split_address(seed)
             self.links.connect(f"{host}:{settings.control_internal_port}")
 
     async def stop(self) -> None:
-        """Hand over what this process leads, then end."""
-        await self.shard.stop()
+        """Hands over leadership, then stops all services."""
+        await self.config_shard.stop()
         await self.server.stop()
-        self.shares.stop()
-        if self._ticker is not None:
-            self._ticker.cancel()
+        self.limits_driver.stop()
+        if self._tick_task is not None:
+            self._tick_task.cancel()
         await self.feeds.stop()
         await self.confirmations.stop()
         await self.monitor.stop()
         await self.links.stop()
-        if self.writer is not None:
-            self.writer.close()
+        if self.storage_writer is not None:
+            self.storage_writer.close()
 
 
-async def make(settings: LocalSettings) -> ControlProcess:
-    """Put a control process together; the event loop runs."""
+async def create_process(settings: LocalSettings) -> ControlProcess:
+    """Creates a control process; needs a running event loop."""
     return ControlProcess(settings)
 
 
 def main() -> int:
-    """Run a control process until it is told to end. Returns the exit code."""
-    return run(make)
+    """Runs a control process until it is stopped by a signal. Returns the exit code."""
+    return run(create_process)
--- a/brackenusher/assembly/process.py
+++ b/brackenusher/assembly/process.py
@@ -1,4 +1,4 @@
-"""What both roles do alike: read the settings, run one event loop, end in order at SIGTERM or SIGINT."""
+"""Common to both roles: loads the settings, runs the event loop, shuts down on SIGTERM or SIGINT."""
 
 import asyncio
 import logging
@@ -15,29 +15,29 @@
 from brackenusher.cluster import messages
 from brackenusher.runtime.fleet_log import set_up
 from brackenusher.settings.local import LocalSettings
-from brackenusher.settings.reading import EXIT_BAD_SETTINGS, SETTINGS_VARIABLE, load_settings
+from brackenusher.settings.reading import EXIT_BAD_SETTINGS, SETTINGS_ENV_VAR, load_settings
 
 log = logging.getLogger(__name__)
 
 
-class Runnable(Protocol):
-    """A role that was put together."""
+class RoleProcess(Protocol):
+    """A process of either role."""
 
     async def start(self) -> None:
-        """Open what is served. Raises OSError where an address can't be listened on."""
+        """Opens the listeners and starts all services. Raises OSError if an address can't be bound."""
 
     async def stop(self) -> None:
-        """End in order; returns when nothing is left to be done."""
+        """Shuts down in order; returns when everything has stopped."""
 
     def reload(self, settings: LocalSettings) -> None:
-        """Take up a settings file that changed."""
+        """Applies a changed settings file (on SIGHUP)."""
 
 
-def read_settings() -> LocalSettings | None:
-    """The settings of this process; None, and one line on standard error, where they can't be used."""
-    path = os.environ.get(SETTINGS_VARIABLE, "")
+def settings_from_environment() -> LocalSettings | None:
+    """Loads the settings of this process; on an error prints one line to standard error and returns None."""
+    path = os.environ.get(SETTINGS_ENV_VAR, "")
     if not path:
-        print(f"brackenusher: {SETTINGS_VARIABLE} is not set: name the settings file", file=sys.stderr)
+        print(f"brackenusher: {SETTINGS_ENV_VAR} is not set: name the settings file", file=sys.stderr)
         return None
     match load_settings(path):
         case Success(settings):
@@ -47,8 +47,8 @@
     return None
 
 
-def greeting(settings: LocalSettings, role: str, port: int, rng: random.Random) -> messages.Hello:
-    """How this process introduces itself to its peers."""
+def own_hello(settings: LocalSettings, role: str, port: int, rng: random.Random) -> messages.Hello:
+    """Returns the Hello that this process sends to its peers, with a new random incarnation."""
     return messages.Hello(
         address=f"{settings.ip}:{port}",
         role=role,
@@ -62,7 +62,7 @@
 
 
 def limit_bounds(settings: LocalSettings) -> LimitBounds:
-    """The bounds of quotas and retries, as the settings file has them."""
+    """Returns the bounds of quotas and retries from the settings."""
     bounds = settings.bounds
     return LimitBounds(
         quota_window_s=bounds.quota_window_s,
@@ -74,34 +74,34 @@
     )
 
 
-async def _serve(make: Callable[[LocalSettings], Awaitable[Runnable]], settings: LocalSettings) -> None:
+async def _serve(create: Callable[[LocalSettings], Awaitable[RoleProcess]], settings: LocalSettings) -> None:
     loop = asyncio.get_running_loop()
-    ending = asyncio.Event()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, ending.set)
-    role = await make(settings)
+    stop_requested = asyncio.Event()
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop_requested.set)
+    process = await create(settings)
 
     def reload() -> None:
-        changed = read_settings()
-        if changed is not None:
-            role.reload(changed)
+        new_settings = settings_from_environment()
+        if new_settings is not None:
+            process.reload(new_settings)
 
     loop.add_signal_handler(signal.SIGHUP, reload)
-    await role.start()
-    await ending.wait()
+    await process.start()
+    await stop_requested.wait()
     log.info("event=ending role=%s", settings.role)
-    await role.stop()
+    await process.stop()
 
 
-def run(make: Callable[[LocalSettings], Awaitable[Runnable]]) -> int:
-    """Run a role until it is told to end. Returns the exit code."""
-    settings = read_settings()
+def run(create: Callable[[LocalSettings], Awaitable[RoleProcess]]) -> int:
+    """Runs a role until it is stopped by a signal. Returns the exit code."""
+    settings = settings_from_environment()
     if settings is None:
         return EXIT_BAD_SETTINGS
     set_up(settings.role, settings.log_level)
     log.info("event=starting role=%s node=%s", settings.role, settings.node_name)
     try:
-        asyncio.run(_serve(make, settings))
+        asyncio.run(_serve(create, settings))
     except OSError as error:
         print(f"brackenusher: {error}: is another process at that address?", file=sys.stderr)
         return 1
--- a/brackenusher/cluster/limits_driver.py
+++ b/brackenusher/cluster/limits_driver.py
@@ -1,7 +1,6 @@
-"""Connects a process's limits to its links: carries the messages of the machine and wakes it when it is due.
+"""Connects a process's limits to its links: carries the messages of the state machine and runs its timer.
 
-Requests ask `LimitsDriver.admit`; where this proxy has no credit at hand they wait for the credit
-server's reply.
+Requests call `LimitsDriver.admit`; if this proxy has no credit left they wait for the credit server's reply.
 """
 
 import asyncio
@@ -17,30 +16,30 @@
 
 log = logging.getLogger(__name__)
 
-MACHINE = "shares"  # name of the machine in MachineMessage
-SHORTEST_PAUSE_S = 0.001
+MACHINE = "shares"  # name of the state machine in MachineMessage
+MIN_WAKEUP_DELAY_S = 0.001
 
 
 class LimitsDriver:
-    """Runs a `Limits` machine on the event loop. `now` gives monotonic milliseconds."""
+    """Runs a `Limits` state machine on the event loop. `now` returns monotonic milliseconds."""
 
     def __init__(self, limits: Limits, links: Links, now: Callable[[], float]) -> None:
         self.limits, self.links, self.now = limits, links, now
         self._timer: asyncio.TimerHandle | None = None
         self._running = False
-        self._tickets = 0
+        self._last_ticket = 0
         self._waiting: dict[int, asyncio.Future[bool]] = {}
         self._credit_server = ""
 
     def start(self) -> None:
-        """Begin to take messages and to wake the machine. Needs a running event loop."""
+        """Starts to handle messages and timers. Needs a running event loop."""
         self._running = True
-        self.links.on_message(messages.MachineMessage, self._received)
-        self.links.on_change(lambda address, hello: self._links_changed())
-        self._links_changed()
+        self.links.on_message(messages.MachineMessage, self._handle_message)
+        self.links.on_change(lambda address, hello: self._update_reachable())
+        self._update_reachable()
 
     def stop(self, released: bool = False) -> None:
-        """Planned end: a credit server lets another follow; the machine is woken no more.
+        """Planned shutdown: a credit server resigns, timers stop, and pending requests are refused.
 
         `released`: see `Limits.resign`.
         """
@@ -56,70 +55,70 @@
                 future.set_result(False)
 
     def voters_changed(self, voters: list[str], index: int = 0) -> None:
-        """The voters of the configuration shard are the acceptors of the limits."""
+        """Uses the voters of the configuration shard as acceptors of the limits."""
         self.limits.set_acceptors(self.now(), voters)
-        self._links_changed()
+        self._update_reachable()
 
     # Requests
 
     def admit(self, tenant: Tenant, cost: float) -> bool | asyncio.Future[bool]:
-        """Take the cost of a request from its tenant's quota.
+        """Charges the cost of a request to its tenant's quota and returns whether it is admitted.
 
-        A future where the credit server is asked: it is done after some milliseconds, at most
-        `spans.CREDIT_WAIT_TIMEOUT_MS`. A future that is cancelled asks no more.
+        Returns a future if the credit server has to be asked. It completes after some milliseconds, at most
+        `spans.CREDIT_WAIT_TIMEOUT_MS`; cancelling it withdraws the request.
         """
-        self._tickets += 1
-        ticket = self._tickets
+        self._last_ticket += 1
+        ticket = self._last_ticket
         verdict = self.limits.decide(self.now(), tenant, cost, ticket)
         if verdict is not Verdict.PENDING:
-            self._schedule()
+            self._schedule_wakeup()
             return verdict is Verdict.ADMITTED
         future = self._waiting[ticket] = asyncio.get_running_loop().create_future()
-        future.add_done_callback(lambda done: self._decided(ticket, done))
-        self._wake()
+        future.add_done_callback(lambda done: self._forget(ticket, done))
+        self._tick()
         return future
 
-    def _decided(self, ticket: int, done: asyncio.Future[bool]) -> None:
+    def _forget(self, ticket: int, future: asyncio.Future[bool]) -> None:
         self._waiting.pop(ticket, None)
-        if done.cancelled():
+        if future.cancelled():
             self.limits.cancel(ticket)
 
-    # The machine
+    # The state machine
 
-    def _links_changed(self) -> None:
+    def _update_reachable(self) -> None:
         self.limits.set_reachable(self.now(), list(self.links.connected()))
         self._run()
 
-    def _received(self, sender: str, message: betterproto.Message) -> None:
+    def _handle_message(self, sender: str, message: betterproto.Message) -> None:
         if isinstance(message, messages.MachineMessage) and message.machine == MACHINE:
             self.limits.receive(self.now(), sender, message.payload)
             self._run()
 
-    def _wake(self) -> None:
+    def _tick(self) -> None:
         self.limits.tick(self.now())
         self._run()
 
     def _run(self) -> None:
-        """Send what the machine wants sent, tell requests their decisions, and set the timer anew."""
+        """Sends the outgoing messages, completes decided requests and resets the timer."""
         if self.limits.credit_machine.credit_server != self._credit_server:
             self._credit_server = self.limits.credit_machine.credit_server
-            log.info("limits: warden=%s term=%d", self._credit_server, self.limits.credit_machine.term)
+            log.info("limits: credit_server=%s term=%d", self._credit_server, self.limits.credit_machine.term)
         for address, payload in self.limits.outbox():
             self.links.send(address, messages.MachineMessage(machine=MACHINE, payload=payload))
         for ticket, admitted in self.limits.take_decisions():
             future = self._waiting.get(ticket)
             if future is not None and not future.done():
                 future.set_result(admitted)
-        self._schedule()
+        self._schedule_wakeup()
 
-    def _schedule(self) -> None:
+    def _schedule_wakeup(self) -> None:
         if not self._running:
             return
         loop = asyncio.get_running_loop()
-        pause_s = max(SHORTEST_PAUSE_S, (self.limits.next_wakeup() - self.now()) / 1000.0)
-        at = loop.time() + pause_s
+        delay_s = max(MIN_WAKEUP_DELAY_S, (self.limits.next_wakeup() - self.now()) / 1000.0)
+        due_at = loop.time() + delay_s
         if self._timer is not None and not self._timer.cancelled():
-            if self._timer.when() <= at and self._timer.when() > loop.time():
+            if self._timer.when() <= due_at and self._timer.when() > loop.time():
                 return
             self._timer.cancel()
-        self._timer = loop.call_later(pause_s, self._wake)
+        self._timer = loop.call_later(delay_s, self._tick)
--- a/brackenusher/commands/printing.py
+++ b/brackenusher/commands/printing.py
@@ -1,4 +1,4 @@
-"""How the commands show what the fleet tells: tables and lists for people, one JSON document for programs."""
+"""Output formats of the commands: tables and lists for people, one JSON document for programs."""
 
 import json
 from collections.abc import Iterator, Sequence
@@ -6,16 +6,16 @@
 from typing import Any
 
 COLUMN_GAP = "  "
-LONGEST_CELL = 60
+MAX_CELL_CHARS = 60
 
 
 def as_json(document: object) -> str:
-    """One document, indented, in the order it came."""
+    """Formats a document as indented JSON, keys in their original order."""
     return json.dumps(document, indent=2)
 
 
 def as_text(document: object) -> str:
-    """Any document as lines: lists of objects as tables, objects as "key: value"."""
+    """Formats any document as text: lists of objects as tables, objects as "key: value" lines."""
     return "\n".join(_lines(document, ""))
 
 
@@ -40,24 +40,24 @@
 
 
 def table(rows: Sequence[dict[str, Any]]) -> Iterator[str]:
-    """Rows under their keys; a key that a row lacks is left blank."""
+    """Yields the lines of a table with a column per key; missing values are left blank."""
     columns = list(dict.fromkeys(key for row in rows for key in row))
     cells = [columns] + [[_cell(row.get(column, "")) for column in columns] for row in rows]
-    widths = [max(len(line[place]) for line in cells) for place in range(len(columns))]
+    widths = [max(len(line[column_index]) for line in cells) for column_index in range(len(columns))]
     for line in cells:
-        padded = (cell.ljust(width) for cell, width in zip(line, widths, strict=True))
-        yield COLUMN_GAP.join(padded).rstrip()
+        padded_cells = (cell.ljust(width) for cell, width in zip(line, widths, strict=True))
+        yield COLUMN_GAP.join(padded_cells).rstrip()
 
 
-def with_times(rows: Sequence[dict[str, Any]]) -> list[dict[str, Any]]:
-    """Rows whose `at_ms`, Unix milliseconds, is told as a time of day instead, first."""
+def with_utc_times(rows: Sequence[dict[str, Any]]) -> list[dict[str, Any]]:
+    """Replaces `at_ms` (Unix milliseconds) of each row by an ISO date and time in UTC as first column."""
     return [
-        {"at": _time_of(row["at_ms"]), **{key: value for key, value in row.items() if key != "at_ms"}}
+        {"at": _format_time(row["at_ms"]), **{key: value for key, value in row.items() if key != "at_ms"}}
         for row in rows
     ]
 
 
-def _time_of(milliseconds: int) -> str:
+def _format_time(milliseconds: int) -> str:
     return datetime.fromtimestamp(milliseconds / 1000.0, UTC).isoformat(" ", "milliseconds")
 
 
@@ -73,4 +73,4 @@
     else:
         text = str(value)
     text = text if text.isprintable() else ascii(text)[1:-1]
-    return text if len(text) <= LONGEST_CELL else text[: LONGEST_CELL - 3] + "..."
+    return text if len(text) <= MAX_CELL_CHARS else text[: MAX_CELL_CHARS - 3] + "..."
