--- a/brackenusher/data_plane/feed_client.py
+++ b/brackenusher/data_plane/feed_client.py
@@ -32,9 +32,7 @@
 
 TICK_INTERVAL_S = 0.1
 MAX_LEARNED_ADDRESSES = 16  # addresses of control processes learned from peers
-READY_WITHOUT_CONTROL_MS = (
-    4000.0  # after the start; then control is down, and the proxy serves with what it has
-)
+READY_WITHOUT_CONTROL_MS = 4000.0  # after the start; then control counts as down
 SUBSCRIPTION_TIMEOUT_MS = 3000.0  # to the complete list; a snapshot over a slow link takes a second
 DISCONNECTED_TIMEOUT_MS = 1500.0  # without a majority of the voters; then all known addresses are tried
 CONFIRMATION_TIMEOUT_MS = 200.0  # after the start; within it a control with a majority confirms a version
@@ -178,19 +176,19 @@
         connected = self._links.connected()
         if sum(voter in connected for voter in self.voters) * 2 > len(self.voters):
             self._majority_seen_at = now
-        wanted = set(self.voters[:MAX_VOTERS])
+        addresses = set(self.voters[:MAX_VOTERS])
         if not self.voters:
-            wanted.update(self._seed_addresses(), self._learned_addresses)
+            addresses.update(self._seed_addresses(), self._learned_addresses)
         elif now - self._majority_seen_at > DISCONNECTED_TIMEOUT_MS:
-            wanted.update(self._seed_addresses(), self._learned_addresses)
-        wanted.discard(self._links.own.address)
-        for address in sorted(wanted - self._linked_addresses):
+            addresses.update(self._seed_addresses(), self._learned_addresses)
+        addresses.discard(self._links.own.address)
+        for address in sorted(addresses - self._linked_addresses):
             self._links.connect(address)
-        for address in sorted(self._linked_addresses - wanted):
+        for address in sorted(self._linked_addresses - addresses):
             self._links.disconnect(address)
             self._drop_source(address, now)
-        self._linked_addresses = wanted
-        for address in sorted(wanted.intersection(connected).difference(self._subscribed)):
+        self._linked_addresses = addresses
+        for address in sorted(addresses.intersection(connected).difference(self._subscribed)):
             self._subscribe(address)
 
     def _drop_source(self, address: str, now: float) -> None:
--- a/brackenusher/data_plane/headers.py
+++ b/brackenusher/data_plane/headers.py
@@ -160,10 +160,10 @@
     return headers
 
 
-def first_value(headers: list[Header], wanted: bytes) -> bytes | None:
+def first_value(headers: list[Header], field_name: bytes) -> bytes | None:
     """The value of the first header with this name (in lower case), or None."""
     for name, value in headers:
-        if name == wanted:
+        if name == field_name:
             return value
     return None
 
--- a/brackenusher/data_plane/proxy.py
+++ b/brackenusher/data_plane/proxy.py
@@ -102,11 +102,11 @@
 
     def set_servers(self, service: str, servers: list[ServerInfo]) -> None:
         """Replace a service's server list."""
-        before = self._servers.get(service, {})
+        previous = self._servers.get(service, {})
         self._servers[service] = {server.id: server for server in servers}
         self._update_pool(service)
         self._execute(self._dispatcher.update_servers(self._now_ms(), service, servers))
-        for server_id in before.keys() - self._servers[service].keys():
+        for server_id in previous.keys() - self._servers[service].keys():
             self.pool.remove_server(server_id)
 
     def set_proxy_count(self, count: int) -> None:
@@ -385,13 +385,13 @@
         self.pool.acquire(action.server_id, attempt)
 
     def _schedule_wakeup(self) -> None:
-        wanted = self._dispatcher.next_wakeup()
-        if wanted >= self._wakeup_at:
+        due_at_ms = self._dispatcher.next_wakeup()
+        if due_at_ms >= self._wakeup_at:
             return
         if self._wakeup is not None:
             self._wakeup.cancel()
-        self._wakeup_at = wanted
-        self._wakeup = self._loop.call_at(wanted / 1000.0, self._tick)
+        self._wakeup_at = due_at_ms
+        self._wakeup = self._loop.call_at(due_at_ms / 1000.0, self._tick)
 
     def _tick(self) -> None:
         self._wakeup = None
--- a/brackenusher/data_plane/upstream_connection.py
+++ b/brackenusher/data_plane/upstream_connection.py
@@ -22,9 +22,7 @@
 KEEP_ALIVE_PROBES = 2
 MAX_HEAD_BYTES = 64 * 1024  # of a response head
 DEFAULT_IDLE_TIMEOUT_S = 5.0  # of a server that sends no Keep-Alive header
-IDLE_CLOSE_MARGIN_S = (
-    1.0  # idle connections are closed before the server's timeout, lest a request meet the close
-)
+IDLE_CLOSE_MARGIN_S = 1.0  # before the server's idle timeout, lest a request meet its close
 
 
 class ResponseReceiver(Protocol):
--- a/brackenusher/data_plane/upstream_pool.py
+++ b/brackenusher/data_plane/upstream_pool.py
@@ -17,9 +17,7 @@
 CONNECT_TIMEOUT_S = 0.3  # above round-trip times; a lost SYN is retransmitted only after 1 s
 DEFAULT_CONNECTIONS = 64  # per server, if the configuration has no MaxConnections
 MIN_CONNECTIONS = 4  # per server for any number of proxies, as most proxies use fewer at a time
-MIN_SHARE_TO_KEEP_IDLE = (
-    2.0  # connections; with a smaller share, idle ones are kept for SHORT_IDLE_TIMEOUT_S only
-)
+MIN_SHARE_TO_KEEP_IDLE = 2.0  # connections; below it, idle ones are kept for SHORT_IDLE_TIMEOUT_S only
 SHORT_IDLE_TIMEOUT_S = 1.0
 ACCEPT_CHECK_DELAY_S = 0.002  # a server over its limit resets right after accepting; nothing was sent by then
 ROUND_ROBIN_CONNECTIONS = 4  # up to so many per server are used in turn, so that none expires
@@ -138,8 +136,8 @@
         return None
 
     def _connect_for_waiters(self, server: ServerConnections) -> None:
-        wanted = sum(1 for waiter in server.waiting if not waiter.cancelled)
-        while server.connecting < wanted and len(server.open) + server.connecting < server.limit:
+        waiter_count = sum(1 for waiter in server.waiting if not waiter.cancelled)
+        while server.connecting < waiter_count and len(server.open) + server.connecting < server.limit:
             server.connecting += 1
             task = self._loop.create_task(self._connect(server))
             self._tasks.add(task)
--- a/brackenusher/upstream/connections.py
+++ b/brackenusher/upstream/connections.py
@@ -95,10 +95,10 @@
 
     def sweep(self) -> None:
         """Close and open connections as the planner says."""
-        expired, wanted = self.planner.sweep(clock())
+        expired, lines_to_open = self.planner.sweep(clock())
         for held, cause in expired:
             held.link.close(cause)
-        for line in wanted:
+        for line in lines_to_open:
             member = self.pool.members.get(line.name)
             if member is not None and member.line is line:
                 self.connect(member, ahead=True)
