--- a/brackenusher/records/capture.py
+++ b/brackenusher/records/capture.py
@@ -215,7 +215,7 @@
 
     @property
     def dropped(self) -> int:
-        """Records that could not be written."""
+        """The number of lines that could not be written."""
         return self.omitted_lines + self.channel.dropped
 
     def header(self) -> bytes:
--- a/brackenusher/records/figures.py
+++ b/brackenusher/records/figures.py
@@ -126,9 +126,8 @@
             self.sink: UdpSink | Channel = UdpSink(settings.target)
         else:
             write = write_stderr if settings.target is None else FileSink(settings.target).write
-            self.sink = writer.channel(
-                write, QUEUE_BYTES, chunk_bytes=0
-            )  # chunks are not merged: a batch is the unit of drops
+            # chunks are not merged: a batch is the unit of drops
+            self.sink = writer.channel(write, QUEUE_BYTES, chunk_bytes=0)
         self.requests: Counter[TagKey] = Counter()
         self.refused: Counter[TagKey] = Counter()
         self.formatted_tags: dict[TagKey, str] = {}
--- a/brackenusher/records/replay.py
+++ b/brackenusher/records/replay.py
@@ -115,9 +115,8 @@
             run.header,
             RateLimiter(limiter_settings) if limiter_settings else None,
         )
-        self.events: dict[
-            int, tuple[float, Any]
-        ] = {}  # by event number: clock time, and the event or a call that replays it
+        # by event number: clock time, and the event or a call that replays it
+        self.events: dict[int, tuple[float, Any]] = {}
         # by event number: request, decision
         self.recorded_decisions: dict[int, list[tuple[int, str]]] = defaultdict(list)
         self.decisions: dict[int, list[str]] = defaultdict(list)  # by request: the decisions of the replay
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -318,7 +318,7 @@
             lambda: (sock.sendall(data[40:-2]), stepped.turns(5)),
             lambda: (sock.sendall(data[-2:]), stepped.turn_until(lambda: servers[0].requests, "the attempt")),
             lambda: stepped.agent.tell([host("s1", servers[1])]),
-            lambda: (first.set(), stepped.turn_until(lambda: servers[1].requests, "the repeat")),
+            lambda: (first.set(), stepped.turn_until(lambda: servers[1].requests, "the retry")),
         ]
         for number, take in enumerate(steps):
             if number == 1:
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -370,9 +370,8 @@
         began = time.monotonic()
         until(lambda: len(agent.calls) > 6, "six more calls")  # 2 s; over 9 with 1.5 s for each
         assert time.monotonic() - began < 7.5
-    assert (
-        FIRST_WORD + 1.5 * BACK_OFF < 500.0 - 50.0
-    )  # grace period of a drain, less time for the list itself
+    # grace period of a drain, less time for the list itself
+    assert FIRST_WORD + 1.5 * BACK_OFF < 500.0 - 50.0
 
 
 def test_start_requests_only_changes_since_the_known_list(tmp_path):
