--- a/brackenusher/data_plane/feed_client.py
+++ b/brackenusher/data_plane/feed_client.py
@@ -258,7 +258,7 @@
         try:
             configuration = self._decode_piece(message)
         except (zlib.error, msgspec.MsgspecError, configuration_delta.DeltaMismatchError) as error:
-            log.warning("configuration rejected: source=%s error=%s", sender, error)
+            log.warning("configuration not taken: source=%s error=%s", sender, error)
             return  # the fetch times out and another source is asked
         self._configuration = configuration
         self._peer_configuration.configuration_applied(configuration)
--- a/brackenusher/fronts/listener.py
+++ b/brackenusher/fronts/listener.py
@@ -40,7 +40,7 @@
             log,
             logging.INFO,
             "no_filter",
-            "cannot attach a socket filter to the listener: %(why)s",
+            "the listener takes no filter: %(why)s",
             why=error,
         )
 
