--- a/brackenusher/control_plane/__init__.py
+++ b/brackenusher/control_plane/__init__.py
@@ -1,4 +1,4 @@
-"""Drivers of the control plane: configuration shard, service shards, feeds, the interface over HTTP.
+"""Control plane drivers: the configuration shard, the service registry, the feeds and the HTTP API.
 
-They decide nothing: what holds is decided in `barleybarrow`.
+They do I/O only; the protocols and decisions are in `barleybarrow`.
 """
--- a/brackenusher/control_plane/api.py
+++ b/brackenusher/control_plane/api.py
@@ -1,4 +1,4 @@
-"""The calls at the Control address: finds who carries a call out. It never decides and never keeps anything.
+"""Routes the calls at the Control address to their handlers; makes no decisions and keeps no state.
 
 POST /-/Instances.Heartbeat/ID, /-/Instances.Deregister/ID, /-/Config.Replace, /-/Config.Patch; GET
 /-/Config.Get; and for the command line GET /-/status/TOPIC, with the topics summary, members, servers,
@@ -17,15 +17,15 @@
 from brackenusher.control_plane.responses import error_response, unavailable
 from brackenusher.runtime.metrics import CONTENT_TYPE, Metrics
 
-TOPICS = ("summary", "members", "servers", "history")
-EXPLAIN = "explain/"
+STATUS_TOPICS = ("summary", "members", "servers", "history")
+EXPLAIN_PREFIX = "explain/"
 
-# Answers a topic ("summary", ..., "explain:REQUEST-ID") with what is to be shown as JSON; None: not known.
+# Returns the JSON document of a topic ("summary", ..., "explain:REQUEST-ID"), or None if there is none.
 StatusProvider = Callable[[str], Awaitable[object | None]]
 
 
 class Api:
-    """Handles each request at the Control address; a handler of `HttpServer`."""
+    """Request handler of the `HttpServer` at the Control address."""
 
     def __init__(
         self,
@@ -39,10 +39,10 @@
         self.status = status
         self.metrics = metrics or Metrics()
         self._calls = self.metrics.counter("calls_total", "Calls at the Control address.", "call", "status")
-        self._seconds = self.metrics.histogram("call_seconds", "Time that calls took.", "call")
+        self._call_seconds = self.metrics.histogram("call_seconds", "Time that calls took.", "call")
 
     async def handle(self, request: HttpRequest) -> HttpResponse:
-        """The answer to any request; never raises for what a caller sent."""
+        """The response to a request; never raises because of a request's content."""
         loop = asyncio.get_running_loop()
         started = loop.time()
         call = _find_call(request.path)
@@ -52,12 +52,12 @@
             name, response = call.name, error_response(405, f"{call.name} is called with {call.method}")
             response.headers.append(("Allow", call.method))
         else:
-            name, response = call.name, await self._carry_out(call, request)
+            name, response = call.name, await self._dispatch(call, request)
         self._calls.labels(name, str(response.status)).inc()
-        self._seconds.labels(name).observe(loop.time() - started)
+        self._call_seconds.labels(name).observe(loop.time() - started)
         return response
 
-    async def _carry_out(self, call: "_Call", request: HttpRequest) -> HttpResponse:
+    async def _dispatch(self, call: "_Call", request: HttpRequest) -> HttpResponse:
         match call.name:
             case "heartbeat":
                 return await self.instances.heartbeat(call.argument, request)
@@ -69,15 +69,17 @@
                 return await self.config.get()
             case "metrics":
                 return HttpResponse(200, self.metrics.render(), CONTENT_TYPE)
-        return await self._tell_status(call.argument)
+        return await self._status_response(call.argument)
 
-    async def _tell_status(self, topic: str) -> HttpResponse:
-        known = topic in TOPICS or (topic.startswith(EXPLAIN) and topic != EXPLAIN)
+    async def _status_response(self, topic: str) -> HttpResponse:
+        known = topic in STATUS_TOPICS or (topic.startswith(EXPLAIN_PREFIX) and topic != EXPLAIN_PREFIX)
         if not known:
-            return error_response(404, f"no such topic: ask for {', '.join(TOPICS)} or {EXPLAIN}REQUEST-ID")
+            return error_response(
+                404, f"no such topic: ask for {', '.join(STATUS_TOPICS)} or {EXPLAIN_PREFIX}REQUEST-ID"
+            )
         if self.status is None:
             return unavailable("the status is not told here: ask again later")
-        document = await self.status(topic.replace(EXPLAIN, "explain:", 1))
+        document = await self.status(topic.replace(EXPLAIN_PREFIX, "explain:", 1))
         if document is None:
             return error_response(404, f"nothing is known of {topic}: ask another process, or sooner")
         return HttpResponse(200, json.dumps(document, separators=(",", ":")).encode())
@@ -85,20 +87,20 @@
 
 @dataclass(slots=True, frozen=True)
 class _Call:
-    """What a path asks for; the argument is the rest of the path, decoded."""
+    """A call found by path; the argument is the decoded rest of the path."""
 
     name: str
     method: str
     argument: str = ""
 
 
-_EXACT = {
+_EXACT_PATHS = {
     "/-/Config.Replace": _Call("replace", "POST"),
     "/-/Config.Patch": _Call("patch", "POST"),
     "/-/Config.Get": _Call("get", "GET"),
     "/-/metrics": _Call("metrics", "GET"),
 }
-_WITH_ARGUMENT = (
+_PATH_PREFIXES = (
     ("/-/Instances.Heartbeat/", "heartbeat", "POST"),
     ("/-/Instances.Deregister/", "deregister", "POST"),
     ("/-/status/", "status", "GET"),
@@ -106,10 +108,10 @@
 
 
 def _find_call(path: str) -> _Call | None:
-    exact = _EXACT.get(path)
+    exact = _EXACT_PATHS.get(path)
     if exact is not None:
         return exact
-    for prefix, name, method in _WITH_ARGUMENT:
+    for prefix, name, method in _PATH_PREFIXES:
         if path.startswith(prefix):
             return _Call(name, method, unquote(path.removeprefix(prefix)))
     return None
--- a/brackenusher/control_plane/config_checks.py
+++ b/brackenusher/control_plane/config_checks.py
@@ -1,6 +1,6 @@
-"""Checks of documents, on a thread of their own, and the typed form of the document in force.
+"""Checks documents and parses the committed one, on a thread.
 
-A check of a large document takes some 10 ms of a core, so it must never run on the event loop.
+A check of a large document takes some 10 ms of CPU time, so it must not run on the event loop.
 """
 
 import asyncio
@@ -17,83 +17,83 @@
 
 log = logging.getLogger(__name__)
 
-MAX_CACHED = 4  # configurations that were checked and are not in force yet
+MAX_CACHED_CONFIGURATIONS = 4  # checked and not yet committed
 
 Check = Callable[[Document], "Result[Configuration, Exception]"]
-Checked = tuple[Configuration | None, str]  # what a document came to, or the error
+CheckResult = tuple[Configuration | None, str]  # the parsed document, or the error
 
 
-class ConfigChecks:
-    """Checks orders before they are proposed, and makes what was committed typed."""
+class ConfigChecker:
+    """Checks orders before they are proposed, and parses committed documents."""
 
     def __init__(
-        self, check: Check, worker: StorageWriter, in_force: Callable[[Configuration], None]
+        self, check: Check, worker: StorageWriter, on_in_force: Callable[[Configuration], None]
     ) -> None:
-        self._check, self._worker, self._in_force = check, worker, in_force
-        self._checked: dict[bytes, Configuration] = {}  # by the digest of the order that made it
-        self._typing = False
+        self._check, self._worker, self._on_in_force = check, worker, on_in_force
+        self._checked_configurations: dict[bytes, Configuration] = {}  # by the digest of the order
+        self._parsing = False
         self._closed = False
         self.configuration: Configuration | None = None
 
-    def check_order(self, digest: bytes, document: Document, then: Callable[[bytes, str], None]) -> None:
-        """Check what an order would make, then call with its digest and the error, empty if valid."""
-        future = self._worker.submit(lambda: self._run(document))
+    def check_order(self, digest: bytes, document: Document, callback: Callable[[bytes, str], None]) -> None:
+        """Check the document an order results in, then call back with its digest and error (empty: valid)."""
+        future = self._worker.submit(lambda: self._run_check(document))
 
-        def finished(done: "asyncio.Future[Checked]") -> None:
+        def on_done(done: "asyncio.Future[CheckResult]") -> None:
             configuration, error = done.result()
             if self._closed:
                 return
             if configuration is not None:
-                self._remember(digest, configuration)
-            then(digest, error)
+                self._cache(digest, configuration)
+            callback(digest, error)
 
-        future.add_done_callback(finished)
+        future.add_done_callback(on_done)
 
-    def applied(self, state: ConfigurationState) -> None:
-        """The state has changed: put its document in force, one after the other, the newest next."""
-        if self._typing or self._closed or state.document is None:
+    def on_applied(self, state: ConfigurationState) -> None:
+        """Put the state's newest document in force; parses one document at a time."""
+        if self._parsing or self._closed or state.document is None:
             return
         if self.configuration is not None and self.configuration.generation >= state.version:
             return
-        checked = self._checked.get(next(reversed(state.accepted)))
+        checked = self._checked_configurations.get(next(reversed(state.accepted)))
         if checked is not None:
             self._put_in_force(checked)
             return
-        self._typing = True
+        self._parsing = True
         document = state.document
-        future = self._worker.submit(lambda: self._run(document))
+        future = self._worker.submit(lambda: self._run_check(document))
 
-        def finished(done: "asyncio.Future[Checked]") -> None:
+        def on_done(done: "asyncio.Future[CheckResult]") -> None:
             configuration, error = done.result()
-            self._typing = False
+            self._parsing = False
             if configuration is None:
                 log.error("the committed configuration is not valid here: %s", error)
                 return
             self._put_in_force(configuration)
-            self.applied(state)
+            self.on_applied(state)
 
-        future.add_done_callback(finished)
+        future.add_done_callback(on_done)
 
     def close(self) -> None:
-        """Call nobody back any more."""
+        """Make no more callbacks and stop the thread."""
         self._closed = True
         self._worker.close()
 
     def _put_in_force(self, configuration: Configuration) -> None:
         if not self._closed:
             self.configuration = configuration
-            self._in_force(configuration)
+            self._on_in_force(configuration)
 
-    def _remember(self, digest: bytes, configuration: Configuration) -> None:
-        self._checked[digest] = configuration
-        while len(self._checked) > MAX_CACHED:
-            del self._checked[next(iter(self._checked))]
+    def _cache(self, digest: bytes, configuration: Configuration) -> None:
+        self._checked_configurations[digest] = configuration
+        while len(self._checked_configurations) > MAX_CACHED_CONFIGURATIONS:
+            del self._checked_configurations[next(iter(self._checked_configurations))]
 
-    def _run(self, document: Document) -> Checked:
+    def _run_check(self, document: Document) -> CheckResult:
         try:
             result = self._check(document)
             configuration = result.value_or(None)
             return configuration, "" if configuration is not None else str(result.failure())
-        except Exception as error:  # a check that fails must refuse, not end the process
+        except Exception as error:  # an error in a check must refuse the order, not end the process
             log.exception("check of a configuration failed")
             return None, f"the configuration can't be checked: {error}"
--- a/brackenusher/control_plane/config_members.py
+++ b/brackenusher/control_plane/config_members.py
@@ -1,4 +1,4 @@
-"""Which control processes there are: gossip over links, and links to all of them."""
+"""Membership of the control plane: gossips the control processes over links, and keeps links to all."""
 
 import asyncio
 
@@ -11,105 +11,106 @@
 from brackenusher.settings.local import LocalSettings
 
 CONTROL_ROLE = "control"
-GOSSIP_S = 1.0  # between control processes
-PROXY_GOSSIP_ROUNDS = (
-    5  # rounds between two words to proxies: they hear each change at once, this mends losses
-)
-FORGET_S = 30.0  # a process that nobody has a link to for so long is not looked for any more
+GOSSIP_INTERVAL_S = 1.0  # between control processes
+# Gossip rounds between messages to proxies; these get changes at once, this repairs losses.
+PROXY_GOSSIP_INTERVAL_ROUNDS = 5
+MEMBER_EXPIRY_S = 30.0  # a process to which no process has had a link for this time is dropped
 
 
 def seed_names(settings: LocalSettings) -> list[str]:
-    """The internal addresses of the control processes at the seeds."""
+    """The internal addresses of the seed nodes."""
     port = settings.control_internal_port
     return [f"{seed.rpartition(':')[0]}:{port}" for seed in settings.seed_nodes]
 
 
 def failure_domain(settings: LocalSettings, zone: str) -> str:
-    """What is lost with a machine of this zone: voters spread over regions where one of those may be lost."""
+    """The failure domain over which voters are spread: the region if the loss of one is to be tolerated, else
+    the zone.
+    """
     return settings.zones.get(zone, zone) if settings.fault_tolerance.regions else zone
 
 
 def control_process(settings: LocalSettings, hello: messages.Hello) -> ControlProcess:
-    """What the machine needs of a Hello."""
+    """A Hello as the voter selection needs it."""
     domain = failure_domain(settings, hello.zone)
     counts = hello.counts_for_quorum and hello.has_disk
     return ControlProcess(hello.address, domain, counts, hello.incarnation)
 
 
 class ConfigMembers:
-    """Tells others of the control processes, the voters and the leader, and takes up what they tell."""
+    """Exchanges the known control processes, voters and leader with other processes."""
 
     def __init__(self, links: Links, node: ConfigNode, seeds: list[str]) -> None:
         self._links, self._node, self._seeds = links, node, seeds
         self._loop = asyncio.get_running_loop()
-        self._seen: dict[str, float] = {}  # when each was last connected or told of
+        self._last_seen: dict[str, float] = {}  # by address: when it was last connected or reported by a peer
         self._round = 0
         self._timer: asyncio.TimerHandle | None = None
-        self._told: tuple[list[str], int, str] = ([], 0, "")
+        self._last_sent: tuple[list[str], int, str] = ([], 0, "")
 
     def start(self) -> None:
-        """Keep links to the seeds and the voters, and begin to gossip."""
+        """Connect to the seeds and the voters, and start the gossip."""
         for name in (*self._seeds, *self._node.voters[0]):
             self._links.connect(name)
         self._gossip()
 
     def close(self) -> None:
-        """End the gossip."""
+        """Stop the gossip."""
         if self._timer is not None:
             self._timer.cancel()
 
     def message(self) -> messages.Members:
-        """What this process knows."""
+        """The members known to this process, as a message."""
         controls = [hello for hello in self._links.connected().values() if hello.role == CONTROL_ROLE]
         voters, index = self._node.voters
         return messages.Members([self._links.own, *controls], voters, index, self._node.leader)
 
-    def greet(self, address: str) -> None:
-        """A link came up: tell the process what is known."""
+    def on_link_up(self, address: str) -> None:
+        """Send the known members over a new link."""
         self._links.send(address, self.message())
 
-    def heard(self, message: betterproto.Message) -> None:
-        """Take up what another process knows."""
+    def on_members(self, message: betterproto.Message) -> None:
+        """Merge the members known to another process."""
         assert isinstance(message, messages.Members)
         now = self._loop.time()
         for hello in message.controls:
             if hello.role == CONTROL_ROLE and hello.address:
-                self._seen[hello.address] = now
+                self._last_seen[hello.address] = now
                 self._links.connect(hello.address)
         for name in message.voters:
-            self._seen[name] = now
+            self._last_seen[name] = now
             self._links.connect(name)
         self._node.learn_voters(list(message.voters), message.voters_index)
 
-    def tell_changes(self) -> None:
-        """Tell everybody at once where the voters or the leader have changed."""
+    def send_changes(self) -> None:
+        """Notify all connected processes at once if the voters or the leader have changed."""
         voters, index = self._node.voters
         current = (voters, index, self._node.leader)
-        if (current[0], current[2]) == (self._told[0], self._told[2]):
+        if (current[0], current[2]) == (self._last_sent[0], self._last_sent[2]):
             return
-        self._told = current
+        self._last_sent = current
         for name in voters:
             self._links.connect(name)
-        self._tell(everybody=True)
+        self._send_to_connected(include_proxies=True)
 
-    def _tell(self, everybody: bool) -> None:
+    def _send_to_connected(self, include_proxies: bool) -> None:
         message = self.message()
         for address, hello in self._links.connected().items():
-            if everybody or hello.role == CONTROL_ROLE:
+            if include_proxies or hello.role == CONTROL_ROLE:
                 self._links.send(address, message)
 
     def _gossip(self) -> None:
-        self._timer = self._loop.call_later(GOSSIP_S, self._gossip)
+        self._timer = self._loop.call_later(GOSSIP_INTERVAL_S, self._gossip)
         self._round += 1
-        self._tell(everybody=self._round % PROXY_GOSSIP_ROUNDS == 0)
-        self._forget()
+        self._send_to_connected(include_proxies=self._round % PROXY_GOSSIP_INTERVAL_ROUNDS == 0)
+        self._expire_members()
 
-    def _forget(self) -> None:
+    def _expire_members(self) -> None:
         now = self._loop.time()
-        keep = {*self._seeds, *self._node.voters[0], *self._node.raft.voters}
+        retained = {*self._seeds, *self._node.voters[0], *self._node.raft.voters}
         for name in self._links.connected():
-            self._seen[name] = now
-        for name, seen in list(self._seen.items()):
-            if name not in keep and now - seen > FORGET_S:
-                del self._seen[name]
+            self._last_seen[name] = now
+        for name, last_seen in list(self._last_seen.items()):
+            if name not in retained and now - last_seen > MEMBER_EXPIRY_S:
+                del self._last_seen[name]
                 self._links.disconnect(name)
--- a/brackenusher/control_plane/config_storage.py
+++ b/brackenusher/control_plane/config_storage.py
@@ -1,6 +1,4 @@
-"""Stores the works of a `ConfigNode` on the storage thread, one at a time, and tries again where the
-disk refuses.
-"""
+"""Stores the writes of a `ConfigNode` on the storage thread, one at a time, and retries failed writes."""
 
 import asyncio
 import logging
@@ -13,24 +11,25 @@
 
 log = logging.getLogger(__name__)
 
-RETRY_S = 0.2  # after a refusal: a full disk is given room again within seconds
-STALL_S = 0.35  # a leader whose disk takes longer gives the lead away; syncs take 1 ms, 25 ms on a slow disk
+RETRY_INTERVAL_S = 0.2  # after a failed write: a full disk usually has space again within seconds
+# A leader with a slower write transfers the leadership; a sync takes 1 ms, 25 ms on a slow disk.
+STALL_TIMEOUT_S = 0.35
 
 
 class ConfigStorage:
-    """The store of one replica; `store` is None where the process has no disk: works are done at once."""
+    """The store of one replica; `store` is None in a process without a disk: writes complete at once."""
 
     def __init__(
-        self, store: SlotStore | None, writer: StorageWriter | None, in_trouble: Callable[[], None]
+        self, store: SlotStore | None, writer: StorageWriter | None, on_trouble: Callable[[], None]
     ) -> None:
         self._store, self._writer = store, writer
-        self._in_trouble = in_trouble
+        self._on_trouble = on_trouble
         self._loop = asyncio.get_running_loop()
         self._failures = 0
         self._closed = False
 
     async def load(self) -> DurableState | None:
-        """What was kept; None where there is nothing that can be relied on."""
+        """The stored state; None if there is none or it is damaged."""
         store, writer = self._store, self._writer
         if store is None or writer is None:
             return None
@@ -40,57 +39,57 @@
                 break
             except StorageError as error:
                 log.warning("configuration store can't be read yet: %s", error)
-                await asyncio.sleep(RETRY_S)
+                await asyncio.sleep(RETRY_INTERVAL_S)
         if loaded.snapshot is None:
             if loaded.damaged:
-                log.error("configuration store is damaged: starting without it, no vote before it caught up")
+                log.error("configuration store is damaged: starting without it, no vote until caught up")
             return None
         try:
             return decode_state(loaded.snapshot, loaded.records)
         except DurableStateError as error:
-            log.error("configuration store can't be used: %s; no vote before it caught up", error)
+            log.error("configuration store can't be used: %s; no vote until caught up", error)
             return None
 
-    def keep(self, work: Work, then: Callable[[], None]) -> None:
-        """Make a work durable, then call back; tries until it is."""
+    def persist(self, work: Work, callback: Callable[[], None]) -> None:
+        """Make the writes durable, then call back; retries until they are."""
         store, writer = self._store, self._writer
         if store is None or writer is None or not work.has_writes:
-            then()
+            callback()
             return
         image, records = work.image, work.records
         action = (lambda: store.append(records)) if image is None else (lambda: store.replace(image))
-        stalled = self._loop.call_later(STALL_S, self._in_trouble)
+        stall_timer = self._loop.call_later(STALL_TIMEOUT_S, self._on_trouble)
         future = writer.submit(action)
 
-        def finished(done: "asyncio.Future[None]") -> None:
-            stalled.cancel()
+        def on_done(done: "asyncio.Future[None]") -> None:
+            stall_timer.cancel()
             if self._closed or done.cancelled():
                 return
             error = done.exception()
             if error is None:
                 self._failures = 0
-                then()
+                callback()
             else:
-                self._refused(error, work, then)
+                self._on_write_error(error, work, callback)
 
-        future.add_done_callback(finished)
+        future.add_done_callback(on_done)
 
-    def _refused(self, error: BaseException, work: Work, then: Callable[[], None]) -> None:
+    def _on_write_error(self, error: BaseException, work: Work, callback: Callable[[], None]) -> None:
         if not self._failures:
-            log.error("configuration store refused a write, trying again: %s", error)
+            log.error("write to the configuration store failed, retrying: %s", error)
         self._failures += 1
-        self._in_trouble()
-        self._loop.call_later(RETRY_S, self._again, work, then)
+        self._on_trouble()
+        self._loop.call_later(RETRY_INTERVAL_S, self._retry, work, callback)
 
-    def _again(self, work: Work, then: Callable[[], None]) -> None:
+    def _retry(self, work: Work, callback: Callable[[], None]) -> None:
         if not self._closed:
-            self.keep(work, then)
+            self.persist(work, callback)
 
     @property
-    def refusing(self) -> bool:
-        """Whether the last write was refused."""
+    def is_refusing_writes(self) -> bool:
+        """Whether the last write failed."""
         return self._failures > 0
 
     def close(self) -> None:
-        """Call nobody back any more."""
+        """Make no more callbacks."""
         self._closed = True
--- a/brackenusher/control_plane/control_metrics.py
+++ b/brackenusher/control_plane/control_metrics.py
@@ -1,4 +1,4 @@
-"""Figures of a control process."""
+"""Metrics of a control process."""
 
 from collections import Counter as CountByName
 
@@ -13,14 +13,18 @@
 def add_control_metrics(
     metrics: Metrics, shard: ConfigShard, registry: RegistryService, feeds: FeedSource, server: HttpServer
 ) -> None:
-    """Add the figures of the configuration shard, the registry, the feeds and the Control server."""
+    """Register the metrics of the configuration shard, the registry, the feeds and the Control server."""
 
     def version() -> float:
         configuration = shard.configuration()
         return float(configuration.generation) if configuration is not None else 0.0
 
     def servers() -> dict[str, float]:
-        records = (record for part in range(SHARD_COUNT) for record in registry.feed_records(part, None))
+        records = (
+            record
+            for shard_index in range(SHARD_COUNT)
+            for record in registry.feed_records(shard_index, None)
+        )
         states = CountByName(record.state.name.lower() for record in records)
         return {state: float(count) for state, count in states.items()}
 
@@ -36,5 +40,7 @@
     metrics.readings("gauge", "servers", "Servers that are known.", "state", servers)
     metrics.readings("gauge", "proxies", "Proxies that follow this process.", "state", proxies)
     metrics.counter_function(
-        "connections_turned_away_total", "Callers beyond the bound.", lambda: float(server.turned_away)
+        "connections_turned_away_total",
+        "Callers beyond the bound.",
+        lambda: float(server.rejected_connections),
     )
--- a/brackenusher/control_plane/final_records.py
+++ b/brackenusher/control_plane/final_records.py
@@ -1,6 +1,6 @@
-"""Keeps drains and ends of servers on disk, so that a restart of all control processes forgets none.
+"""Stores DRAINING and GONE records of servers, so that they survive a restart of all control processes.
 
-Writes go through the storage writer, one at a time; what comes meanwhile is written together by the next.
+Writes go through the storage writer, one at a time; records that arrive during a write form the next batch.
 """
 
 import asyncio
@@ -15,12 +15,12 @@
 
 log = logging.getLogger(__name__)
 
-MAX_LOG_RECORDS = 512  # about 100 KB; then the log is replaced by a snapshot
-READ_AGAIN_S = 0.2  # after a disk refused to be read: it comes back within seconds
+MAX_LOG_RECORDS = 512  # about 100 KB; a longer log is replaced by a snapshot
+READ_RETRY_INTERVAL_S = 0.2  # after a failed read: a disk usually recovers within seconds
 
 
 class FinalRecords:
-    """Drains and ends on the disk of this process; without a disk nothing is kept and all calls succeed."""
+    """DRAINING and GONE records on disk; in a process without a disk, calls succeed and nothing is stored."""
 
     def __init__(
         self,
@@ -31,23 +31,23 @@
         self._store = store
         self._writer = writer
         self._all_records = all_records
-        self._waiting: list[tuple[InstanceRecord, asyncio.Future[bool]]] = []
-        self._kept: dict[str, int] = {}  # finality that is on disk, by id
-        self._in_log = MAX_LOG_RECORDS  # the first write is a snapshot
-        self._task: asyncio.Task[None] | None = None
-        self.refused = False  # the disk refused some of what was to be kept: it is to be written again
-        self._loaded = asyncio.Event()  # before, a write would replace what was not read
+        self._write_queue: list[tuple[InstanceRecord, asyncio.Future[bool]]] = []
+        self._persisted_finality: dict[str, int] = {}  # by id: finality that is on disk
+        self._log_record_count = MAX_LOG_RECORDS  # the first write is a snapshot
+        self._write_task: asyncio.Task[None] | None = None
+        self.write_failed = False  # some records were not written: `persist_all` is to be called again
+        self._loaded = asyncio.Event()  # a write before loading would replace records that were not read
 
     @property
     def loaded(self) -> bool:
-        """Whether what an earlier start has kept is known."""
+        """Whether the records of earlier runs are loaded."""
         return self._loaded.is_set()
 
     async def load(self) -> list[InstanceRecord]:
-        """What an earlier start has kept; tries until the disk can be read. `keep` waits for it."""
+        """The records of earlier runs; retries until the disk can be read. Writes wait for it."""
         records = await self._read()
         for record in records:
-            self._note(record)
+            self._mark_persisted(record)
         self._loaded.set()
         return records
 
@@ -60,67 +60,67 @@
                 loaded = await writer.submit(store.load)
                 break
             except StorageError as error:
-                log.error("drains can't be read from disk yet: error=%s", error)
-                await asyncio.sleep(READ_AGAIN_S)
+                log.error("draining and gone servers can't be read from disk yet: error=%s", error)
+                await asyncio.sleep(READ_RETRY_INTERVAL_S)
         records: list[InstanceRecord] = []
         if loaded.snapshot is not None:
             records += from_messages(messages.RegistryUpdate().parse(loaded.snapshot).records)
         records += [from_message(messages.InstanceRecord().parse(data)) for data in loaded.records]
         if loaded.snapshot is not None:
-            self._in_log = len(loaded.records)
+            self._log_record_count = len(loaded.records)
         return records
 
-    def forget(self, known: Container[str]) -> None:
-        """Drop what is noted of ids that the registry has forgotten; the next snapshot leaves them out."""
-        for instance_id in [i for i in self._kept if i not in known]:
-            del self._kept[instance_id]
+    def forget(self, known_ids: Container[str]) -> None:
+        """Drop ids that have expired from the registry; the next snapshot omits them."""
+        for instance_id in [i for i in self._persisted_finality if i not in known_ids]:
+            del self._persisted_finality[instance_id]
 
-    async def keep(self, record: InstanceRecord) -> bool:
-        """Write a record; False where the disk refused it."""
+    async def persist(self, record: InstanceRecord) -> bool:
+        """Write a record to disk; False if the write failed."""
         if self._store is None or self._writer is None:
             return True
-        if self._kept.get(record.id, 0) >= FINALITY[record.state]:
+        if self._persisted_finality.get(record.id, 0) >= FINALITY[record.state]:
             return True
-        kept: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
-        self._waiting.append((record, kept))
-        if self._task is None or self._task.done():
-            self._task = asyncio.create_task(self._write())
-        return await kept
+        persisted: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
+        self._write_queue.append((record, persisted))
+        if self._write_task is None or self._write_task.done():
+            self._write_task = asyncio.create_task(self._write())
+        return await persisted
 
-    async def keep_all(self) -> None:
-        """Write whatever the disk refused before."""
-        self.refused = False
-        await asyncio.gather(*(self.keep(record) for record in self._all_records()))
+    async def persist_all(self) -> None:
+        """Write all records that are not on disk, after a failed write."""
+        self.write_failed = False
+        await asyncio.gather(*(self.persist(record) for record in self._all_records()))
 
     async def _write(self) -> None:
         await self._loaded.wait()
-        while self._waiting:
-            batch, self._waiting = self._waiting, []
+        while self._write_queue:
+            batch, self._write_queue = self._write_queue, []
             written = await self._append([bytes(to_message(record)) for record, _ in batch])
-            self.refused = self.refused or not written
-            for record, kept in batch:
+            self.write_failed = self.write_failed or not written
+            for record, persisted in batch:
                 if written:
-                    self._note(record)
-                if not kept.done():
-                    kept.set_result(written)
+                    self._mark_persisted(record)
+                if not persisted.done():
+                    persisted.set_result(written)
 
-    def _note(self, record: InstanceRecord) -> None:
-        self._kept[record.id] = max(FINALITY[record.state], self._kept.get(record.id, 0))
+    def _mark_persisted(self, record: InstanceRecord) -> None:
+        self._persisted_finality[record.id] = max(
+            FINALITY[record.state], self._persisted_finality.get(record.id, 0)
+        )
 
     async def _append(self, payloads: list[bytes]) -> bool:
         assert self._store is not None and self._writer is not None
         store = self._store
         try:
-            if self._in_log + len(payloads) > MAX_LOG_RECORDS:
+            if self._log_record_count + len(payloads) > MAX_LOG_RECORDS:
                 snapshot = bytes(messages.RegistryUpdate(records=to_messages(self._all_records())))
                 await self._writer.submit(lambda: store.replace(snapshot))
-                self._in_log = 0
+                self._log_record_count = 0
             else:
                 await self._writer.submit(lambda: store.append(payloads))
-                self._in_log += len(payloads)
-        except (
-            StorageError
-        ) as error:  # full, gone or in trouble: not confirmed, and the next try writes again
-            log.warning("drains are not kept on disk: error=%s", error)
+                self._log_record_count += len(payloads)
+        except StorageError as error:  # the change is not confirmed, and the next attempt writes it again
+            log.warning("draining and gone servers not written to disk: error=%s", error)
             return False
         return True
--- a/brackenusher/control_plane/fleet_status.py
+++ b/brackenusher/control_plane/fleet_status.py
@@ -1,4 +1,4 @@
-"""What the operator's command line is told of the fleet, as a control process sees it. It changes nothing."""
+"""Status documents for the operator's command line: the fleet as this control process sees it (read-only)."""
 
 from typing import Any, Protocol
 
@@ -7,12 +7,12 @@
 from brackenusher.cluster.links import Links
 from brackenusher.cluster.status_calls import StatusCaller
 
-EXPLAIN = "explain:"
-EXPLAIN_TIMEOUT_S = 0.8  # callers go elsewhere after a second of silence
+EXPLAIN_PREFIX = "explain:"
+EXPLAIN_TIMEOUT_S = 0.8  # callers try another process after 1 s without a response
 
 
 class ShardStatus(Protocol):
-    """What is asked of the configuration shard."""
+    """The methods of the configuration shard used here."""
 
     def status(self) -> dict[str, object]: ...
 
@@ -20,7 +20,7 @@
 
 
 class RegistryStatus(Protocol):
-    """What is asked of the registry."""
+    """The methods of the registry used here."""
 
     def status(self) -> dict[str, object]: ...
 
@@ -28,19 +28,19 @@
 
 
 class ProxyStatuses(Protocol):
-    """What is asked of the feeds: what each proxy last said of itself, by its address."""
+    """The attribute of the feeds used here: each proxy's last status, by address."""
 
     statuses: dict[str, messages.ProxyStatus]
 
 
 class MemberList(Protocol):
-    """What is asked of membership."""
+    """The attribute of the membership monitor used here."""
 
     members: dict[str, messages.MemberView]
 
 
 class FleetStatus:
-    """Answers the topics of `Api`; its `tell` is a StatusProvider."""
+    """Provides the documents of the status topics of `Api` (a `StatusProvider`)."""
 
     def __init__(
         self,
@@ -55,8 +55,8 @@
         self._caller = StatusCaller(links)
 
     async def tell(self, topic: str) -> object | None:
-        """The document of a topic; None where nothing is known."""
-        if topic.startswith(EXPLAIN):
+        """The document of a topic; None if there is none."""
+        if topic.startswith(EXPLAIN_PREFIX):
             return await self._explain(topic)
         match topic:
             case "summary":
@@ -119,10 +119,10 @@
         ]
 
     async def _explain(self, topic: str) -> object | None:
-        """What the proxies know of a request: each that does, with the events in their order."""
+        """The events of a request on each proxy that has any, in order."""
         proxies = [address for address, hello in self.links.connected().items() if hello.role == "proxy"]
-        answers = await self._caller.ask(proxies, topic, EXPLAIN_TIMEOUT_S)
+        replies = await self._caller.ask(proxies, topic, EXPLAIN_TIMEOUT_S)
         found = [
-            {"proxy": address, "events": events} for address, events in sorted(answers.items()) if events
+            {"proxy": address, "events": events} for address, events in sorted(replies.items()) if events
         ]
         return found or None
--- a/brackenusher/control_plane/registry_service.py
+++ b/brackenusher/control_plane/registry_service.py
@@ -1,8 +1,9 @@
-"""Registration of servers in a control process: takes heartbeats, spreads what changes, notices silence.
+"""Service registry of a control process: accepts heartbeats, replicates changes, detects silent servers.
 
-Any control process takes any heartbeat. One that changes nothing is acknowledged at once where a majority of
-the replica group is in touch, and its renewal goes there together with others. One that changes something
-goes to all control processes and is acknowledged once a majority of the replica group holds it.
+Any control process accepts any heartbeat. A heartbeat that changes nothing is acknowledged at once if a
+majority of the replica group is connected; its renewal is sent to the group in a batch. A heartbeat that
+changes a record is sent to all control processes and acknowledged once a majority of the replica group has
+stored it.
 """
 
 import asyncio
@@ -20,32 +21,31 @@
 from brackenusher.cluster.links import Links
 from brackenusher.cluster.lives import first_number
 from brackenusher.cluster.records import from_messages, from_renewals, to_message, to_messages, to_renewals
-from brackenusher.control_plane.confirmations import Confirmation, Confirmations
+from brackenusher.control_plane.confirmations import Confirmation, PendingConfirmations
 from brackenusher.control_plane.final_records import FinalRecords
-from brackenusher.control_plane.replica_groups import CONTROL, ReplicaGroups
+from brackenusher.control_plane.replica_groups import CONTROL_ROLE, ReplicaGroups
 from brackenusher.settings.local import LocalSettings
 from brackenusher.storage.slot_store import SlotStore
 from brackenusher.storage.writer import StorageWriter
 
 log = logging.getLogger(__name__)
 
-RENEWALS_MS = 300.0  # between two batches of renewals to a replica group
-SILENCE_CHECK_MS = 300.0
-COMPARE_MS = (
-    15_000.0  # between two pulls, from each peer in turn: they mend what a lost connection took along
-)
-FORGET_CHECK_MS = 30_000.0
-KEEP_AGAIN_MS = 1000.0  # between two tries to write what the disk refused
-SETTLED_HEARTBEATS = 2  # in which every server that runs has sent one
+RENEWAL_INTERVAL_MS = 300.0  # between batches of renewals to a replica group
+SILENCE_CHECK_INTERVAL_MS = 300.0
+# Between full pulls from the peers in turn; repairs updates lost with a connection.
+SYNC_INTERVAL_MS = 15_000.0
+EXPIRY_CHECK_INTERVAL_MS = 30_000.0
+DISK_RETRY_INTERVAL_MS = 1000.0  # between retries of writes that the disk refused
+SETTLED_HEARTBEATS = 2  # heartbeat intervals within which every running server has sent one
 SETTLED_SLACK_MS = 500.0
-PULL_PAUSE_MS = 1000.0  # between two pulls from one peer because of unknown ids
-RECORDS_PER_MESSAGE = 500
+MIN_PULL_INTERVAL_MS = 1000.0  # between pulls from one peer that are caused by unknown ids
+MAX_RECORDS_PER_MESSAGE = 500
 
 ChangeHandler = Callable[[int, list[InstanceRecord]], None]
 
 
 class RegistryService:
-    """The registry of one control process. Times of `now` are milliseconds of a monotonic clock."""
+    """The registry of one control process. `now` returns milliseconds of a monotonic clock."""
 
     def __init__(
         self,
@@ -63,61 +63,64 @@
         self._links = links
         self._now = now
         self._groups = ReplicaGroups(links, voters, settings.fault_tolerance)
-        self._final = FinalRecords(store, writer, self._final_records)
-        self._confirmations = Confirmations(first_number(links.own))
-        self._unconfirmed: set[str] = set()  # ids whose newest change came here and has no majority yet
-        self._held: dict[str, int] = {}  # finality that a majority is known to hold, by id
-        self._renewals: dict[str, int] = {}  # newest sequences that the replica groups have not been told
+        self._final_store = FinalRecords(store, writer, self._final_records)
+        self._confirmations = PendingConfirmations(first_number(links.own))
+        # Ids with a change accepted here that no majority has confirmed yet.
+        self._unconfirmed: set[str] = set()
+        self._confirmed_finality: dict[str, int] = {}  # by id: finality that a majority has confirmed
+        self._pending_renewals: dict[
+            str, int
+        ] = {}  # by id: newest sequence not yet sent to the replica group
         self._started_at = now()
-        self._silence = SilenceDetector(settings.heartbeat_ms, self._started_at)
+        self._silence_detector = SilenceDetector(settings.heartbeat_ms, self._started_at)
         self._settled = False
-        self._renewed_at = self._checked_at = self._forgot_at = self._started_at
-        self._compared_at = self._kept_at = self._started_at
+        self._renewals_sent_at = self._silence_checked_at = self._expired_at = self._started_at
+        self._synced_at = self._disk_retried_at = self._started_at
         self._pulled_at: dict[str, float] = {}
-        self._compared_with = ""
+        self._last_sync_peer = ""
         self._tasks: set[asyncio.Task[None]] = set()
-        links.on_message(messages.RegistryUpdate, self._take_update)
-        links.on_message(messages.RegistryConfirm, self._take_confirm)
-        links.on_message(messages.RegistryPull, self._take_pull)
+        links.on_message(messages.RegistryUpdate, self._on_update)
+        links.on_message(messages.RegistryConfirm, self._on_confirm)
+        links.on_message(messages.RegistryPull, self._on_pull)
         links.on_change(self._link_changed)
 
     async def start(self) -> None:
-        """Take up the drains and ends on the disk; returns once they are read, however long that takes."""
+        """Load the stored DRAINING and GONE records; waits until the disk can be read, without a limit."""
         now = self._now()
-        for record in await self._final.load():
+        for record in await self._final_store.load():
             if self.registry.merge(record, now):
                 self._publish([self.registry.entries[record.id].record(now)])
 
     @property
     def settled(self) -> bool:
-        """Whether this process has had the time, or the help of a peer, to know of every server that runs."""
+        """Whether all running servers are known: by the time since the start, or from a settled peer."""
         return self._settled
 
-    # What the interface for servers calls
+    # Calls of the servers' API
 
     async def heartbeat(self, record: InstanceRecord) -> bool:
-        """Take a server's word; True where it may be acknowledged."""
+        """Apply a server's heartbeat; True if it may be acknowledged."""
         known = record.id in self.registry.entries
         changed = self.registry.merge(record, self._now())
         entry = self.registry.entries[record.id]
         if not known and entry.state is InstanceState.READY:
-            self._take_address(record)
+            self._silence_previous_at_address(record)
         if changed:
             self._unconfirmed.add(record.id)
             self._publish([entry.record(self._now())])
         if not self._needs_majority(record.id, entry):
-            self._renewals[record.id] = entry.last_sequence
+            self._pending_renewals[record.id] = entry.last_sequence
             return self._groups.reaches_majority(shard_of(entry.details.service))
         return await self._replicate(record.id, entry)
 
     async def deregister(self, instance_id: str) -> bool:
-        """Take the word that a server ends; True where it may be acknowledged."""
+        """Mark a server as gone; True if the call may be acknowledged."""
         return await self.heartbeat(self.registry.gone_record(instance_id))
 
-    # What feeds call
+    # Calls of the feeds
 
     def feed_records(self, shard: int, ids: Iterable[str] | None) -> list[InstanceRecord]:
-        """Records of these ids, or of a whole shard; their sequence is that of the newest heartbeat."""
+        """The records with these ids (None: of the whole shard), with their newest heartbeats' sequences."""
         if ids is None:
             ids = self.registry.ids_in_shard(shard)
         return [self._feed_record(i) for i in ids if i in self.registry.entries]
@@ -129,107 +132,111 @@
     # Periodic work
 
     def tick(self) -> None:
-        """Do what is due; call it every 100 ms or more often."""
+        """Run the periodic work that is due; to be called at least every 100 ms."""
         now = self._now()
-        self._silence.tick(now)
-        self._settle(now)
-        if now - self._renewed_at >= RENEWALS_MS:
-            self._renewed_at = now
+        self._silence_detector.tick(now)
+        self._check_settled(now)
+        if now - self._renewals_sent_at >= RENEWAL_INTERVAL_MS:
+            self._renewals_sent_at = now
             self._send_renewals()
-        if now - self._checked_at >= SILENCE_CHECK_MS:
-            self._checked_at = now
-            self._groups.reach_voters()
+        if now - self._silence_checked_at >= SILENCE_CHECK_INTERVAL_MS:
+            self._silence_checked_at = now
+            self._groups.connect_voters()
             self._mark_silent(now)
-        if now - self._compared_at >= COMPARE_MS:
-            self._compared_at = now
-            self._compare()
-        if self._final.refused and now - self._kept_at >= KEEP_AGAIN_MS:
-            self._kept_at = now
-            self._spawn(self._final.keep_all())
-        if now - self._forgot_at >= FORGET_CHECK_MS:
-            self._forgot_at = now
-            self._forget(now)
+        if now - self._synced_at >= SYNC_INTERVAL_MS:
+            self._synced_at = now
+            self._sync_with_next_peer()
+        if self._final_store.write_failed and now - self._disk_retried_at >= DISK_RETRY_INTERVAL_MS:
+            self._disk_retried_at = now
+            self._spawn(self._final_store.persist_all())
+        if now - self._expired_at >= EXPIRY_CHECK_INTERVAL_MS:
+            self._expired_at = now
+            self._expire(now)
 
     def status(self) -> dict[str, object]:
-        """Figures for the operator."""
+        """State for the operator's status call."""
         states: dict[str, int] = {}
         for entry in self.registry.entries.values():
             states[entry.state.name] = states.get(entry.state.name, 0) + 1
-        return {"settled": self._settled, "owned_shards": sorted(self._silence.owned), "states": states}
-
-    def _take_address(self, record: InstanceRecord) -> None:
-        """A new server at an address: who was there has ended, or its next heartbeat says otherwise."""
+        return {
+            "settled": self._settled,
+            "owned_shards": sorted(self._silence_detector.owned),
+            "states": states,
+        }
+
+    def _silence_previous_at_address(self, record: InstanceRecord) -> None:
+        """Mark earlier servers at a new server's address silent; if one still runs, a heartbeat undoes it."""
         now = self._now()
-        earlier = [i for i in self.registry.ready_at_address(record.address) if i != record.id]
-        self._tell_silence([self.registry.mark_silent(instance_id, now) for instance_id in earlier])
+        previous_ids = [i for i in self.registry.ready_at_address(record.address) if i != record.id]
+        self._tell_silence([self.registry.mark_silent(instance_id, now) for instance_id in previous_ids])
 
-    # Changes to a majority
+    # Replication to a majority
 
     def _needs_majority(self, instance_id: str, entry: RegistryEntry) -> bool:
         if instance_id in self._unconfirmed:
             return True
-        return entry.finality > 0 and self._held.get(instance_id) != entry.finality
+        return entry.finality > 0 and self._confirmed_finality.get(instance_id) != entry.finality
 
     async def _replicate(self, instance_id: str, entry: RegistryEntry) -> bool:
-        """Send an entry to all control processes; True once a majority of its replica group holds it."""
+        """Send an entry to all control processes; True once a majority of its replica group has stored it."""
         record = entry.record(self._now())
         confirmation = self._confirmations.open(self._groups.group(shard_of(record.service)))
-        reached = self._spread(confirmation.number, record, entry.last_sequence)
-        self._spawn(self._hold_here(record, confirmation))
-        if not await self._confirmations.wait(confirmation, reached | {self._groups.own}):
+        recipients = self._broadcast(confirmation.number, record, entry.last_sequence)
+        self._spawn(self._persist_locally(record, confirmation))
+        if not await self._confirmations.wait(confirmation, recipients | {self._groups.own}):
             return False
-        self._confirmed(instance_id, record)
+        self._on_majority(instance_id, record)
         return True
 
-    def _confirmed(self, instance_id: str, record: InstanceRecord) -> None:
+    def _on_majority(self, instance_id: str, record: InstanceRecord) -> None:
         entry = self.registry.entries.get(instance_id)
         if entry is None:
             return
         finality = FINALITY[record.state]
-        self._held[instance_id] = max(finality, self._held.get(instance_id, 0))
+        self._confirmed_finality[instance_id] = max(finality, self._confirmed_finality.get(instance_id, 0))
         if entry.finality == finality and entry.details.same_details(record):
             self._unconfirmed.discard(instance_id)
 
-    def _spread(self, number: int, record: InstanceRecord, heard: int) -> set[str]:
-        """Send a record to every control process in touch; those that it was sent to."""
+    def _broadcast(self, number: int, record: InstanceRecord, last_sequence: int) -> set[str]:
+        """Send a record to every connected control process; returns those it was sent to."""
         update = messages.RegistryUpdate(
             id=number,
             shard=shard_of(record.service),
             records=[to_message(record)],
-            renewals=to_renewals([Renewal(record.id, heard)]),
+            renewals=to_renewals([Renewal(record.id, last_sequence)]),
         )
         return {peer for peer in self._groups.peers() if self._links.send(peer, update)}
 
-    async def _hold_here(self, record: InstanceRecord, confirmation: Confirmation) -> None:
-        if await self._keep([record]):
+    async def _persist_locally(self, record: InstanceRecord, confirmation: Confirmation) -> None:
+        if await self._persist([record]):
             confirmation.confirm(self._groups.own)
 
-    async def _keep(self, records: Iterable[InstanceRecord]) -> bool:
-        """Write the drains and ends among these to disk; whether all that had to be written was."""
-        final = [record for record in records if FINALITY[record.state] > 0]
-        if not final:
+    async def _persist(self, records: Iterable[InstanceRecord]) -> bool:
+        """Write the DRAINING and GONE records among these to disk; False if a write failed."""
+        final_records = [record for record in records if FINALITY[record.state] > 0]
+        if not final_records:
             return True
-        return all(await asyncio.gather(*(self._final.keep(record) for record in final)))
+        return all(await asyncio.gather(*(self._final_store.persist(record) for record in final_records)))
 
     # Messages of other control processes
 
-    def _take_update(self, sender: str, message: betterproto.Message) -> None:
+    def _on_update(self, sender: str, message: betterproto.Message) -> None:
         assert isinstance(message, messages.RegistryUpdate)
         now = self._now()
         records = from_messages(message.records)
         changed = [record.id for record in records if self.registry.merge(record, now)]
-        changed += self._take_renewals(sender, from_renewals(message.renewals), now)
-        fresh = [self.registry.entries[i].record(now) for i in dict.fromkeys(changed)]
-        self._publish(fresh)
-        self._correct(sender, records)
+        changed += self._apply_renewals(sender, from_renewals(message.renewals), now)
+        updated = [self.registry.entries[i].record(now) for i in dict.fromkeys(changed)]
+        self._publish(updated)
+        self._refute_silence(sender, records)
         if message.id:
-            self._relay(sender, fresh)
+            self._relay(sender, updated)
         if any(FINALITY[record.state] > 0 for record in records):
-            self._spawn(self._hold_for(sender, message.id, records))
+            self._spawn(self._persist_and_confirm(sender, message.id, records))
         elif message.id:
             self._links.send(sender, messages.RegistryConfirm(id=message.id))
 
-    def _take_renewals(self, sender: str, renewals: Iterable[Renewal], now: float) -> list[str]:
+    def _apply_renewals(self, sender: str, renewals: Iterable[Renewal], now: float) -> list[str]:
         changed = []
         for renewal in renewals:
             result = self.registry.renew(renewal, now)
@@ -239,13 +246,13 @@
                 self._pull(sender, now)
         return changed
 
-    async def _hold_for(self, sender: str, number: int, records: list[InstanceRecord]) -> None:
-        kept = await self._keep(records)
-        if kept and number:
+    async def _persist_and_confirm(self, sender: str, number: int, records: list[InstanceRecord]) -> None:
+        persisted = await self._persist(records)
+        if persisted and number:
             self._links.send(sender, messages.RegistryConfirm(id=number))
 
-    def _correct(self, sender: str, records: Iterable[InstanceRecord]) -> None:
-        """Tell a peer that says a server is silent of a newer heartbeat that is known here."""
+    def _refute_silence(self, sender: str, records: Iterable[InstanceRecord]) -> None:
+        """If a peer reports a server silent, send it any newer heartbeat that is known here."""
         renewals = []
         for record in records:
             entry = self.registry.entries[record.id]
@@ -255,69 +262,69 @@
             self._links.send(sender, messages.RegistryUpdate(renewals=to_renewals(renewals)))
 
     def _relay(self, sender: str, records: list[InstanceRecord]) -> None:
-        """Pass a change on, once, to those that its source may not reach."""
+        """Forward a change once to all other peers, as its source may not be connected to them."""
         for record in records:
             update = messages.RegistryUpdate(shard=shard_of(record.service), records=[to_message(record)])
             for peer in self._groups.peers():
                 if peer != sender:
                     self._links.send(peer, update)
 
-    def _take_confirm(self, sender: str, message: betterproto.Message) -> None:
+    def _on_confirm(self, sender: str, message: betterproto.Message) -> None:
         assert isinstance(message, messages.RegistryConfirm)
         if message.id == 0:
-            self._now_settled()  # a settled peer has sent all that it knows
+            self._mark_settled()  # a settled peer has sent all its records
             return
-        self._confirmations.confirmed(message.id, sender)
+        self._confirmations.on_confirm(message.id, sender)
 
-    def _take_pull(self, sender: str, message: betterproto.Message) -> None:
+    def _on_pull(self, sender: str, message: betterproto.Message) -> None:
         assert isinstance(message, messages.RegistryPull)
         now = self._now()
         for shard, records in enumerate(self.registry.records_by_shard(now)):
-            for start in range(0, len(records), RECORDS_PER_MESSAGE):
-                piece = records[start : start + RECORDS_PER_MESSAGE]
+            for start in range(0, len(records), MAX_RECORDS_PER_MESSAGE):
+                chunk = records[start : start + MAX_RECORDS_PER_MESSAGE]
                 renewals = [
-                    Renewal(record.id, self.registry.entries[record.id].last_sequence) for record in piece
+                    Renewal(record.id, self.registry.entries[record.id].last_sequence) for record in chunk
                 ]
                 update = messages.RegistryUpdate(
-                    shard=shard, records=to_messages(piece), renewals=to_renewals(renewals)
+                    shard=shard, records=to_messages(chunk), renewals=to_renewals(renewals)
                 )
                 self._links.send(sender, update)
-        if self._settled and self._groups.reaches_most_voters():
+        if self._settled and self._groups.reaches_voter_majority():
             self._links.send(sender, messages.RegistryConfirm(id=0))
 
     def _link_changed(self, address: str, hello: messages.Hello | None) -> None:
-        if hello is not None and hello.role == CONTROL:
+        if hello is not None and hello.role == CONTROL_ROLE:
             self._links.send(address, messages.RegistryPull())
 
-    def _compare(self) -> None:
-        """Ask the next peer for all that it knows."""
+    def _sync_with_next_peer(self) -> None:
+        """Pull all records from the next peer in address order."""
         peers = sorted(self._groups.peers())
         if peers:
-            following = [peer for peer in peers if peer > self._compared_with]
-            self._compared_with = (following or peers)[0]
-            self._links.send(self._compared_with, messages.RegistryPull())
+            later_peers = [peer for peer in peers if peer > self._last_sync_peer]
+            self._last_sync_peer = (later_peers or peers)[0]
+            self._links.send(self._last_sync_peer, messages.RegistryPull())
 
     def _pull(self, peer: str, now: float) -> None:
-        if now - self._pulled_at.get(peer, -PULL_PAUSE_MS) >= PULL_PAUSE_MS:
+        if now - self._pulled_at.get(peer, -MIN_PULL_INTERVAL_MS) >= MIN_PULL_INTERVAL_MS:
             self._pulled_at[peer] = now
             self._links.send(peer, messages.RegistryPull())
 
     # Settling, renewals, silence
 
-    def _settle(self, now: float) -> None:
-        waited = now - self._started_at
-        if waited >= SETTLED_HEARTBEATS * self._settings.heartbeat_ms + SETTLED_SLACK_MS:
-            self._now_settled()
+    def _check_settled(self, now: float) -> None:
+        uptime_ms = now - self._started_at
+        if uptime_ms >= SETTLED_HEARTBEATS * self._settings.heartbeat_ms + SETTLED_SLACK_MS:
+            self._mark_settled()
 
-    def _now_settled(self) -> None:
-        if self._settled or not self._final.loaded:
+    def _mark_settled(self) -> None:
+        if self._settled or not self._final_store.loaded:
             return
         self._settled = True
         for handler in self.on_settled:
             handler()
 
     def _send_renewals(self) -> None:
-        pending, self._renewals = self._renewals, {}
+        pending, self._pending_renewals = self._pending_renewals, {}
         shards: dict[int, list[Renewal]] = {}
         for instance_id, sequence in pending.items():
             entry = self.registry.entries.get(instance_id)
@@ -332,25 +339,25 @@
     def _mark_silent(self, now: float) -> None:
         if not self._settled:
             return
-        overdue = self._silence.overdue(self._groups.owned(), now)
+        overdue = self._silence_detector.overdue(self._groups.owned(), now)
         silent = self.registry.overdue(overdue.shards, overdue.last_heartbeat_before)
         self._tell_silence([self.registry.mark_silent(instance_id, now) for instance_id in silent])
 
-    def _tell_silence(self, silent: list[InstanceRecord]) -> None:
-        if not silent:
+    def _tell_silence(self, silent_records: list[InstanceRecord]) -> None:
+        if not silent_records:
             return
-        log.info("servers silent: ids=%s", ",".join(record.id for record in silent))
-        self._publish(silent)
-        update = messages.RegistryUpdate(records=to_messages(silent))
+        log.info("servers silent: ids=%s", ",".join(record.id for record in silent_records))
+        self._publish(silent_records)
+        update = messages.RegistryUpdate(records=to_messages(silent_records))
         for peer in self._groups.peers():
             self._links.send(peer, update)
 
-    def _forget(self, now: float) -> None:
+    def _expire(self, now: float) -> None:
         shards = self.registry.expire(now)
-        for instance_id in [i for i in self._held if i not in self.registry.entries]:
-            del self._held[instance_id]
+        for instance_id in [i for i in self._confirmed_finality if i not in self.registry.entries]:
+            del self._confirmed_finality[instance_id]
         self._unconfirmed.intersection_update(self.registry.entries)
-        self._final.forget(self.registry.entries)
+        self._final_store.forget(self.registry.entries)
         for shard in shards:
             for handler in self.on_change:
                 handler(shard, [])
@@ -369,7 +376,7 @@
             for handler in self.on_change:
                 handler(shard, changed)
 
-    def _spawn(self, work: Coroutine[None, None, None]) -> None:
-        task = asyncio.get_running_loop().create_task(work)
+    def _spawn(self, coroutine: Coroutine[None, None, None]) -> None:
+        task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
--- a/brackenusher/control_plane/shares_driver.py
+++ b/brackenusher/control_plane/shares_driver.py
@@ -1,7 +1,7 @@
-"""Connects a control process's part in the limits (acceptor or credit server) to links and disk.
+"""Connects the limits' acceptor and credit server in a control process to links and disk.
 
-An acceptor with a disk stores the roster of proxies, and whom it has promised the lease to, before it says
-so: then the limits are whole again at once after all acceptors were killed, with the same credit server.
+An acceptor with a disk stores the roster of proxies and its promise of the lease before it replies. The
+limits thus recover at once after all acceptors were killed, with the same credit server.
 """
 
 import asyncio
@@ -17,12 +17,12 @@
 
 log = logging.getLogger(__name__)
 
-LIMITS_STORE = "limits"  # name of the store in the data folder
-RETRY_PAUSE_S = 1.0  # after a call that the disk refused
+LIMITS_STORE = "limits"  # name of the store in the data directory
+RETRY_INTERVAL_S = 1.0  # after a failed read or write
 
 
 class SharesDriver(LimitsDriver):
-    """Runs a `Limits` machine with `is_proxy=False`; configurations come by `Limits.configure`."""
+    """Runs a `Limits` protocol with `is_proxy=False`; configurations are passed to `Limits.configure`."""
 
     def __init__(
         self,
@@ -38,9 +38,7 @@
         self._loading: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """As `LimitsDriver.start`, once what was stored is loaded; an acceptor that can't read what it has
-        promised takes no part.
-        """
+        """As `LimitsDriver.start`, once the store is loaded; an acceptor must not act before that."""
         if self.store is None or self.writer is None:
             super().start()
         else:
@@ -58,27 +56,27 @@
                 loaded = await writer.submit(store.load)
                 break
             except StorageError as error:
-                log.warning("roster of the limits not read yet: error=%s", error)
-                await asyncio.sleep(RETRY_PAUSE_S)
+                log.warning("limits: acceptor state can't be read yet: error=%s", error)
+                await asyncio.sleep(RETRY_INTERVAL_S)
         self.limits.restore(self.now(), loaded.snapshot)
         super().start()
 
     def _run(self) -> None:
         super()._run()
-        self._store()
+        self._write_pending()
 
-    def _store(self) -> None:
-        """Store what waits to be stored, one write at a time."""
-        waiting = self.limits.to_store() if self.store is not None and not self._writing else None
-        if waiting is None or self.store is None or self.writer is None or not self._running:
+    def _write_pending(self) -> None:
+        """Start the pending write, if no other is in progress."""
+        pending = self.limits.to_store() if self.store is not None and not self._writing else None
+        if pending is None or self.store is None or self.writer is None or not self._running:
             return
         self._writing = True
-        revision, kept = waiting
+        revision, snapshot = pending
         store = self.store
-        done = self.writer.submit(lambda: store.replace(kept))
-        done.add_done_callback(lambda future: self._stored(revision, future))
+        done = self.writer.submit(lambda: store.replace(snapshot))
+        done.add_done_callback(lambda future: self._on_stored(revision, future))
 
-    def _stored(self, revision: int, done: "asyncio.Future[None]") -> None:
+    def _on_stored(self, revision: int, done: "asyncio.Future[None]") -> None:
         self._writing = False
         if done.cancelled():
             return
@@ -87,5 +85,5 @@
             self.limits.on_stored(self.now(), revision)
             self._run()
         else:
-            log.warning("roster of the limits not stored: error=%s", error)
-            asyncio.get_running_loop().call_later(RETRY_PAUSE_S, self._store)
+            log.warning("limits: acceptor state not stored: error=%s", error)
+            asyncio.get_running_loop().call_later(RETRY_INTERVAL_S, self._write_pending)
--- a/tests/fleet/test_api.py
+++ b/tests/fleet/test_api.py
@@ -205,8 +205,8 @@
             self.assertEqual(response.status, 503)
             return loop.time()
 
-        self.assertEqual(play(story()), heartbeat_api.TIMEOUT_S)
-        self.assertLess(heartbeat_api.TIMEOUT_S, 1.0)
+        self.assertEqual(play(story()), heartbeat_api.ACK_TIMEOUT_S)
+        self.assertLess(heartbeat_api.ACK_TIMEOUT_S, 1.0)
 
 
 class OrderTest(ApiTest):
@@ -283,7 +283,7 @@
         small, large = (timeout for *_, timeout in self.shard.orders)
         self.assertLess(small, 1.0)
         self.assertGreater(large, 1.5)
-        self.assertLessEqual(large, config_api.LONGEST_ORDER_TIMEOUT_S)
+        self.assertLessEqual(large, config_api.MAX_ORDER_TIMEOUT_S)
 
     def test_get_answers_the_document_whole(self) -> None:
         self.shard.document = {"Generation": 7, "Later": {"kept": [1, "\u00e9"]}}
--- a/tests/fleet/test_final_records.py
+++ b/tests/fleet/test_final_records.py
@@ -49,7 +49,7 @@
     async def keep(self, records: FinalRecords, name: str) -> bool:
         """Have a drain kept."""
         self.known[name] = drained(name)
-        return await records.keep(self.known[name])
+        return await records.persist(self.known[name])
 
     async def found(self) -> set[str]:
         """The drains that a further start finds."""
@@ -98,12 +98,12 @@
             await disk.keep(records, "one")
             disk.files.full = True
             self.assertFalse(await disk.keep(records, "two"))
-            self.assertTrue(records.refused)
-            await records.keep_all()
-            self.assertTrue(records.refused)
+            self.assertTrue(records.write_failed)
+            await records.persist_all()
+            self.assertTrue(records.write_failed)
             disk.files.full = False
-            await records.keep_all()
-            self.assertFalse(records.refused)
+            await records.persist_all()
+            self.assertFalse(records.write_failed)
             self.assertEqual(await disk.found(), {"one", "two"})
 
         self.story(story)
--- a/tests/fleet/test_http_server.py
+++ b/tests/fleet/test_http_server.py
@@ -8,7 +8,13 @@
 from collections import Counter
 from typing import Any, cast
 
-from brackenusher.control_plane.http_server import TEXT, HttpBounds, HttpRequest, HttpResponse, HttpServer
+from brackenusher.control_plane.http_server import (
+    TEXT_TYPE,
+    HttpBounds,
+    HttpRequest,
+    HttpResponse,
+    HttpServer,
+)
 from tests.fleet.virtual_time import play
 
 BOUNDS = HttpBounds(connections=2, head_bytes=1000, body_bytes=100)
@@ -60,7 +66,7 @@
         self.reader = asyncio.StreamReader()
         self.writer = MemoryWriter()
         writer = cast(asyncio.StreamWriter, self.writer)
-        self.task = asyncio.get_running_loop().create_task(server.accepted(self.reader, writer))
+        self.task = asyncio.get_running_loop().create_task(server.serve_connection(self.reader, writer))
 
     def send(self, data: bytes) -> None:
         self.reader.feed_data(data)
@@ -96,7 +102,7 @@
             raise ValueError("told to")
         if self.release is not None:
             await self.release.wait()
-        return HttpResponse(200, b"%s %d" % (request.target.encode(), len(request.body)), TEXT)
+        return HttpResponse(200, b"%s %d" % (request.target.encode(), len(request.body)), TEXT_TYPE)
 
 
 class ServerTest(unittest.TestCase):
@@ -212,7 +218,7 @@
 
     def test_half_a_body(self) -> None:
         ended, answer = self.ended_after(POST[:-1])
-        self.assertEqual(ended, BOUNDS.body_silence_s + BOUNDS.linger_s)
+        self.assertEqual(ended, BOUNDS.body_read_timeout_s + BOUNDS.linger_s)
         self.assertIn(b"HTTP/1.1 408", answer)
         self.assertEqual(self.echo.requests, [])
 
@@ -270,7 +276,7 @@
             await callers[0].settle()
             refused = Caller(self.server)
             await refused.task
-            self.assertEqual((refused.writer.ended, self.server.turned_away), ("aborted", 1))
+            self.assertEqual((refused.writer.ended, self.server.rejected_connections), ("aborted", 1))
             self.echo.release.set()
             await callers[0].settle()
             self.assertEqual([caller.statuses() for caller in callers], [[b"200"], [b"200"]])
@@ -286,7 +292,7 @@
             late = Caller(self.server)
             self.assertIn(b"200", await late.run(GET))
             self.assertEqual([caller.task.done() for caller in callers], [False, True])
-            self.assertEqual(self.server.turned_away, 0)
+            self.assertEqual(self.server.rejected_connections, 0)
 
         play(story())
 
--- a/tests/fleet/test_registry_views.py
+++ b/tests/fleet/test_registry_views.py
@@ -72,7 +72,7 @@
         async def keep(self: FinalRecords, record: object) -> bool:
             return True
 
-        with mock.patch.object(FinalRecords, "keep", keep):
+        with mock.patch.object(FinalRecords, "persist", keep):
             self.assertIn(True, [run_case(seed) for seed in range(6)])
 
 
