--- a/tests/fleet/test_final_records.py
+++ b/tests/fleet/test_final_records.py
@@ -1,4 +1,4 @@
-"""Drains and ends on disk: nothing is written before all was read, and what was refused is written again."""
+"""Stored drains: writes wait for the load of earlier records, and failed writes are repeated."""
 
 import asyncio
 import random
@@ -15,7 +15,7 @@
 
 
 class UnreadableStore(SlotStore):
-    """Refuses to be read a number of times."""
+    """Fails the first `refusals` reads."""
 
     refusals = 0
 
@@ -26,87 +26,87 @@
         return super().load()
 
 
-def drained(name: str) -> InstanceRecord:
-    """A server that drains."""
+def draining_record(name: str) -> InstanceRecord:
+    """The record of a draining server."""
     return InstanceRecord(name, "s0", "10.9.0.1:80", "z", "v1", 4, InstanceState.DRAINING, 7)
 
 
 class Disk:
-    """A disk, and the process that keeps drains on it."""
+    """A disk, and the records known to the process that uses it."""
 
     def __init__(self) -> None:
         self.files = EmulatedDisk(random.Random(1))
         self.known: dict[str, InstanceRecord] = {}
 
-    def started(self, refusals: int = 0) -> FinalRecords:
-        """A new process on the disk."""
+    def start(self, refusals: int = 0) -> FinalRecords:
+        """Start a new process on the disk."""
         store = UnreadableStore("data", "registry", self.files)
         store.refusals = refusals
         writer: Any = FakeWriter(random.Random(1))
         self.known = {}
         return FinalRecords(store, writer, lambda: list(self.known.values()))
 
-    async def keep(self, records: FinalRecords, name: str) -> bool:
-        """Have a drain kept."""
-        self.known[name] = drained(name)
+    async def persist_drain(self, records: FinalRecords, name: str) -> bool:
+        """Write the record of a draining server."""
+        self.known[name] = draining_record(name)
         return await records.persist(self.known[name])
 
-    async def found(self) -> set[str]:
-        """The drains that a further start finds."""
-        return {record.id for record in await self.started().load()}
+    async def stored_ids(self) -> set[str]:
+        """The ids that another start loads from the disk."""
+        return {record.id for record in await self.start().load()}
 
 
 class FinalRecordsTest(unittest.TestCase):
-    def story(self, story: Callable[[Disk], Awaitable[None]]) -> None:
-        play(story(Disk()))  # type: ignore[arg-type]
+    def scenario(self, scenario: Callable[[Disk], Awaitable[None]]) -> None:
+        play(scenario(Disk()))  # type: ignore[arg-type]
 
-    def test_nothing_is_written_before_all_was_read(self) -> None:
-        async def story(disk: Disk) -> None:
-            first = disk.started()
+    def test_writes_wait_until_stored_records_are_loaded(self) -> None:
+        async def scenario(disk: Disk) -> None:
+            first = disk.start()
             await first.load()
-            self.assertTrue(await disk.keep(first, "one"))
-            second = disk.started(refusals=3)
+            self.assertTrue(await disk.persist_drain(first, "one"))
+            second = disk.start(refusals=3)
             loading = asyncio.create_task(second.load())
-            keeping = asyncio.create_task(disk.keep(second, "two"))
+            writing = asyncio.create_task(disk.persist_drain(second, "two"))
             await asyncio.sleep(0.3)
-            self.assertFalse(second.loaded or keeping.done())
+            self.assertFalse(second.loaded or writing.done())
             self.assertEqual([record.id for record in await loading], ["one"])
-            disk.known["one"] = drained("one")
-            self.assertTrue(await keeping)
-            self.assertEqual(await disk.found(), {"one", "two"})
+            disk.known["one"] = draining_record("one")
+            self.assertTrue(await writing)
+            self.assertEqual(await disk.stored_ids(), {"one", "two"})
 
-        self.story(story)
+        self.scenario(scenario)
 
-    def test_a_torn_tail_on_a_full_disk_hides_nothing(self) -> None:
-        async def story(disk: Disk) -> None:
-            first = disk.started()
+    def test_a_torn_write_on_a_full_disk_loses_no_earlier_records(self) -> None:
+        async def scenario(disk: Disk) -> None:
+            first = disk.start()
             await first.load()
             for name in ("one", "two"):
-                await disk.keep(first, name)
+                await disk.persist_drain(first, name)
             path = max(disk.files.files, key=lambda path: len(disk.files.files[path].current))
             disk.files.files[path].current += b"torn"
             disk.files.full = True
-            second = disk.started()
+            second = disk.start()
             self.assertEqual({record.id for record in await second.load()}, {"one", "two"})
 
-        self.story(story)
+        self.scenario(scenario)
 
-    def test_what_a_full_disk_refused_is_written_again(self) -> None:
-        async def story(disk: Disk) -> None:
-            records = disk.started()
+    def test_records_refused_by_a_full_disk_are_written_again(self) -> None:
+        async def scenario(disk: Disk) -> None:
+            records = disk.start()
             await records.load()
-            await disk.keep(records, "one")
+            await disk.persist_drain(records, "one")
             disk.files.full = True
-            self.assertFalse(await disk.keep(records, "two"))
+            self.assertFalse(await disk.persist_drain(records, "two"))
             self.assertTrue(records.write_failed)
             await records.persist_all()
             self.assertTrue(records.write_failed)
             disk.files.full = False
             await records.persist_all()
             self.assertFalse(records.write_failed)
-            self.assertEqual(await disk.found(), {"one", "two"})
+            self.assertEqual(await disk.stored_ids(), {"one", "two"})
 
-        self.story(story)
+        self.scenario(scenario)
 
 
 if __name__ == "__main__":
--- a/tests/fleet/test_http_server.py
+++ b/tests/fleet/test_http_server.py
@@ -1,4 +1,4 @@
-"""The HTTP server: what it reads and answers, each of its bounds in virtual time, and real sockets once."""
+"""Tests of the HTTP server: requests and responses, each limit in virtual time, and one run on sockets."""
 
 import asyncio
 import logging
@@ -17,20 +17,20 @@
 )
 from tests.fleet.virtual_time import play
 
-BOUNDS = HttpBounds(connections=2, head_bytes=1000, body_bytes=100)
+LIMITS = HttpBounds(connections=2, head_bytes=1000, body_bytes=100)
 GET = b"GET /a?b=c HTTP/1.1\r\nHost: h\r\n\r\n"
 POST = b"POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\n\r\nhello"
 
 
 class MemoryWriter:
-    """The writing side of a connection that exists in memory only."""
+    """An in-memory replacement for `asyncio.StreamWriter`."""
 
     def __init__(self) -> None:
         self.data = bytearray()
         self.ended = ""  # "closed" or "aborted"
         self.transport = self
-        self.stuck = False  # the peer takes nothing
-        self.taken = asyncio.Event()
+        self.not_reading = False  # the peer does not read
+        self.resumed = asyncio.Event()
 
     def write(self, data: bytes) -> None:
         self.data += data
@@ -39,15 +39,15 @@
         pass
 
     def get_write_buffer_size(self) -> int:
-        return len(self.data) if self.stuck else 0
+        return len(self.data) if self.not_reading else 0
 
     async def drain(self) -> None:
-        if self.stuck:
-            await self.taken.wait()
+        if self.not_reading:
+            await self.resumed.wait()
 
     def release(self) -> None:
-        self.stuck = False
-        self.taken.set()
+        self.not_reading = False
+        self.resumed.set()
 
     def close(self) -> None:
         self.ended = "closed"
@@ -60,7 +60,7 @@
 
 
 class Caller:
-    """A connection to the server, its task, and what came back."""
+    """A client connection, the server task that serves it, and the bytes received."""
 
     def __init__(self, server: HttpServer) -> None:
         self.reader = asyncio.StreamReader()
@@ -72,7 +72,7 @@
         self.reader.feed_data(data)
 
     async def run(self, data: bytes, eof: bool = True) -> bytes:
-        """Send, and wait until the server has ended the connection; all that came."""
+        """Send, and wait until the server closes the connection; returns all bytes received."""
         self.send(data)
         if eof:
             self.reader.feed_eof()
@@ -80,17 +80,17 @@
         return bytes(self.writer.data)
 
     async def settle(self) -> None:
-        """Until nothing happens any more without a timer."""
+        """Run the event loop until only timers are pending."""
         for _ in range(20):
             await asyncio.sleep(0)
 
     def statuses(self) -> list[bytes]:
-        """Of all answers; bodies here never hold what looks like a head."""
+        """The status codes of all responses; no body in these tests looks like a head."""
         return re.findall(rb"HTTP/1\.1 (\d{3}) ", self.writer.data)
 
 
 class EchoHandler:
-    """Answers what it was asked; may be told to wait or to fail."""
+    """Echoes the target and the body's length; can be made to wait or to fail."""
 
     def __init__(self) -> None:
         self.requests: list[HttpRequest] = []
@@ -106,25 +106,25 @@
 
 
 class ServerTest(unittest.TestCase):
-    """What all these tests share."""
+    """Base class: a server with an echo handler."""
 
     def setUp(self) -> None:
         self.echo = EchoHandler()
-        self.server = HttpServer("127.0.0.1", 0, self.echo.handle, BOUNDS)
+        self.server = HttpServer("127.0.0.1", 0, self.echo.handle, LIMITS)
 
     def answer(self, data: bytes, eof: bool = True) -> bytes:
-        """All that one connection gives for these bytes."""
+        """All bytes received on a connection for these bytes."""
 
-        async def story() -> bytes:
+        async def scenario() -> bytes:
             return await Caller(self.server).run(data, eof)
 
-        return play(story())
+        return play(scenario())
 
 
 class RequestsTest(ServerTest):
-    """Requests within the bounds."""
+    """Requests within the limits."""
 
-    def test_a_request_is_handed_over_whole(self) -> None:
+    def test_a_request_is_passed_to_the_handler(self) -> None:
         data = self.answer(POST.replace(b"Host: h", b"Host: h\r\nX-One: a b"))
         self.assertTrue(data.startswith(b"HTTP/1.1 200 OK\r\n"), data)
         self.assertTrue(data.endswith(b"\r\n\r\n/a 5"), data)
@@ -132,34 +132,34 @@
         self.assertEqual((request.method, request.path, request.body), ("POST", "/a", b"hello"))
         self.assertEqual(request.headers["x-one"], "a b")
 
-    def test_requests_that_come_at_once_are_answered_in_order(self) -> None:
+    def test_pipelined_requests_are_answered_in_order(self) -> None:
         data = self.answer(GET + POST + GET)
         self.assertEqual(data.count(b"HTTP/1.1 200"), 3)
         self.assertEqual([r.method for r in self.echo.requests], ["GET", "POST", "GET"])
 
-    def test_bytes_that_come_one_by_one(self) -> None:
-        async def story() -> None:
+    def test_requests_in_single_bytes(self) -> None:
+        async def scenario() -> None:
             caller = Caller(self.server)
-            for place in range(len(POST)):
-                caller.send(POST[place : place + 1])
+            for index in range(len(POST)):
+                caller.send(POST[index : index + 1])
                 await caller.settle()
             self.assertEqual(caller.statuses(), [b"200"])
             self.assertEqual(await caller.run(POST), bytes(caller.writer.data))
 
-        play(story())
+        play(scenario())
         self.assertEqual([r.body for r in self.echo.requests], [b"hello", b"hello"])
 
     def test_chunked_body(self) -> None:
         head = b"POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n"
         self.assertIn(b"/a 7", self.answer(head + b"5\r\nhello\r\n2\r\nyo\r\n0\r\n\r\n"))
 
-    def test_head_has_no_body_but_its_length(self) -> None:
+    def test_a_response_to_head_has_a_length_and_no_body(self) -> None:
         data = self.answer(GET.replace(b"GET", b"HEAD") + GET)
         self.assertIn(b"Content-Length: 8", data)
         self.assertEqual(data.count(b"/a?b=c 0"), 1)
 
-    def test_continue_is_told_before_the_body(self) -> None:
-        async def story() -> None:
+    def test_100_continue_is_sent_before_the_body(self) -> None:
+        async def scenario() -> None:
             caller = Caller(self.server)
             caller.send(b"POST /a HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 5\r\n\r\n")
             await caller.settle()
@@ -167,15 +167,15 @@
             await caller.run(b"hello")
             self.assertEqual(caller.statuses(), [b"100", b"200"])
 
-        play(story())
+        play(scenario())
 
-    def test_a_caller_that_wants_the_end_gets_it(self) -> None:
+    def test_a_connection_is_closed_at_the_clients_request(self) -> None:
         for data in (GET.replace(b"Host: h", b"Host: h\r\nConnection: close"), b"GET /a HTTP/1.0\r\n\r\n"):
             answer = self.answer(data + GET, eof=False)
             self.assertEqual(answer.count(b"HTTP/1.1 200"), 1)
             self.assertIn(b"Connection: close", answer)
 
-    def test_a_handler_that_fails_is_500_and_the_connection_goes_on(self) -> None:
+    def test_a_failing_handler_gives_500_and_keeps_the_connection(self) -> None:
         with self.assertLogs("brackenusher.control_plane.http_server", "ERROR"):
             data = self.answer(GET.replace(b"/a", b"/fail") + GET)
         self.assertIn(b"HTTP/1.1 500", data)
@@ -183,46 +183,46 @@
         self.assertNotIn(b"told to", data)
 
 
-class BoundsTest(ServerTest):
-    """Requests beyond the bounds."""
+class LimitsTest(ServerTest):
+    """Requests over the limits, and invalid ones."""
 
-    def ended_after(self, data: bytes) -> tuple[float, bytes]:
-        """When a connection ends on which no more comes, and what it gave."""
+    def time_to_close(self, data: bytes) -> tuple[float, bytes]:
+        """Time until the server closes a connection that sends no more, and the bytes received."""
 
-        async def story() -> tuple[float, bytes]:
+        async def scenario() -> tuple[float, bytes]:
             answer = await Caller(self.server).run(data, eof=False)
             return asyncio.get_running_loop().time(), answer
 
-        return play(story())
+        return play(scenario())
 
-    def test_silence_from_the_start_or_between_requests_ends_the_connection(self) -> None:
-        self.assertEqual(self.ended_after(b""), (BOUNDS.idle_timeout_s, b""))
-        ended, answer = self.ended_after(GET)
-        self.assertEqual((ended, answer.count(b"HTTP/1.1")), (BOUNDS.idle_timeout_s, 1))
+    def test_idle_connections_are_closed(self) -> None:
+        self.assertEqual(self.time_to_close(b""), (LIMITS.idle_timeout_s, b""))
+        ended, answer = self.time_to_close(GET)
+        self.assertEqual((ended, answer.count(b"HTTP/1.1")), (LIMITS.idle_timeout_s, 1))
 
-    def test_half_a_head(self) -> None:
+    def test_truncated_heads(self) -> None:
         for data in (GET[:10], GET + GET[:10]):
-            ended, answer = self.ended_after(data)
-            self.assertEqual(ended, BOUNDS.head_timeout_s + BOUNDS.linger_s)
+            ended, answer = self.time_to_close(data)
+            self.assertEqual(ended, LIMITS.head_timeout_s + LIMITS.linger_s)
             self.assertIn(b"HTTP/1.1 408", answer)
 
-    def test_a_head_that_trickles(self) -> None:
-        async def story() -> float:
+    def test_slow_heads(self) -> None:
+        async def scenario() -> float:
             caller = Caller(self.server)
             while not caller.task.done():
                 caller.send(b"x")
                 await asyncio.sleep(1.0)
             return asyncio.get_running_loop().time()
 
-        self.assertLessEqual(play(story()), BOUNDS.head_timeout_s + BOUNDS.linger_s + 1.0)
+        self.assertLessEqual(play(scenario()), LIMITS.head_timeout_s + LIMITS.linger_s + 1.0)
 
-    def test_half_a_body(self) -> None:
-        ended, answer = self.ended_after(POST[:-1])
-        self.assertEqual(ended, BOUNDS.body_read_timeout_s + BOUNDS.linger_s)
+    def test_truncated_bodies(self) -> None:
+        ended, answer = self.time_to_close(POST[:-1])
+        self.assertEqual(ended, LIMITS.body_read_timeout_s + LIMITS.linger_s)
         self.assertIn(b"HTTP/1.1 408", answer)
         self.assertEqual(self.echo.requests, [])
 
-    def test_a_caller_that_leaves_amid_its_request(self) -> None:
+    def test_clients_that_close_during_a_request(self) -> None:
         for data in (POST[:-1], POST[:20], GET + POST[:-1]):
             answer = self.answer(data)
             self.assertEqual(answer.count(b"HTTP/1.1"), data.count(GET))
@@ -241,11 +241,11 @@
             self.assertIn(b"HTTP/1.1 413", answer)
         self.assertEqual(self.echo.requests, [])
 
-    def test_a_body_at_the_bound(self) -> None:
+    def test_a_body_at_the_limit(self) -> None:
         data = b"POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 100\r\n\r\n" + b"x" * 100
         self.assertIn(b"/a 100", self.answer(data))
 
-    def test_bytes_that_are_no_request(self) -> None:
+    def test_invalid_requests(self) -> None:
         bodies = b"Content-Length: 5\r\nTransfer-Encoding: chunked"
         for data in (
             b"\x16\x03\x01 junk\r\n\r\n",
@@ -257,18 +257,18 @@
                 self.assertIn(answer[:12], (b"HTTP/1.1 400", b"HTTP/1.1 501"), answer)
         self.assertEqual(self.echo.requests, [])
 
-    def test_a_caller_that_does_not_read(self) -> None:
-        async def story() -> None:
+    def test_clients_that_do_not_read_the_response(self) -> None:
+        async def scenario() -> None:
             caller = Caller(self.server)
-            caller.writer.stuck = True
+            caller.writer.not_reading = True
             await caller.run(GET, eof=False)
-            self.assertEqual(asyncio.get_running_loop().time(), BOUNDS.write_timeout_s)
+            self.assertEqual(asyncio.get_running_loop().time(), LIMITS.write_timeout_s)
             self.assertEqual(caller.writer.ended, "aborted")
 
-        play(story())
+        play(scenario())
 
     def test_too_many_connections(self) -> None:
-        async def story() -> None:
+        async def scenario() -> None:
             self.echo.release = asyncio.Event()
             callers = [Caller(self.server) for _ in range(2)]
             for caller in callers:
@@ -281,10 +281,10 @@
             await callers[0].settle()
             self.assertEqual([caller.statuses() for caller in callers], [[b"200"], [b"200"]])
 
-        play(story())
+        play(scenario())
 
-    def test_a_new_connection_takes_the_place_of_the_one_that_rests_the_longest(self) -> None:
-        async def story() -> None:
+    def test_a_new_connection_replaces_the_longest_idle_one(self) -> None:
+        async def scenario() -> None:
             callers = [Caller(self.server) for _ in range(2)]
             await asyncio.sleep(1)
             callers[0].send(GET)
@@ -294,13 +294,13 @@
             self.assertEqual([caller.task.done() for caller in callers], [False, True])
             self.assertEqual(self.server.rejected_connections, 0)
 
-        play(story())
+        play(scenario())
 
 
-class OddBytesTest(ServerTest):
-    """Whatever comes, in whatever pieces: answers are whole, and nothing is raised."""
+class RandomBytesTest(ServerTest):
+    """Random bytes in random chunks: responses are complete, and no exception is raised."""
 
-    PARTS = (
+    FRAGMENTS = (
         *(
             GET,
             POST,
@@ -319,17 +319,17 @@
         b"PUT / HTTP/1.1\r\nHost: h\r\nContent-Length: 101\r\n\r\n",
     )
 
-    def test_bytes_at_random(self) -> None:
-        logging.disable(logging.ERROR)  # of the handler that fails
+    def test_random_bytes(self) -> None:
+        logging.disable(logging.ERROR)  # the failing handler logs errors
         self.addCleanup(logging.disable, logging.NOTSET)
         statuses: Counter[bytes] = Counter()
         for seed in range(500):
-            statuses.update(play(self.story(random.Random(seed), f"seed {seed}")))
+            statuses.update(play(self.scenario(random.Random(seed), f"seed {seed}")))
         self.assertLessEqual({b"200", b"400", b"408", b"413", b"431", b"500"}, set(statuses))
 
-    async def story(self, rng: random.Random, seed: str) -> list[bytes]:
+    async def scenario(self, rng: random.Random, seed: str) -> list[bytes]:
         caller = Caller(self.server)
-        data = b"".join(rng.choices(self.PARTS, k=rng.randint(1, 6)))
+        data = b"".join(rng.choices(self.FRAGMENTS, k=rng.randint(1, 6)))
         while data and not caller.task.done():
             size = rng.randint(1, len(data))
             caller.send(data[:size])
@@ -345,10 +345,10 @@
 
 
 class StopTest(ServerTest):
-    """The end of the server."""
+    """Shutdown of the server."""
 
-    def test_idle_connections_end_at_once_and_running_requests_are_answered(self) -> None:
-        async def story() -> None:
+    def test_stopping_closes_idle_connections_and_finishes_requests(self) -> None:
+        async def scenario() -> None:
             idle = Caller(self.server)
             await idle.settle()
             self.echo.release = asyncio.Event()
@@ -367,21 +367,21 @@
             await refused.task
             self.assertEqual(refused.writer.ended, "aborted")
 
-        play(story())
+        play(scenario())
 
-    def test_how_connections_end(self) -> None:
-        async def story() -> list[str]:
-            whole, half = Caller(self.server), Caller(self.server)
-            await whole.run(GET)
-            await half.run(POST[:-1])
-            return [whole.writer.ended, half.writer.ended]
+    def test_truncated_requests_abort_the_connection(self) -> None:
+        async def scenario() -> list[str]:
+            complete, truncated = Caller(self.server), Caller(self.server)
+            await complete.run(GET)
+            await truncated.run(POST[:-1])
+            return [complete.writer.ended, truncated.writer.ended]
 
-        self.assertEqual(play(story()), ["closed", "aborted"])
+        self.assertEqual(play(scenario()), ["closed", "aborted"])
 
-    def test_stopping_while_an_answer_is_taken_slowly(self) -> None:
-        async def story() -> float:
+    def test_stopping_during_a_slow_response(self) -> None:
+        async def scenario() -> float:
             slow = Caller(self.server)
-            slow.writer.stuck = True
+            slow.writer.not_reading = True
             slow.send(GET + GET)
             await slow.settle()
             stopping = asyncio.get_running_loop().create_task(self.server.stop())
@@ -391,13 +391,13 @@
             self.assertEqual(slow.statuses(), [b"200"])
             return asyncio.get_running_loop().time()
 
-        self.assertEqual(play(story()), 0.0)
+        self.assertEqual(play(scenario()), 0.0)
 
-    def test_stopping_what_never_started(self) -> None:
+    def test_stopping_a_server_that_was_not_started(self) -> None:
         play(self.server.stop())
 
-    def test_a_handler_that_never_ends_holds_it_up_for_a_while_only(self) -> None:
-        async def story() -> float:
+    def test_stopping_waits_a_limited_time_for_a_handler(self) -> None:
+        async def scenario() -> float:
             self.echo.release = asyncio.Event()
             busy = Caller(self.server)
             busy.send(GET)
@@ -407,14 +407,14 @@
             self.assertEqual(busy.writer.ended, "aborted")
             return asyncio.get_running_loop().time()
 
-        self.assertEqual(play(story()), BOUNDS.drain_s)
+        self.assertEqual(play(scenario()), LIMITS.drain_s)
 
 
 class SocketsTest(unittest.TestCase):
-    """The same on sockets of this machine."""
+    """The server on loopback sockets."""
 
     def test_requests_on_sockets(self) -> None:
-        async def story() -> Any:
+        async def scenario() -> Any:
             echo = EchoHandler()
             server = HttpServer("127.0.0.1", 0, echo.handle)
             await server.start()
@@ -429,6 +429,6 @@
             writer.close()
             return first, second
 
-        first, second = asyncio.run(asyncio.wait_for(story(), 10))
+        first, second = asyncio.run(asyncio.wait_for(scenario(), 10))
         self.assertIn(b"HTTP/1.1 200 OK", first)
         self.assertIn(b"HTTP/1.1 200 OK", second)
