--- a/tests/fleet/test_api.py
+++ b/tests/fleet/test_api.py
@@ -1,4 +1,4 @@
-"""The calls at the Control address, with stand-ins for the shard and the registry."""
+"""Tests of the calls at the Control address, with a fake shard and a fake registry."""
 
 import asyncio
 import json
@@ -25,12 +25,12 @@
     "Models": [{"Name": "m", "Generation": 1, "Adapters": ["x"]}],
     "Sequence": 4,
 }
-NEVER = 1e9
+NEVER_S = 1e9
 
 
 @dataclass
 class Outcome:
-    """What the stand-in of the shard says."""
+    """Outcome of an order at the fake shard."""
 
     status: int
     error: str = ""
@@ -38,7 +38,7 @@
 
 @dataclass
 class FakeShard:
-    """Takes each order as it is told to."""
+    """Records each order and returns the configured outcome."""
 
     outcome: Outcome = field(default_factory=lambda: Outcome(200))
     document: dict[str, Any] | None = None
@@ -54,41 +54,41 @@
 
 @dataclass
 class FakeRegistry:
-    """Acknowledges, or not, after a time."""
+    """Acknowledges calls, or does not, after a delay."""
 
     acknowledges: bool = True
-    takes_s: float = 0.0
+    delay_s: float = 0.0
     records: list[InstanceRecord] = field(default_factory=list)
-    gone: list[str] = field(default_factory=list)
+    deregistered: list[str] = field(default_factory=list)
 
     async def heartbeat(self, record: InstanceRecord) -> bool:
-        await asyncio.sleep(self.takes_s)
+        await asyncio.sleep(self.delay_s)
         self.records.append(record)
         return self.acknowledges
 
     async def deregister(self, instance_id: str) -> bool:
-        await asyncio.sleep(self.takes_s)
-        self.gone.append(instance_id)
+        await asyncio.sleep(self.delay_s)
+        self.deregistered.append(instance_id)
         return self.acknowledges
 
 
 class ApiTest(unittest.TestCase):
-    """What all these tests share."""
+    """Base class: an `Api` with the fakes."""
 
     def setUp(self) -> None:
         self.shard, self.registry = FakeShard(), FakeRegistry()
-        self.api = Api(self.shard, self.registry, self.tell)
+        self.api = Api(self.shard, self.registry, self.status_document)
 
-    async def tell(self, topic: str) -> object | None:
+    async def status_document(self, topic: str) -> object | None:
         return None if topic == "explain:unknown" else {"topic": topic}
 
     def call(self, method: str, target: str, body: bytes = b"", **headers: str) -> HttpResponse:
-        """The answer; header names with underscores for dashes."""
-        named = {name.replace("_", "-").lower(): value for name, value in headers.items()}
-        return play(self.api.handle(HttpRequest(method, target, named, body)))
+        """The response to a call; header names are given with underscores for dashes."""
+        lower_case_headers = {name.replace("_", "-").lower(): value for name, value in headers.items()}
+        return play(self.api.handle(HttpRequest(method, target, lower_case_headers, body)))
 
     def error(self, response: HttpResponse) -> str:
-        """The line of an answer that is no success."""
+        """The message of an error response; it must be one line."""
         message = json.loads(response.body)["Error"]
         assert isinstance(message, str)
         self.assertNotIn("\n", message)
@@ -98,12 +98,12 @@
 class HeartbeatTest(ApiTest):
     """Instances.Heartbeat and Instances.Deregister."""
 
-    def beat(self, **changes: Any) -> HttpResponse:
+    def send_heartbeat(self, **changes: Any) -> HttpResponse:
         fields = {key: value for key, value in {**HEARTBEAT, **changes}.items() if value is not ...}
         return self.call("POST", "/-/Instances.Heartbeat/i-7f", json.dumps(fields).encode())
 
-    def test_a_heartbeat_reaches_the_registry_whole(self) -> None:
-        response = self.beat()
+    def test_all_fields_of_a_heartbeat_reach_the_registry(self) -> None:
+        response = self.send_heartbeat()
         self.assertEqual((response.status, response.body), (200, b"{}"))
         expected = InstanceRecord(
             id="i-7f",
@@ -119,22 +119,22 @@
         )
         self.assertEqual(self.registry.records, [expected])
 
-    def test_draining(self) -> None:
-        self.assertEqual(self.beat(State="draining").status, 200)
+    def test_draining_state(self) -> None:
+        self.assertEqual(self.send_heartbeat(State="draining").status, 200)
         self.assertIs(self.registry.records[0].state, InstanceState.DRAINING)
 
-    def test_what_may_be_absent(self) -> None:
+    def test_optional_fields(self) -> None:
         for key in ("Zone", "Generation", "Slots", "State", "ColdRemainingMs", "Stage", "Models", "Sequence"):
             with self.subTest(key):
-                self.assertEqual(self.beat(**{key: ...}).status, 200)
-                self.assertEqual(self.beat(**{key: None}).status, 200)
+                self.assertEqual(self.send_heartbeat(**{key: ...}).status, 200)
+                self.assertEqual(self.send_heartbeat(**{key: None}).status, 200)
 
-    def test_odd_but_clear_values_are_taken(self) -> None:
-        self.assertEqual(self.beat(Generation=3, ColdRemainingMs=12.5, Extra={"a": 1}).status, 200)
+    def test_lenient_field_types(self) -> None:
+        self.assertEqual(self.send_heartbeat(Generation=3, ColdRemainingMs=12.5, Extra={"a": 1}).status, 200)
         self.assertEqual(self.registry.records[0].generation, "3")
         self.assertEqual(self.registry.records[0].cold_remaining_ms, 12)
 
-    def test_what_cannot_be_read_is_400_and_named(self) -> None:
+    def test_invalid_fields_get_400_and_are_named(self) -> None:
         cases: dict[str, Any] = {
             "Service": "",
             "Address": "10.0.0.1:" + "9" * 3000,
@@ -146,17 +146,17 @@
         }
         for key, value in cases.items():
             with self.subTest(key):
-                response = self.beat(**{key: value})
+                response = self.send_heartbeat(**{key: value})
                 self.assertEqual(response.status, 400)
                 self.assertTrue(self.error(response).startswith(key), response.body)
         self.assertEqual(self.registry.records, [])
 
-    def test_bodies_that_are_no_object(self) -> None:
+    def test_bodies_that_are_not_objects(self) -> None:
         for body in (b"", b"{", b"[]", b"\xff", b"[" * 3000):
             with self.subTest(body[:10]):
                 self.assertEqual(self.call("POST", "/-/Instances.Heartbeat/i-1", body).status, 400)
 
-    def test_4_kib_are_taken_and_a_byte_more_is_not(self) -> None:
+    def test_heartbeats_over_4_kib_are_refused(self) -> None:
         body = json.dumps(HEARTBEAT).encode()
         padded = body + b" " * (4096 - len(body))
         self.assertEqual(self.call("POST", "/-/Instances.Heartbeat/i-1", padded).status, 200)
@@ -169,19 +169,19 @@
         for adapters, status in cases:
             with self.subTest(adapters):
                 models: object = [{"Name": "m", "Adapters": adapters}]
-                self.assertEqual(self.beat(Models=models).status, status)
+                self.assertEqual(self.send_heartbeat(Models=models).status, status)
 
     def test_ports(self) -> None:
         for port, status in (("1", 200), ("65535", 200), ("65536", 400), ("0", 400), ("", 400), ("8o", 400)):
             with self.subTest(port):
-                self.assertEqual(self.beat(Address=f"10.0.0.1:{port}").status, status)
+                self.assertEqual(self.send_heartbeat(Address=f"10.0.0.1:{port}").status, status)
 
     def test_ids(self) -> None:
         body = json.dumps(HEARTBEAT).encode()
         self.assertEqual(self.call("POST", "/-/Instances.Heartbeat/" + "i" * 200, body).status, 200)
         self.assertEqual(self.call("POST", "/-/Instances.Heartbeat/" + "i" * 201, body).status, 400)
         self.call("POST", "/-/Instances.Deregister/i%20a")
-        self.assertEqual(self.registry.gone, ["i a"])
+        self.assertEqual(self.registry.deregistered, ["i a"])
         for target in (
             "/-/Instances.Deregister/",
             "/-/Instances.Deregister/a/b",
@@ -189,23 +189,23 @@
         ):
             self.assertEqual(self.call("POST", target).status, 400)
 
-    def test_what_is_not_acknowledged_is_503(self) -> None:
+    def test_unacknowledged_calls_get_503(self) -> None:
         self.registry.acknowledges = False
-        for response in (self.beat(), self.call("POST", "/-/Instances.Deregister/i-1")):
+        for response in (self.send_heartbeat(), self.call("POST", "/-/Instances.Deregister/i-1")):
             self.assertEqual(response.status, 503)
             self.assertIn(("Retry-After", "0.2"), response.headers)
 
-    def test_silence_of_the_registry_is_503_within_the_second(self) -> None:
-        self.registry.takes_s = NEVER
+    def test_a_registry_that_does_not_answer_gives_503_within_1_s(self) -> None:
+        self.registry.delay_s = NEVER_S
 
-        async def story() -> float:
+        async def scenario() -> float:
             loop = asyncio.get_running_loop()
             request = HttpRequest("POST", "/-/Instances.Heartbeat/i-1", {}, json.dumps(HEARTBEAT).encode())
             response = await self.api.handle(request)
             self.assertEqual(response.status, 503)
             return loop.time()
 
-        self.assertEqual(play(story()), heartbeat_api.ACK_TIMEOUT_S)
+        self.assertEqual(play(scenario()), heartbeat_api.ACK_TIMEOUT_S)
         self.assertLess(heartbeat_api.ACK_TIMEOUT_S, 1.0)
 
 
@@ -218,30 +218,30 @@
         headers = {} if base is None else {"X_Brackenusher_Base_Version": base}
         return self.call("POST", f"/-/Config.{call}", body, **headers)
 
-    def test_orders_reach_the_shard_as_sent(self) -> None:
+    def test_orders_reach_the_shard_unchanged(self) -> None:
         self.assertEqual(self.order(b' {"Generation" : 7}').status, 200)
         self.assertEqual(self.order(base=" 0 ", call="Patch").status, 200)
         kinds = [(kind, base, body) for kind, base, body, _ in self.shard.orders]
         self.assertEqual(kinds, [("replace", 5, b' {"Generation" : 7}'), ("patch", 0, b'{"Generation":7}')])
 
-    def test_invalid_content_is_for_the_shard_to_judge(self) -> None:
-        """An order that was taken before must be acknowledged again: nothing but its form is judged here."""
+    def test_the_content_of_orders_is_not_validated(self) -> None:
+        """The shard must acknowledge an order accepted before again, so only it may refuse the content."""
         for body in (b"[]", b"3", b"{}", b'{"Generation":0}'):
             self.assertEqual(self.order(body).status, 200)
         self.assertEqual(len(self.shard.orders), 4)
 
-    def test_what_was_taken_is_answered_alike(self) -> None:
+    def test_accepted_orders_get_200_with_an_empty_object(self) -> None:
         response = self.order()
         self.assertEqual((response.status, response.body, response.headers), (200, b"{}", []))
 
-    def test_a_base_version_that_is_missing_is_told_from_a_wrong_one(self) -> None:
+    def test_errors_distinguish_missing_and_invalid_base_versions(self) -> None:
         self.assertIn("is missing", self.error(self.order(base=None)))
         self.assertIn("is 'x'", self.error(self.order(base="x")))
 
     def test_the_largest_base_version(self) -> None:
         self.assertEqual(self.order(base="9" * config_api.MAX_VERSION_DIGITS).status, 200)
 
-    def test_bodies_over_the_bound(self) -> None:
+    def test_bodies_over_the_limit(self) -> None:
         with mock.patch.object(config_api, "MAX_DOCUMENT_BYTES", 16):
             self.assertEqual(self.order(b'{"Generation":7}').status, 200)
             self.assertEqual(self.order(b'{"Generation":17}').status, 413)
@@ -255,7 +255,7 @@
                 self.assertEqual(self.error(response), "route r-1: wrong: mend it")
                 self.assertEqual(response.headers, [])
 
-    def test_anything_unclear_is_503(self) -> None:
+    def test_unknown_outcomes_get_503(self) -> None:
         for status in (503, 500, 404, 0):
             with self.subTest(status):
                 self.shard.outcome = Outcome(status)
@@ -263,7 +263,7 @@
                 self.assertEqual(response.status, 503)
                 self.assertIn(("Retry-After", "0.2"), response.headers)
 
-    def test_base_version_is_needed(self) -> None:
+    def test_invalid_base_versions_get_400(self) -> None:
         for base in (None, "", "x", "-1", "1.0", "0x1", "\u0661", "9" * 30, "9" * 5000, "1 2"):
             with self.subTest(base):
                 response = self.order(base=base)
@@ -271,13 +271,13 @@
                 self.assertIn("X-Brackenusher-Base-Version", self.error(response))
         self.assertEqual(self.shard.orders, [])
 
-    def test_what_is_not_json_is_400(self) -> None:
+    def test_bodies_that_are_not_json_get_400(self) -> None:
         for body in (b"", b'{"Generation":7', b"\xff\xfe", b"[" * 100_000):
             with self.subTest(body[:10]):
                 self.assertEqual(self.order(body).status, 400)
         self.assertEqual(self.shard.orders, [])
 
-    def test_time_given_to_the_shard(self) -> None:
+    def test_the_shards_timeout_grows_with_the_body(self) -> None:
         self.order()
         self.order(json.dumps({"Generation": 7, "Later": "x" * 300_000}).encode())
         small, large = (timeout for *_, timeout in self.shard.orders)
@@ -285,26 +285,26 @@
         self.assertGreater(large, 1.5)
         self.assertLessEqual(large, config_api.MAX_ORDER_TIMEOUT_S)
 
-    def test_get_answers_the_document_whole(self) -> None:
+    def test_get_returns_the_document(self) -> None:
         self.shard.document = {"Generation": 7, "Later": {"kept": [1, "\u00e9"]}}
         response = self.call("GET", "/-/Config.Get")
         self.assertEqual((response.status, json.loads(response.body)), (200, self.shard.document))
         self.shard.document = {"Generation": 9}
         self.assertEqual(json.loads(self.call("GET", "/-/Config.Get?x=1").body), {"Generation": 9})
 
-    def test_a_document_is_written_once(self) -> None:
+    def test_a_document_is_serialized_once(self) -> None:
         self.shard.document = {"Generation": 7}
         first, second = (self.call("GET", "/-/Config.Get").body for _ in range(2))
         self.assertIs(first, second)
 
-    def test_get_without_a_majority_is_503(self) -> None:
+    def test_get_without_a_majority_gets_503(self) -> None:
         response = self.call("GET", "/-/Config.Get")
         self.assertEqual(response.status, 503)
         self.assertIn(("Retry-After", "0.2"), response.headers)
 
 
 class StatusTest(ApiTest):
-    """What the command line asks, and paths that are no call."""
+    """Status calls, and paths without a call."""
 
     def test_topics(self) -> None:
         for topic in ("summary", "members", "servers", "history"):
@@ -326,7 +326,7 @@
         ):
             self.assertIn(expected, lines)
 
-    def test_what_is_not_known_is_404(self) -> None:
+    def test_unknown_paths_and_topics_get_404(self) -> None:
         for target in (
             "/-/status/",
             "/-/status/x",
@@ -349,6 +349,6 @@
             self.assertEqual(response.headers[0][0], "Allow")
         self.assertEqual(self.call("HEAD", "/-/status/summary").status, 200)
 
-    def test_without_a_provider_it_is_503(self) -> None:
+    def test_status_without_a_provider_gets_503(self) -> None:
         self.api.status = None
         self.assertEqual(self.call("GET", "/-/status/summary").status, 503)
--- a/tests/fleet/test_fleet_status.py
+++ b/tests/fleet/test_fleet_status.py
@@ -1,4 +1,4 @@
-"""What the command line is told of the fleet, and questions about a request to all proxies."""
+"""Tests of the status documents, the status calls to all proxies, and the request journal."""
 
 import asyncio
 import unittest
@@ -19,11 +19,11 @@
 
 
 class Network:
-    """Carries messages between processes at once, but to those that are cut off."""
+    """Delivers messages between processes at once, except to partitioned ones."""
 
     def __init__(self) -> None:
         self.processes: dict[str, MemoryLinks] = {}
-        self.cut: set[str] = set()
+        self.partitioned: set[str] = set()
 
     def add(self, address: str, role: str) -> "MemoryLinks":
         hello = messages.Hello(address=address, role=role, node_name=f"node-{address}", zone="z")
@@ -32,7 +32,7 @@
 
 
 class MemoryLinks:
-    """The part of Links that these modules use."""
+    """The methods of `Links` used here, in memory."""
 
     def __init__(self, network: Network, own: messages.Hello) -> None:
         self.network, self.own = network, own
@@ -52,10 +52,10 @@
         peer = self.network.processes.get(address)
         if peer is None:
             return False
-        if address not in self.network.cut:
-            carried = type(message)().parse(bytes(message))
+        if address not in self.network.partitioned:
+            received = type(message)().parse(bytes(message))
             for handler in peer.handlers.get(type(message), []):
-                asyncio.get_running_loop().call_soon(handler, self.own.address, carried)
+                asyncio.get_running_loop().call_soon(handler, self.own.address, received)
         return True
 
 
@@ -103,7 +103,7 @@
 
 
 class StatusTest(unittest.TestCase):
-    """The documents of the topics."""
+    """The documents of the status topics."""
 
     def setUp(self) -> None:
         self.network = Network()
@@ -136,7 +136,7 @@
         self.assertEqual((first["id"], first["state"], first["models"]), ("i-1", "ready", ["m"]))
         self.assertEqual((second["id"], second["state"]), ("i-2", "draining"))
 
-    def test_history_and_what_is_not_known(self) -> None:
+    def test_history_and_unknown_topics(self) -> None:
         self.assertEqual(self.tell("history")[0]["version"], 7)
         self.assertIsNone(self.tell("weather"))
 
@@ -153,98 +153,98 @@
         self.assertEqual(self.tell("explain:r-1"), expected)
         self.assertIsNone(self.tell("explain:r-2"))
 
-    def test_explain_waits_for_who_is_cut_off_but_not_for_long(self) -> None:
+    def test_explain_waits_a_limited_time_for_partitioned_proxies(self) -> None:
         self.journal("p:1").note("r-1", "arrived")
-        self.network.cut = {"p:2", "p:3"}
+        self.network.partitioned = {"p:2", "p:3"}
 
-        async def story() -> tuple[object, float]:
+        async def scenario() -> tuple[object, float]:
             return await self.status.tell("explain:r-1"), asyncio.get_running_loop().time()
 
-        found, ended = play(story())
-        self.assertEqual(ended, EXPLAIN_TIMEOUT_S)
-        self.assertEqual([part["proxy"] for part in cast(list[dict[str, object]], found)], ["p:1"])
+        found, elapsed_s = play(scenario())
+        self.assertEqual(elapsed_s, EXPLAIN_TIMEOUT_S)
+        self.assertEqual([entry["proxy"] for entry in cast(list[dict[str, object]], found)], ["p:1"])
 
 
-class CallsTest(unittest.TestCase):
-    """Questions over links."""
+class StatusCallsTest(unittest.TestCase):
+    """Status calls over links."""
 
     def setUp(self) -> None:
         self.network = Network()
-        self.asker, self.peer = self.network.add("c:1", "control"), self.network.add("p:1", "proxy")
-        self.caller = StatusCaller(as_links(self.asker))
+        self.control, self.peer = self.network.add("c:1", "control"), self.network.add("p:1", "proxy")
+        self.caller = StatusCaller(as_links(self.control))
 
     def ask(self, topic: str = "t") -> dict[str, object]:
         return play(self.caller.ask(["p:1", "p:9"], topic, 1.0))
 
-    def test_nobody_can_be_asked(self) -> None:
-        async def story() -> float:
+    def test_processes_that_are_not_connected_are_skipped(self) -> None:
+        async def scenario() -> float:
             self.assertEqual(await self.caller.ask(["p:9"], "t", 1.0), {})
             return asyncio.get_running_loop().time()
 
-        self.assertEqual(play(story()), 0.0)
+        self.assertEqual(play(scenario()), 0.0)
 
-    def test_who_knows_nothing_is_left_out_and_not_waited_for(self) -> None:
+    def test_empty_replies_are_omitted_and_end_the_wait(self) -> None:
         StatusResponder(as_links(self.peer), lambda topic: None)
 
-        async def story() -> float:
+        async def scenario() -> float:
             self.assertEqual(await self.caller.ask(["p:1"], "t", 1.0), {})
             return asyncio.get_running_loop().time()
 
-        self.assertEqual(play(story()), 0.0)
+        self.assertEqual(play(scenario()), 0.0)
 
-    def test_a_link_that_comes_up_anew_does_not_end_the_wait(self) -> None:
-        async def story() -> float:
+    def test_a_new_link_does_not_end_the_wait(self) -> None:
+        async def scenario() -> float:
             loop = asyncio.get_running_loop()
-            loop.call_later(0.25, self.asker.change_handlers[0], "p:1", self.peer.own)
+            loop.call_later(0.25, self.control.change_handlers[0], "p:1", self.peer.own)
             await self.caller.ask(["p:1"], "t", 1.0)
             return loop.time()
 
-        self.assertEqual(play(story()), 1.0)
+        self.assertEqual(play(scenario()), 1.0)
 
-    def test_answers_of_any_kind(self) -> None:
+    def test_replies_of_any_json_type(self) -> None:
         documents: dict[str, object] = {"t-1": {"a": [1]}, "t-2": [], "t-3": 0, "t-4": "text"}
         StatusResponder(as_links(self.peer), documents.get)
         for topic, document in documents.items():
             with self.subTest(topic):
                 self.assertEqual(self.ask(topic), {"p:1": document})
 
-    def test_too_large_an_answer_is_left_out(self) -> None:
+    def test_oversized_replies_are_omitted(self) -> None:
         StatusResponder(as_links(self.peer), lambda topic: "x" * MAX_ANSWER_BYTES)
         with self.assertLogs("brackenusher.cluster.status_calls", "WARNING"):
             self.assertEqual(self.ask(), {})
 
     def test_a_link_that_goes_down_ends_the_wait(self) -> None:
-        async def story() -> float:
+        async def scenario() -> float:
             loop = asyncio.get_running_loop()
-            loop.call_later(0.25, self.asker.change_handlers[0], "p:1", None)
+            loop.call_later(0.25, self.control.change_handlers[0], "p:1", None)
             self.assertEqual(await self.caller.ask(["p:1"], "t", 1.0), {})
             return loop.time()
 
-        self.assertEqual(play(story()), 0.25)
+        self.assertEqual(play(scenario()), 0.25)
 
-    def test_late_and_foreign_replies_are_ignored(self) -> None:
-        async def story() -> None:
+    def test_late_replies_and_those_of_other_peers_are_ignored(self) -> None:
+        async def scenario() -> None:
             reply = messages.StatusReply(id=1, document=b"1")
             for sender in ("p:1", "x:1"):
-                for handler in self.asker.handlers[messages.StatusReply]:
+                for handler in self.control.handlers[messages.StatusReply]:
                     handler(sender, reply)
-            asking = asyncio.get_running_loop().create_task(self.caller.ask(["p:1"], "t", 1.0))
+            pending_call = asyncio.get_running_loop().create_task(self.caller.ask(["p:1"], "t", 1.0))
             await asyncio.sleep(0)
-            for handler in self.asker.handlers[messages.StatusReply]:
+            for handler in self.control.handlers[messages.StatusReply]:
                 handler("x:1", reply)
-            self.assertEqual(await asking, {})
+            self.assertEqual(await pending_call, {})
 
-        play(story())
+        play(scenario())
 
 
-class JournalTest(unittest.TestCase):
-    """The memory of requests."""
+class RequestJournalTest(unittest.TestCase):
+    """The journal of requests."""
 
     def setUp(self) -> None:
         self.now = 10.0
         self.journal = RequestJournal(lambda: self.now, max_requests=3)
 
-    def test_events_in_their_order(self) -> None:
+    def test_events_are_in_order(self) -> None:
         self.journal.note("r", "arrived", "route", "r-1")
         self.now += 0.0125
         self.journal.note("r", "sent", "i-1", 2)
@@ -257,13 +257,13 @@
         self.journal.note("summary", "arrived")
         self.assertIsNone(self.journal.tell("summary"))
 
-    def test_the_oldest_requests_give_way(self) -> None:
+    def test_the_oldest_requests_are_evicted(self) -> None:
         for number in range(5):
             self.journal.note(f"r-{number}", "arrived")
         known = [self.journal.explain(f"r-{number}") is not None for number in range(5)]
         self.assertEqual(known, [False, False, True, True, True])
 
-    def test_events_of_one_request_are_bounded(self) -> None:
+    def test_events_of_one_request_are_limited(self) -> None:
         for _ in range(MAX_EVENTS + 5):
             self.journal.note("r", "sent")
         rows = self.journal.explain("r")
--- a/tests/fleet/test_metrics.py
+++ b/tests/fleet/test_metrics.py
@@ -1,4 +1,4 @@
-"""Figures in the text format of Prometheus, and the calls at a Ready address."""
+"""Tests of metrics in the Prometheus text format and of the calls at a Ready address."""
 
 import asyncio
 import unittest
@@ -10,7 +10,7 @@
 
 
 class MetricsTest(unittest.TestCase):
-    """What is rendered."""
+    """Rendering of metrics."""
 
     def setUp(self) -> None:
         self.metrics = Metrics()
@@ -31,7 +31,7 @@
         ]
         self.assertEqual(self.lines(), expected)
 
-    def test_a_figure_without_labels_is_told_before_it_is_used(self) -> None:
+    def test_a_metric_without_labels_is_rendered_before_its_first_use(self) -> None:
         self.metrics.counter("links_total", "Links.")
         self.metrics.counter("calls_total", "Calls.", "call")
         self.assertEqual(self.lines(), ["brackenusher_links_total 0"])
@@ -56,7 +56,7 @@
         ]
         self.assertEqual(self.lines(), expected)
 
-    def test_heads(self) -> None:
+    def test_help_and_type_lines(self) -> None:
         self.metrics.histogram("wait_seconds", "Waits\\of\nall.")
         self.assertEqual(
             self.metrics.render().decode().splitlines()[:2],
@@ -66,11 +66,11 @@
             ],
         )
 
-    def test_values_of_labels_are_escaped(self) -> None:
+    def test_label_values_are_escaped(self) -> None:
         self.metrics.counter("calls_total", "Calls.", "call").labels('a"b\\c\nd').inc()
         self.assertEqual(self.lines(), ['brackenusher_calls_total{call="a\\"b\\\\c\\nd"} 1'])
 
-    def test_series_are_bounded(self) -> None:
+    def test_the_number_of_series_is_limited(self) -> None:
         calls = self.metrics.counter("calls_total", "Calls.", "call")
         for number in range(1000):
             calls.labels(str(number)).inc()
@@ -78,7 +78,7 @@
         self.assertEqual(len(lines), MAX_SERIES + 1)
         self.assertEqual(lines[-1], f'brackenusher_calls_total{{call="other"}} {1000 - MAX_SERIES}')
 
-    def test_readings_are_taken_when_asked_for(self) -> None:
+    def test_callbacks_are_read_on_each_rendering(self) -> None:
         counts = {"sent": 1.0}
         self.metrics.readings("counter", "decisions_total", "Decisions.", "decision", lambda: counts)
         counts["refused"] = 2.5
@@ -99,12 +99,12 @@
             with self.assertRaises(ValueError):
                 make("decisions_total", "Decisions.", "decision")
 
-    def test_counters_that_are_read(self) -> None:
+    def test_counters_from_callbacks(self) -> None:
         self.metrics.counter_function("cpu_seconds_total", "Time.", lambda: 1.5)
         self.assertIn("# TYPE brackenusher_cpu_seconds_total counter", self.metrics.render().decode())
         self.assertEqual(self.lines(), ["brackenusher_cpu_seconds_total 1.5"])
 
-    def test_what_a_process_uses(self) -> None:
+    def test_process_metrics(self) -> None:
         add_process_metrics(self.metrics)
         values = dict(line.rsplit(" ", 1) for line in self.lines())
         self.assertGreater(float(values["brackenusher_process_cpu_seconds_total"]), 0)
@@ -112,7 +112,7 @@
         self.assertGreater(resident, 1e6)
         self.assertGreaterEqual(float(values["brackenusher_process_peak_memory_bytes"]) * 1.01, resident)
 
-    def test_one_figure_a_name(self) -> None:
+    def test_metric_names_are_unique(self) -> None:
         first = self.metrics.counter("calls_total", "Calls.", "call")
         self.assertIs(self.metrics.counter("calls_total", "Calls.", "call"), first)
         with self.assertRaises(ValueError):
@@ -146,6 +146,6 @@
         self.assertEqual((response.status, response.body), (200, self.metrics.render()))
         self.assertTrue(response.content_type.startswith("text/plain; version=0.0.4"))
 
-    def test_anything_else(self) -> None:
+    def test_other_paths_and_methods(self) -> None:
         self.assertEqual(self.call("/").status, 404)
         self.assertEqual(self.call("/-/readiness", "POST").status, 405)
--- a/tests/fleet/test_process_lives.py
+++ b/tests/fleet/test_process_lives.py
@@ -1,4 +1,4 @@
-"""What a process asked before it died is not answered to the one that runs at its address next."""
+"""A process must not accept responses to requests of an earlier incarnation at its address."""
 
 import asyncio
 import random
@@ -36,28 +36,28 @@
 
 
 def hello(incarnation: int, address: str = "10.0.0.1:7680") -> messages.Hello:
-    """The greeting of one life of a process."""
+    """The Hello of one incarnation of a process."""
     return messages.Hello(address=address, role="control", incarnation=incarnation)
 
 
-def started(number: int, seed: int, barred: bool = False) -> ConfigNode:
-    """A voter of three."""
+def make_voter(number: int, seed: int, quarantined: bool = False) -> ConfigNode:
+    """One of three voters."""
     options = NodeOptions(VOTERS[number], f"zone-{number}", True, VOTERS, bootstrap=True)
-    kept = DurableState(1, "", barred, Snapshot(1, 0, VOTERS, b""), [])
+    kept = DurableState(1, "", quarantined, Snapshot(1, 0, VOTERS, b""), [])
     return ConfigNode(options, random.Random(seed), 0.0, kept)
 
 
-def draining(world: FeedSimulation) -> Server:
-    """A server whose next heartbeat says that it drains, and that sends none by itself."""
-    server = world.start_server("s0")
+def draining_server(simulation: FeedSimulation) -> Server:
+    """A server that sends no heartbeats by itself, and whose next one reports DRAINING."""
+    server = simulation.start_server("s0")
     server.crash()
     server.state = InstanceState.DRAINING
     return server
 
 
-def leading(seed: int = 1) -> ConfigNode:
-    """A leader of three voters, whose first entry is on its way."""
-    node = started(0, seed)
+def make_leader(seed: int = 1) -> ConfigNode:
+    """The leader of three voters, with its first entry sent."""
+    node = make_voter(0, seed)
     node.raft.campaign(1.0, pre_vote=False)
     node.raft.receive(1.0, VOTERS[1], VoteResponse(node.raft.term, True, False))
     while node.take_ready() is not None:
@@ -65,99 +65,99 @@
     return node
 
 
-class NumbersTest(unittest.TestCase):
-    """Numbers of questions are those of one life."""
+class RequestNumbersTest(unittest.TestCase):
+    """Request numbers are specific to an incarnation."""
 
-    def test_no_two_lives_give_away_the_same_numbers(self) -> None:
+    def test_incarnations_use_disjoint_request_numbers(self) -> None:
         rng = random.Random(1)
-        lives = [first_number(hello(rng.getrandbits(53))) for _ in range(200)]
-        lives.sort()
-        self.assertTrue(all(later - one > 1000 for one, later in zip(lives, lives[1:], strict=False)))
-        self.assertLess(lives[-1] + 1000, 2**64)
-
-    def test_a_confirmation_for_an_earlier_life_acknowledges_nothing(self) -> None:
-        async def story() -> None:
-            world = FeedSimulation(random.Random(1))
-            world.start()
+        first_numbers = [first_number(hello(rng.getrandbits(53))) for _ in range(200)]
+        first_numbers.sort()
+        self.assertTrue(
+            all(later - one > 1000 for one, later in zip(first_numbers, first_numbers[1:], strict=False))
+        )
+        self.assertLess(first_numbers[-1] + 1000, 2**64)
+
+    def test_a_confirmation_for_an_earlier_incarnation_is_ignored(self) -> None:
+        async def scenario() -> None:
+            simulation = FeedSimulation(random.Random(1))
+            simulation.start()
             await asyncio.sleep(3.0)
-            asking, holding, other = world.voters
-            slow = world.controls[holding].writer  # it answers long after it was asked
-            slow.delay_s, slow.rng = 2.0, SimpleNamespace(uniform=lambda least, most: 1.0)  # type: ignore[assignment]
-            first, second = draining(world), draining(world)
-            world.spawn(world.call(asking, "heartbeat", first.record()))
+            entry_voter, slow_voter, other = simulation.voters
+            slow_writer = simulation.controls[slow_voter].writer  # confirms long after the request
+            slow_writer.delay_s, slow_writer.rng = 2.0, SimpleNamespace(uniform=lambda low, high: 1.0)  # type: ignore[assignment]
+            first, second = draining_server(simulation), draining_server(simulation)
+            simulation.spawn(simulation.call(entry_voter, "heartbeat", first.record()))
             await asyncio.sleep(0.1)
-            world.kill_control(asking)
-            world.kill_control(other)
-            world.start_control(asking)
+            simulation.kill_control(entry_voter)
+            simulation.kill_control(other)
+            simulation.start_control(entry_voter)
             await asyncio.sleep(1.5)
-            acknowledged = await world.call(asking, "heartbeat", second.record())
-            held = {v for v in world.voters if second.id in repr(world.stores[v].snapshot)}
-            held |= {v for v in world.voters if second.id in repr(world.stores[v].records)}
-            self.assertTrue(not acknowledged or len(held) >= 2, f"acknowledged, and held by {held}")
+            acknowledged = await simulation.call(entry_voter, "heartbeat", second.record())
+            holders = {v for v in simulation.voters if second.id in repr(simulation.stores[v].snapshot)}
+            holders |= {v for v in simulation.voters if second.id in repr(simulation.stores[v].records)}
+            self.assertTrue(not acknowledged or len(holders) >= 2, f"acknowledged, and held by {holders}")
 
-        play(story())
+        play(scenario())
 
-    def test_a_read_of_an_earlier_life_is_no_answer_to_this_one(self) -> None:
-        nodes = [started(1, seed) for seed in (1, 2)]
+    def test_a_read_response_for_an_earlier_incarnation_is_ignored(self) -> None:
+        nodes = [make_voter(1, seed) for seed in (1, 2)]
         for node in nodes:
             node.raft.leader = VOTERS[0]
         answered: list[int] = []
-        earlier = nodes[0].confirm_read(1.0, lambda: None)
+        earlier_id = nodes[0].confirm_read(1.0, lambda: None)
         nodes[1].confirm_read(1.0, lambda: answered.append(1))
-        nodes[1].receive(2.0, VOTERS[0], msgpack.encode(ReadIndexResponse(earlier, 0)))
+        nodes[1].receive(2.0, VOTERS[0], msgpack.encode(ReadIndexResponse(earlier_id, 0)))
         self.assertEqual(answered, [])
 
-    def test_pings_and_reports_are_numbered_anew(self) -> None:
+    def test_ping_and_report_numbers_differ_between_incarnations(self) -> None:
         one, other = (PeerMonitor("me", first_number(hello(n))) for n in (5, 6))
         for monitor in (one, other):
             monitor.set_members(["peer"])
         self.assertNotEqual(one.tick(0.0)[0].number, other.tick(0.0)[0].number)
-        runs = [random.Random(seed).getrandbits(60) for seed in (1, 2)]
-        clients = [CreditClient(run, 0.0, lambda key: None) for run in runs]
+        run_ids = [random.Random(seed).getrandbits(60) for seed in (1, 2)]
+        clients = [CreditClient(run_id, 0.0, lambda key: None) for run_id in run_ids]
         self.assertNotEqual(clients[0].build_report(1.0).sequence, clients[1].build_report(1.0).sequence)
 
 
 class LostDiskTest(unittest.TestCase):
-    """A voter that starts anew may have lost what it said that it holds."""
+    """A restarted voter may have lost entries that it acknowledged."""
 
-    def test_what_an_earlier_life_held_does_not_count(self) -> None:
-        node = leading()
-        agreement = node.raft
+    def test_acknowledgements_of_an_earlier_incarnation_do_not_count(self) -> None:
+        node = make_leader()
+        raft = node.raft
         node.link_up(2.0, ControlProcess(VOTERS[1], "zone-1", True, incarnation=1))
-        agreement.append(Entry(agreement.term, EntryKind.DATA))
-        last = agreement.last_index
-        agreement.receive(3.0, VOTERS[1], AppendResponse(agreement.term, True, last, agreement.round))
-        self.assertEqual(agreement.match_index_of(VOTERS[1]), last)
+        raft.append(Entry(raft.term, EntryKind.DATA))
+        last = raft.last_index
+        raft.receive(3.0, VOTERS[1], AppendResponse(raft.term, True, last, raft.round))
+        self.assertEqual(raft.match_index_of(VOTERS[1]), last)
         node.link_up(4.0, ControlProcess(VOTERS[1], "zone-1", True, incarnation=2))
-        self.assertEqual(agreement.match_index_of(VOTERS[1]), 0)
-        late = AppendResponse(agreement.term, True, last, agreement.round - 1)
-        agreement.receive(4.0, VOTERS[1], late)
-        self.assertEqual(
-            agreement.match_index_of(VOTERS[1]), 0, "an answer of the life before, under way since"
-        )
-        agreement.receive(5.0, VOTERS[1], AppendResponse(agreement.term, True, last, agreement.round))
-        self.assertEqual(agreement.match_index_of(VOTERS[1]), last)
-
-    def test_one_that_is_trusted_again_votes_for_no_other_in_that_term(self) -> None:
-        agreement = started(1, 3, barred=True).raft
-        agreement.become_follower(1.0, 7, "")
-        agreement.end_quarantine()
-        self.assertIs(agreement.role, Role.FOLLOWER)
-        agreement.take_ready()
-        agreement.receive(5000.0, VOTERS[2], RequestVote(7, 100, 7, False))
-        ready = agreement.take_ready()
-        said = [m for _, m in ready.messages if isinstance(m, VoteResponse)] if ready else []
-        self.assertEqual([vote.granted for vote in said], [False])
-
-
-class LinksOfLivesTest(unittest.TestCase):
-    """Connections of a peer's earlier life end with the greeting of the next."""
-
-    def test_messages_of_the_life_before_are_taken_no_more(self) -> None:
-        async def story() -> None:
+        self.assertEqual(raft.match_index_of(VOTERS[1]), 0)
+        delayed = AppendResponse(raft.term, True, last, raft.round - 1)
+        raft.receive(4.0, VOTERS[1], delayed)
+        self.assertEqual(raft.match_index_of(VOTERS[1]), 0, "a delayed response of the earlier incarnation")
+        raft.receive(5.0, VOTERS[1], AppendResponse(raft.term, True, last, raft.round))
+        self.assertEqual(raft.match_index_of(VOTERS[1]), last)
+
+    def test_a_voter_whose_quarantine_ended_grants_no_vote_in_that_term(self) -> None:
+        raft = make_voter(1, 3, quarantined=True).raft
+        raft.become_follower(1.0, 7, "")
+        raft.end_quarantine()
+        self.assertIs(raft.role, Role.FOLLOWER)
+        raft.take_ready()
+        raft.receive(5000.0, VOTERS[2], RequestVote(7, 100, 7, False))
+        ready = raft.take_ready()
+        votes = [m for _, m in ready.messages if isinstance(m, VoteResponse)] if ready else []
+        self.assertEqual([vote.granted for vote in votes], [False])
+
+
+class LinksOfIncarnationsTest(unittest.TestCase):
+    """Connections of a peer's earlier incarnation are closed on the Hello of the next."""
+
+    def test_messages_of_an_earlier_incarnation_are_dropped(self) -> None:
+        async def scenario() -> None:
             links = Links(hello(1, free_address()))
-            heard: list[int] = []
-            links.on_message(messages.ConfigFetch, lambda peer, m: heard.append(m.have_version))
+            received_versions: list[int] = []
+            links.on_message(messages.ConfigFetch, lambda peer, m: received_versions.append(m.have_version))
             await links.start()
             host, port = links.own.address.split(":")
             peer = "10.9.9.9:1"
@@ -165,12 +165,12 @@
             for incarnation in (1, 2):
                 reader, writer = await asyncio.open_connection(host, int(port))
                 writer.write(encode_frame(hello(incarnation, peer)))
-                await until(lambda n=incarnation: links.connected().get(peer, hello(0)).incarnation == n)
+                await wait_until(lambda n=incarnation: links.connected().get(peer, hello(0)).incarnation == n)
                 streams.append((reader, writer))
             for number, (_, writer) in enumerate(streams):
                 writer.write(encode_frame(messages.ConfigFetch(have_version=number + 1)))
-            await until(lambda: 2 in heard)
-            self.assertEqual(heard, [2])
+            await wait_until(lambda: 2 in received_versions)
+            self.assertEqual(received_versions, [2])
             links.send(peer, messages.ConfigFetch(have_version=9))
             frames = FrameReader()
             received: list[object] = []
@@ -180,13 +180,13 @@
                 writer.close()
             await links.stop()
 
-        asyncio.run(story())
+        asyncio.run(scenario())
 
-    def test_another_connection_of_the_same_life_stays(self) -> None:
-        async def story() -> None:
+    def test_another_connection_of_the_same_incarnation_is_kept(self) -> None:
+        async def scenario() -> None:
             links = Links(hello(1, free_address()))
-            heard: list[int] = []
-            links.on_message(messages.ConfigFetch, lambda peer, m: heard.append(m.have_version))
+            received_versions: list[int] = []
+            links.on_message(messages.ConfigFetch, lambda peer, m: received_versions.append(m.have_version))
             await links.start()
             host, port = links.own.address.split(":")
             writers = []
@@ -194,35 +194,33 @@
                 _, writer = await asyncio.open_connection(host, int(port))
                 writer.write(encode_frame(hello(7, "10.9.9.9:1")))
                 writer.write(encode_frame(messages.ConfigFetch(have_version=number)))
-                await until(lambda n=number: n in heard)
+                await wait_until(lambda n=number: n in received_versions)
                 writers.append(writer)
             writers[0].write(encode_frame(messages.ConfigFetch(have_version=3)))
-            await until(lambda: 3 in heard)
+            await wait_until(lambda: 3 in received_versions)
             for writer in writers:
                 writer.close()
             await links.stop()
 
-        asyncio.run(story())
+        asyncio.run(scenario())
 
 
-async def until(condition: object, seconds: float = 5.0) -> None:
-    """Wait for something that comes over a socket."""
-    ends = asyncio.get_running_loop().time() + seconds
+async def wait_until(condition: object, seconds: float = 5.0) -> None:
+    """Wait until a condition on data from a socket holds."""
+    deadline = asyncio.get_running_loop().time() + seconds
     while not condition():  # type: ignore[operator]
-        if asyncio.get_running_loop().time() > ends:
+        if asyncio.get_running_loop().time() > deadline:
             raise TimeoutError
         await asyncio.sleep(0.005)
 
 
-class PlantedTest(unittest.TestCase):
-    """The tests above find lives that are not told apart."""
+class InjectedBugsTest(unittest.TestCase):
+    """The tests above find incarnations that use the same request numbers."""
 
-    def test_numbers_that_begin_anew_are_found(self) -> None:
-        case = NumbersTest("test_a_confirmation_for_an_earlier_life_acknowledges_nothing")
+    def test_request_numbers_that_restart_are_found(self) -> None:
+        case = RequestNumbersTest("test_a_confirmation_for_an_earlier_incarnation_is_ignored")
         with mock.patch("brackenusher.control_plane.registry_service.first_number", lambda own: 1):
-            self.assertRaises(
-                AssertionError, case.test_a_confirmation_for_an_earlier_life_acknowledges_nothing
-            )
+            self.assertRaises(AssertionError, case.test_a_confirmation_for_an_earlier_incarnation_is_ignored)
 
 
 if __name__ == "__main__":
