--- a/brackenusher/control_plane/config_api.py
+++ b/brackenusher/control_plane/config_api.py
@@ -15,7 +15,7 @@
 MAX_VERSION_DIGITS = 18  # fits 64 bits
 MAX_DOCUMENT_BYTES = 8 * 1024 * 1024
 ORDER_TIMEOUT_S = 0.95  # callers try another process after 1 s without a response
-SLOW_BODY_BYTES_PER_S = 256 * 1024  # extends the timeout: callers wait longer for large bodies
+MIN_UPLOAD_BYTES_PER_S = 256 * 1024  # extends the timeout: callers wait longer for large bodies
 MAX_ORDER_TIMEOUT_S = 4.0
 CONFIRM_TIMEOUT_S = 0.8
 DEFINITE_STATUSES = frozenset({200, 400, 412, 413})
@@ -60,7 +60,7 @@
             return error_response(413, f"the body is over {MAX_DOCUMENT_BYTES} bytes: send it in parts")
         if not _is_json(request.body):
             return error_response(400, "the body is not JSON: send the whole document again")
-        timeout_s = min(ORDER_TIMEOUT_S + len(request.body) / SLOW_BODY_BYTES_PER_S, MAX_ORDER_TIMEOUT_S)
+        timeout_s = min(ORDER_TIMEOUT_S + len(request.body) / MIN_UPLOAD_BYTES_PER_S, MAX_ORDER_TIMEOUT_S)
         outcome = await self.shard.submit(kind, int(base_version), request.body, timeout_s)
         if outcome.status == 200:
             return HttpResponse(200, b"{}")
--- a/brackenusher/control_plane/confirmations.py
+++ b/brackenusher/control_plane/confirmations.py
@@ -13,7 +13,7 @@
     number: int  # identifies the change in messages; never 0
     group: frozenset[str]
     done: asyncio.Future[bool]
-    held_by: set[str] = field(default_factory=set)
+    confirmed_by: set[str] = field(default_factory=set)
 
     @property
     def needed(self) -> int:
@@ -23,8 +23,8 @@
     def confirm(self, address: str) -> None:
         """Count a process that has stored the change, if it is a member of the group."""
         if address in self.group:
-            self.held_by.add(address)
-        if len(self.held_by) >= self.needed and not self.done.done():
+            self.confirmed_by.add(address)
+        if len(self.confirmed_by) >= self.needed and not self.done.done():
             self.done.set_result(True)
 
 
--- a/brackenusher/control_plane/feed_source.py
+++ b/brackenusher/control_plane/feed_source.py
@@ -43,7 +43,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Position:
+class LogPosition:
     """A subscriber's position in the change log of one shard."""
 
     epoch: int
@@ -62,10 +62,10 @@
         epoch = links.own.incarnation & EPOCH_MASK
         self._logs = [ChangeLog(epoch) for _ in range(SHARD_COUNT)]
         # By shard: the position of all subscribers.
-        self._sent_positions = [Position(epoch, 0) for _ in range(SHARD_COUNT)]
+        self._sent_positions = [LogPosition(epoch, 0) for _ in range(SHARD_COUNT)]
         self._dirty_shards: set[int] = set()
         self._flush_scheduled = False
-        self._pieces = ConfigPieces()
+        self._config_deltas = ConfigPieces()
         self._confirm_task: asyncio.Task[None] | None = None
         self._fill_logs()
         registry.on_change.append(self._registry_changed)
@@ -114,7 +114,7 @@
     def _fill_logs(self) -> None:
         for shard in range(SHARD_COUNT):
             self._logs[shard].record(self._registry.registry.ids_in_shard(shard))
-            self._sent_positions[shard] = Position(self._logs[shard].epoch, self._logs[shard].offset)
+            self._sent_positions[shard] = LogPosition(self._logs[shard].epoch, self._logs[shard].offset)
 
     def _registry_changed(self, shard: int, records: list[InstanceRecord]) -> None:
         """Log the changed records; an empty list means that records expired: start a new epoch."""
@@ -140,7 +140,7 @@
         dirty, self._dirty_shards = self._dirty_shards, set()
         for shard in sorted(dirty):
             changes = self._changes_since(shard, self._sent_positions[shard])
-            self._sent_positions[shard] = Position(changes.epoch, changes.offset)
+            self._sent_positions[shard] = LogPosition(changes.epoch, changes.offset)
             self._send_to_subscribers(changes)
 
     def _send_to_subscribers(self, message: betterproto.Message) -> None:
@@ -150,9 +150,11 @@
     def _changes_since_offset(
         self, shard: int, offset: messages.ShardOffset | None
     ) -> messages.InstanceChanges:
-        return self._changes_since(shard, None if offset is None else Position(offset.epoch, offset.offset))
+        return self._changes_since(
+            shard, None if offset is None else LogPosition(offset.epoch, offset.offset)
+        )
 
-    def _changes_since(self, shard: int, position: Position | None) -> messages.InstanceChanges:
+    def _changes_since(self, shard: int, position: LogPosition | None) -> messages.InstanceChanges:
         """The changes after a position, or a snapshot if the log does not reach back to it."""
         change_log = self._logs[shard]
         ids = None if position is None else change_log.since(position.epoch, position.offset)
@@ -169,14 +171,14 @@
     # The configuration
 
     def _on_committed(self, configuration: Configuration) -> None:
-        if not self._pieces.committed(configuration):
+        if not self._config_deltas.committed(configuration):
             return
-        offer = messages.ConfigOffer(version=self._pieces.version, confirmed=False)
+        offer = messages.ConfigOffer(version=self._config_deltas.version, confirmed=False)
         self._send_to_subscribers(offer)
 
     def _on_fetch(self, sender: str, message: betterproto.Message) -> None:
         assert isinstance(message, messages.ConfigFetch)
-        piece = self._pieces.piece(message.have_version)
+        piece = self._config_deltas.piece(message.have_version)
         if piece is not None:
             self._links.send(sender, piece)
 
@@ -200,9 +202,9 @@
             return False
         document = self._config_shard.document()
         version = 0 if document is None else int(document.get("Generation", 0))
-        while self._pieces.version < version and loop.time() < deadline:
+        while self._config_deltas.version < version and loop.time() < deadline:
             await asyncio.sleep(PARSE_POLL_INTERVAL_S)  # it is being parsed on a thread
-        return self._pieces.version >= version
+        return self._config_deltas.version >= version
 
     def _offer_unconfirmed(self, address: str, subscriber: Subscriber) -> None:
         """Without a leader no confirmation comes; a proxy that has no configuration can use this one."""
@@ -214,7 +216,7 @@
 
     def _send_offer(self, waiting: dict[str, Subscriber], confirmed: bool) -> None:
         """Offer the current version to these subscribers, except those that have subscribed again since."""
-        offer = messages.ConfigOffer(version=self._pieces.version, confirmed=confirmed)
+        offer = messages.ConfigOffer(version=self._config_deltas.version, confirmed=confirmed)
         for address, subscriber in waiting.items():
             if self.subscribers.get(address) is subscriber and (confirmed or not subscriber.offered):
                 subscriber.confirmed, subscriber.offered = confirmed, True
--- a/brackenusher/control_plane/final_records.py
+++ b/brackenusher/control_plane/final_records.py
@@ -70,7 +70,7 @@
             self._log_record_count = len(loaded.records)
         return records
 
-    def forget(self, known_ids: Container[str]) -> None:
+    def expire(self, known_ids: Container[str]) -> None:
         """Drop ids that have expired from the registry; the next snapshot omits them."""
         for instance_id in [i for i in self._persisted_finality if i not in known_ids]:
             del self._persisted_finality[instance_id]
--- a/brackenusher/control_plane/registry_service.py
+++ b/brackenusher/control_plane/registry_service.py
@@ -357,7 +357,7 @@
         for instance_id in [i for i in self._confirmed_finality if i not in self.registry.entries]:
             del self._confirmed_finality[instance_id]
         self._unconfirmed.intersection_update(self.registry.entries)
-        self._final_store.forget(self.registry.entries)
+        self._final_store.expire(self.registry.entries)
         for shard in shards:
             for handler in self.on_change:
                 handler(shard, [])
--- a/brackenusher/control_plane/replica_groups.py
+++ b/brackenusher/control_plane/replica_groups.py
@@ -19,7 +19,7 @@
         self._voters = voters
         # A zone may hold most of a small group: where zone loss is tolerated, all voters hold each shard.
         domain_loss_tolerated = tolerance.zones > 0 or tolerance.regions > 0
-        self._tolerated = MAX_VOTERS // 2 if domain_loss_tolerated else tolerance.machines
+        self._tolerated_failures = MAX_VOTERS // 2 if domain_loss_tolerated else tolerance.machines
 
     def peers(self) -> list[str]:
         """The connected control processes without this one."""
@@ -28,7 +28,7 @@
 
     def group(self, shard: int) -> list[str]:
         """The voters that hold a shard, in order of preference for its owner."""
-        return replica_group(shard, self._voters(), self._tolerated)
+        return replica_group(shard, self._voters(), self._tolerated_failures)
 
     def reaches_majority(self, shard: int) -> bool:
         """Whether a majority of a replica group is connected, counting this process if it is a member."""
