--- a/brackenusher/control_plane/config_storage.py
+++ b/brackenusher/control_plane/config_storage.py
@@ -76,7 +76,7 @@
 
     def _on_write_error(self, error: BaseException, work: Work, callback: Callable[[], None]) -> None:
         if not self._failures:
-            log.error("write to the configuration store failed, retrying: %s", error)
+            log.error("configuration store refused a write, trying again: %s", error)
         self._failures += 1
         self._on_trouble()
         self._loop.call_later(RETRY_INTERVAL_S, self._retry, work, callback)
--- a/brackenusher/control_plane/final_records.py
+++ b/brackenusher/control_plane/final_records.py
@@ -60,7 +60,7 @@
                 loaded = await writer.submit(store.load)
                 break
             except StorageError as error:
-                log.error("draining and gone servers can't be read from disk yet: error=%s", error)
+                log.error("drains can't be read from disk yet: error=%s", error)
                 await asyncio.sleep(READ_RETRY_INTERVAL_S)
         records: list[InstanceRecord] = []
         if loaded.snapshot is not None:
@@ -121,6 +121,6 @@
                 await self._writer.submit(lambda: store.append(payloads))
                 self._log_record_count += len(payloads)
         except StorageError as error:  # the change is not confirmed, and the next attempt writes it again
-            log.warning("draining and gone servers not written to disk: error=%s", error)
+            log.warning("drains are not kept on disk: error=%s", error)
             return False
         return True
--- a/brackenusher/control_plane/shares_driver.py
+++ b/brackenusher/control_plane/shares_driver.py
@@ -56,7 +56,7 @@
                 loaded = await writer.submit(store.load)
                 break
             except StorageError as error:
-                log.warning("limits: acceptor state can't be read yet: error=%s", error)
+                log.warning("roster of the limits not read yet: error=%s", error)
                 await asyncio.sleep(RETRY_INTERVAL_S)
         self.limits.restore(self.now(), loaded.snapshot)
         super().start()
@@ -85,5 +85,5 @@
             self.limits.on_stored(self.now(), revision)
             self._run()
         else:
-            log.warning("limits: acceptor state not stored: error=%s", error)
+            log.warning("roster of the limits not stored: error=%s", error)
             asyncio.get_running_loop().call_later(RETRY_INTERVAL_S, self._write_pending)
