--- a/brackenusher/cluster/key_leases.py
+++ b/brackenusher/cluster/key_leases.py
@@ -46,7 +46,7 @@
 
     @property
     def holds(self) -> bool:
-        """Whether a request received now may use its key. Reads the clock: a timer lags a freeze."""
+        """Whether a request received now may use its key. Reads the clock: a timer lags a stall."""
         return not self._strict or self._lease.is_valid(self._now())
 
     def left_s(self) -> float:
--- a/tests/fleet/test_key_leases.py
+++ b/tests/fleet/test_key_leases.py
@@ -226,8 +226,8 @@
         original = VersionConfirmations._confirm
         self.assert_revealed(VersionConfirmations, "_confirm", confirm)
 
-    def test_validity_cached_by_a_timer_outlives_a_freeze(self) -> None:
-        """The result is computed by the timer, so that requests after a freeze get an outdated one."""
+    def test_validity_cached_by_a_timer_outlives_a_stall(self) -> None:
+        """The result is computed by the timer, so that requests after a stall get an outdated one."""
         original_tick, original_holds = KeyLease.tick, KeyLease.holds.fget
         assert original_holds is not None
         last_result: dict[int, bool] = {}
