--- a/brackenusher/cluster/key_leases.py
+++ b/brackenusher/cluster/key_leases.py
@@ -105,4 +105,4 @@
         valid = self.holds
         if valid != self._was_valid:
             self._was_valid = valid
-            log.info("API keys valid: %s version=%d", "yes" if valid else "no", self._lease.current.version)
+            log.info("keys hold: %s version=%d", "yes" if valid else "no", self._lease.current.version)
--- a/brackenusher/cluster/limits_driver.py
+++ b/brackenusher/cluster/limits_driver.py
@@ -102,7 +102,7 @@
         """Sends the outgoing messages, completes decided requests and resets the timer."""
         if self.limits.credit_machine.credit_server != self._credit_server:
             self._credit_server = self.limits.credit_machine.credit_server
-            log.info("limits: credit_server=%s term=%d", self._credit_server, self.limits.credit_machine.term)
+            log.info("limits: warden=%s term=%d", self._credit_server, self.limits.credit_machine.term)
         for address, payload in self.limits.outbox():
             self.links.send(address, messages.MachineMessage(machine=MACHINE, payload=payload))
         for ticket, admitted in self.limits.take_decisions():
