--- a/brackenusher/membership/agent.py
+++ b/brackenusher/membership/agent.py
@@ -1,4 +1,4 @@
-"""The driver toward discovery's agent: keeps the pool up to date."""
+"""Client of the local discovery agent: connections, time-outs and retries."""
 
 import logging
 import random
@@ -19,12 +19,16 @@
 
 log = logging.getLogger(__name__)
 
-SILENCE = 3500.0  # discovery sends a line every 2 s; bytes that end no line are no word of it
-FIRST_WORD = 250.0  # the agent is on this machine and answers at once, if at all: what it has counts as told
-SLOW_WORD, SLOW_EACH = 1500.0, 40  # one call in so many waits longer, should the agent be a slow one
-ASKED_WORD = 0.5  # of what the settings allow between two calls: where it must be asked, calls wait in turn,
-# and one that is given up on has been worked on for nothing
-BACK_OFF = 100.0  # between two calls; with the first word it stays below the grace of a drain, 500 ms
+SILENCE = 3500.0  # milliseconds; discovery sends a line every 2 s, and an incomplete line counts as silence
+FIRST_WORD = 250.0  # milliseconds; the agent is local and answers at once, if at all
+# One call in SLOW_RESPONSE_EVERY waits longer, in case the agent is slow.
+SLOW_RESPONSE_TIMEOUT_MS, SLOW_RESPONSE_EVERY = 1500.0, 40
+# Share of the permitted interval between two calls. On demand, the agent queues calls, and its work for one
+# that timed out is wasted.
+ON_DEMAND_TIMEOUT_SHARE = 0.5
+BACK_OFF = (
+    100.0  # milliseconds between calls; with FIRST_WORD it is below the grace period of a drain, 500 ms
+)
 
 
 class Agent:
@@ -41,87 +45,97 @@
     ) -> None:
         self.loop, self.address, self.pool, self.owner, self.buffers = loop, address, pool, owner, buffers
         self.rng = rng
-        self.seq: int | None = None  # of the list that is held; none: the whole list is asked for
+        self.seq: int | None = None  # of the current list; None requests the full list
         settings = owner.balancer.conf
-        self.must_ask = settings.must_ask  # then the module says when: its waits grow, and spread
-        self.asked_word = max(SLOW_WORD, ASKED_WORD * settings.ask_within)
-        self.failures = 0  # calls in a row
-        self.spoke = False  # a byte has come on the present connection
-        self.limit: Entry | None = None
-        self.late = False  # the limit is reached, and it is looked once more
-        self.retry: Entry | None = None
-        self.machine: Discovery | None = None  # that of the connection which counts
-        self.task: Task  # and its coroutine
+        self.on_demand = settings.must_ask  # the policy schedules the calls, with back-off and jitter
+        self.on_demand_timeout_ms = max(
+            SLOW_RESPONSE_TIMEOUT_MS, ON_DEMAND_TIMEOUT_SHARE * settings.ask_within
+        )
+        self.failures = 0  # consecutive failed calls
+        self.responded = False  # data has arrived on the current connection
+        self.response_timer: Entry | None = None
+        self.timed_out = False  # the timer has expired; buffered input is still read once
+        self.retry_timer: Entry | None = None
+        self.protocol: Discovery | None = None  # of the current connection
+        self.task: Task  # coroutine of the current connection
 
     def move(self, address: Address) -> None:
-        """Leave this agent for another at once; that one is asked for the whole list."""
-        old, self.machine = self.machine, None
+        """Switch to another agent at once and request the full list from it."""
+        old, self.protocol = self.protocol, None
         if old is not None and not self.task.ended:
             self.task.stop()
         self.address, self.seq, self.failures = address, None, 0
         self.connect()
 
     def connect(self) -> None:
-        """Open a connection, unless one is open."""
-        if self.machine is not None and not self.task.ended:
+        """Open a connection unless one is already open."""
+        if self.protocol is not None and not self.task.ended:
             return
-        self.loop.deadlines.remove(self.retry)
+        self.loop.deadlines.remove(self.retry_timer)
         try:
             sock, _ = open_socket(self.address)
         except OSError as error:
-            self.again(str(error))
+            self.schedule_retry(str(error))
             return
-        self.machine, self.spoke = Discovery(f"{self.address[0]}:{self.address[1]}", self.seq), False
-        self.task = self.loop.spawn(self.run(sock, self.machine), sock)
-        self.wait(self.patience())
-
-    def wait(self, span: float) -> None:
-        """Give the agent so many milliseconds for its next word."""
-        self.loop.deadlines.remove(self.limit)
-        self.late, self.limit = False, self.loop.deadlines.add(clock() + span, self.silent)
-
-    def patience(self) -> float:
-        """Milliseconds until the first word of a call.
-
-        A call that was made while discovery was silent is never answered, and a change that comes after
-        counts as told: who sits such a call out sends to servers that were drained long ago.
+        self.protocol, self.responded = Discovery(f"{self.address[0]}:{self.address[1]}", self.seq), False
+        self.task = self.loop.spawn(self.run(sock, self.protocol), sock)
+        self.set_timeout(self.first_response_timeout())
+
+    def set_timeout(self, duration_ms: float) -> None:
+        """Restart the timer for the next message of the agent."""
+        self.loop.deadlines.remove(self.response_timer)
+        self.timed_out, self.response_timer = (
+            False,
+            self.loop.deadlines.add(clock() + duration_ms, self.silent),
+        )
+
+    def first_response_timeout(self) -> float:
+        """Time-out in milliseconds for the first response to a call.
+
+        A call made while discovery was silent is never answered, and the agent considers later changes
+        delivered. Waiting for such a call would keep traffic on servers that were drained long ago.
         """
-        if self.must_ask:
-            return self.asked_word
-        return SLOW_WORD if self.failures % SLOW_EACH == SLOW_EACH - 1 else FIRST_WORD
-
-    def run(self, sock: socket.socket, machine: Discovery) -> Coroutine:
-        why = "ended"
+        if self.on_demand:
+            return self.on_demand_timeout_ms
+        return (
+            SLOW_RESPONSE_TIMEOUT_MS
+            if self.failures % SLOW_RESPONSE_EVERY == SLOW_RESPONSE_EVERY - 1
+            else FIRST_WORD
+        )
+
+    def run(self, sock: socket.socket, protocol: Discovery) -> Coroutine:
+        reason = "ended"
         try:
             if not (yield WRITE):
                 raise DiscoveryError("silent")
-            rest, self.call = machine.start(), b""
+            unsent, self.to_send = protocol.start(), b""
             while True:
-                if rest:
-                    rest = write(sock, rest)
-                yield READ | (WRITE if rest else 0)
+                if unsent:
+                    unsent = write(sock, unsent)
+                yield READ | (WRITE if unsent else 0)
                 try:
-                    self.buffers.receive(sock, partial(self.take, machine))
-                    rest += self.call
+                    self.buffers.receive(sock, partial(self.on_bytes, protocol))
+                    unsent += self.to_send
                 except BlockingIOError:
                     pass
-                if self.late:
+                if self.timed_out:
                     raise DiscoveryError("silent")
         except (OSError, DiscoveryError) as error:
-            why = str(error)
+            reason = str(error)
         finally:
-            self.loop.deadlines.remove(self.limit)
-            if self.loop.running and machine is self.machine:
-                if machine.watching and not self.must_ask:
-                    self.seq = None  # the whole list is asked for, see `again`
-                self.again(why)
-
-    def take(self, machine: Discovery, data: memoryview) -> None:
-        """Feed the machine, and tell the module of each list."""
-        before = machine.heard if self.spoke else -1  # the first bytes show that it is there
+            self.loop.deadlines.remove(self.response_timer)
+            if self.loop.running and protocol is self.protocol:
+                if protocol.watching and not self.on_demand:
+                    self.seq = None  # request the full list, see `again`
+                self.schedule_retry(reason)
+
+    def on_bytes(self, protocol: Discovery, data: memoryview) -> None:
+        """Parse received data and pass each list to the policy."""
+        # any first data shows that the agent is up
+        received_before = protocol.messages_received if self.responded else -1
         listings: Sequence[Listing] = ()
         try:
-            listings, self.call = machine.receive(data)
+            listings, self.to_send = protocol.receive(data)
         except DiscoveryError as error:
             listings = error.listings
             raise
@@ -129,28 +143,28 @@
             for listing in listings:
                 self.seq = listing.seq
                 self.owner.post(self.pool.take(listing))
-        self.spoke, self.failures = True, 0
-        if machine.heard > before:
-            self.wait(SILENCE)
+        self.responded, self.failures = True, 0
+        if protocol.messages_received > received_before:
+            self.set_timeout(SILENCE)
 
     def silent(self) -> None:
-        """Its time is up; but a word of it may have come that nobody has read yet."""
-        self.limit, self.late = None, True
+        """Time out, but first read what may already be in the socket buffer."""
+        self.response_timer, self.timed_out = None, True
         self.task.wake()
 
-    def again(self, why: str) -> None:
-        """Try again after a while; where the list must be asked for, when the module says.
+    def schedule_retry(self, reason: str) -> None:
+        """Retry after a back-off; on demand, when the policy asks for it.
 
-        After a watch the whole list is asked for: a watch that goes on from what is held says nothing while
-        nothing changes, and may be silent in its turn; a list comes at once, or the call has failed. Where
-        asking is dear, it goes on from what is held.
+        After a lost watch the full list is requested: a resumed watch sends nothing while nothing changes, so
+        it can't be told from a hung one, whereas a list arrives at once or the call has failed. On demand,
+        where calls are expensive, the watch is resumed from the current list.
         """
         self.failures += 1
-        if self.must_ask or self.failures & (self.failures - 1) == 0:  # the first, second, fourth, ...
-            say(log, logging.WARNING, "discovery_lost", "discovery: %(why)s", why=why)
-        if self.must_ask:
+        if self.on_demand or self.failures & (self.failures - 1) == 0:  # the first, second, fourth, ...
+            say(log, logging.WARNING, "discovery_lost", "discovery: %(why)s", why=reason)
+        if self.on_demand:
             self.owner.post(face.ListChanged(face.ListScope.LOST, []))
             return
-        wait = BACK_OFF * (0.5 + self.rng.random())
-        self.loop.deadlines.remove(self.retry)
-        self.retry = self.loop.deadlines.add(clock() + wait, self.connect)
+        delay_ms = BACK_OFF * (0.5 + self.rng.random())
+        self.loop.deadlines.remove(self.retry_timer)
+        self.retry_timer = self.loop.deadlines.add(clock() + delay_ms, self.connect)
--- a/brackenusher/membership/discovery.py
+++ b/brackenusher/membership/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery's side: reads lists, and speaks to the agent as a state machine that is fed bytes."""
+"""Format of discovery's lists, and the sans-I/O protocol spoken to its agent."""
 
 import logging
 from collections.abc import Sequence
@@ -14,14 +14,14 @@
 log = logging.getLogger(__name__)
 
 PATH = "/registry/instances"
-LONGEST_LINE = 4 * 1024 * 1024
+MAX_LINE_BYTES = 4 * 1024 * 1024
 
 
 class DiscoveryError(Exception):
-    """Discovery's answer cannot be used; the connection is of no further use. What came before counts."""
+    """Discovery's response is unusable and the connection must be closed; `listings` precede the error."""
 
-    def __init__(self, why: str, listings: Sequence[Listing] = ()) -> None:
-        super().__init__(why)
+    def __init__(self, reason: str, listings: Sequence[Listing] = ()) -> None:
+        super().__init__(reason)
         self.listings = listings
 
 
@@ -38,7 +38,7 @@
 
 
 def word_host(host: Host) -> dict[str, Any]:
-    """An entry in discovery's form."""
+    """Encode a host as an entry of discovery's lists."""
     return {
         "host": host.name,
         "dial": f"{host.address[0]}:{host.address[1]}",
@@ -51,14 +51,14 @@
 
 
 def read_listing(document: Any) -> Listing:
-    """Read a list in discovery's form; an entry that cannot be read is left out and logged."""
+    """Decode a list; an invalid entry is skipped and logged."""
     if not isinstance(document, dict):
-        raise DiscoveryError("a list is an object")
+        raise DiscoveryError("the list is not a JSON object")
     try:
         listing = Listing(int(document["seq"]), bool(document.get("whole")), [])
         entries = list(document["hosts"])
     except (KeyError, TypeError, ValueError) as error:
-        raise DiscoveryError(f"not a list: {error!r}") from error
+        raise DiscoveryError(f"invalid list: {error!r}") from error
     for entry in entries:
         try:
             listing.hosts.append(read_host(entry))
@@ -69,7 +69,7 @@
     return listing
 
 
-def parse(text: bytes) -> Listing:
+def parse_listing(text: bytes) -> Listing:
     try:
         return read_listing(ujson.loads(text))
     except ValueError as error:
@@ -77,68 +77,68 @@
 
 
 class Discovery:
-    """One connection to the agent: fetches the whole list if it has none, then watches it from there on."""
+    """One connection to the agent: fetches the full list unless it has one, then watches for changes."""
 
     def __init__(self, authority: str, seq: int | None) -> None:
         self.authority, self.seq = authority, seq
-        self.machine = h11.Connection(h11.CLIENT)
-        self.watching, self.text = False, bytearray()
-        self.heard = 0  # lists and lines that came whole: some bytes and no more of one are silence
+        self.connection = h11.Connection(h11.CLIENT)
+        self.watching, self.buffer = False, bytearray()
+        self.messages_received = 0  # complete lists and lines; a partial one counts as silence
 
     def start(self) -> bytes:
-        """The bytes of the next call."""
+        """Return the bytes of the next request."""
         self.watching = self.seq is not None
         target = f"{PATH}?watch=1&from={self.seq}" if self.watching else PATH
-        self.text.clear()
+        self.buffer.clear()
         call = h11.Request(method="GET", target=target, headers=[("Host", self.authority)])
-        return self.machine.send(call) + self.machine.send(h11.EndOfMessage())
+        return self.connection.send(call) + self.connection.send(h11.EndOfMessage())
 
     def receive(self, data: bytes | memoryview) -> tuple[list[Listing], bytes]:
-        """Take bytes, b"" at the end of the stream; return the lists they hold and what to send in turn.
+        """Parse bytes, b"" at the end of the stream; return the lists found and the bytes to send.
 
-        DiscoveryError brings the lists that came before it in the same bytes.
+        DiscoveryError carries the lists that preceded it in the same bytes.
         """
         listings: list[Listing] = []
         reply = b""
         try:
-            self.machine.receive_data(bytes(data))
+            self.connection.receive_data(bytes(data))
             while True:
-                event = self.machine.next_event()
+                event = self.connection.next_event()
                 if event is h11.NEED_DATA or event is h11.PAUSED:
                     return listings, reply
                 if isinstance(event, h11.Response) and event.status_code != 200:
                     raise DiscoveryError(f"status {event.status_code}")
                 if isinstance(event, h11.Data):
-                    self.text += event.data
-                    self.lines(listings)
+                    self.buffer += event.data
+                    self.read_lines(listings)
                 elif isinstance(event, h11.EndOfMessage):
-                    reply = self.ended(listings)
+                    reply = self.on_response_end(listings)
                 elif isinstance(event, h11.ConnectionClosed):
                     raise DiscoveryError("closed")
         except (DiscoveryError, h11.RemoteProtocolError) as error:
             raise DiscoveryError(str(error), listings) from error
 
-    def lines(self, listings: list[Listing]) -> None:
-        """Read the whole lines of a watch; an empty one says only that the agent is there."""
-        if len(self.text) > LONGEST_LINE:
-            raise DiscoveryError("a line without end")
+    def read_lines(self, listings: list[Listing]) -> None:
+        """Parse the complete lines of a watch; an empty one is a keep-alive."""
+        if len(self.buffer) > MAX_LINE_BYTES:
+            raise DiscoveryError(f"line is over {MAX_LINE_BYTES} bytes")
         if not self.watching:
             return
-        *whole, rest = bytes(self.text).split(b"\n")
-        self.text = bytearray(rest)
+        *whole, rest = bytes(self.buffer).split(b"\n")
+        self.buffer = bytearray(rest)
         for line in whole:
-            self.heard += 1
+            self.messages_received += 1
             if line.strip():
-                listings.append(parse(line))
+                listings.append(parse_listing(line))
                 self.seq = listings[-1].seq
 
-    def ended(self, listings: list[Listing]) -> bytes:
-        """The answer is whole: after the list comes the watch, on the same connection if it is kept."""
+    def on_response_end(self, listings: list[Listing]) -> bytes:
+        """The response is complete: after the list start a watch, on the same connection if it stays open."""
         if self.watching:
             raise DiscoveryError("the watch ended")
-        listings.append(parse(bytes(self.text)))
-        self.seq, self.heard = listings[-1].seq, self.heard + 1
-        if self.machine.our_state is not h11.DONE or self.machine.their_state is not h11.DONE:
-            return b""  # it closes; the next connection watches
-        self.machine.start_next_cycle()
+        listings.append(parse_listing(bytes(self.buffer)))
+        self.seq, self.messages_received = listings[-1].seq, self.messages_received + 1
+        if self.connection.our_state is not h11.DONE or self.connection.their_state is not h11.DONE:
+            return b""  # the agent closes it; the next connection starts the watch
+        self.connection.start_next_cycle()
         return self.start()
--- a/brackenusher/membership/frames.py
+++ b/brackenusher/membership/frames.py
@@ -1,7 +1,7 @@
-"""What proxies tell each other, in bytes: evidence, and the frames that a starting proxy asks for it with.
+"""Wire format between proxies: evidence, and the frames of requests and replies over TCP.
 
-A frame is four bytes of length, greatest first, and a sealed body of at most 1 MiB. A question carries a
-random number, which its answer repeats, so that an old answer counts for nothing. It knows no socket.
+A frame is a length of four bytes, big-endian, and a sealed body of at most 1 MiB. A request carries a random
+nonce which its reply repeats, so that a replayed reply is rejected. No I/O.
 """
 
 from collections.abc import Iterable, Mapping
@@ -14,22 +14,22 @@
 from barleybarrow.knowledge import Evidence, InvalidEvidenceError
 from brackenusher.membership.seal import FRAME, SealError, seal, unseal
 
-MOST_FRAME = 1024 * 1024  # bytes: 1,024 pieces of evidence are some 100 KB
-MOST_TOLD = 1024  # pieces of evidence in an answer: to make one takes some 10 ms, in which nothing is served
-LONGEST_RECORD = 1024  # bytes of one piece of evidence; usual are 120
+MOST_FRAME = 1024 * 1024  # bytes; 1,024 pieces of evidence take about 100 KB
+MAX_REPLY_RECORDS = 1024  # encoding them takes about 10 ms, during which the event loop is blocked
+MAX_RECORD_BYTES = 1024  # usually about 120
 
 Name = Annotated[str, Meta(min_length=1, max_length=128)]
 Number = Annotated[int, Meta(ge=0, le=2**53)]
 Nonce = Annotated[int, Meta(ge=0)]
-Record = Annotated[bytes, Meta(max_length=LONGEST_RECORD)]
+Record = Annotated[bytes, Meta(max_length=MAX_RECORD_BYTES)]
 
 
 class FrameError(ValueError):
-    """What came is no frame, or none that was asked for."""
+    """The frame is invalid, or is not a reply to the request."""
 
 
 class Piece(Struct, array_like=True, frozen=True):
-    """Evidence with its age in milliseconds in place of a clock time; what a later form adds is skipped."""
+    """Evidence with an age in milliseconds instead of a time; later versions may append fields."""
 
     backend: Name
     born: float
@@ -48,29 +48,29 @@
 
 
 class Asked(Struct, array_like=True, frozen=True, tag="ask"):
-    """A question for what is known."""
+    """Requests the evidence that a proxy holds."""
 
     nonce: Nonce
-    most: Annotated[int, Meta(ge=0)] = MOST_TOLD
+    max_records: Annotated[int, Meta(ge=0)] = MAX_REPLY_RECORDS
 
 
 class Told(Struct, array_like=True, frozen=True, tag="told"):
-    """Its answer."""
+    """Reply with evidence."""
 
     nonce: Nonce
     name: Name
     epoch: Number
-    records: Annotated[list[Record], Meta(max_length=MOST_TOLD)] = []
+    records: Annotated[list[Record], Meta(max_length=MAX_REPLY_RECORDS)] = []
 
 
-class Who(Struct, array_like=True, frozen=True, tag="who"):
-    """A question for who belongs, and how things stand."""
+class MembersRequest(Struct, array_like=True, frozen=True, tag="who"):
+    """Requests the member list and the state of the group as the proxy sees it."""
 
     nonce: Nonce
 
 
-class Line(Struct, array_like=True, frozen=True):
-    """One member or newcomer, as the one that tells sees it. Spans are in milliseconds."""
+class MemberStatus(Struct, array_like=True, frozen=True):
+    """One member or joiner as the replying proxy sees it."""
 
     name: Name
     life: Number
@@ -78,12 +78,12 @@
     port: int
     belongs: bool
     state: int
-    way: str  # of the link: "both", "in" (heard, not answered), "none", "new" (not tried yet)
-    answered: float  # since its last answer; below zero where there was none
+    link: str  # "both", "in" (receives from it, but no answers), "none", "new" (not tried yet)
+    since_answer_ms: float  # below zero: it has never answered
 
 
 class Members(Struct, array_like=True, frozen=True, tag="members"):
-    """Its answer."""
+    """Reply with the member list."""
 
     nonce: Nonce
     name: Name
@@ -91,14 +91,14 @@
     group: Number
     number: Number
     cut_off: bool
-    dazed: bool
+    stalled: bool
     flaps: int
-    lines: Annotated[list[Line], Meta(max_length=2048)] = []
+    lines: Annotated[list[MemberStatus], Meta(max_length=2048)] = []
     counts: dict[str, int] = {}
 
 
 class Open(Struct, array_like=True, frozen=True, tag="open"):
-    """The beginning of a stream: who opens it, how often its store was opened (0: none), which run."""
+    """Opens a stream: the sender, how often its store was opened (0: it has none), and its incarnation."""
 
     name: Name
     lives: Number
@@ -106,14 +106,14 @@
 
 
 class Opened(Struct, array_like=True, frozen=True, tag="opened"):
-    """Its answer: a number that each frame repeats, and the greatest count known of the opener."""
+    """Accepts a stream: an id that each frame repeats, and the highest store count known of the opener."""
 
     number: bytes
     lives: Number
 
 
 class Wish(Struct, array_like=True, frozen=True, tag="wish"):
-    """What staff want of a group's policy."""
+    """An administrator's request to the group's policy."""
 
     nonce: Nonce
     verb: str
@@ -126,18 +126,18 @@
 
 
 class Granted(Struct, array_like=True, frozen=True, tag="granted"):
-    """What came of it: JSON, or why not."""
+    """Its result: JSON, or the reason for a refusal."""
 
     nonce: Nonce
     good: bool
     body: bytes
 
 
-Frame = Asked | Told | Who | Members | Open | Opened | Wish | Granted
+Frame = Asked | Told | MembersRequest | Members | Open | Opened | Wish | Granted
 ENCODER = msgspec.msgpack.Encoder()
-PIECES = msgspec.msgpack.Decoder(Piece)
-FRAMES = msgspec.msgpack.Decoder(Frame)
-AFTER_SERIAL = [f.name for f in fields(Evidence)][6:]  # those that stand in a piece as they are
+RECORD_DECODER = msgspec.msgpack.Decoder(Piece)
+FRAME_DECODER = msgspec.msgpack.Decoder(Frame)
+AFTER_SERIAL = [f.name for f in fields(Evidence)][6:]  # copied unchanged into the record
 
 
 def encode(e: Evidence, now: float) -> bytes:
@@ -147,51 +147,51 @@
 
 
 def decode(record: bytes, now: float) -> Evidence:
-    """Raises InvalidEvidenceError where it is no evidence; what it says is checked where it is merged."""
-    if len(record) > LONGEST_RECORD:
-        raise InvalidEvidenceError("too long")
+    """Raises InvalidEvidenceError if it can't be decoded; values are validated when it is merged."""
+    if len(record) > MAX_RECORD_BYTES:
+        raise InvalidEvidenceError(f"record of {len(record)} bytes is over {MAX_RECORD_BYTES}")
     try:
-        p = PIECES.decode(record)
+        p = RECORD_DECODER.decode(record)
     except (msgspec.MsgspecError, ValueError, RecursionError) as error:
-        raise InvalidEvidenceError("no evidence") from error
+        raise InvalidEvidenceError("record can't be decoded") from error
     rest = (getattr(p, name) for name in AFTER_SERIAL)
     return Evidence(p.backend, p.born, p.origin, p.epoch, p.serial, now - p.age, *rest)
 
 
 def pack(message: Frame, key: bytes, kid: str) -> bytes:
-    """A frame, length and all."""
+    """Seal a message and prepend its length."""
     body = seal(key, kid, FRAME, ENCODER.encode(message))
     return len(body).to_bytes(4, "big") + body
 
 
 def unpack(keys: Mapping[str, bytes], body: bytes) -> Frame:
-    """Raises FrameError."""
+    """Verify and decode the body of a frame. Raises FrameError."""
     try:
-        return FRAMES.decode(unseal(keys, FRAME, body))
+        return FRAME_DECODER.decode(unseal(keys, FRAME, body))
     except (SealError, msgspec.MsgspecError, ValueError, RecursionError) as error:
         raise FrameError(str(error)) from error
 
 
 class Reader:
-    """Fed the bytes of a connection; gives its one frame. It never holds more than is allowed."""
+    """Reads the single frame of a connection within a bounded buffer."""
 
     def __init__(self, most: int = MOST_FRAME) -> None:
-        self.most, self.buffer = most, bytearray()
+        self.max_bytes, self.buffer = most, bytearray()
 
     def feed(self, data: bytes | memoryview) -> bytes | None:
-        """The body once it is there whole. Raises FrameError where it is too long, or more follows it."""
-        self.buffer += data[: self.most + 5 - len(self.buffer)]
+        """Return the body once complete. Raises FrameError if it is too long or followed by more data."""
+        self.buffer += data[: self.max_bytes + 5 - len(self.buffer)]
         if len(self.buffer) < 4:
             return None
         length = int.from_bytes(self.buffer[:4], "big")
-        if length > self.most:
-            raise FrameError(f"a frame of {length} bytes")
+        if length > self.max_bytes:
+            raise FrameError(f"frame of {length} bytes is over {self.max_bytes}")
         if len(self.buffer) > 4 + length:
             raise FrameError("more than one frame")
         return bytes(self.buffer[4:]) if len(self.buffer) == 4 + length else None
 
 
-def worth_most(held: Iterable[Evidence], now: float, most: int = MOST_TOLD) -> list[Evidence]:
-    """Of all that is held, what tells a starting proxy most: what is far from usual, sure and new."""
+def most_informative(held: Iterable[Evidence], now: float, most: int = MAX_REPLY_RECORDS) -> list[Evidence]:
+    """The evidence most useful to a starting proxy: far from the median, of high weight and recent."""
     ranked = sorted(held, key=lambda e: (abs(e.slower) + e.failing + 0.01) * e.worth(now), reverse=True)
     return ranked[:most]
--- a/brackenusher/membership/keeper.py
+++ b/brackenusher/membership/keeper.py
@@ -1,6 +1,6 @@
-"""Keeps what is known: looks on at the transactions, numbers what is worth telling, tells the module more.
+"""Observes attempts, publishes the evidence from them, and passes peers' estimates to the policy.
 
-It holds no socket and no timer: whoever drives it says when, and carries what it tells to others.
+It has no sockets and no timers: the driver calls it at intervals and sends what it returns to the peers.
 """
 
 from collections.abc import Callable, Iterable, Sequence
@@ -20,109 +20,113 @@
     first_hand,
 )
 from brackenusher.core.transaction import Transactions
-from brackenusher.membership.frames import MOST_TOLD, decode, encode, worth_most
+from brackenusher.membership.frames import MAX_REPLY_RECORDS, decode, encode, most_informative
 from brackenusher.upstream.pool import Pool
 
-EACH = 32  # words in one event to the module: its line in a capture stays under 4 KiB
-SLIGHT = 0.1  # in log: a lowering that says less changes no ranking, as the module's ties are wider
-MOST_SENT = 4096  # requests whose attempts are remembered; those that were given up stay until then
-GATHER = 1000.0  # milliseconds between two looks at what was seen
-TIDY = 10_000.0  # milliseconds between two tidyings, which pass over all that is held
+ESTIMATES_PER_EVENT = 32  # keeps the event's line in a capture under 4 KiB
+MIN_LOG_CHANGE = 0.1  # natural log; smaller changes alter no ranking, as the policy's ties are wider
+MAX_TRACKED_REQUESTS = 4096  # abandoned requests stay until they are evicted
+GATHER_INTERVAL_MS = 1000.0
+CLEANUP_INTERVAL_MS = 10_000.0  # a clean-up iterates over all evidence
 
 
 class Keeper:
-    """The knowledge of one proxy. Times are in milliseconds on its clock."""
+    """Shared knowledge of one proxy. Times are milliseconds of its clock."""
 
     def __init__(self, name: str, epoch: int, transactions: Transactions, pool: Pool) -> None:
         self.name, self.epoch, self.transactions, self.pool = name, epoch, transactions, pool
-        self.book, self.sightings, self.teller = Book(), Sightings(), Teller()
-        self.sent: dict[int, list[str]] = {}  # where the attempts of requests that are not served yet went
-        self.posted: dict[
-            str, tuple[float, float, float]
-        ] = {}  # by backend: start, when, how much it lowered
-        self.listed: Callable[[], object] = lambda: None  # called where a new list calls for words
-        self.dumped_at, self.dumped, self.tidy_at = -inf, list[bytes](), -inf
-        self.told = self.rejected = 0  # words told to the module; records that were none
+        self.store, self.outcomes, self.publisher = Book(), Sightings(), Teller()
+        self.attempts: dict[int, list[str]] = {}  # backends of the attempts of unfinished requests
+        # by backend: its start time, when the estimate was posted, and the log cost posted
+        self.last_estimates: dict[str, tuple[float, float, float]] = {}
+        self.on_list_changed: Callable[[], object] = lambda: None  # called if a new list requires estimates
+        self.dump_encoded_at, self.encoded_dump, self.next_cleanup_at = -inf, list[bytes](), -inf
+        self.estimates_posted = self.invalid_records = 0
 
     def handled(self, now: float, event: face.Event, actions: Sequence[Any]) -> None:
-        """An observer of the transactions: note how an attempt ended."""
+        """Observe a transaction: record the outcomes of attempts."""
         if isinstance(event, face.Finished):
-            sent = self.sent.get(event.request, ())
+            sent = self.attempts.get(event.request, ())
             if event.attempt < len(sent):
-                self.sightings.ended(now, sent[event.attempt], event.outcome)
+                self.outcomes.ended(now, sent[event.attempt], event.outcome)
             if event.complete:
-                self.sent.pop(event.request, None)
+                self.attempts.pop(event.request, None)
         elif isinstance(event, face.ListChanged):
-            for entry in event.entries:  # those that are new on it have to be told of
-                held = entry.state is face.State.LIVE and entry.backend in self.book.held
-                if held and self.posted.get(entry.backend, (None,))[0] != entry.started:
-                    self.book.changed[entry.backend] = None
-            if self.book.changed:
-                self.listed()
+            for entry in event.entries:  # the policy has no estimate yet for new entries
+                held = entry.state is face.State.LIVE and entry.backend in self.store.held
+                if held and self.last_estimates.get(entry.backend, (None,))[0] != entry.started:
+                    self.store.changed[entry.backend] = None
+            if self.store.changed:
+                self.on_list_changed()
         for action in actions:
             if isinstance(action, face.Send):
-                self.sent.setdefault(action.request, []).append(action.backend)
-                if len(self.sent) > MOST_SENT:
-                    del self.sent[next(iter(self.sent))]
+                self.attempts.setdefault(action.request, []).append(action.backend)
+                if len(self.attempts) > MAX_TRACKED_REQUESTS:
+                    del self.attempts[next(iter(self.attempts))]
 
-    def lives(self) -> dict[str, float]:
-        """The backends on the list, with when each was born."""
+    def birth_times(self) -> dict[str, float]:
+        """Start times of the listed backends."""
         return {m.name: m.born_ms for m in self.pool.members.values() if m.left_at is None}
 
     def gather(self, now: float) -> list[Evidence]:
-        """What this proxy saw at first hand since the last time and is worth telling."""
+        """Return this proxy's own observations since the last call that are significant."""
         backends = self.transactions.balancer.backends
-        seen = first_hand(backends, self.sightings, self.lives(), self.name, self.epoch)
-        news = self.teller.news(seen, now)
-        for e in news:
-            self.book.merge(e, now)
-        if now >= self.tidy_at:
-            self.tidy_at = now + TIDY
-            self.book.prune(now)
-            self.teller.keep(backends)
-            self.posted = {name: last for name, last in self.posted.items() if name in backends}
-        return news
+        observed = first_hand(backends, self.outcomes, self.birth_times(), self.name, self.epoch)
+        updates = self.publisher.news(observed, now)
+        for e in updates:
+            self.store.merge(e, now)
+        if now >= self.next_cleanup_at:
+            self.next_cleanup_at = now + CLEANUP_INTERVAL_MS
+            self.store.prune(now)
+            self.publisher.keep(backends)
+            self.last_estimates = {
+                name: last for name, last in self.last_estimates.items() if name in backends
+            }
+        return updates
 
     def take(self, now: float, records: Iterable[bytes]) -> list[Evidence]:
-        """Take up what others tell; what of it was news."""
-        news = []
+        """Merge records of peers; return the evidence that was new."""
+        updates = []
         for record in records:
             try:
                 e = decode(record, now)
             except InvalidEvidenceError:
-                self.rejected += 1
+                self.invalid_records += 1
                 continue
             if e.origin == self.name and e.epoch >= self.epoch:
-                continue  # nobody knows better what this proxy has seen
-            if self.book.merge(e, now):
-                news.append(e)
-        return news
+                continue  # an echo of this proxy's own evidence
+            if self.store.merge(e, now):
+                updates.append(e)
+        return updates
 
-    def dump(self, now: float, most: int = MOST_TOLD) -> list[bytes]:
-        """What of all that is held tells most, with ages; made once a second at most, as it takes long."""
-        if now >= self.dumped_at + GATHER:
-            self.dumped_at, self.dumped = now, [encode(e, now) for e in worth_most(self.book.all(), now)]
-        return self.dumped[:most]
+    def dump(self, now: float, max_records: int = MAX_REPLY_RECORDS) -> list[bytes]:
+        """The most informative evidence as records; cached for a second, as encoding is slow."""
+        if now >= self.dump_encoded_at + GATHER_INTERVAL_MS:
+            self.dump_encoded_at, self.encoded_dump = (
+                now,
+                [encode(e, now) for e in most_informative(self.store.all(), now)],
+            )
+        return self.encoded_dump[:max_records]
 
     def advise(self, now: float) -> bool:
-        """Tell the module what others say, where that differs from before; whether there is more to tell."""
-        changed, members = self.book.changed, self.pool.members
+        """Pass changed estimates of one batch of backends to the policy; return whether more remain."""
+        changed, members = self.store.changed, self.pool.members
         names = list(islice(changed, SOME))
         for name in names:
             del changed[name]
         on_list = (members[name] for name in names if name in members)
-        lives = {m.name: m.born_ms for m in on_list if m.left_at is None}
-        said = self.book.hearsay(now, lives, (self.name, self.epoch))
-        words = []
-        for name, (slower, weight) in said.items():
-            started = self.pool.module_time(lives[name])
-            of, when, before = self.posted.get(name, (started, now, 0.0))
-            left = before * (1 - FADE) ** ((now - when) / 1000.0) if of == started else 0.0
-            lowers = max(0.0, slower) * weight
-            if abs(lowers - left) > SLIGHT:
-                words.append(face.Hearsay(name, started, slower, weight))
-                self.posted[name] = started, now, lowers
-        self.told += len(words)
-        for first in range(0, len(words), EACH):
-            self.transactions.post(face.Told(words[first : first + EACH]))
+        births = {m.name: m.born_ms for m in on_list if m.left_at is None}
+        peer_estimates = self.store.hearsay(now, births, (self.name, self.epoch))
+        estimates = []
+        for name, (slower, weight) in peer_estimates.items():
+            started = self.pool.module_time(births[name])
+            estimated_start, when, before = self.last_estimates.get(name, (started, now, 0.0))
+            remaining = before * (1 - FADE) ** ((now - when) / 1000.0) if estimated_start == started else 0.0
+            log_cost = max(0.0, slower) * weight
+            if abs(log_cost - remaining) > MIN_LOG_CHANGE:
+                estimates.append(face.Hearsay(name, started, slower, weight))
+                self.last_estimates[name] = started, now, log_cost
+        self.estimates_posted += len(estimates)
+        for first in range(0, len(estimates), ESTIMATES_PER_EVENT):
+            self.transactions.post(face.Told(estimates[first : first + ESTIMATES_PER_EVENT]))
         return bool(changed)
--- a/brackenusher/membership/peers.py
+++ b/brackenusher/membership/peers.py
@@ -1,6 +1,6 @@
-"""The drivers of shared knowledge: datagrams, questions to peers and theirs, snapshots, and the times of all.
+"""Driver of membership and shared knowledge: sockets, timers, queries between peers, and snapshots.
 
-What is sent and decided is in `swim`, `frames`, `snapshot` and `keeper`; here are their sockets.
+The protocols and decisions are in `swim`, `frames`, `snapshot` and `keeper`, which do no I/O on sockets.
 """
 
 import contextlib
@@ -18,27 +18,27 @@
 from brackenusher.core.transaction import Transactions
 from brackenusher.membership import snapshot
 from brackenusher.membership.frames import (
+    MAX_REPLY_RECORDS,
     MOST_FRAME,
-    MOST_TOLD,
     Asked,
     FrameError,
     Granted,
-    Line,
     Members,
+    MembersRequest,
+    MemberStatus,
     Open,
     Reader,
     Told,
-    Who,
     Wish,
     encode,
     pack,
     unpack,
 )
-from brackenusher.membership.keeper import GATHER, Keeper
+from brackenusher.membership.keeper import GATHER_INTERVAL_MS, Keeper
 from brackenusher.membership.snapshot import Snapshot
 from brackenusher.membership.swim import Swim
-from brackenusher.membership.swim_members import LONGEST
-from brackenusher.membership.swim_messages import LONGEST_NAME, STATES
+from brackenusher.membership.swim_members import MAX_DATAGRAM_BYTES
+from brackenusher.membership.swim_messages import MAX_NAME_LENGTH, STATES
 from brackenusher.runtime.buffers import Buffers
 from brackenusher.runtime.driver import Address, write
 from brackenusher.runtime.log import say
@@ -49,32 +49,32 @@
 
 log = logging.getLogger(__name__)
 
-AT_A_TIME = 32  # datagrams read before others have their turn
-MOST_ASKERS = 8  # connections of who asks what is known; beyond they are closed at once
-ASKING = 1000.0  # milliseconds that one of them may take
-LONGEST_QUESTION = 1024  # bytes
-MOST_WISH = 128 * 1024  # and where it may hold a policy
-ROOM = snapshot.MOST + 1024  # bytes of snapshots that wait to be written: one of the greatest
-NEXT_PART = 5.0  # milliseconds between two parts of what takes long
-DAZED = 100.0  # milliseconds between two looks at whether the group was heard again
-LEAST_WAIT = 1.0  # milliseconds between two looks at what membership has to do
+MAX_DATAGRAMS_PER_TURN = 32  # read before other tasks run
+MAX_QUERY_CONNECTIONS = 8  # further ones are closed at once
+QUERY_TIMEOUT_MS = 1000.0
+MAX_QUERY_BYTES = 1024
+MAX_POLICY_REQUEST_BYTES = 128 * 1024  # replaces MAX_QUERY_BYTES where a request may hold a policy
+SNAPSHOT_QUEUE_BYTES = snapshot.MAX_SNAPSHOT_BYTES + 1024  # one snapshot of the maximum size
+BATCH_INTERVAL_MS = 5.0  # between the batches of long work, to let other tasks run
+STALLED_RECHECK_INTERVAL_MS = 100.0
+MIN_TICK_INTERVAL_MS = 1.0
 
 
-class Streams(Protocol):
-    def serve(self, sock: socket.socket, said: Open) -> Coroutine: ...
+class StreamServer(Protocol):
+    def serve(self, sock: socket.socket, opening: Open) -> Coroutine: ...
 
 
-class Group(Protocol):
-    """What the proxies agree on, as this driver sees it."""
+class PolicyGroup(Protocol):
+    """The replicated policy and state of a group, as used here."""
 
     @property
-    def streams(self) -> Streams: ...
+    def streams(self) -> StreamServer: ...
 
     def wish(self, wish: Wish) -> Granted: ...
 
 
 class Peers:
-    """Shares knowledge as the operators want it: with peers, with a file, or with both."""
+    """Shares knowledge with peers, through a snapshot file, or both, as configured."""
 
     def __init__(
         self,
@@ -87,42 +87,46 @@
         peers: PeersSettings | None,
         saved: SnapshotSettings | None,
     ) -> None:
-        if len(name) > LONGEST_NAME or not name.isprintable():
-            raise ValueError(f"peers: the proxy's name must be printable, {LONGEST_NAME} characters at most")
+        if len(name) > MAX_NAME_LENGTH or not name.isprintable():
+            raise ValueError(
+                f"peers: the proxy's name must be printable, {MAX_NAME_LENGTH} characters at most"
+            )
         if saved is not None and not os.access(os.path.dirname(os.path.abspath(saved.file)), os.W_OK):
             raise ValueError(f"snapshot.file: {saved.file}: the folder cannot be written to")
-        self.loop, self.buffers, self.settings, self.saved = loop, buffers, peers, saved
-        self.rng = random.SystemRandom()  # a number that proves a peer's life must not be guessed
+        self.loop, self.buffers, self.settings, self.snapshot_settings = loop, buffers, peers, saved
+        self.rng = random.SystemRandom()  # a nonce that verifies a peer must be unpredictable
         self.epoch = int(time.time() * 1000.0)
-        self.keeper = Keeper(name, self.epoch, transactions, pool)
-        self.keeper.listed = self.list_changed
-        self.handled = self.keeper.handled
+        self.exchange = Keeper(name, self.epoch, transactions, pool)
+        self.exchange.on_list_changed = self.on_list_changed
+        self.handled = self.exchange.handled
         self.swim: Swim | None = None
         if peers is not None:
             ask = (name, peers.known_as, self.epoch, peers.keys, peers.sign, peers.seeds)
             self.swim = Swim(*ask, float(peers.period_ms), self.rng, clock())
-        self.channel = outlet.channel(self.write_snapshot, ROOM, ROOM) if saved else None
-        self.anew: Entry | None = None
-        self.due: Entry | None = None
-        self.askers = self.turned_away = self.unsent = self.snapshots = 0
-        self.conflicts = self.slept = 0
-        self.held: frozenset[str] = frozenset()
-        self.cut = False
-        self.asking: dict[Address, Task] = {}
-        self.then: Callable[[], None] | None = None
-        self.datagrams: socket.socket | None = None
-        self.limits: dict[socket.socket, Entry] = {}
-        self.group: Group | None = None  # what the proxies agree on, where that is on
-
-    # The start
+        self.channel = (
+            outlet.channel(self.write_snapshot, SNAPSHOT_QUEUE_BYTES, SNAPSHOT_QUEUE_BYTES) if saved else None
+        )
+        self.estimates_timer: Entry | None = None
+        self.tick_timer: Entry | None = None
+        self.query_connections = self.queries_refused = self.datagrams_unsent = self.snapshots_written = 0
+        self.name_conflicts = self.stalls = 0
+        self.view_names: frozenset[str] = frozenset()
+        self.disconnected = False
+        self.queries: dict[Address, Task] = {}
+        self.on_ready: Callable[[], None] | None = None
+        self.datagram_socket: socket.socket | None = None
+        self.query_timers: dict[socket.socket, Entry] = {}
+        self.group: PolicyGroup | None = None  # None unless the group's policy is enabled
+
+    # Start
 
     def start(self, then: Callable[[], None]) -> None:
-        """Load what was saved, ask some peers what they know, and call `then` once that is done or late.
+        """Load the snapshot, query some peers, and call `then` when they have answered or timed out.
 
-        Raises OSError where the address cannot be listened on.
+        Raises OSError if the address can't be bound.
         """
-        self.load()
-        self.then = then
+        self.load_snapshot()
+        self.on_ready = then
         settings = self.settings
         if settings is not None:
             self.listen(settings.listen)
@@ -130,410 +134,424 @@
             if settings.warm_ms:
                 for address in asked:
                     if address not in (settings.listen, settings.known_as):
-                        self.ask(address, settings)
-            self.later(settings.warm_ms, self.late)
-            self.work()
-        self.look()
-        if self.saved is not None:
-            self.later(self.saved.every_s * 1000.0, self.save)
-        if not self.asking:
-            self.warm()
-
-    def late(self) -> None:
-        for task in list(self.asking.values()):
+                        self.query_peer(address, settings)
+            self.schedule(settings.warm_ms, self.on_warm_up_timeout)
+            self.tick()
+        self.publish_updates()
+        if self.snapshot_settings is not None:
+            self.schedule(self.snapshot_settings.every_s * 1000.0, self.save_snapshot)
+        if not self.queries:
+            self.finish_warm_up()
+
+    def on_warm_up_timeout(self) -> None:
+        for task in list(self.queries.values()):
             task.stop()
-        self.warm()
+        self.finish_warm_up()
 
-    def warm(self) -> None:
-        """Go on, with what is known by now."""
-        then, self.then = self.then, None
+    def finish_warm_up(self) -> None:
+        """Complete the start with the evidence received so far."""
+        then, self.on_ready = self.on_ready, None
         if then is not None:
             text = "knowledge: %(pieces)d pieces held at the start"
-            say(log, logging.INFO, "knowledge_ready", text, pieces=self.keeper.book.size)
-            self.advise()
+            say(log, logging.INFO, "knowledge_ready", text, pieces=self.exchange.store.size)
+            self.post_estimates()
             then()
 
-    def later(self, span: float, action: Callable[[], None]) -> Entry:
-        return self.loop.deadlines.add(clock() + span, action)
+    def schedule(self, delay_ms: float, action: Callable[[], None]) -> Entry:
+        return self.loop.deadlines.add(clock() + delay_ms, action)
 
-    # Times
+    # Timers
 
-    def list_changed(self) -> None:
-        """The module was told a list: tell it of those that are new on it, in a moment."""
-        if self.anew is None:
-            self.anew = self.later(0.0, self.advise)
+    def on_list_changed(self) -> None:
+        """Schedule the estimates for new entries of the policy's list."""
+        if self.estimates_timer is None:
+            self.estimates_timer = self.schedule(0.0, self.post_estimates)
 
-    def advise(self) -> None:
-        """Have the module told what others say, a part at a time; after a pause once one is heard."""
+    def post_estimates(self) -> None:
+        """Pass peers' estimates to the policy in batches; after a stall, wait until a peer has answered."""
         if self.swim is not None and self.swim.dazed:
-            self.loop.deadlines.remove(self.anew)
-            self.anew = self.later(DAZED, self.advise)
+            self.loop.deadlines.remove(self.estimates_timer)
+            self.estimates_timer = self.schedule(STALLED_RECHECK_INTERVAL_MS, self.post_estimates)
             return
-        self.loop.deadlines.remove(self.anew)
-        self.anew = self.later(NEXT_PART, self.advise) if self.keeper.advise(clock()) else None
+        self.loop.deadlines.remove(self.estimates_timer)
+        self.estimates_timer = (
+            self.schedule(BATCH_INTERVAL_MS, self.post_estimates) if self.exchange.advise(clock()) else None
+        )
 
-    def look(self) -> None:
-        """Every second or so: gather what was seen, tell it, and have the module told what others say."""
+    def publish_updates(self) -> None:
+        """Periodically collect own observations, broadcast them, and update the policy's estimates."""
         try:
             now = clock()
-            news = self.keeper.gather(now)
+            updates = self.exchange.gather(now)
             if self.swim is not None:
-                for e in news:
-                    self.swim.tell(f"{e.origin}\0{e.backend}".encode(), encode(e, now))
-            self.advise()
+                for e in updates:
+                    self.swim.broadcast_record(f"{e.origin}\0{e.backend}".encode(), encode(e, now))
+            self.post_estimates()
         finally:
-            self.later(GATHER, self.look)
+            self.schedule(GATHER_INTERVAL_MS, self.publish_updates)
 
-    def work(self) -> None:
-        """Do what membership has to do by now."""
+    def tick(self) -> None:
+        """Run the membership protocol's due actions."""
         assert self.swim is not None
-        self.due = None
+        self.tick_timer = None
         try:
             now = clock()
             self.send(self.swim.tick(now))
-            self.watch(now)
+            self.log_view_changes(now)
         finally:
-            self.again()
+            self.schedule_tick()
 
-    def again(self) -> None:
-        """Be called when membership next has something to do."""
+    def schedule_tick(self) -> None:
+        """Schedule `tick` for the membership protocol's next deadline."""
         assert self.swim is not None
-        self.loop.deadlines.remove(self.due)
-        self.due = self.loop.deadlines.add(max(self.swim.next(), clock() + LEAST_WAIT), self.work)
+        self.loop.deadlines.remove(self.tick_timer)
+        self.tick_timer = self.loop.deadlines.add(
+            max(self.swim.next(), clock() + MIN_TICK_INTERVAL_MS), self.tick
+        )
 
     # Datagrams
 
     def listen(self, address: Address) -> None:
         family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
         flags = socket.SOCK_NONBLOCK | socket.SOCK_CLOEXEC
-        self.datagrams = socket.socket(family, socket.SOCK_DGRAM | flags)
+        self.datagram_socket = socket.socket(family, socket.SOCK_DGRAM | flags)
         stream = socket.socket(family, socket.SOCK_STREAM | flags)
         try:
-            self.datagrams.bind(address)
+            self.datagram_socket.bind(address)
             stream.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             stream.bind(address)
-            stream.listen(MOST_ASKERS)
+            stream.listen(MAX_QUERY_CONNECTIONS)
         except OSError as error:
-            self.datagrams.close()
+            self.datagram_socket.close()
             stream.close()
             raise OSError(error.errno, f"peers.listen {address[0]}:{address[1]}: {error.strerror}") from error
-        self.loop.spawn(self.take_datagrams(self.datagrams), self.datagrams)
-        self.loop.spawn(self.take_askers(stream), stream)
+        self.loop.spawn(self.receive_datagrams(self.datagram_socket), self.datagram_socket)
+        self.loop.spawn(self.accept_queries(stream), stream)
 
-    def take_datagrams(self, sock: socket.socket) -> Coroutine:
+    def receive_datagrams(self, sock: socket.socket) -> Coroutine:
         assert self.swim is not None
-        buffer = bytearray(LONGEST + 1)  # one longer is cut here, and told by its length
+        buffer = bytearray(MAX_DATAGRAM_BYTES + 1)  # one byte more, so that truncation is detected
         while True:
             yield READ
-            for _ in range(AT_A_TIME):
+            for _ in range(MAX_DATAGRAMS_PER_TURN):
                 try:
                     size, source = sock.recvfrom_into(buffer)
                 except BlockingIOError:
                     break
-                except OSError:  # an earlier one was refused: somebody is not there
+                except OSError:  # ICMP error for an earlier datagram: that peer is down
                     continue
                 now = clock()
                 self.send(self.swim.receive(now, bytes(buffer[:size]), source[:2]))
-                self.heard(now)
-            self.again()
+                self.process_received(now)
+            self.schedule_tick()
 
-    def heard(self, now: float) -> None:
-        """Take up what membership has heard, and pass on what of it was news."""
+    def process_received(self, now: float) -> None:
+        """Merge the records received, forward new evidence, and log changes of members."""
         swim = self.swim
         assert swim is not None
-        records, swim.heard = swim.heard, []
-        for e in self.keeper.take(now, records):
-            swim.tell(f"{e.origin}\0{e.backend}".encode(), encode(e, now))
+        records, swim.received_records = swim.received_records, []
+        for e in self.exchange.take(now, records):
+            swim.broadcast_record(f"{e.origin}\0{e.backend}".encode(), encode(e, now))
         changes, swim.changes = swim.changes, []
         for name, state in changes:
             text, members = "peers: %(peer)s is %(state)s, %(members)d members", len(swim.alive()) + 1
             say(log, logging.INFO, "peer_changed", text, peer=name, state=STATES[state], members=members)
-        self.watch(now)
-        if swim.counts["name"] and not self.conflicts:
+        self.log_view_changes(now)
+        if swim.counts["name"] and not self.name_conflicts:
             text = "peers: a name is used by two, or a peer has moved: its datagrams are left aside"
             say(log, logging.WARNING, "peer_name_taken", text)
-        self.conflicts = swim.counts["name"]
+        self.name_conflicts = swim.counts["name"]
 
-    def watch(self, now: float) -> None:
-        """Log what became of the view, and whether this process is cut off."""
+    def log_view_changes(self, now: float) -> None:
+        """Log changes of the view, of the connection to a majority, and stalls."""
         swim = self.swim
         assert swim is not None
         agreement = swim.agreement
-        if swim.epoch != self.keeper.epoch:
-            self.keeper.epoch = swim.epoch
+        if swim.epoch != self.exchange.epoch:
+            self.exchange.epoch = swim.epoch
         views, swim.views = swim.views, []
-        for life, view in views:
+        for epoch, view in views:
             if view is None:
                 text = "peers: taken out of the group: life %(life)d is over, and it joins anew"
-                say(log, logging.WARNING, "view_lost", text, life=life)
+                say(log, logging.WARNING, "view_lost", text, life=epoch)
                 continue
             names = frozenset(view.by_name)
-            came, left = sorted(names - self.held), sorted(self.held - names)
+            joined, left = sorted(names - self.view_names), sorted(self.view_names - names)
             facts = {"number": view.number, "group": f"{view.group:08x}", "members": len(names)}
             text = (
                 "peers: view %(number)d of group %(group)s, %(members)d members; came %(came)s; left %(gone)s"
             )
-            some = {"came": " ".join(came[:20]) or "-", "gone": " ".join(left[:20]) or "-"}
-            say(log, logging.INFO, "view_changed", text, **facts, **some)
-            lives = " ".join(f"{m.name}@{m.epoch}" for m in view.members)
+            names_shown = {"came": " ".join(joined[:20]) or "-", "gone": " ".join(left[:20]) or "-"}
+            say(log, logging.INFO, "view_changed", text, **facts, **names_shown)
+            epochs = " ".join(f"{m.name}@{m.epoch}" for m in view.members)
             text = "peers: at %(at).3f life %(life)d holds view %(number)d of %(group)s: %(lives)s"
-            whole = {"at": now, "life": life, "lives": lives, "number": view.number, "group": view.group}
-            say(log, logging.DEBUG, "view_held", text, **whole)
-            self.held = names
-        if agreement.disconnected != self.cut:
-            self.cut = agreement.disconnected
-            if self.cut:
-                heard = sum(now - link.heard_at < swim.period * 5 for link in agreement.links.values())
+            fields = {"at": now, "life": epoch, "lives": epochs, "number": view.number, "group": view.group}
+            say(log, logging.DEBUG, "view_held", text, **fields)
+            self.view_names = names
+        if agreement.disconnected != self.disconnected:
+            self.disconnected = agreement.disconnected
+            if self.disconnected:
+                heard_count = sum(now - link.heard_at < swim.period * 5 for link in agreement.links.values())
                 text = "peers: cut off: no majority of the %(members)d answers; %(heard)d are heard"
                 size = len(agreement.view.members) if agreement.view else 0
-                say(log, logging.WARNING, "cut_off", text, members=size, heard=heard)
+                say(log, logging.WARNING, "cut_off", text, members=size, heard=heard_count)
             else:
                 say(log, logging.INFO, "in_touch", "peers: in touch with a majority")
-        if swim.counts["slept"] != self.slept:
-            self.slept = swim.counts["slept"]
+        if swim.counts["slept"] != self.stalls:
+            self.stalls = swim.counts["slept"]
             text = "peers: stood still for over a period: what it knew counts once the group is heard again"
             say(log, logging.WARNING, "stood_still", text)
 
     def where(self, name: str) -> Address | None:
-        """The address of a peer, be it in touch or not."""
+        """Return the address of a peer, whether it is reachable or not."""
         m = self.swim.members.get(name) if self.swim is not None else None
         return m.address if m is not None else None
 
-    def members(self, nonce: int) -> Members:
-        """Who belongs and how things stand, as this process sees it."""
+    def members_reply(self, nonce: int) -> Members:
+        """Build the reply to a request for the member list."""
         swim, now = self.swim, clock()
         assert swim is not None
         agreement, view, lines = swim.agreement, swim.agreement.view, []
-        lives = {m.name: m for m in view.members} if view is not None else {}
-        for name in sorted(lives.keys() | swim.members.keys()):
-            m, belongs, link = swim.members.get(name), lives.get(name), agreement.links.get(name)
-            host, port = m.address if m is not None else belongs.address if belongs is not None else ("", 0)
-            life = belongs.epoch if belongs is not None else m.epoch if m is not None else 0
-            way = "new"
+        in_view = {m.name: m for m in view.members} if view is not None else {}
+        for name in sorted(in_view.keys() | swim.members.keys()):
+            m, view_member, link = swim.members.get(name), in_view.get(name), agreement.links.get(name)
+            host, port = (
+                m.address if m is not None else view_member.address if view_member is not None else ("", 0)
+            )
+            epoch = view_member.epoch if view_member is not None else m.epoch if m is not None else 0
+            link_state = "new"
             if name == swim.name:
-                way = "both"
+                link_state = "both"
             elif link is not None and agreement.is_down(name):
-                way = "in" if now - link.heard_at < 5 * swim.period else "none"
+                link_state = "in" if now - link.heard_at < 5 * swim.period else "none"
             elif link is not None and link.answered_at > 0:
-                way = "both"
-            since = now - link.answered_at if link is not None and link.answered_at > 0 else -1.0
+                link_state = "both"
+            since_answer_ms = now - link.answered_at if link is not None and link.answered_at > 0 else -1.0
             state = m.state if m is not None else 0
-            lines.append(Line(name, life, host, port, belongs is not None, state, way, since))
+            lines.append(
+                MemberStatus(
+                    name, epoch, host, port, view_member is not None, state, link_state, since_answer_ms
+                )
+            )
         group, number = (view.group, view.number) if view is not None else (0, 0)
         counts = dict(swim.counts + agreement.counts)
         facts = (group, number, agreement.disconnected, swim.dazed, agreement.flaps)
         return Members(nonce, swim.name, swim.epoch, *facts, lines, counts)
 
     def figures(self) -> list[tuple[str, int, str, list[tuple[str, str]]]]:
-        """Gauges for a collector."""
+        """Return the gauges for the metrics collector."""
         swim = self.swim
         if swim is None:
             return []
         agreement, now = swim.agreement, clock()
-        found = {
+        gauges = {
             "members": len(agreement.view.members) if agreement.view is not None else 0,
             "view": agreement.number,
             "cut_off": int(agreement.disconnected),
             "flaps": agreement.flaps,
             "links_one_way": len(agreement.one_way(now)),
         }
-        return [(name, value, "g", []) for name, value in found.items()]
+        return [(name, value, "g", []) for name, value in gauges.items()]
 
     def send(self, datagrams: list[tuple[bytes, Address]]) -> None:
         for data, address in datagrams:
             try:
-                assert self.datagrams is not None
-                self.datagrams.sendto(data, address)
-            except OSError:  # no room or no way: a datagram may always be lost
-                self.unsent += 1
+                assert self.datagram_socket is not None
+                self.datagram_socket.sendto(data, address)
+            except OSError:  # buffer full or no route: counted and treated as packet loss
+                self.datagrams_unsent += 1
 
-    # Questions
+    # Queries
 
-    def take_askers(self, sock: socket.socket) -> Coroutine:
+    def accept_queries(self, sock: socket.socket) -> Coroutine:
         while True:
             yield READ
             try:
-                link, _ = sock.accept()
+                connection, _ = sock.accept()
             except OSError:
                 continue
-            if self.askers >= MOST_ASKERS:
-                self.turned_away += 1
-                link.close()
+            if self.query_connections >= MAX_QUERY_CONNECTIONS:
+                self.queries_refused += 1
+                connection.close()
                 continue
-            link.setblocking(False)
-            self.askers += 1
-            task = self.loop.spawn(self.tell(link), link)
+            connection.setblocking(False)
+            self.query_connections += 1
+            task = self.loop.spawn(self.answer_query(connection), connection)
             if not task.ended:
-                self.limits[link] = self.later(ASKING, task.stop)
+                self.query_timers[connection] = self.schedule(QUERY_TIMEOUT_MS, task.stop)
 
-    def tell(self, sock: socket.socket) -> Coroutine:
-        """Answer one question."""
+    def answer_query(self, sock: socket.socket) -> Coroutine:
+        """Serve one query, or the stream that it opens."""
         settings, streaming = self.settings, False
         assert settings is not None
         try:
-            reader, body = Reader(LONGEST_QUESTION if self.group is None else MOST_WISH), None
+            reader, body = Reader(MAX_QUERY_BYTES if self.group is None else MAX_POLICY_REQUEST_BYTES), None
             while body is None:
                 yield READ
-                body = self.read(sock, reader)
-            asked = unpack(settings.keys, body)
-            answer: Told | Members | Granted | None = None
-            if isinstance(asked, Asked):
-                keeper, now = self.keeper, clock()
-                records = keeper.dump(now, min(asked.most, MOST_TOLD))
-                answer = Told(asked.nonce, keeper.name, keeper.epoch, records)
-            elif isinstance(asked, Who):
-                answer = self.members(asked.nonce)
-            elif isinstance(asked, Wish) and self.group is not None:
-                answer = self.group.wish(asked)
-            elif isinstance(asked, Open) and self.group is not None:
-                self.loop.deadlines.remove(self.limits.pop(sock, None))
-                self.askers -= 1
+                body = self.read_frame(sock, reader)
+            request = unpack(settings.keys, body)
+            reply: Told | Members | Granted | None = None
+            if isinstance(request, Asked):
+                exchange, now = self.exchange, clock()
+                records = exchange.dump(now, min(request.max_records, MAX_REPLY_RECORDS))
+                reply = Told(request.nonce, exchange.name, exchange.epoch, records)
+            elif isinstance(request, MembersRequest):
+                reply = self.members_reply(request.nonce)
+            elif isinstance(request, Wish) and self.group is not None:
+                reply = self.group.wish(request)
+            elif isinstance(request, Open) and self.group is not None:
+                self.loop.deadlines.remove(self.query_timers.pop(sock, None))
+                self.query_connections -= 1
                 streaming = True
-                yield from self.group.streams.serve(sock, asked)
-            if answer is not None:
-                rest = pack(answer, settings.keys[settings.sign], settings.sign)
-                while rest:
-                    rest = write(sock, rest)
-                    if rest:
+                yield from self.group.streams.serve(sock, request)
+            if reply is not None:
+                unsent = pack(reply, settings.keys[settings.sign], settings.sign)
+                while unsent:
+                    unsent = write(sock, unsent)
+                    if unsent:
                         yield WRITE
         except (OSError, FrameError) as error:
-            say(log, logging.DEBUG, "knowledge_not_told", "peers: a question: %(why)s", why=str(error))
+            say(log, logging.DEBUG, "knowledge_not_told", "peers: query failed: %(why)s", why=str(error))
         finally:
-            self.loop.deadlines.remove(self.limits.pop(sock, None))
-            self.askers -= not streaming
+            self.loop.deadlines.remove(self.query_timers.pop(sock, None))
+            self.query_connections -= not streaming
 
-    def read(self, sock: socket.socket, reader: Reader) -> bytes | None:
-        """Read once; the body of the frame once it is whole. Raises FrameError where it never will be."""
-        found: list[bytes | None] = [None]
+    def read_frame(self, sock: socket.socket, reader: Reader) -> bytes | None:
+        """Read once; return the frame's body once complete. Raises FrameError if the frame is invalid."""
+        body: list[bytes | None] = [None]
 
         def feed(data: memoryview) -> None:
             if not data:
-                raise FrameError("cut short")
-            found[0] = reader.feed(data)
+                raise FrameError("connection closed within a frame")
+            body[0] = reader.feed(data)
 
         try:
             self.buffers.receive(sock, feed)
         except BlockingIOError:
             return None
-        return found[0]
+        return body[0]
 
-    def ask(self, address: Address, settings: PeersSettings) -> None:
-        """Ask one peer what it knows."""
+    def query_peer(self, address: Address, settings: PeersSettings) -> None:
+        """Request the evidence that one peer holds."""
         family = socket.AF_INET6 if ":" in address[0] else socket.AF_INET
         sock = socket.socket(family, socket.SOCK_STREAM | socket.SOCK_NONBLOCK | socket.SOCK_CLOEXEC)
         with contextlib.suppress(OSError):
-            sock.bind((settings.listen[0], 0))  # so that the others see one address of it for everything
+            sock.bind((settings.listen[0], 0))  # peers see the same address as for datagrams
         code = sock.connect_ex(address)
         if code not in (0, errno.EINPROGRESS):
             sock.close()
-            self.told(address, os.strerror(code))
+            self.log_query(address, os.strerror(code))
             return
-        self.asking[address] = self.loop.spawn(self.hear(sock, address, settings), sock)
+        self.queries[address] = self.loop.spawn(self.run_query(sock, address, settings), sock)
 
-    def hear(self, sock: socket.socket, address: Address, settings: PeersSettings) -> Coroutine:
-        """Put a question and take its answer."""
-        why, nonce = "late", self.rng.getrandbits(64)
-        rest = pack(Asked(nonce), settings.keys[settings.sign], settings.sign)
+    def run_query(self, sock: socket.socket, address: Address, settings: PeersSettings) -> Coroutine:
+        """Send the request and merge the reply."""
+        outcome, nonce = "late", self.rng.getrandbits(64)
+        unsent = pack(Asked(nonce), settings.keys[settings.sign], settings.sign)
         try:
             yield WRITE
-            while rest:
-                rest = write(sock, rest)
-                if rest:
+            while unsent:
+                unsent = write(sock, unsent)
+                if unsent:
                     yield WRITE
             reader, body = Reader(MOST_FRAME), None
             while body is None:
                 yield READ
-                body = self.read(sock, reader)
-            told = unpack(settings.keys, body)
-            if not isinstance(told, Told) or told.nonce != nonce:
-                raise FrameError("an answer to something else")
-            news = self.keeper.take(clock(), told.records)
-            why = f"{len(told.records)} pieces, {len(news)} of them news"
+                body = self.read_frame(sock, reader)
+            reply = unpack(settings.keys, body)
+            if not isinstance(reply, Told) or reply.nonce != nonce:
+                raise FrameError("reply does not match the request")
+            updates = self.exchange.take(clock(), reply.records)
+            outcome = f"{len(reply.records)} pieces, {len(updates)} of them news"
         except (OSError, FrameError) as error:
-            why = str(error)
+            outcome = str(error)
         finally:
-            self.told(address, why)
-            self.asking.pop(address, None)
-            if not self.asking:
-                self.warm()
+            self.log_query(address, outcome)
+            self.queries.pop(address, None)
+            if not self.queries:
+                self.finish_warm_up()
 
-    def told(self, address: Address, why: str) -> None:
+    def log_query(self, address: Address, outcome: str) -> None:
         text = "knowledge: %(address)s was asked: %(what)s"
-        say(log, logging.INFO, "knowledge_asked", text, address="{}:{}".format(*address), what=why)
+        say(log, logging.INFO, "knowledge_asked", text, address="{}:{}".format(*address), what=outcome)
 
     # Snapshots
 
-    def load(self) -> None:
-        """Take up what was saved; what cannot be used is set aside."""
-        if self.saved is None:
+    def load_snapshot(self) -> None:
+        """Load the snapshot; rename it if it is unusable."""
+        if self.snapshot_settings is None:
             return
-        path, now = self.saved.file, time.time() * 1000.0
+        path, now = self.snapshot_settings.file, time.time() * 1000.0
         try:
-            held = snapshot.read(path, now)
+            loaded = snapshot.read(path, now)
         except FileNotFoundError:
             return
         except snapshot.SnapshotError as error:
             try:
-                what = "set aside as " + snapshot.set_aside(path)
-            except OSError as stuck:
-                what = f"left where it is: {stuck}"
+                disposition = "set aside as " + snapshot.set_aside(path)
+            except OSError as rename_error:
+                disposition = f"left where it is: {rename_error}"
             text = "snapshot: %(file)s is %(what)s: %(why)s"
-            say(log, logging.WARNING, "snapshot_unusable", text, file=path, what=what, why=str(error))
+            say(log, logging.WARNING, "snapshot_unusable", text, file=path, what=disposition, why=str(error))
             return
-        age = max(0.0, now - held.saved)
-        if held.epoch >= self.epoch:  # the clock went back: what comes must count as later all the same
-            self.keeper.epoch = self.epoch = held.epoch + 1
+        age_ms = max(0.0, now - loaded.saved_at_ms)
+        if loaded.epoch >= self.epoch:  # the clock was set back: the epoch must still increase
+            self.exchange.epoch = self.epoch = loaded.epoch + 1
             if self.swim is not None:
-                self.swim.live(self.epoch)
-        news = self.keeper.take(clock() - age, held.records)
-        facts = {"file": path, "age_s": age / 1000.0, "news": len(news), "pieces": len(held.records)}
+                self.swim.set_epoch(self.epoch)
+        updates = self.exchange.take(clock() - age_ms, loaded.records)
+        facts = {"file": path, "age_s": age_ms / 1000.0, "news": len(updates), "pieces": len(loaded.records)}
         text = "snapshot: %(file)s is %(age_s).1f s old, %(news)d pieces of %(pieces)d count"
         say(log, logging.INFO, "snapshot_loaded", text, **facts)
 
-    def save(self, again: bool = True) -> None:
-        """Hand a snapshot to the thread that writes; dropped where that is still busy with others."""
-        keeper, now, saved = self.keeper, clock(), time.time() * 1000.0
-        held = [e for e in keeper.book.all() if now - e.at <= OLDEST]
+    def save_snapshot(self, repeat: bool = True) -> None:
+        """Queue a snapshot for the writer thread; it is dropped if the queue is full."""
+        exchange, now, saved = self.exchange, clock(), time.time() * 1000.0
+        evidence = [e for e in exchange.store.all() if now - e.at <= OLDEST]
         records: list[bytes] = []
 
-        def go_on() -> None:
-            """Encode a part: all in one go would hold up the loop."""
-            part = held[len(records) : len(records) + SOME] if again else held
-            records.extend(encode(e, now) for e in part)
-            if len(records) < len(held):
-                self.later(NEXT_PART, go_on)
+        def encode_batch() -> None:
+            """Encode one batch, so that the event loop isn't blocked."""
+            batch = evidence[len(records) : len(records) + SOME] if repeat else evidence
+            records.extend(encode(e, now) for e in batch)
+            if len(records) < len(evidence):
+                self.schedule(BATCH_INTERVAL_MS, encode_batch)
                 return
-            assert self.saved is not None and self.channel is not None
-            self.channel.put(snapshot.encode(Snapshot(saved, keeper.name, keeper.epoch, records)))
+            assert self.snapshot_settings is not None and self.channel is not None
+            self.channel.put(snapshot.encode(Snapshot(saved, exchange.name, exchange.epoch, records)))
             self.channel.flush()
-            if again:
-                self.later(self.saved.every_s * 1000.0, self.save)
+            if repeat:
+                self.schedule(self.snapshot_settings.every_s * 1000.0, self.save_snapshot)
 
-        go_on()
+        encode_batch()
 
-    def write_snapshot(self, pieces: list[bytes]) -> None:
-        """Called by the writer."""
-        assert self.saved is not None
-        snapshot.write(self.saved.file, bytes(pieces[-1]))
-        self.snapshots += 1
+    def write_snapshot(self, snapshots: list[bytes]) -> None:
+        """Write the latest snapshot; called in the writer thread."""
+        assert self.snapshot_settings is not None
+        snapshot.write(self.snapshot_settings.file, bytes(snapshots[-1]))
+        self.snapshots_written += 1
 
-    # The end
+    # Shutdown
 
     def close(self) -> None:
-        """Say good-bye, save, and tell the log what was dropped."""
-        if self.saved is not None:
-            self.keeper.gather(clock())
-            self.save(again=False)
+        """Announce the departure, save a snapshot, and log what was dropped."""
+        if self.snapshot_settings is not None:
+            self.exchange.gather(clock())
+            self.save_snapshot(repeat=False)
         if self.swim is not None:
             self.send(self.swim.leave())
             dropped = ", ".join(f"{why} {count}" for why, count in sorted(self.swim.counts.items()))
             text = "peers: left; dropped: %(dropped)s"
             say(log, logging.INFO, "peers_left", text, dropped=dropped or "nothing")
-        keeper, book = self.keeper, self.keeper.book
+        exchange, book = self.exchange, self.exchange.store
         text = (
             "knowledge: %(pieces)d pieces held, %(words)d words told to the module; %(absurd)d absurd, "
             "%(dropped)d without room; %(unsaved)d snapshots not written"
         )
         unsaved = self.channel.dropped if self.channel is not None else 0
-        facts = {"pieces": book.size, "words": keeper.told, "absurd": book.absurd + keeper.rejected}
+        facts = {
+            "pieces": book.size,
+            "words": exchange.estimates_posted,
+            "absurd": book.absurd + exchange.invalid_records,
+        }
         say(log, logging.INFO, "knowledge_end", text, **facts, dropped=book.dropped, unsaved=unsaved)
--- a/brackenusher/membership/show.py
+++ b/brackenusher/membership/show.py
@@ -1,4 +1,4 @@
-"""`brackenusher knowledge`: prints what a snapshot or a running proxy holds. Serving nobody, it may wait."""
+"""`brackenusher knowledge`: prints the evidence in a snapshot or a running proxy. Uses blocking I/O."""
 
 import secrets
 import socket
@@ -18,57 +18,59 @@
     FrameError,
     Granted,
     Members,
+    MembersRequest,
     Reader,
     Told,
-    Who,
     Wish,
     decode,
     pack,
     unpack,
 )
 
-WAIT = 2.0  # seconds that a proxy may take for its answer
-DIFFERENT = 1.1  # times slower or faster: below this two speeds are printed as one in a comparison
-HEAD = (
+ANSWER_TIMEOUT_S = 2.0
+MIN_SPEED_RATIO = 1.1  # a comparison treats speeds within this factor as equal
+TABLE_HEADER = (
     f"{'server':<20} {'born':>14} {'origin':<12} {'speed':>6} {'weight':>6} {'fails':>5} {'limit':>6} "
     f"{'warm':>5} {'age s':>7} {'answered':>9} {'failed':>9} {'silent':>9}"
 )
 
 
-def ask(address: str, settings: PeersSettings, question: Asked | Who | Wish) -> Frame:
-    """Put a question to a running proxy. Raises ConfigError."""
+def ask(address: str, settings: PeersSettings, request: Asked | MembersRequest | Wish) -> Frame:
+    """Send a request to a running proxy and return its reply. Raises ConfigError."""
     if not settings.keys or not settings.sign:
         raise ConfigError("peers.key.<kid> and peers.sign are needed to ask a proxy")
     reader, body = Reader(), None
     try:
-        with closing(socket.create_connection(read_address(address, "the proxy"), timeout=WAIT)) as sock:
-            sock.sendall(pack(question, settings.keys[settings.sign], settings.sign))
+        with closing(
+            socket.create_connection(read_address(address, "the proxy"), timeout=ANSWER_TIMEOUT_S)
+        ) as sock:
+            sock.sendall(pack(request, settings.keys[settings.sign], settings.sign))
             while body is None:
                 data = sock.recv(65_536)
                 if not data:
                     raise FrameError("it closed the connection: its keys may be others")
                 body = reader.feed(data)
-        told = unpack(settings.keys, body)
+        reply = unpack(settings.keys, body)
     except (OSError, FrameError) as error:
         raise ConfigError(f"{address}: {error}") from error
-    if not isinstance(told, Told | Members | Granted) or told.nonce != question.nonce:
+    if not isinstance(reply, Told | Members | Granted) or reply.nonce != request.nonce:
         raise ConfigError(f"{address}: not an answer to what was asked")
-    return told
+    return reply
 
 
-def fetch(address: str, settings: PeersSettings) -> tuple[str, list[bytes]]:
-    """What a running proxy holds, and its name. Raises ConfigError."""
-    told = ask(address, settings, Asked(secrets.randbits(64)))
-    if not isinstance(told, Told):
+def fetch_records(address: str, settings: PeersSettings) -> tuple[str, list[bytes]]:
+    """Return the name of a running proxy and its records. Raises ConfigError."""
+    reply = ask(address, settings, Asked(secrets.randbits(64)))
+    if not isinstance(reply, Told):
         raise ConfigError(f"{address}: not an answer to what was asked")
-    return told.name, told.records
+    return reply.name, reply.records
 
 
-def read(source: str, settings: PeersSettings | None) -> tuple[str, list[Evidence]]:
-    """What a file or, where settings are given, a proxy holds; times are Unix milliseconds."""
+def load_evidence(source: str, settings: PeersSettings | None) -> tuple[str, list[Evidence]]:
+    """Load the evidence of a file or, with settings, of a running proxy; times are Unix milliseconds."""
     now = time.time() * 1000.0
     if settings is not None and is_address(source):
-        name, records = fetch(source, settings)
+        name, records = fetch_records(source, settings)
         head = f"{source}: {name}, running"
     else:
         try:
@@ -76,8 +78,8 @@
         except (snapshot.SnapshotError, OSError) as error:
             raise ConfigError(f"{source}: {error}") from error
         records = held.records
-        head = f"{source}: saved by {held.name} {max(0.0, now - held.saved) / 1000.0:.1f} s ago"
-        now = min(now, held.saved)
+        head = f"{source}: saved by {held.name} {max(0.0, now - held.saved_at_ms) / 1000.0:.1f} s ago"
+        now = min(now, held.saved_at_ms)
     found = []
     for record in records:
         try:
@@ -92,57 +94,62 @@
     return bool(host) and port.isascii() and port.isdigit()
 
 
-def ago(lag: float, e: Evidence, now: float) -> str:
-    return "never" if lag == NEVER else seconds(now - e.at + lag)
+def format_lag(lag: float, e: Evidence, now: float) -> str:
+    return "never" if lag == NEVER else format_seconds(now - e.at + lag)
 
 
-def seconds(span: float) -> str:
+def format_seconds(span: float) -> str:
     return f"{span / 1000.0:.1f}" if isfinite(span) else "-"
 
 
-def line(e: Evidence, now: float) -> str:
+def format_row(e: Evidence, now: float) -> str:
     born = f"{e.born:.0f}" if e.born else "-"
     return (
         f"{e.backend:<20} {born:>14} {e.origin:<12} {exp(e.slower):>6.2f} {e.worth(now):>6.2f} "
-        f"{e.failing:>5.2f} {e.limit:>6.2f} {e.warm:>5.2f} {seconds(now - e.at):>7} "
-        f"{ago(e.answered, e, now):>9} {ago(e.failed, e, now):>9} {ago(e.silent, e, now):>9}"
+        f"{e.failing:>5.2f} {e.limit:>6.2f} {e.warm:>5.2f} {format_seconds(now - e.at):>7} "
+        f"{format_lag(e.answered, e, now):>9} {format_lag(e.failed, e, now):>9} "
+        f"{format_lag(e.silent, e, now):>9}"
     )
 
 
 def show(source: str, settings: PeersSettings | None, out: TextIO) -> int:
     """Print all pieces of evidence. Speeds are multiples of the origin's median, ages are seconds."""
-    head, found = read(source, settings)
+    head, found = load_evidence(source, settings)
     print(f"# {head}", file=out)
-    print(HEAD, file=out)
+    print(TABLE_HEADER, file=out)
     for e in found:
-        print(line(e, time.time() * 1000.0), file=out)
+        print(format_row(e, time.time() * 1000.0), file=out)
     return 0
 
 
 def diff(one: str, other: str, settings: PeersSettings | None, out: TextIO) -> int:
-    """Print what only one holds, or holds with another speed or share of failures; 1 where there is any."""
-    (head, before), (other_head, after) = read(one, settings), read(other, settings)
+    """Print evidence that is in only one source or differs in speed or failure share; 1 if there is any."""
+    (head, before), (other_head, after) = load_evidence(one, settings), load_evidence(other, settings)
     print(f"# < {head}\n# > {other_head}", file=out)
-    print(f"  {HEAD}", file=out)
+    print(f"  {TABLE_HEADER}", file=out)
     now = time.time() * 1000.0
-    old, new = by_key(before), by_key(after)
+    old, new = index_evidence(before), index_evidence(after)
     differs = False
     for key in sorted(old.keys() | new.keys()):
-        a, b = old.get(key), new.get(key)
-        if a is not None and b is not None and alike(a, b):
+        one_evidence, other_evidence = old.get(key), new.get(key)
+        if (
+            one_evidence is not None
+            and other_evidence is not None
+            and is_similar(one_evidence, other_evidence)
+        ):
             continue
         differs = True
-        for mark, e in (("<", a), (">", b)):
+        for mark, e in (("<", one_evidence), (">", other_evidence)):
             if e is not None:
-                print(f"{mark} {line(e, now)}", file=out)
+                print(f"{mark} {format_row(e, now)}", file=out)
     return int(differs)
 
 
-def by_key(found: Iterable[Evidence]) -> dict[tuple[str, float, str], Evidence]:
+def index_evidence(found: Iterable[Evidence]) -> dict[tuple[str, float, str], Evidence]:
     return {(e.backend, e.born, e.origin): e for e in found}
 
 
-def alike(a: Evidence, b: Evidence) -> bool:
-    return max(exp(a.slower - b.slower), exp(b.slower - a.slower)) < DIFFERENT and (
-        abs(a.failing - b.failing) < DIFFERENT - 1
+def is_similar(a: Evidence, b: Evidence) -> bool:
+    return max(exp(a.slower - b.slower), exp(b.slower - a.slower)) < MIN_SPEED_RATIO and (
+        abs(a.failing - b.failing) < MIN_SPEED_RATIO - 1
     )
--- a/brackenusher/membership/snapshot.py
+++ b/brackenusher/membership/snapshot.py
@@ -1,7 +1,8 @@
-"""Snapshots: knowledge in a file, so that a restart begins with it.
+"""Snapshots of shared knowledge in a file, loaded at a restart.
 
-A line that names the form, a line with a checksum, and the body. It is written aside, synced and renamed, so
-that a reader finds the old one or the new one whole. A file that cannot be used is set aside, never a crash.
+A line with the format version, a line with a checksum, and the body. The file is written under a temporary
+name, synced and renamed, so that a reader finds either the old or the new one complete. An unusable file is
+renamed and never prevents a start.
 """
 
 import os
@@ -15,11 +16,11 @@
 from barleybarrow.knowledge import MOST_HELD
 from brackenusher.membership.frames import ENCODER, Record
 
-FORM = 1
+FORMAT_VERSION = 1
 MAGIC = b"brackenusher snapshot %d\n"
-DIGEST = 32  # bytes of BLAKE2b
-MOST = 16 * 1024 * 1024  # bytes: all that a book can hold, with long names
-AHEAD = 300_000.0  # milliseconds that a file's clock may be ahead of ours: it may have been set back since
+DIGEST_BYTES = 32  # of BLAKE2b
+MAX_SNAPSHOT_BYTES = 16 * 1024 * 1024  # a full evidence store with long names
+MAX_CLOCK_AHEAD_MS = 300_000.0  # a file may be from the future: our clock may have been set back since
 
 
 class SnapshotError(ValueError):
@@ -27,9 +28,9 @@
 
 
 class Snapshot(Struct, array_like=True, frozen=True):
-    """What a file holds; records are as proxies tell them, aged at `saved`."""
+    """Contents of a file; records are encoded as between proxies, with ages as of `saved_at_ms`."""
 
-    saved: Annotated[float, Meta(ge=0, le=1e15)]  # Unix milliseconds
+    saved_at_ms: Annotated[float, Meta(ge=0, le=1e15)]  # Unix milliseconds
     name: Annotated[str, Meta(max_length=128)]
     epoch: int
     records: Annotated[list[Record], Meta(max_length=MOST_HELD)] = []
@@ -40,51 +41,53 @@
 
 def encode(snapshot: Snapshot) -> bytes:
     body = ENCODER.encode(snapshot)
-    return MAGIC % FORM + blake2b(body, digest_size=DIGEST).hexdigest().encode() + b"\n" + body
+    return (
+        MAGIC % FORMAT_VERSION + blake2b(body, digest_size=DIGEST_BYTES).hexdigest().encode() + b"\n" + body
+    )
 
 
 def decode(data: bytes, now: float) -> Snapshot:
-    """Read a file's bytes at a time in Unix milliseconds; raises SnapshotError."""
-    head = MAGIC % FORM
+    """Decode the contents of a file; `now` is Unix milliseconds. Raises SnapshotError."""
+    head = MAGIC % FORMAT_VERSION
     if not data.startswith(head):
         other = data.startswith(MAGIC.split(b"%")[0])
         raise SnapshotError("written in another form" if other else "no snapshot")
-    begin = len(head) + 2 * DIGEST + 1
+    begin = len(head) + 2 * DIGEST_BYTES + 1
     digest, body = data[len(head) : begin], data[begin:]
-    if digest != blake2b(body, digest_size=DIGEST).hexdigest().encode() + b"\n":
+    if digest != blake2b(body, digest_size=DIGEST_BYTES).hexdigest().encode() + b"\n":
         raise SnapshotError("cut short or changed: its checksum does not hold")
     try:
         snapshot = DECODER.decode(body)
     except (msgspec.MsgspecError, ValueError, RecursionError) as error:
         raise SnapshotError(str(error)) from error
-    if snapshot.saved > now + AHEAD:
+    if snapshot.saved_at_ms > now + MAX_CLOCK_AHEAD_MS:
         raise SnapshotError("written in the future")
     return snapshot
 
 
 def read(path: str, now: float) -> Snapshot:
-    """Read a file; raises SnapshotError, or FileNotFoundError where there is none."""
+    """Read a file. Raises SnapshotError, or FileNotFoundError if there is none."""
     try:
         with open(path, "rb") as file:
-            data = file.read(MOST + 1)
+            data = file.read(MAX_SNAPSHOT_BYTES + 1)
     except FileNotFoundError:
         raise
     except OSError as error:
         raise SnapshotError(str(error)) from error
-    if len(data) > MOST:
-        raise SnapshotError(f"over {MOST} bytes")
+    if len(data) > MAX_SNAPSHOT_BYTES:
+        raise SnapshotError(f"over {MAX_SNAPSHOT_BYTES} bytes")
     return decode(data, now)
 
 
 def set_aside(path: str) -> str:
-    """Move a file that cannot be used out of the way; where to. The last one set aside is replaced."""
+    """Rename an unusable file and return its new name; replaces an earlier one of that name."""
     aside = f"{path}.unusable"
     os.replace(path, aside)
     return aside
 
 
 def write(path: str, data: bytes) -> None:
-    """Write aside, sync, rename, and sync the folder. Raises OSError, and leaves the old file as it was."""
+    """Write a temporary file, sync it, rename it, and sync the folder. On OSError the old file is intact."""
     target = Path(path)
     aside = target.with_name(target.name + ".new")
     fd = os.open(aside, os.O_WRONLY | os.O_CREAT | os.O_TRUNC | os.O_CLOEXEC, 0o640)
--- a/brackenusher/membership/swim_messages.py
+++ b/brackenusher/membership/swim_messages.py
@@ -1,4 +1,4 @@
-"""What members say to each other in SWIM's datagrams, and what one keeps in mind of another."""
+"""Messages in SWIM datagrams, and the state kept of each member."""
 
 from dataclasses import dataclass
 from ipaddress import ip_address
@@ -11,30 +11,30 @@
 from barleybarrow.views import ViewStamp
 
 Address = tuple[str, int]
-MOST_UPDATES = 128  # in one datagram; no more would fit
-WINDOW = 256  # numbers behind the greatest of which it is remembered whether they came
+MAX_UPDATES_PER_DATAGRAM = 128  # no more fit a datagram
+REPLAY_WINDOW = 256  # sequence numbers below the highest one that are tracked
 STATES = ("alive", "suspect", "dead", "left")
-PING, ACK, PING_FOR, PAGE, VIEW = 0, 1, 2, 4, 5
-LONGEST_NAME = 64  # characters: two of them, in updates and outside, always fit a datagram
-Name = Annotated[str, Meta(min_length=1, max_length=LONGEST_NAME)]
+PING, ACK, PING_REQ, GOSSIP, VIEW = 0, 1, 2, 4, 5
+MAX_NAME_LENGTH = 64  # characters; a datagram must fit two, one in an update and one outside
+Name = Annotated[str, Meta(min_length=1, max_length=MAX_NAME_LENGTH)]
 Number = Annotated[int, Meta(ge=0, le=2**53)]
 Nonce = Annotated[int, Meta(ge=0)]
 
 
 class Update(Struct, array_like=True, frozen=True):
-    """What is said of a member; fields that a later form adds behind are skipped."""
+    """Gossip about a member; fields that newer versions append are ignored."""
 
     name: Name
     host: Annotated[str, Meta(max_length=45)]
     port: Annotated[int, Meta(ge=1, le=65_535)]
-    epoch: Number  # its life: Unix milliseconds on its own clock when it started
+    epoch: Number  # Unix milliseconds of its own clock when it started
     incarnation: Number
     state: Annotated[int, Meta(ge=0, le=3)]
-    by: Annotated[str, Meta(max_length=LONGEST_NAME)] = ""  # who suspects it
+    by: Annotated[str, Meta(max_length=MAX_NAME_LENGTH)] = ""  # the member that suspects it
 
     @property
     def rank(self) -> tuple[int, int, int]:
-        """The greater counts: a later life, then a later incarnation, then the worse news."""
+        """The higher wins: by epoch, then by incarnation, then by the worse state."""
         return self.epoch, self.incarnation, self.state
 
 
@@ -43,15 +43,14 @@
 
     sender: Name
     epoch: Number
-    serial: Number
+    sequence: Number
     kind: Annotated[int, Meta(ge=0, le=255)]
     nonce: Nonce
-    target: Annotated[str, Meta(max_length=LONGEST_NAME)] = (
-        ""  # who is meant; of PING_FOR, who is to be pinged
-    )
-    joins: bool = False  # the sender knows nobody yet
-    updates: Annotated[list[Update], Meta(max_length=MOST_UPDATES)] = []
-    records: Annotated[list[bytes], Meta(max_length=MOST_UPDATES)] = []
+    # the intended receiver; of PING_REQ, the member to be pinged
+    target: Annotated[str, Meta(max_length=MAX_NAME_LENGTH)] = ""
+    wants_list: bool = False  # the sender requests the full member list
+    updates: Annotated[list[Update], Meta(max_length=MAX_UPDATES_PER_DATAGRAM)] = []
+    records: Annotated[list[bytes], Meta(max_length=MAX_UPDATES_PER_DATAGRAM)] = []
     stamp: ViewStamp = ViewStamp()
     body: AgreementMessage | None = None  # of VIEW
 
@@ -66,62 +65,64 @@
     incarnation: int
     state: int
     state_since: float
-    verified: bool = False  # this life has answered a nonce of ours
-    trusts: bool = False  # and we one of its: what we tell it is heard
+    verified: bool = False  # this epoch has answered a nonce of ours
+    trusts_us: bool = False  # we have answered one of its, so it accepts our gossip
     heard_at: float = -inf
-    top: int = -1  # greatest number that came, and which of those behind it did
-    came: int = 0
-    paged_at: float = -inf
+    highest_sequence: int = -1  # received, and a bit for each lower one in the window
+    received_bits: int = 0
+    list_sent_at: float = -inf
 
     def update(self, by: str = "") -> Update:
         return Update(self.name, *self.address, self.epoch, self.incarnation, self.state, by)
 
-    def fresh(self, serial: int) -> bool:
-        """Whether a number comes for the first time, as far as the window tells; RFC 4303, 3.4.3."""
-        if serial > self.top:
-            self.came = (self.came << min(serial - self.top, WINDOW) | 1) & (1 << WINDOW) - 1
-            self.top = serial
+    def accept_sequence(self, serial: int) -> bool:
+        """Record a sequence number; return False for a replay or one below the window (RFC 4303, 3.4.3)."""
+        if serial > self.highest_sequence:
+            self.received_bits = (
+                self.received_bits << min(serial - self.highest_sequence, REPLAY_WINDOW) | 1
+            ) & (1 << REPLAY_WINDOW) - 1
+            self.highest_sequence = serial
             return True
-        bit = self.top - serial
-        if bit >= WINDOW or self.came >> bit & 1:
+        offset = self.highest_sequence - serial
+        if offset >= REPLAY_WINDOW or self.received_bits >> offset & 1:
             return False
-        self.came |= 1 << bit
+        self.received_bits |= 1 << offset
         return True
 
 
 @dataclass(slots=True)
-class Waiting:
-    """A ping whose answer is awaited."""
+class PendingPing:
+    """A ping without an answer so far."""
 
-    name: str  # empty for a seed of which only the address is known
+    name: str  # empty for a seed, of which only the address is known
     address: Address
-    until: float
-    behalf: tuple[Address, int] | None = None  # whose ping it is, and their nonce
-    pages: bool = False  # it asked for the whole list, and gets it once it has answered
-    counted: bool = False  # that it stays unanswered
+    expires_at: float
+    on_behalf_of: tuple[Address, int] | None = None  # address and nonce of the member that requested it
+    wants_list: bool = False  # send it the full list once it has answered
+    miss_reported: bool = False  # to the view agreement
 
 
 @dataclass(slots=True)
 class Probe:
-    """The ping of this period."""
+    """The probe of the current period."""
 
     name: str
     nonce: int
-    ask_at: float  # when others are asked
+    indirect_at: float  # when others are asked to ping
     ends_at: float
-    asked: int = 0
+    indirect_sent: int = 0
 
 
 @dataclass(slots=True)
-class News:
-    """Something to be passed on, and how often it was."""
+class QueuedItem:
+    """An encoded item queued for gossip, and how often it was sent."""
 
     data: bytes
-    sent: int = 0
+    transmissions: int = 0
 
 
-def usable(update: Update) -> bool:
-    """Whether an update names an address that can be sent to; names would have to be looked up."""
+def is_usable(update: Update) -> bool:
+    """Return whether an update has a unicast IP address (a host name would need a lookup)."""
     try:
         ip = ip_address(update.host)
     except ValueError:
--- a/tests/test_swim.py
+++ b/tests/test_swim.py
@@ -10,7 +10,7 @@
 from brackenusher.membership import swim, swim_members, swim_messages
 from brackenusher.membership.seal import DATAGRAM, FRAME, seal
 from brackenusher.membership.swim import Swim
-from brackenusher.membership.swim_messages import PAGE, PING, Update
+from brackenusher.membership.swim_messages import GOSSIP, PING, Update
 from testbed.group import KEYS, PERIOD, Group
 
 HERE, THERE = ("10.1.0.1", 7000), ("10.1.0.2", 7000)
@@ -34,7 +34,7 @@
     a, b = alone(now), alone(now, name="you", at=THERE, epoch=2000, seed=2, **more)
     carry(a, b, a.tick(now), now)
     a.seeds = [THERE]
-    a.next_look = now
+    a.next_maintenance = now
     carry(a, b, a.tick(now + 1.0), now + 1.0)
     assert a.members["you"].verified and b.members["me"].verified
     return a, b
@@ -57,7 +57,7 @@
     group.restart(size - 1)
     group.run(75_000.0)
     assert group.joined()
-    assert group.longest <= swim_members.LONGEST
+    assert group.longest <= swim_members.MAX_DATAGRAM_BYTES
 
 
 def test_one_that_stands_still_for_3_s_is_not_taken_for_dead_and_takes_nobody_for_dead():
@@ -96,19 +96,19 @@
 def test_a_record_reaches_all_and_is_passed_on_no_longer():
     group = Group(20, seed=7)
     group.run(20_000.0)
-    group.swims[0].tell(b"key", b"old")
-    group.swims[0].tell(b"key", b"new")
+    group.swims[0].broadcast_record(b"key", b"old")
+    group.swims[0].broadcast_record(b"key", b"new")
     for step in range(1, 60):
         group.run(20_000.0 + 250.0 * step)
         for s in group.swims[1:]:  # as the driver does: what is news is passed on
-            for record in s.heard:
-                if record not in s.records.values() and not getattr(s, "knows", False):
+            for record in s.received_records:
+                if record not in s.queued_records.values() and not getattr(s, "knows", False):
                     s.knows = True
-                    s.tell(b"key", record)
-            assert set(s.heard) <= {b"new"}
-            s.heard.clear()
+                    s.broadcast_record(b"key", record)
+            assert set(s.received_records) <= {b"new"}
+            s.received_records.clear()
     assert all(getattr(s, "knows", False) for s in group.swims[1:])
-    assert not any(s.records for s in group.swims)
+    assert not any(s.queued_records for s in group.swims)
 
 
 # what else may come
@@ -129,10 +129,10 @@
 
 def test_a_number_counts_once_in_its_window():
     m = swim_messages.Member("x", HERE, 1, 0, ALIVE, 0.0)
-    assert m.fresh(1000) and m.fresh(900) and m.fresh(1001)
-    assert not m.fresh(900) and not m.fresh(1000) and not m.fresh(1001)
-    assert not m.fresh(1001 - swim_messages.WINDOW)  # too old to tell
-    assert m.fresh(10**6) and not m.fresh(1001)
+    assert m.accept_sequence(1000) and m.accept_sequence(900) and m.accept_sequence(1001)
+    assert not m.accept_sequence(900) and not m.accept_sequence(1000) and not m.accept_sequence(1001)
+    assert not m.accept_sequence(1001 - swim_messages.REPLAY_WINDOW)  # too old to tell
+    assert m.accept_sequence(10**6) and not m.accept_sequence(1001)
 
 
 @pytest.mark.parametrize(
@@ -175,8 +175,8 @@
     for _ in range(1000):
         machine.receive(1.0, b"x" * 100, THERE)
     assert (
-        machine.counts["garbage"] <= swim_members.BURST
-        and machine.counts["rate"] >= 1000 - swim_members.BURST
+        machine.counts["garbage"] <= swim_members.MAX_DATAGRAM_BURST
+        and machine.counts["rate"] >= 1000 - swim_members.MAX_DATAGRAM_BURST
     )
 
 
@@ -184,13 +184,15 @@
     a, b = pair()
     me = a.members["you"]
     for n in range(MAX_MEMBERS + 50):
-        a.take(0.0, Update(f"x{n}", f"10.2.{n >> 8}.{n & 255}", 7000, 1, 0, ALIVE))
+        a.apply_update(0.0, Update(f"x{n}", f"10.2.{n >> 8}.{n & 255}", 7000, 1, 0, ALIVE))
     assert len(a.members) == MAX_MEMBERS and a.counts["members"] >= 50
     for n in range(1000):
         a.ping(0.0, me, PERIOD)
-        a.tell(b"%d" % n, b"r")
-    assert len(a.waiting) <= swim.MOST_WAITING and len(a.records) <= swim_members.MOST_RECORDS
-    assert all(len(data) <= swim_members.LONGEST for data, _ in a.flush())
+        a.broadcast_record(b"%d" % n, b"r")
+    assert (
+        len(a.waiting) <= swim.MAX_PENDING_PINGS and len(a.queued_records) <= swim_members.MAX_QUEUED_RECORDS
+    )
+    assert all(len(data) <= swim_members.MAX_DATAGRAM_BYTES for data, _ in a.flush())
 
 
 def test_a_name_used_by_two_stays_with_the_first_while_it_answers():
@@ -208,13 +210,13 @@
 
 def test_suspicion_is_refuted_and_a_clock_set_back_too():
     machine = alone(epoch=1000)
-    machine.take(0.0, Update("me", *HERE, 1000, 0, SUSPECT, "x"))
+    machine.apply_update(0.0, Update("me", *HERE, 1000, 0, SUSPECT, "x"))
     assert machine.incarnation == 1
-    machine.take(0.0, Update("me", *HERE, 1000, 0, DEAD, "x"))
+    machine.apply_update(0.0, Update("me", *HERE, 1000, 0, DEAD, "x"))
     assert machine.incarnation == 1  # refuted already
-    machine.take(0.0, Update("me", *HERE, 8000, 4, DEAD))
+    machine.apply_update(0.0, Update("me", *HERE, 8000, 4, DEAD))
     assert (machine.epoch, machine.incarnation) == (8001, 0)
-    machine.take(0.0, Update("me", *THERE, 9000, 0, ALIVE))
+    machine.apply_update(0.0, Update("me", *THERE, 9000, 0, ALIVE))
     assert machine.epoch == 8001 and machine.counts["name"] == 1
 
 
@@ -238,11 +240,11 @@
 def test_word_of_a_stranger_counts_for_nothing_until_he_has_proved_himself():
     machine = alone()
     stranger = alone(name="you", at=THERE, seed=3)
-    stranger.take(0.0, Update("x", "10.9.9.9", 7000, 1, 0, ALIVE))
-    stranger.send(HERE, PAGE, 0, news=True)
+    stranger.apply_update(0.0, Update("x", "10.9.9.9", 7000, 1, 0, ALIVE))
+    stranger.send(HERE, GOSSIP, 0, with_gossip=True)
     (data, _) = stranger.flush()[0]
     assert machine.receive(0.0, data, THERE) == [] and not machine.members
-    stranger.send(HERE, PING, 5, "me", news=True)
+    stranger.send(HERE, PING, 5, "me", with_gossip=True)
     (data, _) = stranger.flush()[0]
     answers = machine.receive(1.0, data, THERE)
     assert len(answers) == 2 and not machine.members  # an answer, and a nonce of its own
