--- a/brackenusher/membership/swim.py
+++ b/brackenusher/membership/swim.py
@@ -154,9 +154,8 @@
         self.dazed = True
         self.probe = None
         self.waiting.clear()
-        self.next_probe = (
-            now + self.rng.uniform(0.1, 1.0) * self.period
-        )  # jitter against a burst of processes that resume together
+        # jitter against a burst of processes that resume together
+        self.next_probe = now + self.rng.uniform(0.1, 1.0) * self.period
         self.next_gossip = max(self.next_gossip, now)
         self.agreement.on_stall(now)
 
@@ -364,9 +363,8 @@
             self.apply_update(now, update)
         self.received_records += message.records
         if message.kind == PING:
-            about = (
-                sender.update() if sender.state != ALIVE else None
-            )  # it is alive, as it pings: let it refute
+            # a suspect that pings is alive: let it refute
+            about = sender.update() if sender.state != ALIVE else None
             self.send(source, ACK, message.nonce, about=about, with_gossip=True)
             sender.trusts_us = True
             if message.wants_list:
