--- a/brackenusher/membership/agent.py
+++ b/brackenusher/membership/agent.py
@@ -26,9 +26,7 @@
 # Share of the permitted interval between two calls. On demand, the agent queues calls, and its work for one
 # that timed out is wasted.
 ON_DEMAND_TIMEOUT_SHARE = 0.5
-BACK_OFF = (
-    100.0  # milliseconds between calls; with FIRST_WORD it is below the grace period of a drain, 500 ms
-)
+BACK_OFF = 100.0  # milliseconds between calls; with FIRST_WORD below the grace period of a drain, 500 ms
 
 
 class Agent:
@@ -126,7 +124,7 @@
             self.loop.deadlines.remove(self.response_timer)
             if self.loop.running and protocol is self.protocol:
                 if protocol.watching and not self.on_demand:
-                    self.seq = None  # request the full list, see `again`
+                    self.seq = None  # request the full list, see `schedule_retry`
                 self.schedule_retry(reason)
 
     def on_bytes(self, protocol: Discovery, data: memoryview) -> None:
--- a/brackenusher/membership/keeper.py
+++ b/brackenusher/membership/keeper.py
@@ -116,9 +116,9 @@
             del changed[name]
         on_list = (members[name] for name in names if name in members)
         births = {m.name: m.born_ms for m in on_list if m.left_at is None}
-        peer_estimates = self.store.hearsay(now, births, (self.name, self.epoch))
+        estimates_by_backend = self.store.hearsay(now, births, (self.name, self.epoch))
         estimates = []
-        for name, (slower, weight) in peer_estimates.items():
+        for name, (slower, weight) in estimates_by_backend.items():
             started = self.pool.module_time(births[name])
             estimated_start, when, before = self.last_estimates.get(name, (started, now, 0.0))
             remaining = before * (1 - FADE) ** ((now - when) / 1000.0) if estimated_start == started else 0.0
--- a/brackenusher/membership/peers.py
+++ b/brackenusher/membership/peers.py
@@ -344,14 +344,14 @@
         if swim is None:
             return []
         agreement, now = swim.agreement, clock()
-        gauges = {
+        values = {
             "members": len(agreement.view.members) if agreement.view is not None else 0,
             "view": agreement.number,
             "cut_off": int(agreement.disconnected),
             "flaps": agreement.flaps,
             "links_one_way": len(agreement.one_way(now)),
         }
-        return [(name, value, "g", []) for name, value in gauges.items()]
+        return [(name, value, "g", []) for name, value in values.items()]
 
     def send(self, datagrams: list[tuple[bytes, Address]]) -> None:
         for data, address in datagrams:
--- a/brackenusher/membership/swim.py
+++ b/brackenusher/membership/swim.py
@@ -134,7 +134,7 @@
             self.queue_update(self.own_update())
         if after is None:
             return
-        self.round = []  # drawn anew: who was met first would be left until the last
+        self.round = []  # reshuffle, else the members met first would be pinged last
         for b in after.members:
             known = self.members.get(b.name)
             if b.name != self.name and (known is None or known.epoch < b.epoch):
@@ -160,15 +160,15 @@
         self.agreement.on_stall(now)
 
     def begin_probe(self, now: float) -> None:
-        span = self.period
-        self.next_probe = now + span
+        period = self.period
+        self.next_probe = now + period
         while self.round or self.start_round():
             m = self.members.get(self.round.pop())
             if m is not None and m.state <= SUSPECT:
-                nonce = self.ping(now, m, span)
+                nonce = self.ping(now, m, period)
                 if nonce is not None:
                     self.probes += 1
-                    self.probe = Probe(m.name, nonce, now + DIRECT_TIMEOUT_PERIODS * span, now + span)
+                    self.probe = Probe(m.name, nonce, now + DIRECT_TIMEOUT_PERIODS * period, now + period)
                 return
 
     def gossip(self, now: float) -> None:
@@ -187,11 +187,11 @@
         return bool(self.round)
 
     def ping(
-        self, now: float, m: Member, span: float, behalf: tuple[Address, int] | None = None
+        self, now: float, m: Member, timeout_ms: float, on_behalf_of: tuple[Address, int] | None = None
     ) -> int | None:
         """Ping a member; a suspected one is sent the suspicion too, so that it can refute."""
         about = m.update() if m.state != ALIVE else None
-        wants_list = now >= self.next_list_request and behalf is None
+        wants_list = now >= self.next_list_request and on_behalf_of is None
         if wants_list:  # gossip may miss members, most often while few are known: request a full list
             max_interval = self.period * LIST_REQUEST_PERIODS * ceil(log(self.group_size() + 1))
             has_grown, self.members_at_list_request = (
@@ -203,30 +203,36 @@
             )
             self.next_list_request = now + self.list_request_interval
         return self.send_ping(
-            now, PendingPing(m.name, m.address, now + span, behalf), about, wants_list, m.trusts_us
+            now,
+            PendingPing(m.name, m.address, now + timeout_ms, on_behalf_of),
+            about,
+            wants_list,
+            m.trusts_us,
         )
 
     def send_ping(
         self,
         now: float,
-        waiting: PendingPing,
+        pending: PendingPing,
         about: Update | None = None,
         wants_list: bool = False,
-        news: bool = False,
+        with_gossip: bool = False,
     ) -> int | None:
         if len(self.waiting) >= MAX_PENDING_PINGS:
             self.counts["waiting"] += 1
             return None
         nonce = self.rng.getrandbits(64)
-        self.waiting[nonce] = waiting
-        self.send(waiting.address, PING, nonce, waiting.name, wants_list, about, news)
+        self.waiting[nonce] = pending
+        self.send(pending.address, PING, nonce, pending.name, wants_list, about, with_gossip)
         return nonce
 
     def send_ping_requests(self, now: float, probe: Probe) -> None:
         others = [m for m in self.alive() if m.name != probe.name and m.verified and m.trusts_us]
-        alive = [m for m in others if m.state == ALIVE]
-        if len(alive) >= INDIRECT_PROBES:  # else use suspects: with heavy packet loss most of them are alive
-            others = alive
+        not_suspected = [m for m in others if m.state == ALIVE]
+        if (
+            len(not_suspected) >= INDIRECT_PROBES
+        ):  # else use suspects: with heavy packet loss most of them are alive
+            others = not_suspected
         chosen = self.rng.sample(others, min(INDIRECT_PROBES, len(others)))
         for m in chosen:
             self.send(m.address, PING_REQ, probe.nonce, probe.name, with_gossip=m.trusts_us)
@@ -249,15 +255,15 @@
 
     def maintain_members(self, now: float) -> None:
         """Remove members long dead; ping one of the other dead ones and a seed without a known member."""
-        alone = not any(m.verified and m.state <= SUSPECT for m in self.members.values())
+        isolated = not any(m.verified and m.state <= SUSPECT for m in self.members.values())
         has_no_view = self.agreement.view is None
         self.next_maintenance = now + self.period * (
-            1 if alone or has_no_view else RECONNECT_INTERVAL_PERIODS
+            1 if isolated or has_no_view else RECONNECT_INTERVAL_PERIODS
         )
         view, non_member_cutoff = self.agreement.view, now - NON_MEMBER_TIMEOUT_PERIODS * self.period
         for m in list(self.members.values()):
-            belongs = view is not None and m.name in view.by_name
-            is_lost = m.state == SUSPECT and m.state_since < non_member_cutoff and not belongs
+            in_view = view is not None and m.name in view.by_name
+            is_lost = m.state == SUSPECT and m.state_since < non_member_cutoff and not in_view
             if is_lost or (m.state > SUSPECT and now - m.state_since > DEAD_RETENTION_MS):
                 if m.state == SUSPECT:
                     self.on_state_change(m.name, DEAD)
@@ -267,9 +273,9 @@
         if dead:
             self.ping(now, self.rng.choice(dead), self.period)
         known = {m.address for m in self.alive() if m.verified}
-        unknown = [s for s in self.seeds if s not in known]
-        for seed in unknown if alone else self.rng.sample(unknown, min(1, len(unknown))):
-            self.send_ping(now, PendingPing("", seed, now + self.period), wants_list=alone)
+        unreached = [s for s in self.seeds if s not in known]
+        for seed in unreached if isolated else self.rng.sample(unreached, min(1, len(unreached))):
+            self.send_ping(now, PendingPing("", seed, now + self.period), wants_list=isolated)
 
     def receive(self, now: float, data: bytes, source: Address) -> list[tuple[bytes, Address]]:
         """Handle a received datagram, which may be arbitrary bytes."""
