--- a/brackenusher/handover/__init__.py
+++ b/brackenusher/handover/__init__.py
@@ -1,1 +1,1 @@
-"""From one process to the next: the listening sockets, what is known, and clients' connections."""
+"""Handover from a running process to its successor: listening sockets, warm state, client connections."""
--- a/brackenusher/handover/new.py
+++ b/brackenusher/handover/new.py
@@ -1,6 +1,6 @@
-"""The new process's side: what it gets from the old one at its start, and until that one has ended.
+"""The new process's side: receives the initial state from the old process, then follows it until it exits.
 
-Whatever goes wrong leaves an ordinary start, with one line in the log.
+Any failure before the initial state is complete is logged and leads to an ordinary start.
 """
 
 import logging
@@ -10,106 +10,113 @@
 from pathlib import Path
 from typing import Any
 
-from brackenusher.handover.messages import LONGEST, MOST_PASSED, HandoverMessageError, Kind, read, word
-from brackenusher.handover.old import ours
+from brackenusher.handover.messages import (
+    MAX_DESCRIPTORS_PER_PACKET,
+    MAX_PACKET_BYTES,
+    HandoverMessageError,
+    PacketKind,
+    decode,
+    encode,
+)
+from brackenusher.handover.old import is_same_user
 from brackenusher.runtime.log import say
 from brackenusher.runtime.loop import READ, Coroutine, Loop, clock
 
 log = logging.getLogger(__name__)
 
-PATIENCE = 1500.0  # ms for all that the old process gives: it may have little of a core, and be busy
+HANDOVER_TIMEOUT_MS = 1500.0  # for the whole initial state; the old process may be busy on a small CPU share
 
 
 @dataclass(slots=True)
 class Taken:
-    """What the old process gave."""
+    """Initial state received from the old process."""
 
-    link: socket.socket
-    listeners: dict[str, socket.socket] = field(default_factory=dict)  # by their addresses
+    connection: socket.socket
+    listeners: dict[str, socket.socket] = field(default_factory=dict)  # by address
     hosts: list[Any] = field(default_factory=list)
-    learned: list[Any] = field(default_factory=list)
-    state: dict[str, Any] = field(default_factory=dict)  # of READY
+    warm_state: list[Any] = field(default_factory=list)
+    state: dict[str, Any] = field(default_factory=dict)  # body of the final packet
 
-    def drop(self) -> None:
-        for sock in (self.link, *self.listeners.values()):
+    def close(self) -> None:
+        for sock in (self.connection, *self.listeners.values()):
             sock.close()
 
 
-def take(path: Path | None) -> Taken | None:
-    """Ask an old process for what it has; None where there is none, or what it gives cannot be used."""
+def request_state(path: Path | None) -> Taken | None:
+    """Request the state of the old process; None if there is no such process or the handover fails."""
     if path is None or not path.exists():
         return None
-    link = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET | socket.SOCK_CLOEXEC)
-    taken = Taken(link)
+    connection = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET | socket.SOCK_CLOEXEC)
+    inherited = Taken(connection)
     try:
-        end = clock() + PATIENCE
-        link.settimeout(PATIENCE / 1000.0)
-        link.connect(str(path))
-        if not ours(link):
-            raise HandoverMessageError("the old process is another user's")
-        link.send(word(Kind.HELLO))
+        deadline = clock() + HANDOVER_TIMEOUT_MS
+        connection.settimeout(HANDOVER_TIMEOUT_MS / 1000.0)
+        connection.connect(str(path))
+        if not is_same_user(connection):
+            raise HandoverMessageError("the old process runs as another user")
+        connection.send(encode(PacketKind.HELLO))
         while True:
-            left = end - clock()
-            if left <= 0:
-                raise TimeoutError("the old process takes too long")
-            link.settimeout(left / 1000.0)
-            if receive(taken):
-                link.setblocking(False)
-                return taken
+            remaining_ms = deadline - clock()
+            if remaining_ms <= 0:
+                raise TimeoutError("the old process did not send its state in time")
+            connection.settimeout(remaining_ms / 1000.0)
+            if receive_packet(inherited):
+                connection.setblocking(False)
+                return inherited
     except (OSError, HandoverMessageError, ValueError, TypeError, KeyError) as error:
-        taken.drop()
+        inherited.close()
         say(log, logging.WARNING, "no_handover", "no handover, an ordinary start: %(why)s", why=error)
         return None
 
 
-def receive(taken: Taken) -> bool:
-    """Take one packet; whether it was the last of the start."""
-    data, fds, flags, _ = socket.recv_fds(taken.link, LONGEST, MOST_PASSED)
+def receive_packet(inherited: Taken) -> bool:
+    """Receive one packet; return whether it completes the initial state."""
+    data, fds, flags, _ = socket.recv_fds(inherited.connection, MAX_PACKET_BYTES, MAX_DESCRIPTORS_PER_PACKET)
     socks = [socket.socket(fileno=fd) for fd in fds]
     try:
         if not data:
-            raise HandoverMessageError("the old process has gone")
+            raise HandoverMessageError("the old process closed the connection")
         if flags & socket.MSG_CTRUNC:
             raise HandoverMessageError("descriptors run short")
-        kind, body = read(data)
-        if kind is Kind.WELCOME and not taken.listeners:
+        kind, body = decode(data)
+        if kind is PacketKind.WELCOME and not inherited.listeners:
             if len(body) != len(socks) or not socks:
-                raise HandoverMessageError("addresses and sockets differ in number")
-            taken.listeners, socks = dict(zip(body, socks, strict=True)), []
-        elif kind is Kind.LIST and taken.listeners:
-            taken.hosts += body
-        elif kind is Kind.LEARNED and taken.listeners:
-            taken.learned += body
-        elif kind is Kind.READY and taken.listeners:
-            taken.state = dict(body)
+                raise HandoverMessageError("number of listening sockets differs from number of addresses")
+            inherited.listeners, socks = dict(zip(body, socks, strict=True)), []
+        elif kind is PacketKind.SERVER_LIST and inherited.listeners:
+            inherited.hosts += body
+        elif kind is PacketKind.WARM_STATE and inherited.listeners:
+            inherited.warm_state += body
+        elif kind is PacketKind.STATE_COMPLETE and inherited.listeners:
+            inherited.state = dict(body)
             return True
         else:
-            raise HandoverMessageError(f"{kind.value} is out of turn")
+            raise HandoverMessageError(f"unexpected packet: {kind.value}")
         return False
     finally:
         for sock in socks:
             sock.close()
 
 
-class New:
-    """Stays in touch with the old process until that has ended."""
+class PredecessorConnection:
+    """Connection to the old process after the initial state, until the old process exits."""
 
     def __init__(
         self,
         loop: Loop,
-        link: socket.socket,
-        held: Callable[[dict[str, Any]], None],
-        client: Callable[[socket.socket], None],
-        ended: Callable[[], None],
+        connection: socket.socket,
+        on_usage: Callable[[dict[str, Any]], None],
+        on_client: Callable[[socket.socket], None],
+        on_end: Callable[[], None],
     ) -> None:
-        self.link, self.held, self.client, self.ended = link, held, client, ended
-        self.clients = 0  # connections that were passed on
-        self.task = loop.spawn(self.run(), link, first=True)
+        self.connection, self.on_usage, self.on_client, self.on_end = connection, on_usage, on_client, on_end
+        self.received = 0  # connections received
+        self.task = loop.spawn(self.run(), connection, first=True)
 
-    def serves(self) -> None:
-        """Tell the old process that this one serves."""
+    def notify_serving(self) -> None:
+        """Notify the old process that this one serves."""
         try:
-            self.link.send(word(Kind.SERVES))
+            self.connection.send(encode(PacketKind.SERVING))
         except OSError as error:
             say(log, logging.WARNING, "handover_broken", "handover: %(why)s", why=error)
 
@@ -117,20 +124,22 @@
         try:
             while True:
                 yield READ
-                data, fds, flags, _ = socket.recv_fds(self.link, LONGEST, MOST_PASSED)
+                data, fds, flags, _ = socket.recv_fds(
+                    self.connection, MAX_PACKET_BYTES, MAX_DESCRIPTORS_PER_PACKET
+                )
                 if flags & socket.MSG_CTRUNC:
                     say(log, logging.WARNING, "clients_lost", "handover: descriptors run short")
                 for fd in fds:
-                    self.clients += 1
-                    self.client(socket.socket(fileno=fd))
+                    self.received += 1
+                    self.on_client(socket.socket(fileno=fd))
                 if not data:
                     return
-                kind, body = read(data)
-                if kind is Kind.HELD:
-                    self.held(body)
-                elif kind is not Kind.CLIENTS:
-                    raise HandoverMessageError(f"{kind.value} is out of turn")
+                kind, body = decode(data)
+                if kind is PacketKind.DESCRIPTOR_USAGE:
+                    self.on_usage(body)
+                elif kind is not PacketKind.CLIENT_CONNECTIONS:
+                    raise HandoverMessageError(f"unexpected packet: {kind.value}")
         except (OSError, HandoverMessageError) as error:
             say(log, logging.WARNING, "handover_broken", "handover: %(why)s", why=error)
         finally:
-            self.ended()
+            self.on_end()
--- a/brackenusher/handover/old.py
+++ b/brackenusher/handover/old.py
@@ -1,6 +1,6 @@
-"""The old process's side: a Unix socket under a fixed name, and the one successor that came there.
+"""The old process's side: a Unix socket at a fixed path, which serves one successor at a time.
 
-What goes wrong here is logged and ends the handover; the process serves on as if nobody had come.
+A failure here is logged and ends the handover; the process continues to serve as before.
 """
 
 import logging
@@ -10,60 +10,70 @@
 from collections.abc import Callable, Generator, Iterable, Mapping, Sequence
 from pathlib import Path
 
-from brackenusher.handover.messages import LONGEST, MOST_PASSED, HandoverMessageError, Kind, read, word
+from brackenusher.handover.messages import (
+    MAX_DESCRIPTORS_PER_PACKET,
+    MAX_PACKET_BYTES,
+    HandoverMessageError,
+    PacketKind,
+    decode,
+    encode,
+)
 from brackenusher.runtime.log import say
 from brackenusher.runtime.loop import READ, WRITE, Coroutine, Loop
 
 log = logging.getLogger(__name__)
 
-LONGEST_PATH = 107  # bytes of a Unix socket's name
-CALLERS = 2  # that wait to be accepted
+MAX_SOCKET_PATH_BYTES = 107  # sun_path of a Unix socket, without the terminating zero
+LISTEN_BACKLOG = 2
 
 
-def path_for(name: str, environ: Mapping[str, str]) -> Path | None:
-    """Where the two meet; None where there is no `$TMPDIR` or its name is too long."""
+def socket_path(name: str, environ: Mapping[str, str]) -> Path | None:
+    """Path of the handover socket; None if `$TMPDIR` is unset or the path would be too long."""
     folder = environ.get("TMPDIR")
     if not folder:
         return None
-    plain = "".join(c if c.isalnum() else "-" for c in name)[:32]
-    path = Path(folder) / f"handover-{plain}"
-    return path if len(os.fsencode(path)) + len(".new") <= LONGEST_PATH else None
+    safe_name = "".join(c if c.isalnum() else "-" for c in name)[:32]
+    path = Path(folder) / f"handover-{safe_name}"
+    return path if len(os.fsencode(path)) + len(".new") <= MAX_SOCKET_PATH_BYTES else None
 
 
-def ours(sock: socket.socket) -> bool:
-    """Whether the other end is of this user."""
-    peer = sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, struct.calcsize("3i"))
-    return struct.unpack("3i", peer)[1] == os.geteuid()
+def is_same_user(sock: socket.socket) -> bool:
+    """Whether the peer process runs as the same user."""
+    credentials = sock.getsockopt(socket.SOL_SOCKET, socket.SO_PEERCRED, struct.calcsize("3i"))
+    return struct.unpack("3i", credentials)[1] == os.geteuid()
 
 
-class Old:
-    """Waits for a successor, and gives it what it needs."""
+class HandoverServer:
+    """Accepts a successor, and sends it the state and the client connections."""
 
     def __init__(
-        self, loop: Loop, path: Path, give: Callable[[], tuple[list[str], list[int], Iterable[bytes]]]
+        self,
+        loop: Loop,
+        path: Path,
+        collect_state: Callable[[], tuple[list[str], list[int], Iterable[bytes]]],
     ):
-        self.loop, self.path, self.give = loop, path, give
-        self.link: socket.socket | None = None  # to the successor
-        self.given = self.serves = False  # the successor has the listening sockets; it serves
-        self.came = lambda: None  # called when a successor serves
-        self.went = lambda: None  # and when it has gone, at whatever stage
-        self.passed = 0  # clients' connections
+        self.loop, self.path, self.collect_state = loop, path, collect_state
+        self.successor: socket.socket | None = None  # connection to the successor
+        self.listeners_sent = self.successor_serving = False  # listening sockets sent; successor serves
+        self.on_successor_serving = lambda: None  # called when the successor serves
+        self.on_successor_gone = lambda: None  # called when the connection to it ends, at any stage
+        self.transferred = 0  # client connections transferred
 
     def listen(self) -> None:
-        """Take the name, also from a process that has it still."""
-        beside = self.path.with_name(self.path.name + ".new")
+        """Bind the handover socket; renaming replaces the socket of a process that still listens there."""
+        temporary = self.path.with_name(self.path.name + ".new")
         sock = socket.socket(
             socket.AF_UNIX, socket.SOCK_SEQPACKET | socket.SOCK_NONBLOCK | socket.SOCK_CLOEXEC
         )
         try:
-            beside.unlink(missing_ok=True)
-            before = os.umask(0o177)
+            temporary.unlink(missing_ok=True)
+            previous_umask = os.umask(0o177)
             try:
-                sock.bind(str(beside))
+                sock.bind(str(temporary))
             finally:
-                os.umask(before)
-            sock.listen(CALLERS)
-            beside.rename(self.path)
+                os.umask(previous_umask)
+            sock.listen(LISTEN_BACKLOG)
+            temporary.rename(self.path)
         except OSError as error:
             sock.close()
             say(log, logging.WARNING, "handover_off", "no handover to a new process: %(why)s", why=error)
@@ -74,75 +84,75 @@
         while True:
             yield READ
             try:
-                link, _ = sock.accept()
+                connection, _ = sock.accept()
             except OSError:
                 continue
-            link.setblocking(False)
-            if self.link is not None or not ours(link):
-                link.close()  # one at a time, and nobody else's
+            connection.setblocking(False)
+            if self.successor is not None or not is_same_user(connection):
+                connection.close()  # one successor at a time, and only of the same user
                 continue
-            self.link = link
-            self.loop.spawn(self.serve(link), link, first=True)
+            self.successor = connection
+            self.loop.spawn(self.serve_successor(connection), connection, first=True)
 
-    def serve(self, link: socket.socket) -> Coroutine:
+    def serve_successor(self, connection: socket.socket) -> Coroutine:
         try:
             while True:
                 yield READ
-                data = link.recv(LONGEST)
+                data = connection.recv(MAX_PACKET_BYTES)
                 if not data:
                     return
-                kind, _ = read(data)
-                if kind is Kind.HELLO and not self.given:
-                    yield from self.welcome(link)
-                elif kind is Kind.SERVES and self.given:
-                    self.serves = True
+                kind, _ = decode(data)
+                if kind is PacketKind.HELLO and not self.listeners_sent:
+                    yield from self.send_state(connection)
+                elif kind is PacketKind.SERVING and self.listeners_sent:
+                    self.successor_serving = True
                     say(log, logging.INFO, "successor_serves", "a new process serves beside this one")
-                    self.came()
+                    self.on_successor_serving()
                 else:
-                    raise HandoverMessageError(f"{kind.value} is out of turn")
+                    raise HandoverMessageError(f"unexpected packet: {kind.value}")
         except (OSError, HandoverMessageError) as error:
             say(log, logging.WARNING, "handover_broken", "handover: %(why)s", why=error)
         finally:
-            self.link, self.given, self.serves = None, False, False
+            self.successor, self.listeners_sent, self.successor_serving = None, False, False
             if self.loop.running:
                 say(log, logging.INFO, "successor_gone", "the new process is gone from the handover")
-                self.went()
-
-    def welcome(self, link: socket.socket) -> Generator[int, int, None]:
-        """Give all in one go; the loop runs on where the socket does not take it."""
-        addresses, fds, rest = self.give()
-        socket.send_fds(link, [word(Kind.WELCOME, addresses)], fds)
-        self.given = True
-        for packet in rest:
+                self.on_successor_gone()
+
+    def send_state(self, connection: socket.socket) -> Generator[int, int, None]:
+        """Send the initial state; yields to the event loop while the socket buffer is full."""
+        addresses, fds, packets = self.collect_state()
+        socket.send_fds(connection, [encode(PacketKind.WELCOME, addresses)], fds)
+        self.listeners_sent = True
+        for packet in packets:
             while True:
                 try:
-                    link.send(packet)
+                    connection.send(packet)
                     break
                 except BlockingIOError:
                     yield WRITE
 
-    def tell(self, kind: Kind, body: object) -> None:
-        """Tell the successor, if there is one and it listens."""
-        if self.link is not None and self.given:
+    def notify(self, kind: PacketKind, body: object) -> None:
+        """Send a packet to the successor, if it has the listening sockets."""
+        if self.successor is not None and self.listeners_sent:
             try:
-                self.link.send(word(kind, body))
+                self.successor.send(encode(kind, body))
             except OSError:
-                pass  # it hears the next one, or its end ends the handover
+                pass  # a later packet repeats the state, or the closed connection ends the handover
 
-    def pass_on(self, socks: Sequence[socket.socket]) -> bool:
-        """Give clients' connections to the successor, `MOST_PASSED` at most; False if it takes none now."""
-        assert len(socks) <= MOST_PASSED
-        if self.link is None or not self.serves:
+    def transfer(self, socks: Sequence[socket.socket]) -> bool:
+        """Transfer client connections in one packet; False if no successor can take them now."""
+        assert len(socks) <= MAX_DESCRIPTORS_PER_PACKET
+        if self.successor is None or not self.successor_serving:
             return False
         try:
-            packet = word(Kind.CLIENTS, len(socks))
-            socket.send_fds(self.link, [packet], [sock.fileno() for sock in socks])
+            packet = encode(PacketKind.CLIENT_CONNECTIONS, len(socks))
+            socket.send_fds(self.successor, [packet], [sock.fileno() for sock in socks])
         except OSError:
             return False
-        self.passed += len(socks)
+        self.transferred += len(socks)
         return True
 
     def close(self) -> None:
-        """The process ends: whoever finds the name finds nobody, unless a successor has it."""
-        if not self.given:
+        """Remove the socket path on shutdown, unless a successor has taken it over."""
+        if not self.listeners_sent:
             self.path.unlink(missing_ok=True)
--- a/brackenusher/handover/replacement.py
+++ b/brackenusher/handover/replacement.py
@@ -1,6 +1,6 @@
-"""What a process does for the one that takes its place, and for the one whose place it took.
+"""Coordinates the handover from the predecessor of this process and to its successor.
 
-It carries out what `descriptor_split` and `warm_state` say; the sockets are in `old` and `new`.
+Applies the decisions of `descriptor_split` and `warm_state`; `old` and `new` hold the socket code.
 """
 
 import logging
@@ -12,9 +12,9 @@
 from barleybarrow.descriptor_split import parts
 from brackenusher.core.transaction import Transactions
 from brackenusher.fronts.listener import Listener, Room
-from brackenusher.handover.messages import Kind, word, worded
-from brackenusher.handover.new import New, Taken, take
-from brackenusher.handover.old import Old, path_for
+from brackenusher.handover.messages import PacketKind, encode, encode_list
+from brackenusher.handover.new import PredecessorConnection, Taken, request_state
+from brackenusher.handover.old import HandoverServer, socket_path
 from brackenusher.membership.agent import Agent
 from brackenusher.membership.discovery import word_host
 from brackenusher.runtime.driver import Address
@@ -25,175 +25,205 @@
 
 log = logging.getLogger(__name__)
 
-DIVIDE = 50.0  # ms: how often descriptors are divided anew with the other process
+DESCRIPTOR_SPLIT_INTERVAL_MS = 50.0
 
 
 class Replacement:
-    """Both sides of one process.
+    """Handover state of one process, towards its predecessor and its successor.
 
-    `for_clients` and `for_flows` are the descriptors that it has for each when alone, `own` those that any
-    process needs beside them.
+    The descriptor limits for client and upstream connections are those of a process that runs alone; the
+    reserved descriptors are those that every process needs for other purposes.
     """
 
     def __init__(
         self,
         loop: Loop,
         name: str,
-        fronts: Sequence[tuple[Listener, Address]],
-        room: Room,
+        listeners: Sequence[tuple[Listener, Address]],
+        connection_limit: Room,
         pool: Pool,
         agent: Agent,
-        owner: Transactions,
-        for_flows: int,
-        own: int,
+        transactions: Transactions,
+        upstream_limit: int,
+        reserved: int,
     ) -> None:
-        self.loop, self.fronts, self.room, self.pool, self.agent = loop, fronts, room, pool, agent
-        self.owner, self.for_clients, self.for_flows, self.own = owner, room.most, for_flows, own
-        self.part = self.for_clients, self.for_flows  # what the process before leaves of both
-        self.stopping = False  # the word to stop has come
-        self.dividing: Entry | None = None  # when it is next looked how the descriptors are divided
-        self.told: dict[str, Any] = {}  # what the successor was last told of them
-        self.new: New | None = None  # toward the process whose place it takes
-        self.old: Old | None = None  # toward one that takes its place
-        self.awaited = False  # the old process has not been told yet that this one serves
-        self.path = path_for(name, os.environ)
+        self.loop, self.listeners, self.connection_limit, self.pool, self.agent = (
+            loop,
+            listeners,
+            connection_limit,
+            pool,
+            agent,
+        )
+        self.transactions, self.client_limit, self.upstream_limit, self.reserved = (
+            transactions,
+            connection_limit.most,
+            upstream_limit,
+            reserved,
+        )
+        # what the predecessor leaves for client and for upstream connections
+        self.limits = self.client_limit, self.upstream_limit
+        self.stopping = False  # the stop signal has been received
+        self.split_timer: Entry | None = None  # timer of the next descriptor split
+        self.reported_usage: dict[str, Any] = {}  # usage last reported to the successor
+        self.predecessor: PredecessorConnection | None = None  # connection to the predecessor
+        self.handover_server: HandoverServer | None = None  # accepts a successor
+        self.awaited = False  # the predecessor has not yet been notified that this process serves
+        self.path = socket_path(name, os.environ)
         if self.path is None:
             text = "no handover to a new process: no $TMPDIR of a usable length"
             say(log, logging.INFO, "handover_off", text)
             return
-        self.old = Old(loop, self.path, self.give)
-        self.old.came, self.old.went = self.came, self.alone_again
+        self.handover_server = HandoverServer(loop, self.path, self.collect_state)
+        self.handover_server.on_successor_serving, self.handover_server.on_successor_gone = (
+            self.on_successor_serving,
+            self.on_successor_gone,
+        )
 
-    # toward the process whose place it takes
+    # predecessor
 
     def take(self) -> Taken | None:
-        """Ask for what the old process has; waits `new.PATIENCE` ms at most."""
-        taken = take(self.path)
-        self.awaited = taken is not None
-        return taken
-
-    def succeed(self, taken: Taken) -> None:
-        """Go on where the old process stands; the list has been taken up."""
-        learned = warm_state.take(self.owner.balancer, taken.learned, clock())
-        self.leave_to_old(taken.state)
-        first = self.fronts[0][0]
-        self.new = New(self.loop, taken.link, self.leave_to_old, first.take_over, self.old_ended)
+        """Request the state of the predecessor; blocks up to the handover timeout."""
+        inherited = request_state(self.path)
+        self.awaited = inherited is not None
+        return inherited
+
+    def succeed(self, inherited: Taken) -> None:
+        """Restore the warm state and follow the predecessor; its server list is to be applied before."""
+        learned = warm_state.take(self.transactions.balancer, inherited.warm_state, clock())
+        self.on_predecessor_usage(inherited.state)
+        first_listener = self.listeners[0][0]
+        self.predecessor = PredecessorConnection(
+            self.loop,
+            inherited.connection,
+            self.on_predecessor_usage,
+            first_listener.take_over,
+            self.on_predecessor_ended,
+        )
         say(
             log,
             logging.INFO,
             "handover",
             "handover: %(hosts)d hosts, %(learned)d of %(all)d entries learned, %(listeners)d listeners",
-            hosts=len(taken.hosts),
+            hosts=len(inherited.hosts),
             learned=learned,
-            all=len(taken.learned),
-            listeners=len(taken.listeners),
+            all=len(inherited.warm_state),
+            listeners=len(inherited.listeners),
         )
 
     def serves(self) -> None:
-        """This process can serve: take the name over, and say so to the old one."""
-        if self.new is not None:
-            self.new.serves()
+        """This process serves: notify the predecessor and take over the handover socket."""
+        if self.predecessor is not None:
+            self.predecessor.notify_serving()
         self.awaited = False
-        if self.old is not None and not self.stopping:
-            self.old.listen()
-
-    def leave_to_old(self, held: dict[str, Any]) -> None:
-        """Keep to what the old process leaves of the descriptors."""
-        clients, flows, stopping = int(held["clients"]), int(held["flows"]), bool(held["stopping"])
-        self.part = (
-            parts(self.both(self.for_clients), clients, stopping)[1],
-            max(1, parts(self.both(self.for_flows), flows, False)[1]),
+        if self.handover_server is not None and not self.stopping:
+            self.handover_server.listen()
+
+    def on_predecessor_usage(self, usage: dict[str, Any]) -> None:
+        """Apply the descriptor limits that the predecessor's usage leaves."""
+        clients, upstream, stopping = int(usage["clients"]), int(usage["flows"]), bool(usage["stopping"])
+        self.limits = (
+            parts(self.shared_limit(self.client_limit), clients, stopping)[1],
+            max(1, parts(self.shared_limit(self.upstream_limit), upstream, False)[1]),
         )
-        self.keep_to_part()
+        self.apply_limits()
 
-    def old_ended(self) -> None:
-        assert self.new is not None
-        self.part = self.for_clients, self.for_flows
-        self.keep_to_part()
-        text = "the old process has ended; %(passed)d clients' connections came"
-        say(log, logging.INFO, "old_ended", text, passed=self.new.clients)
-        self.new, self.awaited = None, False
+    def on_predecessor_ended(self) -> None:
+        assert self.predecessor is not None
+        self.limits = self.client_limit, self.upstream_limit
+        self.apply_limits()
+        text = "the old process has ended; %(passed)d client connections received"
+        say(log, logging.INFO, "old_ended", text, passed=self.predecessor.received)
+        self.predecessor, self.awaited = None, False
 
-    # toward the process that takes its place
+    # successor
 
     @property
     def handed(self) -> bool:
-        """Whether another process serves in the place of this one."""
-        return self.old is not None and self.old.serves
+        """Whether a successor serves."""
+        return self.handover_server is not None and self.handover_server.successor_serving
 
-    def give(self) -> tuple[list[str], list[int], list[bytes]]:
-        """What a new process gets: addresses, the sockets that listen on them, and packets."""
-        addresses = [f"{host}:{port}" for _, (host, port) in self.fronts]
-        fds = [front.task.fd for front, _ in self.fronts]
+    def collect_state(self) -> tuple[list[str], list[int], list[bytes]]:
+        """Initial state for a successor: listening addresses, their descriptors, further packets."""
+        addresses = [f"{host}:{port}" for _, (host, port) in self.listeners]
+        fds = [listener.task.fd for listener, _ in self.listeners]
         packets = [
-            *worded(Kind.LIST, [word_host(host) for host in self.pool.hosts]),
-            *worded(Kind.LEARNED, warm_state.write(self.owner.balancer)),
-            word(Kind.READY, {"seq": self.agent.seq or 0, **self.holding()}),
+            *encode_list(PacketKind.SERVER_LIST, [word_host(host) for host in self.pool.hosts]),
+            *encode_list(PacketKind.WARM_STATE, warm_state.write(self.transactions.balancer)),
+            encode(PacketKind.STATE_COMPLETE, {"seq": self.agent.seq or 0, **self.descriptor_usage()}),
         ]
-        for front, _ in self.fronts:
-            front.shared = True
-        self.divide()
+        for listener, _ in self.listeners:
+            listener.shared = True
+        self.split_descriptors()
         return addresses, fds, packets
 
-    def came(self) -> None:
-        """A new process serves; the word to stop may have come before."""
+    def on_successor_serving(self) -> None:
+        """A successor serves; the stop signal may have been received before."""
         if self.stopping:
-            self.hand_over()
-        self.divide()
+            self.transfer_clients()
+        self.split_descriptors()
 
     def stop(self) -> None:
-        """The word to stop has come."""
+        """The stop signal has been received."""
         self.stopping = True
         if self.handed:
-            self.hand_over()
-        self.divide()
-
-    def hand_over(self) -> None:
-        assert self.old is not None
-        for front, _ in self.fronts:
-            front.hand_over(self.old.pass_on)
-
-    def holding(self) -> dict[str, Any]:
-        return {"clients": self.room.held, "flows": self.pool.planner.total, "stopping": self.stopping}
-
-    def divide(self) -> None:
-        """Keep to this process's part of the descriptors while another has the rest, and tell it of that."""
-        if self.old is None or self.old.link is None:
+            self.transfer_clients()
+        self.split_descriptors()
+
+    def transfer_clients(self) -> None:
+        assert self.handover_server is not None
+        for listener, _ in self.listeners:
+            listener.hand_over(self.handover_server.transfer)
+
+    def descriptor_usage(self) -> dict[str, Any]:
+        return {
+            "clients": self.connection_limit.held,
+            "flows": self.pool.planner.total,
+            "stopping": self.stopping,
+        }
+
+    def split_descriptors(self) -> None:
+        """Apply this process's share while a successor is connected, and report the usage to it."""
+        if self.handover_server is None or self.handover_server.successor is None:
             return
-        held = self.holding()
-        self.keep_to_part()
-        if held != self.told:
-            self.told = held
-            self.old.tell(Kind.HELD, held)
-        self.loop.deadlines.remove(self.dividing)
-        self.dividing = self.loop.deadlines.add(clock() + DIVIDE, self.divide)
-
-    def keep_to_part(self) -> None:
-        """Hold no more than the process before leaves, and leave the one after its own."""
-        clients, flows = self.part
-        if self.old is not None and self.old.link is not None:
-            clients = parts(self.both(clients), self.room.held, self.stopping)[0]
-            flows = parts(self.both(flows), self.pool.planner.total, False)[0]
-        self.room.most, self.pool.planner.room = clients, max(1, flows)
-
-    def both(self, part: int) -> int:
-        """What two processes have for a purpose that one has `part` for: each needs its own beside."""
-        whole = self.for_clients + self.for_flows
-        return max(2, int(part * (1 - self.own / whole)))
-
-    def alone_again(self) -> None:
-        """The new process has gone: serve on, in the end as well, as if it had never come."""
-        assert self.old is not None
-        self.loop.deadlines.remove(self.dividing)
-        self.keep_to_part()
-        for front, _ in self.fronts:
-            front.take_back()
+        usage = self.descriptor_usage()
+        self.apply_limits()
+        if usage != self.reported_usage:
+            self.reported_usage = usage
+            self.handover_server.notify(PacketKind.DESCRIPTOR_USAGE, usage)
+        self.loop.deadlines.remove(self.split_timer)
+        self.split_timer = self.loop.deadlines.add(
+            clock() + DESCRIPTOR_SPLIT_INTERVAL_MS, self.split_descriptors
+        )
+
+    def apply_limits(self) -> None:
+        """Set the limits to what the predecessor leaves, less the share of a connected successor."""
+        clients, upstream = self.limits
+        if self.handover_server is not None and self.handover_server.successor is not None:
+            clients = parts(self.shared_limit(clients), self.connection_limit.held, self.stopping)[0]
+            upstream = parts(self.shared_limit(upstream), self.pool.planner.total, False)[0]
+        self.connection_limit.most, self.pool.planner.room = clients, max(1, upstream)
+
+    def shared_limit(self, single_limit: int) -> int:
+        """Shared limit of two processes for one purpose, given that of a single one.
+
+        Smaller than the single limit, since the second process has reserved descriptors of its own.
+        """
+        total = self.client_limit + self.upstream_limit
+        return max(2, int(single_limit * (1 - self.reserved / total)))
+
+    def on_successor_gone(self) -> None:
+        """The successor has gone: serve without it again, also during shutdown."""
+        assert self.handover_server is not None
+        self.loop.deadlines.remove(self.split_timer)
+        self.apply_limits()
+        for listener, _ in self.listeners:
+            listener.take_back()
         if not self.stopping:
-            self.old.listen()
+            self.handover_server.listen()
 
     def close(self) -> None:
-        """The process ends."""
-        if self.old is not None:
-            text = "%(passed)d connections passed on"
-            say(log, logging.INFO, "passed_on", text, passed=self.old.passed)
-            self.old.close()
+        """Log the transferred connections and remove the handover socket on shutdown."""
+        if self.handover_server is not None:
+            text = "%(passed)d client connections transferred"
+            say(log, logging.INFO, "passed_on", text, passed=self.handover_server.transferred)
+            self.handover_server.close()
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -1,4 +1,4 @@
-"""Replacing the process: what passes, who has which descriptors, and processes that follow each other."""
+"""Handover: packet encoding, descriptor split, warm state, and upgrades of running processes."""
 
 import contextlib
 import os
@@ -26,7 +26,7 @@
 from barleybarrow import warm_state
 from barleybarrow.descriptor_split import parts
 from brackenusher.handover import messages
-from brackenusher.handover.old import path_for
+from brackenusher.handover.old import socket_path
 
 
 @given(st.integers(2, 2000), st.integers(0, 2000), st.booleans())
@@ -50,27 +50,29 @@
         b"[1,[],null]",
     ],
 )
-def test_a_packet_that_cannot_be_used_is_garbled(data):
+def test_malformed_packet_is_rejected(data):
     with pytest.raises(messages.HandoverMessageError):
-        messages.read(data)
+        messages.decode(data)
 
 
-def test_a_packet_says_what_was_put_in():
-    assert messages.read(messages.word(messages.Kind.HELD, {"clients": 3})) == (
-        messages.Kind.HELD,
+def test_packets_round_trip_and_lists_are_split():
+    assert messages.decode(messages.encode(messages.PacketKind.DESCRIPTOR_USAGE, {"clients": 3})) == (
+        messages.PacketKind.DESCRIPTOR_USAGE,
         {"clients": 3},
     )
-    packets = list(messages.worded(messages.Kind.LIST, [{"host": f"s{n}"} for n in range(150)]))
-    assert [len(messages.read(packet)[1]) for packet in packets] == [64, 64, 22]
+    packets = list(
+        messages.encode_list(messages.PacketKind.SERVER_LIST, [{"host": f"s{n}"} for n in range(150)])
+    )
+    assert [len(messages.decode(packet)[1]) for packet in packets] == [64, 64, 22]
 
 
-def test_what_a_module_learned_goes_on_in_the_next():
-    # guards against a new process that starts blind: it must prefer and avoid what the old one does
+def test_new_process_keeps_the_warm_state_of_the_old_one():
+    # guards against a new process without warm state: it must rank the backends as the old one does
     old, new = Proxy(kinds=["plain"]), Proxy(seed=2, kinds=["plain"])
     old.warm_up(60, {"a": 90.0, "c": 12.0})
     new.now = old.now
-    taken = warm_state.take(new.brain, warm_state.write(old.brain), new.now)
-    assert taken == len(warm_state.write(old.brain))
+    restored = warm_state.take(new.brain, warm_state.write(old.brain), new.now)
+    assert restored == len(warm_state.write(old.brain))
     assert [b.name for _, _, b in new.brain.idle.orders[0]] == [
         b.name for _, _, b in old.brain.idle.orders[0]
     ]
@@ -78,8 +80,8 @@
     assert new.brain.pool.limit_sum == pytest.approx(sum(b.limit for b in new.brain.live))
 
 
-def test_what_cannot_be_taken_over_is_left_aside():
-    # guards against one bad entry that spoils the rest, or a module that it leaves half set
+def test_unusable_warm_state_entries_are_skipped():
+    # guards against one bad entry that spoils the others or leaves the balancer partly updated
     old, new = Proxy(kinds=["plain"]), Proxy(backends=("a", "b"), kinds=["plain"])
     old.warm_up()
     entries = warm_state.write(old.brain)
@@ -88,40 +90,41 @@
     before = new.brain.fleet.mean
     assert warm_state.take(new.brain, bad, new.now) == 0
     assert new.brain.fleet.mean == before
-    assert (
-        warm_state.take(new.brain, entries, new.now) == len(entries) - 1
-    )  # the backend that is not listed here
+    # one backend is unknown to the new process
+    assert warm_state.take(new.brain, entries, new.now) == len(entries) - 1
 
 
-def test_no_meeting_place_without_a_usable_folder():
-    assert path_for("n0", {}) is None and path_for("n0", {"TMPDIR": "/" + "x" * 120}) is None
-    assert path_for("n/0 é", {"TMPDIR": "/tmp/x"}).name == "handover-n-0-é"
+def test_no_socket_path_without_a_usable_tmpdir():
+    assert socket_path("n0", {}) is None and socket_path("n0", {"TMPDIR": "/" + "x" * 120}) is None
+    assert socket_path("n/0 é", {"TMPDIR": "/tmp/x"}).name == "handover-n-0-é"
 
 
-class Load:
-    """Clients that ask one after the other on kept connections, and on a new one each; what went wrong."""
+class RequestLoad:
+    """Client threads, half with a persistent connection, half with a new connection per request."""
 
     def __init__(self, program, clients=4):
-        self.program, self.running, self.faults, self.answers = program, True, [], []
+        self.program, self.running, self.errors, self.statuses = program, True, [], []
         self.number = 0
-        self.threads = [threading.Thread(target=self.ask, args=(n % 2 == 0, n)) for n in range(clients)]
+        self.threads = [
+            threading.Thread(target=self.run_client, args=(n % 2 == 0, n)) for n in range(clients)
+        ]
         for thread in self.threads:
             thread.start()
 
-    def ask(self, keep, n):
-        sock, count = None, 0
+    def run_client(self, persistent, index):
+        sock, number = None, 0
         while self.running:
-            count += 1
+            number += 1
             try:
                 sock = sock or self.program.connect()
-                status, headers, _ = self.program.ask(submit_request(n * 100000 + count), sock)
-                self.answers.append(status)
-                if not keep or headers.get("connection") == "close":
+                status, headers, _ = self.program.ask(submit_request(index * 100000 + number), sock)
+                self.statuses.append(status)
+                if not persistent or headers.get("connection") == "close":
                     sock = sock.close()
             except Exception as error:
-                self.faults.append(repr(error))
+                self.errors.append(repr(error))
                 sock = None
-            time.sleep(random.Random(count).random() * 0.01)
+            time.sleep(random.Random(number).random() * 0.01)
         if sock:
             sock.close()
 
@@ -131,14 +134,13 @@
             thread.join()
 
 
-PATIENT = [
-    {**c, "slo": 8000.0, "deadline": 9000.0} for c in SETTINGS["classes"]
-]  # for what is held on purpose
+# for requests that the backend holds
+LONG_DEADLINE_CLASSES = [{**c, "slo": 8000.0, "deadline": 9000.0} for c in SETTINGS["classes"]]
 
 
 @contextlib.contextmanager
-def succession(tmp_path, *servers, **options):
-    """An old process and what starts new ones in its place."""
+def running_process(tmp_path, *servers, **options):
+    """Start an old process; yields it and a function that starts a successor."""
     hosts = [host(f"s{n}", server) for n, server in enumerate(servers)]
     agent = DiscoveryAgent(hosts)
     with (
@@ -146,55 +148,56 @@
         Program(tmp_path, *servers, agent=agent, control=True, **options) as old,
     ):
 
-        def follow(name="new", **more):
+        def start_successor(name="new", **more):
             folder = tmp_path / name
             folder.mkdir()
             more = {"tmpdir": tmp_path} | options | more
             program = Program(folder, *servers, agent=agent, control=True, port=old.port, **more)
             stack.callback(program.process.wait)
             stack.callback(program.process.kill)
-            until(lambda: says_yes(program), "the new process's yes")
+            until(lambda: is_ready(program), "the new process to be ready")
             return program
 
-        yield old, follow
+        yield old, start_successor
 
 
-def says_yes(program):
+def is_ready(program):
     assert program.process.poll() is None, program.log
     with contextlib.suppress(OSError):
         return program.call("GET", "/-/ready")[0] == 200
     return False
 
 
-def end(program):
+def stop_process(program):
     program.process.send_signal(signal.SIGTERM)
     assert program.process.wait(timeout=10) == 0
 
 
-def test_two_upgrades_in_a_row_cost_no_request(tmp_path):
-    # guards against a queue that is closed, a kept connection that is cut, and a name nobody takes over
-    with succession(tmp_path, TurnServer(), TurnServer()) as (old, follow):
-        load = Load(old)
+def test_two_successive_upgrades_lose_no_request(tmp_path):
+    # guards against a closed accept queue, a reset persistent connection and a handover socket that
+    # the successor does not take over
+    with running_process(tmp_path, TurnServer(), TurnServer()) as (old, start_successor):
+        load = RequestLoad(old)
         try:
             time.sleep(0.3)
-            second = follow("second")
-            end(old)
+            second = start_successor("second")
+            stop_process(old)
             time.sleep(0.2)
-            third = follow("third")
-            end(second)
+            third = start_successor("third")
+            stop_process(second)
             time.sleep(0.2)
         finally:
             load.stop()
-        assert load.faults == [] and set(load.answers) == {200} and len(load.answers) > 50
+        assert load.errors == [] and set(load.statuses) == {200} and len(load.statuses) > 50
         for program in (second, third):
             assert "handover: 2 hosts" in program.log and "the old process has ended" in program.log
         keys = [headers["idempotency-key"] for s in old.servers for _, headers, _ in s.requests]
-        assert len(keys) == len(set(keys))  # no move was written twice
+        assert len(keys) == len(set(keys))  # no turn was submitted twice
         assert third.figures()["calls"]["turn-submit"]["failure"] == 0
 
 
-def test_unread_bytes_and_requests_in_hand_outlive_the_old_process(tmp_path):
-    # guards against a request that is cut off by the end, or lost with the connection it stands on
+def test_partial_and_in_flight_requests_survive_the_old_process(tmp_path):
+    # guards against a request that is aborted by the shutdown, or lost with its connection
     hold = threading.Event()
 
     def behave(server, message):
@@ -202,17 +205,20 @@
             hold.wait(9)
         return b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nboard"
 
-    with succession(tmp_path, TurnServer(behave), settings={"classes": PATIENT}) as (old, follow):
+    with running_process(tmp_path, TurnServer(behave), settings={"classes": LONG_DEADLINE_CLASSES}) as (
+        old,
+        start_successor,
+    ):
         busy, idle, half = old.connect(), old.connect(), old.connect()
         for sock in (busy, idle):
             assert old.ask(read_request(1), sock)[0] == 200
         half.sendall(read_request(3)[:30])
         busy.sendall(read_request(2, "/board-read?k=slow", span="9000m"))
         until(lambda: len(old.servers[0].requests) == 3, "the slow request")
-        new = follow()
+        new = start_successor()
         old.process.send_signal(signal.SIGTERM)
-        until(lambda: "stopping" in old.log, "the end's beginning")
-        assert new.ask(read_request(4), idle)[0] == 200  # on the connection that the old one accepted
+        until(lambda: "stopping" in old.log, "the start of the shutdown")
+        assert new.ask(read_request(4), idle)[0] == 200  # on a connection that the old process accepted
         assert new.figures()["calls"]["board-read"]["success"] == 1
         half.sendall(read_request(3)[30:])
         assert half.recv(1000).startswith(b"HTTP/1.1 200")
@@ -223,28 +229,31 @@
             assert new.ask(read_request(number), sock)[0] == 200
 
 
-@pytest.mark.parametrize("told", [False, True])
-def test_a_new_process_that_dies_leaves_the_old_one_serving(tmp_path, told):
-    # guards against a door that stands open and nobody behind it
-    with succession(tmp_path, TurnServer()) as (old, follow):
+@pytest.mark.parametrize("stopping", [False, True])
+def test_old_process_serves_after_the_new_one_is_killed(tmp_path, stopping):
+    # guards against a listening socket on which no process accepts connections
+    with running_process(tmp_path, TurnServer()) as (old, start_successor):
         busy = old.connect()
-        busy.sendall(read_request(1)[:30])  # keeps the old process from ending
-        new = follow()
-        if told:
+        busy.sendall(read_request(1)[:30])  # keeps the old process from exiting
+        new = start_successor()
+        if stopping:
             old.process.send_signal(signal.SIGTERM)
-            until(lambda: "stopping" in old.log, "the end's beginning")
+            until(lambda: "stopping" in old.log, "the start of the shutdown")
         new.process.kill()
-        until(lambda: "successor_gone" in old.log or "is gone from the handover" in old.log, "the word of it")
+        until(
+            lambda: "successor_gone" in old.log or "is gone from the handover" in old.log,
+            "the log entry of the lost successor",
+        )
         assert old.ask(read_request(2))[0] == 200
-        if not told:
-            again = follow("again")
+        if not stopping:
+            again = start_successor("again")
             assert "handover: 1 hosts" in again.log
-            end(old)
+            stop_process(old)
             assert again.ask(read_request(3))[0] == 200
 
 
-def test_a_second_upgrade_may_come_while_the_first_old_process_still_ends(tmp_path):
-    # guards against connections that are lost on their way through a process that is itself to end
+def test_second_upgrade_while_the_first_old_process_shuts_down(tmp_path):
+    # guards against client connections lost in a process that itself stops before it has passed them on
     hold = threading.Event()
 
     def behave(server, message):
@@ -252,17 +261,20 @@
             hold.wait(9)
         return b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nboard"
 
-    with succession(tmp_path, TurnServer(behave), settings={"classes": PATIENT}) as (first, follow):
+    with running_process(tmp_path, TurnServer(behave), settings={"classes": LONG_DEADLINE_CLASSES}) as (
+        first,
+        start_successor,
+    ):
         kept, slow = first.connect(), first.connect()
         assert first.ask(read_request(1), kept)[0] == 200
         slow.sendall(read_request(2, "/board-read?k=slow", span="9000m"))
         until(lambda: len(first.servers[0].requests) == 2, "the slow request")
-        second = follow("second")
+        second = start_successor("second")
         first.process.send_signal(signal.SIGTERM)
-        until(lambda: "stopping" in first.log, "the end's beginning")
-        third = follow("third")
+        until(lambda: "stopping" in first.log, "the start of the shutdown")
+        third = start_successor("third")
         second.process.send_signal(signal.SIGTERM)
-        until(lambda: "stopping" in second.log, "the end's beginning")
+        until(lambda: "stopping" in second.log, "the start of the shutdown")
         hold.set()
         assert slow.recv(1000).startswith(b"HTTP/1.1 200")
         assert first.process.wait(timeout=10) == second.process.wait(timeout=10) == 0
@@ -270,24 +282,24 @@
             assert third.ask(read_request(number), sock)[0] == 200
 
 
-class Odd:
-    """Stands at the meeting place and speaks oddly."""
+class FakePredecessor:
+    """Listens at the handover path and sends one fixed answer, or none."""
 
     def __init__(self, path, answer):
         self.sock = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
         self.sock.bind(str(path))
         self.sock.listen(4)
-        self.answer, self.kept = answer, []
+        self.answer, self.connections = answer, []
         threading.Thread(target=self.serve, daemon=True).start()
 
     def serve(self):
         with contextlib.suppress(OSError):
             while True:
-                link, _ = self.sock.accept()
-                self.kept.append(link)
+                connection, _ = self.sock.accept()
+                self.connections.append(connection)
                 if self.answer is not None:
-                    link.recv(65536)
-                    link.send(self.answer)
+                    connection.recv(65536)
+                    connection.send(self.answer)
 
 
 @pytest.mark.parametrize(
@@ -297,69 +309,69 @@
         None,
         b"garbage",
         b'[2,"welcome",[]]',
-        messages.word(messages.Kind.READY, {}),
-        messages.word(messages.Kind.WELCOME, ["127.0.0.1:1"]),
+        messages.encode(messages.PacketKind.STATE_COMPLETE, {}),
+        messages.encode(messages.PacketKind.WELCOME, ["127.0.0.1:1"]),
     ],
 )
-def test_a_start_goes_on_whatever_stands_at_the_meeting_place(tmp_path, answer):
-    # guards against a failed handover that stops a start
-    path = path_for("n0", {"TMPDIR": str(tmp_path)})
+def test_start_succeeds_whatever_listens_at_the_socket_path(tmp_path, answer):
+    # guards against a failed handover that prevents the start
+    path = socket_path("n0", {"TMPDIR": str(tmp_path)})
     if answer == "stale":
         with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as sock:
             sock.bind(str(path))
     else:
-        odd = Odd(path, answer)
+        predecessor = FakePredecessor(path, answer)
     with Program(tmp_path, TurnServer(), control=True) as program:
         assert program.ask(read_request(1))[0] == 200
         assert "an ordinary start" in program.log
-        until(lambda: os.stat(path).st_mode & 0o777 == 0o600, "a name that is its own")
+        until(lambda: os.stat(path).st_mode & 0o777 == 0o600, "the process's own handover socket")
     if answer != "stale":
-        odd.sock.close()
+        predecessor.sock.close()
 
 
-def test_without_a_meeting_place_both_listen_at_the_address(tmp_path):
-    # guards against a fallback that cannot start beside the old process
+def test_both_processes_listen_without_a_handover_socket(tmp_path):
+    # guards against a fallback that fails to start while the old process still listens
     far = "/" + "x" * 120
-    with succession(tmp_path, TurnServer(), tmpdir=far) as (old, follow):
-        new = follow()
+    with running_process(tmp_path, TurnServer(), tmpdir=far) as (old, start_successor):
+        new = start_successor()
         assert "no handover to a new process" in new.log
-        end(old)
+        stop_process(old)
         assert new.ask(read_request(1))[0] == 200
 
 
 @pytest.mark.parametrize("packets", [1, 2, 9])
-def test_a_new_process_that_dies_before_it_serves_leaves_the_old_one_as_it_was(tmp_path, packets):
-    # guards against an old process that gives its door away to one who never opened it
-    with succession(tmp_path, TurnServer()) as (old, follow):
-        path = path_for("n0", {"TMPDIR": str(tmp_path)})
-        until(path.exists, "the meeting place")
+def test_old_process_serves_after_the_new_one_exits_before_serving(tmp_path, packets):
+    # guards against an old process that gives up its listening sockets to a process that never serves
+    with running_process(tmp_path, TurnServer()) as (old, start_successor):
+        path = socket_path("n0", {"TMPDIR": str(tmp_path)})
+        until(path.exists, "the handover socket")
         with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as sock:
             sock.connect(str(path))
-            sock.send(messages.word(messages.Kind.HELLO))
+            sock.send(messages.encode(messages.PacketKind.HELLO))
             for _ in range(packets):
                 data, fds, _, _ = socket.recv_fds(sock, 65536, 16)
                 for fd in fds:
                     os.close(fd)
-                if messages.read(data)[0] is messages.Kind.READY:
+                if messages.decode(data)[0] is messages.PacketKind.STATE_COMPLETE:
                     break
-        until(lambda: "gone from the handover" in old.log, "the word of it")
+        until(lambda: "gone from the handover" in old.log, "the log entry of the lost successor")
         assert old.ask(read_request(1))[0] == 200
-        new = follow()
-        end(old)
+        new = start_successor()
+        stop_process(old)
         assert new.ask(read_request(2))[0] == 200
 
 
-def test_a_stranger_at_the_socket_changes_nothing(tmp_path):
-    # guards against a garbled word, or a second caller, that costs the old process something
-    with succession(tmp_path, TurnServer()) as (old, follow):
-        path = path_for("n0", {"TMPDIR": str(tmp_path)})
-        until(path.exists, "the meeting place")
-        for word in (b"nonsense", messages.word(messages.Kind.SERVES), b'[9,"hello",null]'):
+def test_invalid_packets_leave_the_old_process_unchanged(tmp_path):
+    # guards against an old process that fails on a malformed packet or a second connection
+    with running_process(tmp_path, TurnServer()) as (old, start_successor):
+        path = socket_path("n0", {"TMPDIR": str(tmp_path)})
+        until(path.exists, "the handover socket")
+        for packet in (b"nonsense", messages.encode(messages.PacketKind.SERVING), b'[9,"hello",null]'):
             with socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as sock:
                 sock.connect(str(path))
-                sock.send(word)
+                sock.send(packet)
                 assert sock.recv(1000) == b""
         assert old.ask(read_request(1))[0] == 200
-        new = follow()
-        end(old)
+        new = start_successor()
+        stop_process(old)
         assert new.ask(read_request(2))[0] == 200
