--- a/brackenusher/daemon.py
+++ b/brackenusher/daemon.py
@@ -453,7 +453,7 @@
                     log,
                     logging.WARNING,
                     "reload_waits",
-                    "reload: a change of %(entry)s takes effect at the next start",
+                    "reload: %(entry)s counts from the next start on",
                     entry=name,
                 )
         host, port = config.discovery
@@ -555,7 +555,7 @@
                 log,
                 logging.INFO,
                 "stop_phase",
-                "%(phase)s %(after_ms).0f ms after the signal: %(taken)d taken, %(in_hand)d open, "
+                "%(phase)s %(after_ms).0f ms after the signal: %(taken)d taken, %(in_hand)d in hand, "
                 "%(connections)d connections, stalled %(stall_ms).0f ms at most",
                 phase=phase.name.lower().replace("_", " "),
                 after_ms=now - plan.told_at,
@@ -579,7 +579,7 @@
                     log,
                     logging.WARNING,
                     "given_up",
-                    "failed %(count)d open transactions at shutdown",
+                    "%(count)d transactions were given up at the end",
                     count=given_up,
                 )
             for front, _ in self.fronts:
--- a/brackenusher/handover/replacement.py
+++ b/brackenusher/handover/replacement.py
@@ -131,7 +131,7 @@
         assert self.predecessor is not None
         self.limits = self.client_limit, self.upstream_limit
         self.apply_limits()
-        text = "the old process has ended; %(passed)d client connections received"
+        text = "the old process has ended; %(passed)d clients' connections came"
         say(log, logging.INFO, "old_ended", text, passed=self.predecessor.received)
         self.predecessor, self.awaited = None, False
 
@@ -224,6 +224,6 @@
     def close(self) -> None:
         """Log the transferred connections and remove the handover socket on shutdown."""
         if self.handover_server is not None:
-            text = "%(passed)d client connections transferred"
+            text = "%(passed)d connections passed on"
             say(log, logging.INFO, "passed_on", text, passed=self.handover_server.transferred)
             self.handover_server.close()
