--- a/brackenusher/group/node.py
+++ b/brackenusher/group/node.py
@@ -1,6 +1,6 @@
-"""The driver of a policy that is agreed on: the machine, its store and streams, and who acts upon the rules.
+"""Drives the Raft group that replicates the policy: its store, its streams, and enforcement of the rules.
 
-It decides nothing. What the machine wants is stored first, sent then, and applied last.
+All decisions are made by the protocol state machine. Its output is stored first, then sent, and applied last.
 """
 
 import logging
@@ -36,15 +36,15 @@
 
 log = logging.getLogger(__name__)
 
-LEAST_WAIT = 1.0  # milliseconds between two turns of the machine
-LONGEST_WAIT = 200.0  # and at most, so that a pause is noticed
-STORE_AGAIN = 1000.0  # milliseconds after a store could not be made
-ALONE = 2000.0  # milliseconds in which others may say that the store of one that votes alone is an old one
-CLOSED = 500.0  # milliseconds that whoever is turned away is asked to wait
+MIN_WAKEUP_INTERVAL_MS = 1.0  # between two ticks of the state machine
+MAX_WAKEUP_INTERVAL_MS = 200.0  # bounded so that a stall of the process is noticed
+STORE_RETRY_INTERVAL_MS = 1000.0  # after a store could not be created
+SINGLE_VOTER_QUARANTINE_MS = 2000.0  # in which peers may report that the store of the only voter is outdated
+DENIED_RETRY_AFTER_MS = 500.0  # named to clients whose requests are denied
 
 
 class Node:
-    """One proxy's part in what the group agrees on; a `brackenusher.core.admission.Gate`."""
+    """One proxy's member of the Raft group; a `brackenusher.core.admission.Gate`."""
 
     def __init__(
         self,
@@ -53,22 +53,22 @@
         pool: Pool,
         name: str,
         settings: PolicySettings,
-        house: GroupParts,
+        group_parts: GroupParts,
     ) -> None:
         self.loop, self.name, self.settings = loop, name, settings
-        self.store: Store | None = None  # who does not vote, and never was to, needs none
+        self.store: Store | None = None  # None on members that have never been voters
         self.worker: Worker | None = None
-        self.preparing = False
+        self.creating_store = False
         kept = Kept()
         if name in settings.voters or os.path.exists(os.path.join(settings.folder, Store.NAME)):
-            self.store, kept = self.open(settings.folder)
+            self.store, kept = self.open_store(settings.folder)
             self.worker = Worker()
-        self.lives = kept.lives
-        self.met = Incarnations(kept.met)
-        self.meets = dict(kept.met)  # what is to be on disk of it
-        self.cleared: set[str] = {name}
-        self.old = False  # somebody knows its store to be later than it is
-        self.governed = PolicyGate(
+        self.store_opens = kept.lives
+        self.peer_incarnations = Incarnations(kept.met)
+        self.queued_incarnations = dict(kept.met)  # as last queued for the store
+        self.confirmed_by: set[str] = {name}
+        self.store_outdated = False  # a peer has seen a later state of this store
+        self.policy_gate = PolicyGate(
             name,
             list(settings.voters),
             random.Random(random.SystemRandom().getrandbits(64)),
@@ -82,38 +82,41 @@
             self.store is not None and len(settings.voters) > 1,
             self.store is not None,
         )
-        agreement = self.governed.raft
-        alone = self.store is not None and agreement.voters == [name] and agreement.quarantined
-        # by its log it votes alone, whatever the file names
-        self.alone_at = clock() + ALONE if alone else inf
-        self.streams = house.streams
-        self.streams.takers[b""] = self.heard
-        self.streams.refused, self.streams.opened = self.refused, self.opened
-        self.streams.known, self.streams.lives = self.known, self.lives
-        self.inorder: OrderedOutput[Ready] = OrderedOutput(
-            loop, self.worker, self.needs, self.keep, self.stored, "policy"
+        agreement = self.policy_gate.raft
+        only_voter = self.store is not None and agreement.voters == [name] and agreement.quarantined
+        # the log names this proxy as the only voter, whatever the operators' file says
+        self.quarantine_ends_at = clock() + SINGLE_VOTER_QUARANTINE_MS if only_voter else inf
+        self.streams = group_parts.streams
+        self.streams.handlers[b""] = self.on_message
+        self.streams.on_connection_refused, self.streams.on_stream_opened = (
+            self.on_connection_refused,
+            self.on_stream_opened,
         )
-        house.deeds.update(
+        self.streams.on_recorded_opens, self.streams.store_opens = self.on_recorded_opens, self.store_opens
+        self.output: OrderedOutput[Ready] = OrderedOutput(
+            loop, self.worker, self.needs_storing, self.write_to_store, self.on_stored, "policy"
+        )
+        group_parts.deeds.update(
             {
-                "status": self.say_status,
-                "history": self.say_history,
-                "show": self.say_version,
+                "status": self.status_command,
+                "history": self.history_command,
+                "show": self.show_command,
                 "propose": self.propose,
                 "withdraw": self.withdraw,
                 "drop": self.drop,
-                "voters": self.elect,
+                "voters": self.set_voters,
             }
         )
-        self.acting = Acting(transactions, pool)
+        self.enforcer = Acting(transactions, pool)
         self.decoder: msgpack.Decoder[Message] = msgpack.Decoder(Message)
-        self.due: Limit | None = None
-        self.why = "behind"
-        self.turned_away = 0
-        self.phase = (0, 0, "")
-        self.role = ""
-
-    def open(self, folder: str) -> tuple[Store, Kept]:
-        """The store, and what it holds. Raises ValueError."""
+        self.wakeup_timer: Limit | None = None
+        self.logged_denial = "behind"
+        self.denied_count = 0
+        self.logged_rollout = (0, 0, "")
+        self.logged_role = ""
+
+    def open_store(self, folder: str) -> tuple[Store, Kept]:
+        """Opens the store and returns it with its contents. Raises ValueError."""
         store, kept = opened(Store, Store.load, folder, "policy")
         kept = kept or Kept()
         kept.lives += 1
@@ -123,222 +126,231 @@
             raise ValueError(f"policy.folder: {folder}: {error}") from error
         return store, kept
 
-    # The start, and its times
+    # Start and timers
 
     def start(self) -> None:
         if self.worker is not None:
-            self.loop.spawn(self.finish(self.worker), self.worker.ours)
-        self.work()
+            self.loop.spawn(self.run_completions(self.worker), self.worker.ours)
+        self.on_wakeup()
 
-    def finish(self, worker: Worker) -> Coroutine:
+    def run_completions(self, worker: Worker) -> Coroutine:
         while True:
             yield READ
             worker.finish()
 
-    def work(self) -> None:
-        """Do what is due, and come back."""
-        self.due = None
+    def on_wakeup(self) -> None:
+        """Runs what is due and schedules the next wakeup."""
+        self.wakeup_timer = None
         now = clock()
         try:
-            if self.alone_at < inf:
-                self.ask_all(now)
-            self.governed.tick(now)
-            for name in self.governed.probe_targets:
-                self.streams.nudge(name)
-            self.pump(now)
+            if self.quarantine_ends_at < inf:
+                self.check_store_is_latest(now)
+            self.policy_gate.tick(now)
+            for name in self.policy_gate.probe_targets:
+                self.streams.probe(name)
+            self.process_ready(now)
         finally:
-            self.again()
+            self.schedule_wakeup()
 
-    def ask_all(self, now: float) -> None:
-        """This one votes alone if its store is the latest: whoever has met a later start of it says so."""
-        if now >= self.alone_at:
-            self.alone_at = inf
-            self.governed.raft.end_quarantine()
+    def check_store_is_latest(self, now: float) -> None:
+        """Contacts all members; one that recorded a later opening of the only voter's store reports it."""
+        if now >= self.quarantine_ends_at:
+            self.quarantine_ends_at = inf
+            self.policy_gate.raft.end_quarantine()
             return
-        for name in {*self.settings.voters, *self.governed.rollout_state.roster} - {self.name}:
-            self.streams.nudge(name)
+        for name in {*self.settings.voters, *self.policy_gate.rollout_state.roster} - {self.name}:
+            self.streams.probe(name)
 
-    def again(self) -> None:
-        self.loop.deadlines.remove(self.due)
+    def schedule_wakeup(self) -> None:
+        self.loop.deadlines.remove(self.wakeup_timer)
         now = clock()
-        when = min(max(self.governed.next_wakeup(), now + LEAST_WAIT), now + LONGEST_WAIT)
-        self.due = self.loop.deadlines.add(when, self.work)
+        when = min(
+            max(self.policy_gate.next_wakeup(), now + MIN_WAKEUP_INTERVAL_MS), now + MAX_WAKEUP_INTERVAL_MS
+        )
+        self.wakeup_timer = self.loop.deadlines.add(when, self.on_wakeup)
 
     # Store, send, apply
 
-    def pump(self, now: float) -> None:
-        """Take what the machine wants done, one after the other."""
-        self.tell()
-        ready = self.governed.take_ready() if self.inorder.idle else None
+    def process_ready(self, now: float) -> None:
+        """Takes the next output of the state machine once the previous one is done."""
+        self.log_changes()
+        ready = self.policy_gate.take_ready() if self.output.idle else None
         if ready is not None:
-            self.inorder.put(ready)
+            self.output.put(ready)
 
-    def needs(self, ready: Ready) -> bool:
+    def needs_storing(self, ready: Ready) -> bool:
         return ready.hard_state is not None or bool(ready.entries) or ready.snapshot is not None
 
-    def keep(self, ready: Ready) -> None:
+    def write_to_store(self, ready: Ready) -> None:
         assert self.store is not None
         self.store.keep(ready)
 
-    def stored(self, ready: Ready) -> None:
-        """It is on disk: send, apply, and go on."""
+    def on_stored(self, ready: Ready) -> None:
+        """Called once the output is durable: sends, applies, and continues."""
         reach("before-send")
         for to, message in ready.messages:
             self.streams.send(to, msgpack.encode(message))
         reach("after-send")
-        made = self.governed.on_stored(clock(), ready)
+        snapshot = self.policy_gate.on_stored(clock(), ready)
         if ready.committed_entries:
             reach("after-apply")
-        if made is not None and self.store is not None and self.worker is not None:
+        if snapshot is not None and self.store is not None and self.worker is not None:
             store = self.store
-            self.worker.put(lambda: store.compact(made), lambda why: None)
-        self.act()
-        if self.store is None and self.name in self.governed.rollout_state.electorate:
-            self.prepare()
-        self.pump(clock())
-
-    def prepare(self) -> None:
-        """This one is to vote and has no store yet: make one with all that it holds, on a thread."""
-        if self.preparing:
+            self.worker.put(lambda: store.compact(snapshot), lambda why: None)
+        self.enforce_rules()
+        if self.store is None and self.name in self.policy_gate.rollout_state.electorate:
+            self.create_store()
+        self.process_ready(clock())
+
+    def create_store(self) -> None:
+        """Creates a store with the full state, on a thread, for a member that becomes a voter."""
+        if self.creating_store:
             return
-        self.preparing = True
+        self.creating_store = True
         worker, made = Worker(), list[tuple[Store, Kept]]()
-        task = self.loop.spawn(self.finish(worker), worker.ours)
+        task = self.loop.spawn(self.run_completions(worker), worker.ours)
 
         def make() -> None:
             try:
-                made.append(self.open(self.settings.folder))
+                made.append(self.open_store(self.settings.folder))
             except ValueError as error:
                 raise OSError(str(error)) from error
 
         def ready(why: str) -> None:
-            self.preparing = False
+            self.creating_store = False
             if why:
                 say(log, logging.ERROR, "store_failed", "policy: no store to vote by: %(why)s", why=why)
-                self.loop.deadlines.add(clock() + STORE_AGAIN, self.prepare)
+                self.loop.deadlines.add(clock() + STORE_RETRY_INTERVAL_MS, self.create_store)
                 worker.close()
                 task.stop()
                 return
-            self.worker = self.inorder.worker = worker
+            self.worker = self.output.worker = worker
             self.store, kept = made[0]
-            self.lives = self.streams.lives = kept.lives
-            self.keep_whole()
+            self.store_opens = self.streams.store_opens = kept.lives
+            self.store_full_state()
 
         worker.put(make, ready)
 
-    def keep_whole(self) -> None:
-        """Have all that the machine holds on disk; what it wants stored later comes after it."""
-        store, worker, whole = self.store, self.worker, self.governed.raft.full_state()
+    def store_full_state(self) -> None:
+        """Writes the full state to the new store; later output is stored after it."""
+        store, worker, full_state = self.store, self.worker, self.policy_gate.raft.full_state()
         assert store is not None and worker is not None
 
         def kept(why: str) -> None:
             if why:
-                self.loop.deadlines.add(clock() + STORE_AGAIN, self.keep_whole)
+                self.loop.deadlines.add(clock() + STORE_RETRY_INTERVAL_MS, self.store_full_state)
             else:
-                self.governed.on_store_ready(clock())
+                self.policy_gate.on_store_ready(clock())
                 say(log, logging.INFO, "store_made", "policy: keeps what it says on disk, and may vote")
 
-        worker.put(lambda: store.keep(whole), kept)
+        worker.put(lambda: store.keep(full_state), kept)
 
     # Streams
 
-    def heard(self, sender: str, data: bytes) -> None:
-        self.governed.receive(clock(), sender, self.decoder.decode(data))
-        self.pump(clock())
-        self.again()
+    def on_message(self, sender: str, data: bytes) -> None:
+        self.policy_gate.receive(clock(), sender, self.decoder.decode(data))
+        self.process_ready(clock())
+        self.schedule_wakeup()
 
-    def refused(self, name: str, began: float) -> None:
-        self.governed.on_connection_refused(clock(), name, began)
+    def on_connection_refused(self, name: str, began: float) -> None:
+        self.policy_gate.on_connection_refused(clock(), name, began)
 
-    def opened(self, name: str, lives: int, run: int, then: Callable[[int | None], None]) -> None:
-        """A peer opens a stream and says how often its store was opened.
+    def on_stream_opened(
+        self, name: str, store_opens: int, run_id: int, then: Callable[[int | None], None]
+    ) -> None:
+        """A peer opens a stream and reports how often its store was opened.
 
-        `then` is told what was known of that before, once this is on disk; None where it cannot be.
+        `then` gets the count known before, once the new one is durable; None if it cannot be stored.
         """
-        before, life = self.met.on_shown(name, lives, run)
-        if life is None or self.store is None or self.worker is None:
+        before, incarnation = self.peer_incarnations.on_shown(name, store_opens, run_id)
+        if incarnation is None or self.store is None or self.worker is None:
             then(before)
             return
         store = self.store
-        self.meets[name] = life
-        meets = {n: (m.count, m.run_id, m.previous_count) for n, m in self.meets.items()}
+        self.queued_incarnations[name] = incarnation
+        incarnations = {n: (m.count, m.run_id, m.previous_count) for n, m in self.queued_incarnations.items()}
 
         def kept(why: str) -> None:
             if not why:
-                self.met.on_stored(name, life)
+                self.peer_incarnations.on_stored(name, incarnation)
             then(None if why else before)
 
-        self.worker.put(lambda: store.facts(met=meets), kept)
+        self.worker.put(lambda: store.facts(met=incarnations), kept)
 
-    def known(self, name: str, lives: int) -> None:
-        """A peer says how often it knew this one's store to have been opened."""
-        if self.store is None or name in self.cleared:
+    def on_recorded_opens(self, name: str, recorded_opens: int) -> None:
+        """A peer reports how many openings of this proxy's store it has recorded."""
+        if self.store is None or name in self.confirmed_by:
             return
-        if lives >= self.lives and lives > 0:
+        if recorded_opens >= self.store_opens and recorded_opens > 0:
             text = "policy: %(peer)s knows this proxy's store to be later than it is: no vote until caught up"
             say(log, logging.ERROR, "store_old", text, peer=name)
-            self.lives = lives + 1
-            self.streams.lives = self.lives
-            self.cleared, self.alone_at, self.old = {self.name}, inf, True
-            self.governed.raft.quarantined = True
+            self.store_opens = recorded_opens + 1
+            self.streams.store_opens = self.store_opens
+            self.confirmed_by, self.quarantine_ends_at, self.store_outdated = {self.name}, inf, True
+            self.policy_gate.raft.quarantined = True
             if self.store is not None and self.worker is not None:
-                store, mine = self.store, self.lives
-                self.worker.put(lambda: store.facts(lives=mine), lambda why: None)
+                store, own_opens = self.store, self.store_opens
+                self.worker.put(lambda: store.facts(lives=own_opens), lambda why: None)
             return
-        agreement = self.governed.raft
+        agreement = self.policy_gate.raft
         if name not in agreement.voters:
             return
-        self.cleared.add(name)
-        # what one knows no others can clear: it has to catch up
-        able = self.governed.durable and not self.old
-        if agreement.quarantined and able and len(self.cleared) >= agreement.majority:
+        self.confirmed_by.add(name)
+        # one such report cannot be outvoted: the member has to catch up
+        may_end = self.policy_gate.durable and not self.store_outdated
+        if agreement.quarantined and may_end and len(self.confirmed_by) >= agreement.majority:
             agreement.end_quarantine()
 
-    # Acting upon the rules
+    # Enforcement of the rules
 
     def ask(self, key: str, request: Request, now: float) -> float:
-        """Whether a request of a tenant may come in: 0, or how many milliseconds to wait."""
-        why = self.governed.admission_refusal(clock())
+        """Returns 0 if the tenant's request is admitted, otherwise the milliseconds to wait."""
+        why = self.policy_gate.admission_refusal(clock())
         if why:
-            self.turned_away += 1
-            return CLOSED
-        return self.acting.ask(key, request, now)
-
-    def act(self) -> None:
-        """Act upon the rules of now, before anybody hears that they were taken up."""
-        if self.governed.rules_changed:
-            self.governed.rules_changed = False
-            self.acting.act(self.governed.rules or Rules())
-
-    def tell(self) -> None:
-        """Log what has changed."""
-        governed = self.governed
-        why = governed.admission_refusal(clock())
-        if why != self.why:
-            self.why = why
+            self.denied_count += 1
+            return DENIED_RETRY_AFTER_MS
+        return self.enforcer.ask(key, request, now)
+
+    def enforce_rules(self) -> None:
+        """Enforces the current rules before their application is reported to anyone."""
+        if self.policy_gate.rules_changed:
+            self.policy_gate.rules_changed = False
+            self.enforcer.act(self.policy_gate.rules or Rules())
+
+    def log_changes(self) -> None:
+        """Logs changes of admission, rollout and role."""
+        policy_gate = self.policy_gate
+        why = policy_gate.admission_refusal(clock())
+        if why != self.logged_denial:
+            self.logged_denial = why
             level = logging.WARNING if why else logging.INFO
             text = "policy: admits nothing: %(why)s" if why else "policy: admits"
             say(log, level, "policy_gate", text, **({"why": why} if why else {}))
-        book = governed.rollout_state
-        v = book.versions.get(book.pending)
-        phase = (book.force, book.pending, v.phase if v is not None else "")
-        if phase != self.phase:
-            self.phase = phase
+        rollout_state = policy_gate.rollout_state
+        v = rollout_state.versions.get(rollout_state.pending)
+        phase = (rollout_state.force, rollout_state.pending, v.phase if v is not None else "")
+        if phase != self.logged_rollout:
+            self.logged_rollout = phase
             text = "policy: at %(at).1f version %(force)d is in force; on its way: %(pending)d %(phase)s"
-            facts = {"at": clock(), "force": book.force, "pending": book.pending, "phase": phase[2] or "none"}
+            facts = {
+                "at": clock(),
+                "force": rollout_state.force,
+                "pending": rollout_state.pending,
+                "phase": phase[2] or "none",
+            }
             say(log, logging.INFO, "policy_version", text, **facts)
-        role = governed.raft.role.value
-        if role != self.role:
-            self.role = role
-            text, term = "policy: is %(role)s in term %(term)d", governed.raft.term
+        role = policy_gate.raft.role.value
+        if role != self.logged_role:
+            self.logged_role = role
+            text, term = "policy: is %(role)s in term %(term)d", policy_gate.raft.term
             say(log, logging.INFO, "policy_role", text, role=role, term=term)
 
     def ready(self) -> bool:
-        return not self.governed.admission_refusal(clock())
+        return not self.policy_gate.admission_refusal(clock())
 
     def figures(self) -> list[tuple[str, int, str, list[tuple[str, str]]]]:
-        """Gauges for a collector."""
-        status = self.governed.status(clock())
+        """Gauges for the metrics collector."""
+        status = self.policy_gate.status(clock())
         found: Mapping[str, int] = {
             "policy_version": status.force,
             "policy_pending": status.pending,
@@ -346,73 +358,73 @@
             "policy_behind": len(status.missing),
             "policy_leads": int(status.role == "leader"),
             "policy_term": status.term,
-            "policy_turned_away": self.turned_away,
-            **{f"policy_{by}": count for by, count in self.acting.counts.items()},
-            "policy_dropped": sum(self.streams.counts.values()) + self.governed.raft.dropped,
+            "policy_turned_away": self.denied_count,
+            **{f"policy_{by}": count for by, count in self.enforcer.counts.items()},
+            "policy_dropped": sum(self.streams.counts.values()) + self.policy_gate.raft.dropped,
         }
         if isfinite(status.lease_left):
             found = {**found, "policy_lease_ms": int(status.lease_left)}
         return [(name, value, "g", []) for name, value in found.items()]
 
-    # What staff want
+    # Commands of the administrators
 
-    def say_status(self, wish: Wish) -> Any:
-        found = asdict(self.governed.status(clock()))
+    def status_command(self, wish: Wish) -> Any:
+        found = asdict(self.policy_gate.status(clock()))
         found["lease_left"] = found["lease_left"] if isfinite(found["lease_left"]) else None
-        book, at = self.governed.rollout_state, self.streams.where(found["leader"])
+        rollout_state, at = self.policy_gate.rollout_state, self.streams.address_of(found["leader"])
         found["leader_at"] = "{}:{}".format(*at) if at is not None else ""
-        number = book.by_id.get(wish.id, 0)
-        found["asked"] = self.worded(number) if number else None
+        number = rollout_state.by_id.get(wish.id, 0)
+        found["asked"] = self.version_facts(number) if number else None
         return found
 
-    def worded(self, number: int) -> dict[str, Any]:
-        v = self.governed.rollout_state.versions[number]
+    def version_facts(self, number: int) -> dict[str, Any]:
+        v = self.policy_gate.rollout_state.versions[number]
         facts = ("number", "id", "who", "why", "at", "phase", "ended")
         return {name: getattr(v, name) for name in facts}
 
-    def say_history(self, wish: Wish) -> Any:
-        return [self.worded(number) for number in sorted(self.governed.rollout_state.versions)]
+    def history_command(self, wish: Wish) -> Any:
+        return [self.version_facts(number) for number in sorted(self.policy_gate.rollout_state.versions)]
 
-    def say_version(self, wish: Wish) -> Any:
-        book = self.governed.rollout_state
-        number = wish.number or book.force
-        if number and number not in book.versions:
+    def show_command(self, wish: Wish) -> Any:
+        rollout_state = self.policy_gate.rollout_state
+        number = wish.number or rollout_state.force
+        if number and number not in rollout_state.versions:
             raise PolicyError(f"version {number}: is not known")
-        return {"number": number, "text": book.text(number)}
+        return {"number": number, "text": rollout_state.text(number)}
 
     def propose(self, wish: Wish) -> Any:
         parse_policy(wish.text)
         if not 0 < len(wish.id) <= 64 or len(wish.who) > 64 or len(wish.why) > 500:
             raise PolicyError("id, who or why: too long, or missing")
-        self.governed.submit(clock(), Propose(wish.id, wish.who, wish.why, wish.at, wish.text))
-        self.pump(clock())
+        self.policy_gate.submit(clock(), Propose(wish.id, wish.who, wish.why, wish.at, wish.text))
+        self.process_ready(clock())
         return {"sent": True}
 
     def withdraw(self, wish: Wish) -> Any:
-        pending = self.governed.rollout_state.pending
+        pending = self.policy_gate.rollout_state.pending
         if not pending:
             raise PolicyError("nothing is on its way")
-        self.governed.withdraw(clock(), pending, wish.who)
-        self.pump(clock())
+        self.policy_gate.withdraw(clock(), pending, wish.who)
+        self.process_ready(clock())
         return {"number": pending}
 
     def drop(self, wish: Wish) -> Any:
-        if wish.id not in self.governed.rollout_state.roster:
+        if wish.id not in self.policy_gate.rollout_state.roster:
             raise PolicyError(f"{wish.id}: is not on the roster")
-        self.governed.submit(clock(), Drop(wish.id, wish.who))
-        self.pump(clock())
+        self.policy_gate.submit(clock(), Drop(wish.id, wish.who))
+        self.process_ready(clock())
         return {"sent": True}
 
-    def elect(self, wish: Wish) -> Any:
-        """Who is to vote, by names with blanks between them."""
-        names, roster = wish.text.split(), self.governed.rollout_state.roster
+    def set_voters(self, wish: Wish) -> Any:
+        """Proposes the voters, named in the text and separated by blanks."""
+        names, roster = wish.text.split(), self.policy_gate.rollout_state.roster
         if not 1 <= len(names) <= MAX_VOTERS or len(set(names)) < len(names):
             raise PolicyError(f"voters: 1 to {MAX_VOTERS} names, each once")
         for name in names:
             if name not in roster:
                 raise PolicyError(f"voters: {name} is not on the roster")
-        self.governed.submit(clock(), Electorate(names, wish.who))
-        self.pump(clock())
+        self.policy_gate.submit(clock(), Electorate(names, wish.who))
+        self.process_ready(clock())
         return {"sent": True}
 
     def close(self) -> None:
--- a/brackenusher/group/recovery.py
+++ b/brackenusher/group/recovery.py
@@ -1,7 +1,7 @@
-"""`brackenusher group`: how a whole group stands; backups, and what to do where a majority is gone for good.
+"""`brackenusher group`: status of a whole group, backups, and recovery after a permanent loss of a majority.
 
-Files are changed only while their proxy is stopped, and nothing is without naming what may be lost. Why it is
-so: docs/design/recovery.md; the run-book: docs/recovery.md.
+Files are changed only while their proxy is stopped, and only after listing what may be lost. Rationale:
+docs/design/recovery.md; runbook: docs/recovery.md.
 """
 
 import hashlib
@@ -25,17 +25,17 @@
 from brackenusher.group.replica_store import ReplicaStore
 from brackenusher.group.store import Store
 
-DONE, WRONG, REFUSED = 0, 1, 3  # exit codes
-NOTE = "backup.json"
-MOST_SHOWN = 50  # lines of what may be lost; the rest is counted
+EXIT_OK, EXIT_UNHEALTHY, EXIT_REFUSED = 0, 1, 3  # exit codes
+MANIFEST_NAME = "backup.json"
+MAX_MISSING_SHOWN = 50  # the rest is only counted
 
 
-def worded(address: tuple[str, int]) -> str:
+def format_address(address: tuple[str, int]) -> str:
     return f"{address[0]}:{address[1]}"
 
 
-def asked(address: str, settings: PeersSettings, verb: str, **facts: Any) -> Any:
-    """What a proxy says; None where it does not answer, or has no part in it."""
+def query_proxy(address: str, settings: PeersSettings, verb: str, **facts: Any) -> Any:
+    """Asks a proxy; returns None if it does not answer or the feature is off there."""
     try:
         return wish(address, settings, verb, **facts)
     except ConfigError:
@@ -46,13 +46,13 @@
 
 
 @contextmanager
-def copied(path: Path) -> Iterator[Path]:
-    """A folder with a whole copy of a store that may be in use: SQLite's own backup. Raises ConfigError."""
+def temporary_copy(path: Path) -> Iterator[Path]:
+    """Yields a folder with a copy, by SQLite's backup, of a store that may be in use. Raises ConfigError."""
     import tempfile
 
     with tempfile.TemporaryDirectory(prefix="group-") as folder:
-        into = Path(folder) / path.name
-        copy_store(path, into)
+        target = Path(folder) / path.name
+        copy_store(path, target)
         yield Path(folder)
 
 
@@ -68,8 +68,8 @@
 
 
 def read_file(kind: type[F], path: Path, load: Callable[[F], K]) -> K:
-    """What a store holds, as it is. Raises ConfigError, also where it does not hold together."""
-    with copied(path) as folder:
+    """Reads the contents of a store without changing it. Raises ConfigError, also if it is corrupt."""
+    with temporary_copy(path) as folder:
         try:
             file = kind(str(folder))
             with closing(file.db):
@@ -78,32 +78,32 @@
             raise ConfigError(f"{path}: does not hold together: {error}") from error
 
 
-def held_in(path: Path, name: str, named: tuple[str, ...]) -> StoreContents:
-    kept = read_file(Store, path, Store.load)
-    return StoreContents(name, kept.term, kept.snapshot, kept.entries, named)
+def read_voter_store(path: Path, name: str, configured_voters: tuple[str, ...]) -> StoreContents:
+    stored = read_file(Store, path, Store.load)
+    return StoreContents(name, stored.term, stored.snapshot, stored.entries, configured_voters)
 
 
-def folders_of(operator: Operator) -> dict[str, Path]:
-    """Where a proxy keeps what it must not forget, by the file's name."""
+def store_folders(operator: Operator) -> dict[str, Path]:
+    """Folders of a proxy's stores by file name."""
     parts = ((operator.policy, Store), (operator.replica, ReplicaStore))
     return {kind.NAME: Path(part.folder) for part, kind in parts if part is not None and part.folder}
 
 
-def stores_of(operator: Operator) -> dict[str, Path]:
-    """The files that are there."""
-    found = {file: folder / file for file, folder in folders_of(operator).items()}
+def existing_stores(operator: Operator) -> dict[str, Path]:
+    """The store files that exist, by file name."""
+    found = {file: folder / file for file, folder in store_folders(operator).items()}
     return {file: path for file, path in found.items() if path.exists()}
 
 
-def loaded(name: str) -> tuple[Operator, PeersSettings]:
+def load_group_settings(name: str) -> tuple[Operator, PeersSettings]:
     operator = load_operator(name)
     if operator.peers is None:
         raise ConfigError(f"{name}: peers.enabled: a group needs peers")
     return operator, operator.peers
 
 
-def stopped(peers: PeersSettings) -> None:
-    """Raises ConfigError where the proxy of this file runs."""
+def require_stopped(peers: PeersSettings) -> None:
+    """Raises ConfigError if the proxy with these settings runs."""
     import socket
 
     try:
@@ -112,24 +112,26 @@
     except ConnectionRefusedError:
         return
     except OSError as error:
-        raise ConfigError(f"{worded(peers.listen)}: it cannot be told whether it runs: {error}") from error
-    raise ConfigError(f"{worded(peers.listen)}: a proxy runs there: stop it first")
+        raise ConfigError(
+            f"{format_address(peers.listen)}: it cannot be told whether it runs: {error}"
+        ) from error
+    raise ConfigError(f"{format_address(peers.listen)}: a proxy runs there: stop it first")
 
 
-# Who answers
+# Reachable proxies
 
 
-def heard(operator: Operator, peers: PeersSettings) -> dict[str, dict[str, Any]]:
-    """What the seeds that answer say of themselves, by name: status, history, marks, where these are on."""
+def query_seeds(operator: Operator, peers: PeersSettings) -> dict[str, dict[str, Any]]:
+    """Status, history and overrides of the seeds that answer, by name; empty for features that are off."""
     found = {}
     for seed in peers.seeds:
         if seed in (peers.listen, peers.known_as):
             continue
-        at = worded(seed)
-        status, shown = asked(at, peers, "status"), asked(at, peers, "replica show")
+        at = format_address(seed)
+        status, shown = query_proxy(at, peers, "status"), query_proxy(at, peers, "replica show")
         if status is not None or shown is not None:
             name = (status or shown)["name"]
-            history = asked(at, peers, "history") if status is not None else None
+            history = query_proxy(at, peers, "history") if status is not None else None
             found[name] = {
                 "status": status,
                 "history": history or [],
@@ -138,16 +140,19 @@
     return found
 
 
-def lost(answers: dict[str, dict[str, Any]], held: StoreContents | None, marks: set[str] | None) -> list[str]:
-    """What proxies that answer know of, and the files at hand lack."""
+def find_missing(
+    answers: dict[str, dict[str, Any]], local: StoreContents | None, marks: set[str] | None
+) -> list[str]:
+    """Versions and overrides known to proxies that answer and missing in the local files."""
     found: dict[str, None] = {}
-    mine = []
-    if held is not None:
-        mine = [
-            {"number": v.number, "id": v.id, "phase": v.phase} for v in held.rollout_state().versions.values()
+    local_versions = []
+    if local is not None:
+        local_versions = [
+            {"number": v.number, "id": v.id, "phase": v.phase}
+            for v in local.rollout_state().versions.values()
         ]
     for answer in answers.values():
-        found |= dict.fromkeys(missing_versions(mine, answer["history"]))
+        found |= dict.fromkeys(missing_versions(local_versions, answer["history"]))
         if marks is not None:
             found |= dict.fromkeys(
                 f"the mark of {m['key']}" for m in answer["marks"] if m["key"] not in marks
@@ -155,51 +160,54 @@
     return list(found)
 
 
-def say_lost(lines: list[str], answers: dict[str, Any], out: TextIO) -> None:
+def print_missing(lines: list[str], answers: dict[str, Any], out: TextIO) -> None:
     if not answers:
         print("nobody else answers: what was acknowledged and is not here cannot be listed", file=out)
-    for line in lines[:MOST_SHOWN]:
+    for line in lines[:MAX_MISSING_SHOWN]:
         print(f"not here: {line}", file=out)
-    if len(lines) > MOST_SHOWN:
-        print(f"not here: {len(lines) - MOST_SHOWN} more", file=out)
+    if len(lines) > MAX_MISSING_SHOWN:
+        print(f"not here: {len(lines) - MAX_MISSING_SHOWN} more", file=out)
 
 
-def allowed(found: list[Objection], know: bool, out: TextIO) -> bool:
-    """Whether it may be done; says why not, and what `--i-know` would claim."""
+def is_allowed(found: list[Objection], acknowledged: bool, out: TextIO) -> bool:
+    """Returns whether to proceed; prints the objections and what `--i-know` would assert."""
     for objection in found:
         print(f"refused: {objection.reason}", file=out)
         if objection.assertion:
             print(f"    --i-know says: {objection.assertion}", file=out)
-    return all(o.assertion for o in found) and (know or not found)
+    return all(o.assertion for o in found) and (acknowledged or not found)
 
 
-# The verbs
+# Commands
 
 
 def status(addresses: list[str], settings: PeersSettings, out: TextIO) -> int:
-    """How proxies stand to each other; 1 where any is silent, behind, or of another group."""
-    lines, groups, versions, wrong = [], set(), set(), False
+    """Prints the state of proxies; returns 1 if any is silent, behind, or in another group."""
+    lines, groups, versions, unhealthy = [], set(), set(), False
     for address in addresses:
-        s, copy = asked(address, settings, "status"), asked(address, settings, "replica verify")
-        if s is None and copy is None:
+        s, replica = (
+            query_proxy(address, settings, "status"),
+            query_proxy(address, settings, "replica verify"),
+        )
+        if s is None and replica is None:
             lines.append(f"{address:<22} silent")
-            wrong = True
+            unhealthy = True
             continue
-        words = []
+        states = []
         if s is not None:
-            words.append(f"{s['role']} in term {s['term']}, leader {s['leader'] or 'unknown'}")
-            words.append(
+            states.append(f"{s['role']} in term {s['term']}, leader {s['leader'] or 'unknown'}")
+            states.append(
                 f"version {s['force']}" + (f", {s['pending']} is {s['phase']}" if s["pending"] else "")
             )
-            words.append(f"applied {s['applied']}")
-            words.append("admits" if s["admits"] else f"admits nothing: {s['why']}")
+            states.append(f"applied {s['applied']}")
+            states.append("admits" if s["admits"] else f"admits nothing: {s['why']}")
             groups.add((s["leader"], tuple(sorted(s["voters"]))))
             versions.add(s["force"])
-            wrong |= not s["admits"]
-        if copy is not None:
-            words.append(f"copy {copy['stage']}" + (", DIFFERS" if copy["differs"] else ""))
-            wrong |= copy["differs"] or copy["stage"] != "caught up"
-        lines.append(f"{address:<22} {(s or copy)['name']}: {'; '.join(words)}")
+            unhealthy |= not s["admits"]
+        if replica is not None:
+            states.append(f"copy {replica['stage']}" + (", DIFFERS" if replica["differs"] else ""))
+            unhealthy |= replica["differs"] or replica["stage"] != "caught up"
+        lines.append(f"{address:<22} {(s or replica)['name']}: {'; '.join(states)}")
     print("\n".join(lines), file=out)
     if len(groups) > 1:
         print(
@@ -208,33 +216,33 @@
         )
     if len(versions) > 1:
         print("they act upon different versions", file=out)
-    return WRONG if wrong or len(groups) > 1 or len(versions) > 1 else DONE
+    return EXIT_UNHEALTHY if unhealthy or len(groups) > 1 or len(versions) > 1 else EXIT_OK
 
 
 def backup(properties: str, name: str, to: Path, out: TextIO) -> int:
-    """Copy a proxy's stores, running or not, whole and checked."""
-    operator, _ = loaded(properties)
-    stores = stores_of(operator)
+    """Copies and checks the stores of a proxy, running or not."""
+    operator, _ = load_group_settings(properties)
+    stores = existing_stores(operator)
     if not stores:
         raise ConfigError(f"{properties}: it keeps nothing on disk: back up a voter or a keeper")
     try:
         to.mkdir(parents=True)
     except OSError as error:
         raise ConfigError(f"{to}: {error}") from error
-    sums = {}
+    checksums = {}
     for file, path in stores.items():
         copy_store(path, to / file)
-        sums[file] = hashlib.sha256((to / file).read_bytes()).hexdigest()
-    note = {"name": name, "at": time.time(), "files": sums}
-    (to / NOTE).write_text(json.dumps(note, indent=1) + "\n", encoding="utf-8")
+        checksums[file] = hashlib.sha256((to / file).read_bytes()).hexdigest()
+    manifest = {"name": name, "at": time.time(), "files": checksums}
+    (to / MANIFEST_NAME).write_text(json.dumps(manifest, indent=1) + "\n", encoding="utf-8")
     return verify([to], out)
 
 
 def verify(paths: list[Path], out: TextIO) -> int:
-    """Check stores, or the folders of backups, and say what they hold; 1 where one does not hold together."""
-    code = DONE
+    """Checks and describes stores, or the folders of backups; returns 1 if one is corrupt."""
+    code = EXIT_OK
     for path in paths:
-        note = path / NOTE
+        manifest = path / MANIFEST_NAME
         files = (
             [path]
             if path.is_file()
@@ -242,60 +250,71 @@
         )
         if not files:
             raise ConfigError(f"{path}: no store and no backup is there")
-        sums = json.loads(note.read_text(encoding="utf-8"))["files"] if note.exists() else {}
+        checksums = json.loads(manifest.read_text(encoding="utf-8"))["files"] if manifest.exists() else {}
         for file in files:
             try:
-                if file.name in sums and hashlib.sha256(file.read_bytes()).hexdigest() != sums[file.name]:
+                if (
+                    file.name in checksums
+                    and hashlib.sha256(file.read_bytes()).hexdigest() != checksums[file.name]
+                ):
                     raise ConfigError(f"{file}: is not what was backed up")
-                print(f"{file}: {said_of(file)}", file=out)
+                print(f"{file}: {describe_store(file)}", file=out)
             except ConfigError as error:
                 print(f"DAMAGED {error}", file=out)
-                code = WRONG
+                code = EXIT_UNHEALTHY
     return code
 
 
-def said_of(file: Path) -> str:
+def describe_store(file: Path) -> str:
     if file.name == ReplicaStore.NAME:
-        kept = read_file(ReplicaStore, file, ReplicaStore.load)
-        marks = sum(e.value is not None for e in kept.entries)
-        return f"{marks} marks, {len(kept.entries) - marks} removals, started {kept.store_opens} times"
-    held = held_in(file, "", ())
-    book = held.rollout_state()
-    pending = f", {book.pending} is {book.versions[book.pending].phase}" if book.pending else ""
-    voters = " ".join(held.voters) or "by the operators' file"
+        stored = read_file(ReplicaStore, file, ReplicaStore.load)
+        marks = sum(e.value is not None for e in stored.entries)
+        return f"{marks} marks, {len(stored.entries) - marks} removals, started {stored.store_opens} times"
+    contents = read_voter_store(file, "", ())
+    rollout_state = contents.rollout_state()
+    pending = (
+        f", {rollout_state.pending} is {rollout_state.versions[rollout_state.pending].phase}"
+        if rollout_state.pending
+        else ""
+    )
+    voters = " ".join(contents.voters) or "by the operators' file"
     return (
-        f"term {held.term}, log to {held.last_index}, "
-        f"version {book.force} is in force{pending}; voters {voters}"
+        f"term {contents.term}, log to {contents.last_index}, "
+        f"version {rollout_state.force} is in force{pending}; voters {voters}"
     )
 
 
-def recover(properties: str, name: str, without: list[str], seen: list[str], know: bool, out: TextIO) -> int:
-    """Have one store go on as the only voter."""
-    operator, peers = loaded(properties)
-    path = stores_of(operator).get(Store.NAME)
+def recover(
+    properties: str, name: str, without: list[str], seen: list[str], acknowledged: bool, out: TextIO
+) -> int:
+    """Makes one store continue as the only voter."""
+    operator, peers = load_group_settings(properties)
+    path = existing_stores(operator).get(Store.NAME)
     if operator.policy is None or path is None:
         raise ConfigError(f"{properties}: policy.folder: no voter's store is there")
-    stopped(peers)
-    mine = held_in(path, name, operator.policy.voters)
+    require_stopped(peers)
+    own = read_voter_store(path, name, operator.policy.voters)
     others = []
     for text in seen:
         other, _, folder = text.partition("=")
         if not folder:
             raise ConfigError(f"--seen {text}: must be NAME=FOLDER")
-        others.append(held_in(Path(folder) / Store.NAME, other, operator.policy.voters))
-    answers = heard(operator, peers)
+        others.append(read_voter_store(Path(folder) / Store.NAME, other, operator.policy.voters))
+    answers = query_seeds(operator, peers)
     applied = {n: a["status"]["applied"] for n, a in answers.items() if a["status"] is not None}
-    found = objections(mine, others, without, applied)
-    print(f"{name}: {said_of(path)}", file=out)
-    say_lost(lost(answers, mine, None), answers, out)
-    book = mine.rollout_state()
-    if book.pending:
-        print(f"version {book.pending} is on its way here: it goes on, and ends as it ends", file=out)
-    if not allowed(found, know, out):
-        return REFUSED
+    found = objections(own, others, without, applied)
+    print(f"{name}: {describe_store(path)}", file=out)
+    print_missing(find_missing(answers, own, None), answers, out)
+    rollout_state = own.rollout_state()
+    if rollout_state.pending:
+        print(
+            f"version {rollout_state.pending} is on its way here: it goes on, and ends as it ends", file=out
+        )
+    if not is_allowed(found, acknowledged, out):
+        return EXIT_REFUSED
     store = Store(str(path.parent))
     with closing(store.db):
-        store.keep(recovered_state(mine, others))
+        store.keep(recovered_state(own, others))
     print(
         f"{name} votes alone from now on. Start it, and wait until `policy status` says that it leads;",
         file=out,
@@ -304,19 +323,19 @@
         "then start all others, with empty folders, and name voters: brackenusher policy voters --set",
         file=out,
     )
-    return DONE
+    return EXIT_OK
 
 
-def restore(properties: str, source: Path, know: bool, out: TextIO) -> int:
-    """Put a backup where its proxy's stores are."""
-    operator, peers = loaded(properties)
-    if verify([source], out) != DONE:
-        return REFUSED
-    stopped(peers)
-    folders = {file: folder for file, folder in folders_of(operator).items() if (source / file).exists()}
-    answers, found, held, marks = heard(operator, peers), list[Objection](), None, None
+def restore(properties: str, source: Path, acknowledged: bool, out: TextIO) -> int:
+    """Restores a backup to the folders of its proxy's stores."""
+    operator, peers = load_group_settings(properties)
+    if verify([source], out) != EXIT_OK:
+        return EXIT_REFUSED
+    require_stopped(peers)
+    folders = {file: folder for file, folder in store_folders(operator).items() if (source / file).exists()}
+    answers, found, contents, marks = query_seeds(operator, peers), list[Objection](), None, None
     if Store.NAME in folders and operator.policy is not None:
-        held = held_in(source / Store.NAME, "", operator.policy.voters)
+        contents = read_voter_store(source / Store.NAME, "", operator.policy.voters)
     if ReplicaStore.NAME in folders:
         marks = {
             e.key
@@ -324,45 +343,45 @@
             if e.value is not None
         }
     if answers:
-        why = f"{' '.join(sorted(answers))} answer: start with an empty folder, and all is told to it"
-        found.append(Objection(why, "what the backup says is wanted in place of what they say"))
+        reason = f"{' '.join(sorted(answers))} answer: start with an empty folder, and all is told to it"
+        found.append(Objection(reason, "what the backup says is wanted in place of what they say"))
     for file, folder in folders.items():
         if (folder / file).exists():
             found.append(Objection(f"{folder / file} is there", "it may be set aside"))
-    say_lost(lost(answers, held, marks), answers, out)
-    if not allowed(found, know, out):
-        return REFUSED
+    print_missing(find_missing(answers, contents, marks), answers, out)
+    if not is_allowed(found, acknowledged, out):
+        return EXIT_REFUSED
     for file, folder in folders.items():
         folder.mkdir(parents=True, exist_ok=True)
-        aside = folder / f"{file}.aside-{int(time.time())}"
+        backup_path = folder / f"{file}.aside-{int(time.time())}"
         for end in ("", "-wal", "-shm"):
             if (folder / (file + end)).exists():
-                os.replace(folder / (file + end), f"{aside}{end}")
-        beside = folder / "restoring"  # it comes to its place marked and synced, or not at all
-        shutil.rmtree(beside, ignore_errors=True)
-        beside.mkdir()
-        copy_store(source / file, beside / file)
-        as_old(beside, file)
-        os.replace(beside / file, folder / file)
-        shutil.rmtree(beside)
+                os.replace(folder / (file + end), f"{backup_path}{end}")
+        staging = folder / "restoring"  # moved into place only once reset and synced
+        shutil.rmtree(staging, ignore_errors=True)
+        staging.mkdir()
+        copy_store(source / file, staging / file)
+        reset_open_count(staging, file)
+        os.replace(staging / file, folder / file)
+        shutil.rmtree(staging)
         print(f"restored {folder / file}", file=out)
-    return DONE
+    return EXIT_OK
 
 
-def as_old(folder: Path, file: str) -> None:
-    """Count no start of a restored store: whoever has met a later one says so, and it has to catch up."""
+def reset_open_count(folder: Path, file: str) -> None:
+    """Resets the open count of a restored store: peers that recorded more report it; it must catch up."""
     if file == Store.NAME:
         store = Store(str(folder))
         with closing(store.db):
             store.facts(lives=0)
     else:
-        shelf = ReplicaStore(str(folder))
-        with closing(shelf.db):
-            shelf.keep(Ready(metadata=replace(shelf.load(), entries=[], store_opens=0)))
+        replica_store = ReplicaStore(str(folder))
+        with closing(replica_store.db):
+            replica_store.keep(Ready(metadata=replace(replica_store.load(), entries=[], store_opens=0)))
 
 
 def run(options: Any, load: Callable[[str], PeersSettings], out: TextIO) -> int:
-    """Carry out one verb of the command line. Raises ConfigError."""
+    """Runs one command of the command line. Raises ConfigError."""
     if options.verb == "status":
         return status(options.addresses, load(options.properties), out)
     if options.verb == "verify":
--- a/brackenusher/group/streams.py
+++ b/brackenusher/group/streams.py
@@ -1,8 +1,8 @@
-"""Streams between the proxies of a group: one each way, sealed, numbered, bound to a number of the taker's.
+"""Streams between the proxies of a group: one in each direction, authenticated, numbered, bound to a nonce.
 
-Whoever wants to send opens a connection and says who it is; the taker answers with a random number, which
-each frame after it repeats, with a count: an old recording proves nothing. What waits is bounded, and dropped
-beyond; who sends must bear losses. No clock is compared.
+The sender opens a connection and identifies itself; the receiver answers with a random nonce, which each
+frame after it repeats along with a sequence number, so that recorded frames cannot be replayed. The queues
+are bounded and drop what exceeds them; senders must tolerate losses. No clocks are compared.
 """
 
 import errno
@@ -26,40 +26,40 @@
 
 log = logging.getLogger(__name__)
 
-STREAM = b"stream"  # the purpose that frames are sealed for
-MOST_WAITING = 4 * 1024 * 1024  # bytes that wait for one peer
-MOST_STREAMS = 300  # taken
-AGAIN = 200.0  # milliseconds between two tries to connect
-PATIENCE = 2000.0  # milliseconds until a connection has to be open
+SEAL_PURPOSE = b"stream"  # purpose that is bound into the seal of the frames
+MAX_QUEUED_BYTES = 4 * 1024 * 1024  # per peer
+MAX_INCOMING_STREAMS = 300
+CONNECT_RETRY_INTERVAL_MS = 200.0
+HANDSHAKE_TIMEOUT_MS = 2000.0  # until the handshake is complete
 
 
-NAMED = b"\xc1"  # before the name of a part: no message of msgpack begins so
+CHANNEL_PREFIX = b"\xc1"  # before the name of a channel: never used by msgpack, so no message begins with it
 
-Opener = Callable[[str, int, int, Callable[[int | None], None]], None]
+StreamOpenedCallback = Callable[[str, int, int, Callable[[int | None], None]], None]
 
 
-class Body(Struct, array_like=True, frozen=True):
-    number: bytes  # the taker's
-    count: Annotated[int, Meta(ge=0)]
+class StreamMessage(Struct, array_like=True, frozen=True):
+    nonce: bytes  # from the receiver's handshake
+    sequence: Annotated[int, Meta(ge=0)]
     data: bytes
 
 
-class Frames:
-    """Cuts a stream into frames: four bytes of length, greatest first, and a body."""
+class FrameDecoder:
+    """Splits a stream into frames: a big-endian length of four bytes and a body."""
 
     def __init__(self) -> None:
         self.buffer = bytearray()
 
     def feed(self, data: memoryview) -> list[bytes]:
-        """The bodies that are whole by now. Raises FrameError."""
+        """Returns the bodies that are now complete. Raises FrameError."""
         if not data:
-            raise FrameError("cut short")
+            raise FrameError("closed by the peer")
         self.buffer += data
         found = []
         while len(self.buffer) >= 4:
             length = int.from_bytes(self.buffer[:4], "big")
             if length > MOST_FRAME:
-                raise FrameError(f"a frame of {length} bytes")
+                raise FrameError(f"frame of {length} bytes exceeds the limit")
             if len(self.buffer) < 4 + length:
                 break
             found.append(bytes(self.buffer[4 : 4 + length]))
@@ -67,24 +67,24 @@
         return found
 
 
-def frame(body: bytes) -> bytes:
+def encode_frame(body: bytes) -> bytes:
     return len(body).to_bytes(4, "big") + body
 
 
-class Outgoing:
-    """What is to be sent to one peer, and the connection there, where there is one."""
+class OutgoingStream:
+    """Queue of messages to one peer, and the task of its connection if there is one."""
 
     def __init__(self, name: str) -> None:
         self.name = name
-        self.waiting: deque[bytes] = deque()
-        self.size = 0
+        self.queue: deque[bytes] = deque()
+        self.queued_bytes = 0
         self.task: Task | None = None
-        self.tried_at = -AGAIN
-        self.began = 0.0
+        self.attempted_at = -CONNECT_RETRY_INTERVAL_MS
+        self.connect_started_at = 0.0
 
 
 class Streams:
-    """All streams of one proxy."""
+    """All streams of one proxy, incoming and outgoing."""
 
     def __init__(
         self,
@@ -92,48 +92,48 @@
         buffers: Buffers,
         settings: PeersSettings,
         name: str,
-        where: Callable[[str], Address | None],
+        address_of: Callable[[str], Address | None],
     ) -> None:
         self.loop, self.buffers, self.settings, self.name = loop, buffers, settings, name
-        self.where = where
-        self.takers: dict[bytes, Callable[[str, bytes], None]] = {}  # by part; the policy's has no name
-        self.refused: Callable[[str, float], None] = lambda name, began: None
-        self.opened: Opener = lambda name, lives, run, then: then(0)
-        self.known: Callable[[str, int], None] = lambda name, lives: None
-        self.lives, self.run = 0, random.SystemRandom().getrandbits(48) | 1
-        self.out: dict[str, Outgoing] = {}
-        self.taken = 0
+        self.address_of = address_of
+        self.handlers: dict[bytes, Callable[[str, bytes], None]] = {}  # by channel; the policy's is empty
+        self.on_connection_refused: Callable[[str, float], None] = lambda name, began: None
+        self.on_stream_opened: StreamOpenedCallback = lambda name, lives, run, then: then(0)
+        self.on_recorded_opens: Callable[[str, int], None] = lambda name, lives: None
+        self.store_opens, self.run_id = 0, random.SystemRandom().getrandbits(48) | 1
+        self.out: dict[str, OutgoingStream] = {}
+        self.incoming_count = 0
         self.counts: Counter[str] = Counter()
-        self.bytes = 0
+        self.bytes_sent = 0
 
     # Outgoing
 
-    def send(self, to: str, data: bytes, part: bytes = b"") -> None:
-        """Send one message for a part of whoever it is; the policy's have no name before them."""
-        if part:
-            data = NAMED + part + data
+    def send(self, to: str, data: bytes, channel: bytes = b"") -> None:
+        """Queues a message on a channel of a peer; the policy's messages carry no channel name."""
+        if channel:
+            data = CHANNEL_PREFIX + channel + data
         out = self.out.get(to)
         if out is None:
-            out = self.out[to] = Outgoing(to)
-        if out.size + len(data) > MOST_WAITING:
+            out = self.out[to] = OutgoingStream(to)
+        if out.queued_bytes + len(data) > MAX_QUEUED_BYTES:
             self.counts["room"] += 1
             return
-        out.waiting.append(data)
-        out.size += len(data)
-        self.go(out)
+        out.queue.append(data)
+        out.queued_bytes += len(data)
+        self.flush(out)
 
-    def go(self, out: Outgoing) -> None:
-        """Have what waits sent; connect where that was not tried lately."""
+    def flush(self, out: OutgoingStream) -> None:
+        """Sends what is queued; connects unless that was tried recently."""
         if out.task is not None and not out.task.ended:
             out.task.wake()
             return
         now = clock()
-        if now - out.tried_at < AGAIN:
-            if len(out.waiting) > 64:  # it is not there: what is old is of no use
-                out.size -= len(out.waiting.popleft())
+        if now - out.attempted_at < CONNECT_RETRY_INTERVAL_MS:
+            if len(out.queue) > 64:  # unreachable peer: old messages are of no use
+                out.queued_bytes -= len(out.queue.popleft())
             return
-        out.tried_at = out.began = now
-        address = self.where(out.name)
+        out.attempted_at = out.connect_started_at = now
+        address = self.address_of(out.name)
         if address is None:
             self.counts["unknown"] += 1
             return
@@ -147,63 +147,67 @@
             code = error.errno or errno.EIO
         if code not in (0, errno.EINPROGRESS):
             sock.close()
-            self.failed(out, code)
+            self.on_connect_failed(out, code)
             return
-        out.task = self.loop.spawn(self.carry(sock, out), sock)
+        out.task = self.loop.spawn(self.run_outgoing(sock, out), sock)
 
-    def failed(self, out: Outgoing, code: int) -> None:
+    def on_connect_failed(self, out: OutgoingStream, code: int) -> None:
         self.counts["connect"] += 1
         if code == errno.ECONNREFUSED:
-            self.refused(out.name, out.began)
+            self.on_connection_refused(out.name, out.connect_started_at)
 
-    def nudge(self, name: str) -> None:
-        """Try whether one is there, though there is nothing to send."""
+    def probe(self, name: str) -> None:
+        """Checks whether a peer can be reached, with an empty message."""
         self.send(name, b"")
 
-    def late(self, out: Outgoing) -> None:
-        """A connection did not open in time."""
+    def on_handshake_timeout(self, out: OutgoingStream) -> None:
+        """Ends a connection whose handshake did not complete in time."""
         if out.task is not None:
             out.task.stop()
 
-    def carry(self, sock: socket.socket, out: Outgoing) -> Coroutine:
-        settings, frames = self.settings, Frames()
-        limit = self.loop.deadlines.add(clock() + PATIENCE, lambda: self.late(out))
+    def run_outgoing(self, sock: socket.socket, out: OutgoingStream) -> Coroutine:
+        settings, decoder = self.settings, FrameDecoder()
+        handshake_timer = self.loop.deadlines.add(
+            clock() + HANDSHAKE_TIMEOUT_MS, lambda: self.on_handshake_timeout(out)
+        )
         try:
             yield WRITE
             code = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
             if code:
                 raise OSError(code, os.strerror(code))
-            rest = pack(Open(self.name, self.lives, self.run), settings.keys[settings.sign], settings.sign)
+            unsent = pack(
+                Open(self.name, self.store_opens, self.run_id), settings.keys[settings.sign], settings.sign
+            )
             bodies: list[bytes] = []
-            while rest:
-                rest = write(sock, rest)
-                if rest:
+            while unsent:
+                unsent = write(sock, unsent)
+                if unsent:
                     yield WRITE
             while not bodies:
-                if (yield READ) & READ:  # else there is more to send, later
-                    self.buffers.receive(sock, lambda data: bodies.extend(frames.feed(data)))
-            told = unpack(settings.keys, bodies[0])
-            if not isinstance(told, Opened):
-                raise FrameError("not an answer to what was said")
-            self.loop.deadlines.remove(limit)
-            self.known(out.name, told.lives)
-            count, rest = 0, b""
+                if (yield READ) & READ:  # otherwise woken by new messages, which are sent after the handshake
+                    self.buffers.receive(sock, lambda data: bodies.extend(decoder.feed(data)))
+            reply = unpack(settings.keys, bodies[0])
+            if not isinstance(reply, Opened):
+                raise FrameError("unexpected reply to the handshake")
+            self.loop.deadlines.remove(handshake_timer)
+            self.on_recorded_opens(out.name, reply.lives)
+            sequence, unsent = 0, b""
             key = settings.keys[settings.sign]
             while True:
-                while out.waiting or rest:
-                    if not rest:
-                        data = out.waiting.popleft()
-                        out.size -= len(data)
-                        count += 1
-                        body = msgpack.encode(Body(told.number, count, data))
-                        rest = frame(seal(key, settings.sign, STREAM, body))
-                        self.bytes += len(rest)
-                    rest = write(sock, rest)
-                    if rest:
+                while out.queue or unsent:
+                    if not unsent:
+                        data = out.queue.popleft()
+                        out.queued_bytes -= len(data)
+                        sequence += 1
+                        body = msgpack.encode(StreamMessage(reply.number, sequence, data))
+                        unsent = encode_frame(seal(key, settings.sign, SEAL_PURPOSE, body))
+                        self.bytes_sent += len(unsent)
+                    unsent = write(sock, unsent)
+                    if unsent:
                         yield WRITE
                 events = yield READ
                 if events & READ and not sock.recv(1):
-                    raise FrameError("closed")
+                    raise FrameError("connection closed by the peer")
         except (OSError, FrameError) as error:
             code = error.errno or 0 if isinstance(error, OSError) else 0
             say(
@@ -214,70 +218,72 @@
                 peer=out.name,
                 why=str(error),
             )
-            self.failed(out, code)
+            self.on_connect_failed(out, code)
         finally:
-            self.loop.deadlines.remove(limit)
+            self.loop.deadlines.remove(handshake_timer)
             out.task = None
 
-    # Taken
+    # Incoming
 
-    def hand(self, sender: str, data: bytes) -> None:
-        """Give a message to the part that it is for."""
-        part, data = (data[1:2], data[2:]) if data[:1] == NAMED else (b"", data)
-        taker = self.takers.get(part)
-        if taker is None:
+    def dispatch(self, sender: str, data: bytes) -> None:
+        """Passes a message to the handler of its channel."""
+        channel, data = (data[1:2], data[2:]) if data[:1] == CHANNEL_PREFIX else (b"", data)
+        handler = self.handlers.get(channel)
+        if handler is None:
             self.counts["parts"] += 1
         else:
-            taker(sender, data)
+            handler(sender, data)
 
-    def serve(self, sock: socket.socket, said: Open) -> Coroutine:
-        """Take a stream that a peer has opened."""
-        if self.taken >= MOST_STREAMS:
+    def serve(self, sock: socket.socket, hello: Open) -> Coroutine:
+        """Receives a stream that a peer has opened."""
+        if self.incoming_count >= MAX_INCOMING_STREAMS:
             self.counts["streams"] += 1
             return
-        self.taken += 1
-        settings, number, count, frames = self.settings, os.urandom(16), 0, Frames()
+        self.incoming_count += 1
+        settings, nonce, sequence, decoder = self.settings, os.urandom(16), 0, FrameDecoder()
         try:
-            told: list[int | None] = []
+            recorded_opens: list[int | None] = []
             task = self.loop.tasks.get(sock.fileno())
 
             def then(lives: int | None) -> None:
-                told.append(lives)
-                if waits and task is not None:  # one that does not wait must not be woken later
+                recorded_opens.append(lives)
+                if (
+                    is_waiting and task is not None
+                ):  # a call from within on_stream_opened must not cause a later wake-up
                     task.wake()
 
-            waits = False
-            self.opened(said.name, said.lives, said.run, then)
-            waits = True
-            while not told:  # what it says of itself is on disk here before it hears an answer
+            is_waiting = False
+            self.on_stream_opened(hello.name, hello.lives, hello.run, then)
+            is_waiting = True
+            while not recorded_opens:  # the peer's count is durable here before the reply
                 yield 0
-            if told[0] is None:
-                raise FrameError("the disk fails here")
-            opened = Opened(number, told[0])
-            rest = pack(opened, settings.keys[settings.sign], settings.sign)
-            while rest:
-                rest = write(sock, rest)
-                if rest:
+            if recorded_opens[0] is None:
+                raise FrameError("the local store failed")
+            reply = Opened(nonce, recorded_opens[0])
+            unsent = pack(reply, settings.keys[settings.sign], settings.sign)
+            while unsent:
+                unsent = write(sock, unsent)
+                if unsent:
                     yield WRITE
             while True:
                 yield READ
                 bodies: list[bytes] = []
-                self.buffers.receive(sock, lambda data, found=bodies: found.extend(frames.feed(data)))  # type: ignore[misc]
+                self.buffers.receive(sock, lambda data, found=bodies: found.extend(decoder.feed(data)))  # type: ignore[misc]
                 for sealed in bodies:
-                    body = msgpack.decode(unseal(settings.keys, STREAM, sealed), type=Body)
-                    if body.number != number or body.count != count + 1:
-                        raise FrameError("another's words")
-                    count = body.count
+                    body = msgpack.decode(unseal(settings.keys, SEAL_PURPOSE, sealed), type=StreamMessage)
+                    if body.nonce != nonce or body.sequence != sequence + 1:
+                        raise FrameError("wrong nonce or sequence number")
+                    sequence = body.sequence
                     if body.data:
-                        self.hand(said.name, body.data)
+                        self.dispatch(hello.name, body.data)
         except (OSError, FrameError, SealError, DecodeError, ValidationError, BlockingIOError) as error:
             say(
                 log,
                 logging.DEBUG,
                 "stream_ended",
                 "group: from %(peer)s: %(why)s",
-                peer=said.name,
+                peer=hello.name,
                 why=str(error),
             )
         finally:
-            self.taken -= 1
+            self.incoming_count -= 1
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -121,14 +121,14 @@
 
 
 def test_what_waits_for_a_peer_that_nobody_finds_and_streams_that_are_taken(monkeypatch):
-    monkeypatch.setattr(streams, "MOST_WAITING", 10_000)
-    monkeypatch.setattr(streams, "MOST_STREAMS", 0)
+    monkeypatch.setattr(streams, "MAX_QUEUED_BYTES", 10_000)
+    monkeypatch.setattr(streams, "MAX_INCOMING_STREAMS", 0)
     peers = PeersSettings(keys={"k1": b"x" * 16}, sign="k1")
     made = Streams(Loop(Deadlines()), Buffers(), peers, "n0", lambda name: None)
     for _ in range(100):
         made.send("n1", b"x" * 1000)
     out = made.out["n1"]
-    assert out.size <= 10_000 and made.counts["room"] == 90 and made.counts["unknown"] >= 1
-    made.hand("n1", streams.NAMED + b"z" + b"for a part that is not there")
+    assert out.queued_bytes <= 10_000 and made.counts["room"] == 90 and made.counts["unknown"] >= 1
+    made.dispatch("n1", streams.CHANNEL_PREFIX + b"z" + b"for a part that is not there")
     assert made.counts["parts"] == 1
     assert list(made.serve(SimpleNamespace(), Open("n1", 1, 1))) == [] and made.counts["streams"] == 1
