--- a/brackenusher/group/acting.py
+++ b/brackenusher/group/acting.py
@@ -1,7 +1,6 @@
-"""Acts upon the rules of a policy: what may come in, which servers are out, how long connections are used.
+"""Enforces the rules of a policy: admission, excluded servers, reuse of connections.
 
-It is told which rules hold and decides nothing of them. Whoever is told must have acted before anybody hears
-that the rules were taken up.
+Which rules are in force is decided elsewhere. They are enforced before their application is reported.
 """
 
 from dataclasses import replace
@@ -14,66 +13,68 @@
 from brackenusher.upstream.listing import Host
 from brackenusher.upstream.pool import Pool
 
-FULL_WAIT = 200.0  # milliseconds named where a tenant's share is in hand: about what its requests take
-REPEAT_WAIT = 1000.0  # and where no repeat is paid for: first tries have to come meanwhile
+FULL_WAIT = 200.0  # while a tenant's share is in use: about the duration of its requests
+REPEAT_WAIT = 1000.0  # while the retry budget is exhausted: only first attempts refill it
 
 
 class Acting:
-    """The rules of now, at work in one proxy."""
+    """The rules in force, enforced in one proxy."""
 
     def __init__(self, transactions: Transactions, pool: Pool) -> None:
         self.transactions, self.pool = transactions, pool
-        self.rules, self.door = Rules(), RateLimiter(RateLimiterSettings())
+        self.rules, self.rate_limiter = Rules(), RateLimiter(RateLimiterSettings())
         self.budget: ClientRetryBudget | None = None
-        self.connections = pool.planner.settings  # what the operators' file says, be it stricter
-        self.counts = {"door": 0, "shares": 0, "repeats": 0}  # turned away
-        pool.bars.append(self.bars)
+        self.configured_connections = (
+            pool.planner.settings
+        )  # the operators' file applies where it is stricter
+        self.counts = {"door": 0, "shares": 0, "repeats": 0}
+        pool.bars.append(self.excludes)
 
-    def bars(self, host: Host) -> bool:
+    def excludes(self, host: Host) -> bool:
         return host.name in self.rules.servers or host.cell in self.rules.blocks
 
     def ask(self, key: str, request: Request, now: float) -> float:
-        """Whether a tenant's request may come in: 0, or how many milliseconds to wait.
+        """Returns 0 if the tenant's request is admitted, otherwise the milliseconds to wait.
 
-        What takes something from a budget comes last, so that what is turned away is charged nowhere.
+        Checks that charge a budget come last, so that a denied request is charged nowhere.
         """
         rules = self.rules
-        if key in rules.shares and self.in_hand(key) >= rules.shares[key]:
-            return self.turned_away("shares", FULL_WAIT if rules.shares[key] else CLOSED_WAIT)
+        if key in rules.shares and self.open_requests(key) >= rules.shares[key]:
+            return self.deny("shares", FULL_WAIT if rules.shares[key] else CLOSED_WAIT)
         if self.budget is not None and request.repeated and self.budget.exhausted:
-            return self.turned_away("repeats", REPEAT_WAIT if self.budget.limit.ratio else CLOSED_WAIT)
-        if key in rules.tenants and (wait := self.door.ask(key, now)):
-            return self.turned_away("door", wait)
+            return self.deny("repeats", REPEAT_WAIT if self.budget.limit.ratio else CLOSED_WAIT)
+        if key in rules.tenants and (wait := self.rate_limiter.ask(key, now)):
+            return self.deny("door", wait)
         if self.budget is not None:
             self.budget.record(request.repeated)
         return 0.0
 
-    def in_hand(self, key: str) -> int:
-        """Requests of a tenant that are not answered yet; counted anew, as few tenants have a share."""
+    def open_requests(self, key: str) -> int:
+        """Counts a tenant's unanswered requests; not kept as a counter, as few tenants have a share."""
         return sum(not t.over and name_of(t.message.owner) == key for t in self.transactions.open.values())
 
-    def turned_away(self, by: str, wait: float) -> float:
-        self.counts[by] += 1
+    def deny(self, cause: str, wait: float) -> float:
+        self.counts[cause] += 1
         return wait
 
     def act(self, rules: Rules) -> None:
-        """Go by these from now on."""
+        """Replaces the rules in force."""
         before, self.rules = self.rules, rules
         if rules.tenants != before.tenants:
-            held = self.door.buckets
-            self.door = RateLimiter(RateLimiterSettings(tenants=rules.tenants))
-            for key, bucket in held.items():
+            buckets = self.rate_limiter.buckets
+            self.rate_limiter = RateLimiter(RateLimiterSettings(tenants=rules.tenants))
+            for key, bucket in buckets.items():
                 if key in rules.tenants:
                     bucket.limit = rules.tenants[key]
                     bucket.level = min(bucket.level, float(bucket.limit.burst))
-                    self.door.buckets[key] = bucket
+                    self.rate_limiter.buckets[key] = bucket
         if rules.repeats is None:
             self.budget = None
         elif self.budget is None:
             self.budget = ClientRetryBudget(rules.repeats)
         else:
             self.budget.set_limit(rules.repeats)
-        base = self.connections
+        base = self.configured_connections
         self.pool.planner.settings = replace(
             base,
             age=stricter_bound(base.age, rules.age),
--- a/brackenusher/group/database.py
+++ b/brackenusher/group/database.py
@@ -1,7 +1,7 @@
-"""A file that outlives a loss of power: SQLite in write-ahead mode, synced at each commit, and its thread.
+"""Crash-safe SQLite files in write-ahead mode, synced at each commit, and the thread that writes them.
 
-Each row carries a check sum; a file that does not hold together is set aside, and its owner begins anew. All
-work on it is done by a thread of its own, so that the loop never waits.
+Each row carries a checksum; a corrupt file is set aside and its owner starts with an empty one. All access is
+on a dedicated thread, so that the event loop never blocks.
 """
 
 import contextlib
@@ -24,18 +24,18 @@
 
 
 class DatabaseDamagedError(Exception):
-    """The file does not hold together; the text says where."""
+    """The file is corrupt; the text says where."""
 
 
-def check(*parts: object) -> bytes:
+def checksum(*parts: object) -> bytes:
     return hashlib.blake2b(repr(parts).encode(), digest_size=8).digest()
 
 
-class File:
-    """One file in a folder, for one thread: the worker's, once it runs."""
+class DatabaseFile:
+    """One database file, used from one thread: the worker's, once that runs."""
 
     NAME = ""
-    FORM = 1  # another form gets another number
+    FORMAT_VERSION = 1  # changes with every incompatible change of the format
     TABLES: tuple[str, ...] = ()
 
     def __init__(self, folder: str) -> None:
@@ -55,36 +55,36 @@
             raise
         return db
 
-    def whole(self) -> dict[str, Any]:
-        """The facts, of a file that holds together. Raises DatabaseDamagedError."""
+    def read_facts(self) -> dict[str, Any]:
+        """Checks the file and returns its facts. Raises DatabaseDamagedError."""
         try:
             if self.db.execute("PRAGMA quick_check").fetchone()[0] != "ok":
                 raise DatabaseDamagedError("the file's own check fails")
             facts = {}
-            for name, value, found in self.db.execute("SELECT name, value, sum FROM facts"):
-                if check(name, value) != found:
+            for name, value, stored_checksum in self.db.execute("SELECT name, value, sum FROM facts"):
+                if checksum(name, value) != stored_checksum:
                     raise DatabaseDamagedError(f"the check sum of {name}")
                 facts[name] = msgpack.decode(value)
         except (sqlite3.Error, DecodeError, ValueError, TypeError) as error:
             raise DatabaseDamagedError(str(error)) from error
-        if facts.get("form", self.FORM) != self.FORM:
-            raise DatabaseDamagedError(f"form {facts['form']}, and this release reads {self.FORM}")
+        if facts.get("form", self.FORMAT_VERSION) != self.FORMAT_VERSION:
+            raise DatabaseDamagedError(f"form {facts['form']}, and this release reads {self.FORMAT_VERSION}")
         return facts
 
     def set_aside(self) -> str:
-        """Put a damaged file where nobody reads it, and begin an empty one. Raises OSError, sqlite3.Error."""
+        """Renames a corrupt file and creates an empty one. Raises OSError, sqlite3.Error."""
         self.db.close()
         aside = self.path + ".damaged"
-        for end in ("-wal", "-shm"):
-            if os.path.exists(self.path + end):
-                os.replace(self.path + end, aside + end)
+        for suffix in ("-wal", "-shm"):
+            if os.path.exists(self.path + suffix):
+                os.replace(self.path + suffix, aside + suffix)
         os.replace(self.path, aside)
         self.db = self.open()
         return aside
 
     @contextlib.contextmanager
-    def durably(self) -> Iterator[None]:
-        """All that is done within is on disk after it, or nothing. Raises OSError, sqlite3.Error."""
+    def transaction(self) -> Iterator[None]:
+        """Makes the statements of the block durable atomically. Raises OSError, sqlite3.Error."""
         disk()
         self.db.execute("BEGIN IMMEDIATE")
         try:
@@ -95,44 +95,46 @@
                 self.db.execute("ROLLBACK")
             raise
 
-    def fact(self, name: str, value: object) -> None:
+    def put_fact(self, name: str, value: object) -> None:
         data = msgpack.encode(value)
-        row = (name, data, check(name, data))
+        row = (name, data, checksum(name, data))
         self.db.execute("INSERT OR REPLACE INTO facts VALUES (?, ?, ?)", row)
 
     def facts(self, **values: object) -> None:
-        """Make some facts durable. Raises OSError, sqlite3.Error."""
-        with self.durably():
+        """Stores facts durably, by name. Raises OSError, sqlite3.Error."""
+        with self.transaction():
             for name, value in values.items():
-                self.fact(name, value)
-            self.fact("form", self.FORM)
+                self.put_fact(name, value)
+            self.put_fact("form", self.FORMAT_VERSION)
 
 
-F = TypeVar("F", bound=File)
-K = TypeVar("K")
+FileT = TypeVar("FileT", bound=DatabaseFile)
+ContentsT = TypeVar("ContentsT")
 
 
-def opened(make: type[F], load: Callable[[F], K], folder: str, what: str) -> tuple[F, K | None]:
-    """A file and what it holds; None where it was damaged, and is set aside. Raises ValueError."""
+def opened(
+    file_type: type[FileT], load: Callable[[FileT], ContentsT], folder: str, section: str
+) -> tuple[FileT, ContentsT | None]:
+    """Opens a file and returns its contents; None if it was corrupt and set aside. Raises ValueError."""
     try:
         os.makedirs(folder, exist_ok=True)
         try:
-            file = make(folder)
+            file = file_type(folder)
         except sqlite3.DatabaseError as error:
-            why, path = str(error), os.path.join(folder, make.NAME)
-            for end in ("", "-wal", "-shm"):
-                if os.path.exists(path + end):
-                    os.replace(path + end, path + ".damaged" + end)
-            file, aside = make(folder), path + ".damaged"
+            why, path = str(error), os.path.join(folder, file_type.NAME)
+            for suffix in ("", "-wal", "-shm"):
+                if os.path.exists(path + suffix):
+                    os.replace(path + suffix, path + ".damaged" + suffix)
+            file, damaged_path = file_type(folder), path + ".damaged"
         else:
             try:
                 return file, load(file)
             except DatabaseDamagedError as error:
-                why, aside = str(error), file.set_aside()
+                why, damaged_path = str(error), file.set_aside()
     except (OSError, sqlite3.Error) as error:
-        raise ValueError(f"{what}.folder: {folder}: {error}") from error
+        raise ValueError(f"{section}.folder: {folder}: {error}") from error
     text = "%(what)s: %(file)s does not hold together (%(why)s): set aside as %(aside)s"
-    say(log, logging.ERROR, "store_damaged", text, what=what, file=file.path, why=why, aside=aside)
+    say(log, logging.ERROR, "store_damaged", text, what=section, file=file.path, why=why, aside=damaged_path)
     return file, None
 
 
@@ -140,23 +142,23 @@
 
 
 class Worker:
-    """The store's thread. A job is done there; how it went is told on the loop's thread, in order."""
+    """The store's thread; results of its jobs are delivered on the event loop's thread, in order."""
 
     def __init__(self) -> None:
         self.jobs: queue.SimpleQueue[Job | None] = queue.SimpleQueue()
-        self.done: queue.SimpleQueue[tuple[Callable[[str], None], str]] = queue.SimpleQueue()
-        self.ours, self.theirs = socket.socketpair()
-        self.ours.setblocking(False)
-        self.theirs.setblocking(False)
-        self.waiting = 0
-        threading.Thread(target=self.run, name="store", daemon=True).start()
-
-    def put(self, job: Callable[[], None], then: Callable[[str], None]) -> None:
-        """`then` is told why it failed, or nothing."""
-        self.waiting += 1
+        self.completed: queue.SimpleQueue[tuple[Callable[[str], None], str]] = queue.SimpleQueue()
+        self.loop_socket, self.thread_socket = socket.socketpair()
+        self.loop_socket.setblocking(False)
+        self.thread_socket.setblocking(False)
+        self.pending_jobs = 0
+        threading.Thread(target=self.run_jobs, name="store", daemon=True).start()
+
+    def submit(self, job: Callable[[], None], then: Callable[[str], None]) -> None:
+        """Queues a job; `then` gets the reason of a failure, or an empty string."""
+        self.pending_jobs += 1
         self.jobs.put((job, then))
 
-    def run(self) -> None:
+    def run_jobs(self) -> None:
         while (item := self.jobs.get()) is not None:
             job, then = item
             why = ""
@@ -164,21 +166,21 @@
                 job()
             except (OSError, sqlite3.Error) as error:
                 why = str(error) or type(error).__name__
-            self.done.put((then, why))
+            self.completed.put((then, why))
             try:
-                self.theirs.send(b"x")
-            except OSError:  # full: the loop has news waiting already; or closed
+                self.thread_socket.send(b"x")
+            except OSError:  # full, so the loop will be woken anyway; or closed
                 pass
 
-    def finish(self) -> None:
-        """Called by the loop's thread where `ours` can be read."""
+    def run_callbacks(self) -> None:
+        """Called by the event loop when `loop_socket` is readable."""
         try:
-            self.ours.recv(4096)
+            self.loop_socket.recv(4096)
         except BlockingIOError:
             pass
-        while not self.done.empty():
-            then, why = self.done.get()
-            self.waiting -= 1
+        while not self.completed.empty():
+            then, why = self.completed.get()
+            self.pending_jobs -= 1
             then(why)
 
     def close(self) -> None:
--- a/brackenusher/group/group_parts.py
+++ b/brackenusher/group/group_parts.py
@@ -1,4 +1,4 @@
-"""The parts of a group that share streams and staff's wishes: a policy, replicated state, or both."""
+"""What the replicated policy and the replicated state share: streams and commands of administrators."""
 
 from collections.abc import Callable
 from typing import Any
@@ -10,26 +10,26 @@
 
 
 class CommandRefusedError(ValueError):
-    """Why a wish is not carried out; one line."""
+    """A command was refused; the text is one line."""
 
 
-Deed = Callable[[Wish], Any]
+CommandHandler = Callable[[Wish], Any]
 
 
 class GroupParts:
-    """What the peers' driver hands streams and wishes to."""
+    """Receives streams and commands from the membership driver."""
 
     def __init__(self, streams: Streams) -> None:
         self.streams = streams
-        self.deeds: dict[str, Deed] = {}  # by verb
+        self.command_handlers: dict[str, CommandHandler] = {}  # by verb
 
     def wish(self, wish: Wish) -> Granted:
-        """Carry out what staff want, or say why not."""
-        deed = self.deeds.get(wish.verb)
+        """Runs a command and returns its result or the reason of its refusal."""
+        handler = self.command_handlers.get(wish.verb)
         try:
-            if deed is None:
+            if handler is None:
                 reason = "is not on at this proxy, or not known to this release"
                 raise CommandRefusedError(f"{wish.verb}: {reason}")
-            return Granted(wish.nonce, True, json.encode(deed(wish)))
+            return Granted(wish.nonce, True, json.encode(handler(wish)))
         except ValueError as error:
             return Granted(wish.nonce, False, json.encode(str(error)))
--- a/brackenusher/group/keyed_requests.py
+++ b/brackenusher/group/keyed_requests.py
@@ -1,4 +1,4 @@
-"""Looks on at keyed requests for `idempotency_records`; says at admission what became of an earlier try."""
+"""Records keyed requests in `idempotency_records` and looks up earlier attempts at admission."""
 
 from collections.abc import Sequence
 from hashlib import blake2b
@@ -13,65 +13,65 @@
 from brackenusher.core.message import Content, Message
 from brackenusher.runtime.loop import clock
 
-KEY = b"idempotency-key"
+KEY_HEADER = b"idempotency-key"
 
 
-def key_of(message: Message) -> bytes:
-    """What tells one keyed request from all others: its tenant, what it asks, its key; empty without one.
+def record_key(message: Message) -> bytes:
+    """Digest of tenant, method, target and key of a keyed request; empty without a key.
 
-    Two tenants, or two moves, may word their keys alike, and must not be given each other's answer.
+    Two tenants, or requests for two targets, may use the same key and must not get each other's response.
     """
-    key = next((value for name, value in message.headers if name == KEY), b"")
+    key = next((value for name, value in message.headers if name == KEY_HEADER), b"")
     if not key:
         return b""
-    found = blake2b(digest_size=16)
+    digest = blake2b(digest_size=16)
     for part in (message.owner or b"", message.method, message.target, key):
-        found.update(len(part).to_bytes(4, "big") + part)
-    return found.digest()
+        digest.update(len(part).to_bytes(4, "big") + part)
+    return digest.digest()
 
 
 class KeyedRequests:
-    """A `brackenusher.core.admission.Past`, and an observer of the transactions."""
+    """A `brackenusher.core.admission.IdempotencyLookup`, and an observer of the transactions."""
 
     def __init__(
-        self, fates: IdempotencyRecords, owner: "core.Transactions", settings: face.Settings
+        self, records: IdempotencyRecords, transactions: "core.Transactions", settings: face.Settings
     ) -> None:
-        self.fates, self.owner, self.classes = fates, owner, settings.classes
-        self.answers = self.bound = 0
+        self.records, self.transactions, self.classes = records, transactions, settings.classes
+        self.answered_count = self.pinned_count = 0
 
     def ask(self, request: Request) -> Before | None:
         conf = self.classes[request.klass]
         if conf.effect is not Effect.KEYED:
             return None
-        key = key_of(request.message)
-        known = self.fates.lookup(key, clock(), conf.group is Group.ALL) if key else None
-        if known is None:
+        key = record_key(request.message)
+        record = self.records.lookup(key, clock(), conf.group is Group.ALL) if key else None
+        if record is None:
             return None
-        if known.response is not None:
-            self.answers += 1
-            a = known.response
-            return Before(Content(a.body, a.content_type, a.content_encoding))
-        self.bound += 1
-        return Before(None, known.server, known.until)
+        if record.response is not None:
+            self.answered_count += 1
+            response = record.response
+            return Before(Content(response.body, response.content_type, response.content_encoding))
+        self.pinned_count += 1
+        return Before(None, record.server, record.until)
 
     def handled(self, now: float, event: face.Event, actions: Sequence[Any]) -> None:
-        fates = self.fates
+        records = self.records
         if isinstance(event, face.Arrived):
             conf = self.classes[event.klass]
-            transaction = self.owner.open.get(event.request)
-            key = key_of(transaction.message) if conf.effect is Effect.KEYED and transaction else b""
+            transaction = self.transactions.open.get(event.request)
+            key = record_key(transaction.message) if conf.effect is Effect.KEYED and transaction else b""
             if key:
-                fates.on_request(event.request, key, conf.window)
+                records.on_request(event.request, key, conf.window)
         elif isinstance(event, face.Finished):
-            fates.on_attempt_ended(now, event.request, event.attempt, event.outcome in PROVEN)
+            records.on_attempt_ended(now, event.request, event.attempt, event.outcome in PROVEN)
         for action in actions:
             if isinstance(action, face.Send):
-                fates.on_attempt_sent(now, action.request, action.backend)
+                records.on_attempt_sent(now, action.request, action.backend)
 
     def answered(self, transaction: "core.Transaction", answer: "core.Answer | None") -> None:
-        kept = None
+        saved_response = None
         if isinstance(answer, core.Served):
             content = answer.content
             if content.rest is None and len(content.body) <= MAX_BODY_BYTES:
-                kept = SavedResponse(bytes(content.body), content.kind, content.coding)
-        self.fates.on_request_done(clock(), transaction.id, kept)
+                saved_response = SavedResponse(bytes(content.body), content.kind, content.coding)
+        self.records.on_request_done(clock(), transaction.id, saved_response)
--- a/brackenusher/group/node.py
+++ b/brackenusher/group/node.py
@@ -26,7 +26,7 @@
 from brackenusher.group.database import Worker, opened
 from brackenusher.group.group_parts import GroupParts
 from brackenusher.group.ordered_output import OrderedOutput
-from brackenusher.group.store import Kept, Store
+from brackenusher.group.store import Store, StoredState
 from brackenusher.membership.frames import Wish
 from brackenusher.runtime.log import say
 from brackenusher.runtime.loop import READ, Coroutine, Loop, clock
@@ -59,7 +59,7 @@
         self.store: Store | None = None  # None on members that have never been voters
         self.worker: Worker | None = None
         self.creating_store = False
-        kept = Kept()
+        kept = StoredState()
         if name in settings.voters or os.path.exists(os.path.join(settings.folder, Store.NAME)):
             self.store, kept = self.open_store(settings.folder)
             self.worker = Worker()
@@ -96,7 +96,7 @@
         self.output: OrderedOutput[Ready] = OrderedOutput(
             loop, self.worker, self.needs_storing, self.write_to_store, self.on_stored, "policy"
         )
-        group_parts.deeds.update(
+        group_parts.command_handlers.update(
             {
                 "status": self.status_command,
                 "history": self.history_command,
@@ -115,10 +115,10 @@
         self.logged_rollout = (0, 0, "")
         self.logged_role = ""
 
-    def open_store(self, folder: str) -> tuple[Store, Kept]:
+    def open_store(self, folder: str) -> tuple[Store, StoredState]:
         """Opens the store and returns it with its contents. Raises ValueError."""
         store, kept = opened(Store, Store.load, folder, "policy")
-        kept = kept or Kept()
+        kept = kept or StoredState()
         kept.lives += 1
         try:
             store.facts(lives=kept.lives)
@@ -130,13 +130,13 @@
 
     def start(self) -> None:
         if self.worker is not None:
-            self.loop.spawn(self.run_completions(self.worker), self.worker.ours)
+            self.loop.spawn(self.run_completions(self.worker), self.worker.loop_socket)
         self.on_wakeup()
 
     def run_completions(self, worker: Worker) -> Coroutine:
         while True:
             yield READ
-            worker.finish()
+            worker.run_callbacks()
 
     def on_wakeup(self) -> None:
         """Runs what is due and schedules the next wakeup."""
@@ -196,7 +196,7 @@
             reach("after-apply")
         if snapshot is not None and self.store is not None and self.worker is not None:
             store = self.store
-            self.worker.put(lambda: store.compact(snapshot), lambda why: None)
+            self.worker.submit(lambda: store.compact(snapshot), lambda why: None)
         self.enforce_rules()
         if self.store is None and self.name in self.policy_gate.rollout_state.electorate:
             self.create_store()
@@ -207,8 +207,8 @@
         if self.creating_store:
             return
         self.creating_store = True
-        worker, made = Worker(), list[tuple[Store, Kept]]()
-        task = self.loop.spawn(self.run_completions(worker), worker.ours)
+        worker, made = Worker(), list[tuple[Store, StoredState]]()
+        task = self.loop.spawn(self.run_completions(worker), worker.loop_socket)
 
         def make() -> None:
             try:
@@ -229,7 +229,7 @@
             self.store_opens = self.streams.store_opens = kept.lives
             self.store_full_state()
 
-        worker.put(make, ready)
+        worker.submit(make, ready)
 
     def store_full_state(self) -> None:
         """Writes the full state to the new store; later output is stored after it."""
@@ -243,7 +243,7 @@
                 self.policy_gate.on_store_ready(clock())
                 say(log, logging.INFO, "store_made", "policy: keeps what it says on disk, and may vote")
 
-        worker.put(lambda: store.keep(full_state), kept)
+        worker.submit(lambda: store.keep(full_state), kept)
 
     # Streams
 
@@ -275,7 +275,7 @@
                 self.peer_incarnations.on_stored(name, incarnation)
             then(None if why else before)
 
-        self.worker.put(lambda: store.facts(met=incarnations), kept)
+        self.worker.submit(lambda: store.facts(met=incarnations), kept)
 
     def on_recorded_opens(self, name: str, recorded_opens: int) -> None:
         """A peer reports how many openings of this proxy's store it has recorded."""
@@ -290,7 +290,7 @@
             self.policy_gate.raft.quarantined = True
             if self.store is not None and self.worker is not None:
                 store, own_opens = self.store, self.store_opens
-                self.worker.put(lambda: store.facts(lives=own_opens), lambda why: None)
+                self.worker.submit(lambda: store.facts(lives=own_opens), lambda why: None)
             return
         agreement = self.policy_gate.raft
         if name not in agreement.voters:
--- a/brackenusher/group/ordered_output.py
+++ b/brackenusher/group/ordered_output.py
@@ -1,6 +1,6 @@
-"""What machines want done, in their order: stored first, sent then, one after the other.
+"""Processes the output of state machines in order: each is stored before it is sent, one at a time.
 
-A driver that hands each `Ready` here cannot send before what it rests on is on disk.
+A driver that passes each `Ready` through here cannot send messages before the state behind them is durable.
 """
 
 import logging
@@ -14,62 +14,68 @@
 
 log = logging.getLogger(__name__)
 
-STORE_AGAIN = 1000.0  # milliseconds after the disk has failed
+STORE_RETRY_INTERVAL_MS = 1000.0  # after a failed write
 
-R = TypeVar("R")
+ReadyT = TypeVar("ReadyT")
 
 
-class OrderedOutput(Generic[R]):
-    """One at a time: `keep` is called on the store's thread, `after` on the loop's once that is durable.
+class OrderedOutput(Generic[ReadyT]):
+    """Calls `store` on the store's thread, then `on_stored` on the event loop's thread once that is durable.
 
-    While one is being stored its machine collects what comes next, so that a slow disk makes no queue here.
+    Meanwhile the state machine collects its further output, so that a slow disk causes no queue here.
     """
 
     def __init__(
         self,
         loop: Loop,
         worker: Worker | None,
-        needs: Callable[[R], bool],
-        keep: Callable[[R], None],
-        after: Callable[[R], None],
-        what: str,
+        needs_storing: Callable[[ReadyT], bool],
+        store: Callable[[ReadyT], None],
+        on_stored: Callable[[ReadyT], None],
+        subsystem: str,
     ) -> None:
-        self.loop, self.worker, self.needs, self.keep, self.after = loop, worker, needs, keep, after
-        self.what = what
-        self.busy: R | None = None
-        self.outside = False  # the disk fails
+        self.loop, self.worker, self.needs_storing, self.store, self.on_stored = (
+            loop,
+            worker,
+            needs_storing,
+            store,
+            on_stored,
+        )
+        self.subsystem = subsystem
+        self.in_progress: ReadyT | None = None
+        self.disk_failing = False
 
     @property
     def idle(self) -> bool:
-        return self.busy is None
+        return self.in_progress is None
 
-    def put(self, ready: R) -> None:
-        self.busy = ready
-        self.go_on()
+    def put(self, ready: ReadyT) -> None:
+        self.in_progress = ready
+        self.start()
 
-    def go_on(self) -> None:
-        ready = self.busy
+    def start(self) -> None:
+        ready = self.in_progress
         assert ready is not None
-        if self.worker is not None and self.needs(ready):
-            self.worker.put(partial(self.keep, ready), self.kept_or_not)
+        if self.worker is not None and self.needs_storing(ready):
+            self.worker.submit(partial(self.store, ready), self.on_store_result)
         else:
-            self.stored()
+            self.complete()
 
-    def kept_or_not(self, why: str) -> None:
+    def on_store_result(self, why: str) -> None:
         if not why:
-            if self.outside:
-                self.outside = False
+            if self.disk_failing:
+                self.disk_failing = False
                 text = "%(what)s: the disk takes what is stored again"
-                say(log, logging.INFO, "store_back", text, what=self.what)
-            self.stored()
+                say(log, logging.INFO, "store_back", text, what=self.subsystem)
+            self.complete()
             return
-        if not self.outside:
-            self.outside = True
+        if not self.disk_failing:
+            self.disk_failing = True
             text = "%(what)s: the disk fails (%(why)s): no promise through this proxy; it goes on serving"
-            say(log, logging.ERROR, "store_failed", text, what=self.what, why=why)
-        self.loop.deadlines.add(clock() + STORE_AGAIN, self.go_on)
+            say(log, logging.ERROR, "store_failed", text, what=self.subsystem, why=why)
+        self.loop.deadlines.add(clock() + STORE_RETRY_INTERVAL_MS, self.start)
 
-    def stored(self) -> None:
-        ready, self.busy = self.busy, None
+    def complete(self) -> None:
+        ready, self.in_progress = self.in_progress, None
         assert ready is not None
-        self.after(ready)
+        self.on_stored(ready)
--- a/brackenusher/group/policies.py
+++ b/brackenusher/group/policies.py
@@ -1,4 +1,4 @@
-"""`brackenusher policy`: proposes, withdraws and shows what a group of proxies has agreed on. It may wait."""
+"""`brackenusher policy`: proposes, withdraws and shows versions of the policy. Its commands may block."""
 
 import contextlib
 import difflib
@@ -20,90 +20,90 @@
     from rich.status import Status
 
 IN_FORCE, REFUSED, WITHDRAWN, UNKNOWN = 0, 2, 3, 4  # exit codes
-LOOK_S = 0.1  # seconds between two looks at what became of a proposal
-AGAIN_S = 1.0  # and between two tellings of it: the first may have got lost
-MORE_S = 5.0  # beyond `within`, until what became of it is unknown
+POLL_INTERVAL_S = 0.1  # between two polls of the outcome of a proposal
+PROPOSE_RETRY_INTERVAL_S = 1.0  # a proposal may get lost on its way to the leader
+OUTCOME_MARGIN_S = 5.0  # beyond the given time, until the outcome is reported as unknown
 
 
 class CommandRefusedError(ConfigError):
-    """What a proxy says against a wish; asking again changes nothing."""
+    """A proxy refused the command; retrying it is of no use."""
 
 
 def wish(address: str, settings: PeersSettings, verb: str, **facts: Any) -> Any:
-    """Have a proxy do or say something. Raises ConfigError, or CommandRefusedError with its reason."""
-    told = ask(address, settings, Wish(secrets.randbits(64), verb, **facts))
-    if not isinstance(told, Granted):
+    """Sends a command to a proxy and returns its result. Raises ConfigError, CommandRefusedError."""
+    reply = ask(address, settings, Wish(secrets.randbits(64), verb, **facts))
+    if not isinstance(reply, Granted):
         raise ConfigError(f"{address}: not an answer to what was asked")
-    body = json.decode(told.body)
-    if not told.good:
+    body = json.decode(reply.body)
+    if not reply.good:
         raise CommandRefusedError(f"{address}: {body}")
     return body
 
 
-class Shown:
-    """How a change stands: one line kept up to date on a terminal, elsewhere a line for each change."""
+class ProgressLine:
+    """Progress of a change: one updated line on a terminal, elsewhere a line for each update."""
 
     def __init__(self, out: TextIO) -> None:
-        self.out, self.last = out, ""
-        self.live: Status | None = None
+        self.out, self.last_line = out, ""
+        self.terminal_status: Status | None = None
 
     def __enter__(self) -> Self:
         if self.out.isatty():
-            with contextlib.suppress(ImportError):  # lines do as well
+            with contextlib.suppress(ImportError):  # plain lines instead
                 from rich.console import Console
 
-                self.live = Console(file=self.out).status("")
-                self.live.start()
+                self.terminal_status = Console(file=self.out).status("")
+                self.terminal_status.start()
         return self
 
     def __exit__(self, *details: object) -> None:
-        if self.live is not None:
-            self.live.stop()
+        if self.terminal_status is not None:
+            self.terminal_status.stop()
 
-    def say(self, line: str) -> None:
-        if line == self.last:
+    def update(self, line: str) -> None:
+        if line == self.last_line:
             return
-        self.last = line
-        if self.live is not None:
-            self.live.update(escaped(line))
+        self.last_line = line
+        if self.terminal_status is not None:
+            self.terminal_status.update(escape_markup(line))
         else:
             print(line, file=self.out, flush=True)
 
-    def keep(self, line: str) -> None:
-        """Say what stays."""
-        if self.live is not None:
-            self.live.console.print(escaped(line), highlight=False)
+    def print_line(self, line: str) -> None:
+        """Prints a line that is not replaced by the next update."""
+        if self.terminal_status is not None:
+            self.terminal_status.console.print(escape_markup(line), highlight=False)
         else:
             print(line, file=self.out, flush=True)
 
 
-def escaped(line: str) -> str:
-    """What a proxy or a file says is no markup."""
+def escape_markup(line: str) -> str:
+    """Escapes text of proxies and files, which is not markup."""
     from rich.markup import escape
 
     return escape(line)
 
 
-def taken_up(found: dict[str, Any]) -> str:
-    """Who has taken up what is on its way, as the leader sees it; empty where that is not known."""
-    missing, roster = found["missing"], found["roster"]
-    if not roster or (not missing and found["role"] != "leader"):
+def progress_text(status_reply: dict[str, Any]) -> str:
+    """Which members have applied the pending version, as the leader sees it; empty if unknown."""
+    missing, roster = status_reply["missing"], status_reply["roster"]
+    if not roster or (not missing and status_reply["role"] != "leader"):
         return ""
     have = f", taken up by {len(roster) - len(missing)} of {len(roster)}"
     return have + (f", waits for {' '.join(missing)}" if missing else "")
 
 
-def led(found: dict[str, Any], settings: PeersSettings, id: str) -> dict[str, Any]:
-    """The same as its leader says it, who knows whom it waits for; as found where it does not answer."""
-    if found["role"] != "leader" and found.get("leader_at"):
+def leader_view(status_reply: dict[str, Any], settings: PeersSettings, id: str) -> dict[str, Any]:
+    """Status from the leader, which knows the missing members; the given one if it does not answer."""
+    if status_reply["role"] != "leader" and status_reply.get("leader_at"):
         with contextlib.suppress(ConfigError):
-            told: dict[str, Any] = wish(found["leader_at"], settings, "status", id=id)
-            return told if told["asked"] is not None else found
-    return found
+            leader_reply: dict[str, Any] = wish(status_reply["leader_at"], settings, "status", id=id)
+            return leader_reply if leader_reply["asked"] is not None else status_reply
+    return status_reply
 
 
 def check(text: str, out: TextIO) -> int:
-    """Whether this release can act upon a document. Raises ConfigError."""
+    """Checks that this release can enforce a document. Raises ConfigError."""
     try:
         rules = parse_policy(text)
     except PolicyError as error:
@@ -130,38 +130,40 @@
     out: TextIO,
     wait: float,
 ) -> int:
-    """Propose, and wait until it is in force or withdrawn; the exit code says which."""
+    """Proposes a version and waits until it is in force or withdrawn, as the exit code tells."""
     check(text, out)
-    with Shown(out) as shown:
-        shown.keep(f"proposed as {id}")
-        end, told_at = time.monotonic() + wait + MORE_S, -AGAIN_S
-        while time.monotonic() < end:
+    with ProgressLine(out) as progress:
+        progress.print_line(f"proposed as {id}")
+        deadline, sent_at = time.monotonic() + wait + OUTCOME_MARGIN_S, -PROPOSE_RETRY_INTERVAL_S
+        while time.monotonic() < deadline:
             try:
                 found = wish(address, settings, "status", id=id)
-                if found["asked"] is None and time.monotonic() - told_at >= AGAIN_S:
-                    told_at = time.monotonic()
+                if found["asked"] is None and time.monotonic() - sent_at >= PROPOSE_RETRY_INTERVAL_S:
+                    sent_at = time.monotonic()
                     wish(address, settings, "propose", id=id, who=who, why=why, at=time.time(), text=text)
             except CommandRefusedError:
                 raise
             except ConfigError as error:
                 found = {"asked": None}
-                shown.say(str(error))
-            asked = found["asked"]
-            if asked is not None and asked["phase"] == "in force":
-                shown.keep(f"version {asked['number']}: in force")
+                progress.update(str(error))
+            v = found["asked"]
+            if v is not None and v["phase"] == "in force":
+                progress.print_line(f"version {v['number']}: in force")
                 return IN_FORCE
-            if asked is not None and asked["phase"] == "withdrawn":
-                shown.keep(f"version {asked['number']}: withdrawn\nwithdrawn: {asked['ended']}")
+            if v is not None and v["phase"] == "withdrawn":
+                progress.print_line(f"version {v['number']}: withdrawn\nwithdrawn: {v['ended']}")
                 return WITHDRAWN
-            if asked is not None:
-                shown.say(f"version {asked['number']}: {asked['phase']}{taken_up(led(found, settings, id))}")
-            time.sleep(LOOK_S)
-        shown.keep(f"unknown: propose it again with --id {id}, which does it once")
+            if v is not None:
+                progress.update(
+                    f"version {v['number']}: {v['phase']}{progress_text(leader_view(found, settings, id))}"
+                )
+            time.sleep(POLL_INTERVAL_S)
+        progress.print_line(f"unknown: propose it again with --id {id}, which does it once")
     return UNKNOWN
 
 
 def status(address: str, settings: PeersSettings, out: TextIO) -> int:
-    """How things stand, as one proxy sees it; 1 where it admits nothing."""
+    """Prints the status as one proxy sees it; returns 1 if it admits nothing."""
     s = wish(address, settings, "status")
     print(f"{s['name']}: {s['role']} in term {s['term']}, leader {s['leader'] or 'unknown'}", file=out)
     print(f"version {s['force']} is in force, agreed to {s['agreed']}, applied to {s['applied']}", file=out)
@@ -181,13 +183,13 @@
 def voters(
     address: str, settings: PeersSettings, wanted: list[str], who: str, out: TextIO, wait: float
 ) -> int:
-    """Have others vote, one after the other, and wait until they do; the exit code says whether."""
-    end, told_at, last = time.monotonic() + wait, -AGAIN_S, ""
-    while time.monotonic() < end:
+    """Changes the voters one at a time and waits until all are changed, as the exit code tells."""
+    deadline, sent_at, last = time.monotonic() + wait, -PROPOSE_RETRY_INTERVAL_S, ""
+    while time.monotonic() < deadline:
         try:
             s = wish(address, settings, "status")
-            if s["electorate"] != wanted and time.monotonic() - told_at >= AGAIN_S:
-                told_at = time.monotonic()
+            if s["electorate"] != wanted and time.monotonic() - sent_at >= PROPOSE_RETRY_INTERVAL_S:
+                sent_at = time.monotonic()
                 wish(address, settings, "voters", text=" ".join(wanted), who=who)
         except CommandRefusedError:
             raise
@@ -200,7 +202,7 @@
             last = line
         if s is not None and s["electorate"] == wanted and set(s["voters"]) == set(wanted):
             return IN_FORCE
-        time.sleep(LOOK_S)
+        time.sleep(POLL_INTERVAL_S)
     print("unknown: not all of it came about; whoever leads goes on with it", file=out)
     return UNKNOWN
 
@@ -219,7 +221,7 @@
 
 
 def diff(address: str, settings: PeersSettings, one: int, other: int, out: TextIO) -> int:
-    """Print where two versions differ; 1 where they do."""
+    """Prints the difference of two versions; returns 1 if there is any."""
     (a, before), (b, after) = text_of(address, settings, one), text_of(address, settings, other)
     lines = list(
         difflib.unified_diff(
@@ -231,7 +233,7 @@
     return int(bool(lines))
 
 
-def file_text(name: str) -> str:
+def read_text(name: str) -> str:
     try:
         if name == "-":
             return sys.stdin.read()
@@ -242,13 +244,13 @@
 
 
 def run(options: Any, settings: PeersSettings | None, out: TextIO) -> int:
-    """Carry out one verb of the command line. Raises ConfigError."""
+    """Runs one command of the command line. Raises ConfigError."""
     if options.verb == "check":
-        return check(file_text(options.file), out)
+        return check(read_text(options.file), out)
     assert settings is not None
     at = options.address
     verbs: dict[str, Callable[[], int]] = {
-        "propose": lambda: change(file_text(options.file)),
+        "propose": lambda: change(read_text(options.file)),
         "roll-back": lambda: change(text_of(at, settings, options.number)[1]),
         "status": lambda: status(at, settings, out),
         "history": lambda: history(at, settings, out),
--- a/brackenusher/group/recovery.py
+++ b/brackenusher/group/recovery.py
@@ -20,7 +20,7 @@
 from barleybarrow.replica import Ready
 from brackenusher.config.operators import Operator, PeersSettings, load_operator
 from brackenusher.config.platform import ConfigError
-from brackenusher.group.database import DatabaseDamagedError, F, K
+from brackenusher.group.database import ContentsT, DatabaseDamagedError, FileT
 from brackenusher.group.policies import wish
 from brackenusher.group.replica_store import ReplicaStore
 from brackenusher.group.store import Store
@@ -67,7 +67,7 @@
         raise ConfigError(f"{path}: {error}") from error
 
 
-def read_file(kind: type[F], path: Path, load: Callable[[F], K]) -> K:
+def read_file(kind: type[FileT], path: Path, load: Callable[[FileT], ContentsT]) -> ContentsT:
     """Reads the contents of a store without changing it. Raises ConfigError, also if it is corrupt."""
     with temporary_copy(path) as folder:
         try:
--- a/brackenusher/group/replicator.py
+++ b/brackenusher/group/replicator.py
@@ -118,7 +118,7 @@
         self.streams.handlers[RECORDS_CHANNEL] = self.on_records_message
         self.streams.handlers[REPLICA_CHANNEL] = self.on_replica_message
         self.streams.handlers[SHARES_CHANNEL] = self.on_shares_message
-        group_parts.deeds.update(
+        group_parts.command_handlers.update(
             {
                 "replica mark": self.set_override,
                 "replica clear": self.clear_override,
@@ -141,14 +141,14 @@
 
     def start(self) -> None:
         if self.worker is not None:
-            self.loop.spawn(self.run_completions(self.worker), self.worker.ours)
+            self.loop.spawn(self.run_completions(self.worker), self.worker.loop_socket)
         self.started_at = clock()
         self.on_wakeup()
 
     def run_completions(self, worker: Worker) -> Coroutine:
         while True:
             yield READ
-            worker.finish()
+            worker.run_callbacks()
 
     def on_wakeup(self) -> None:
         """Runs what is due and schedules the next wakeup."""
@@ -202,8 +202,8 @@
 
     def process_ready(self) -> None:
         urgent, self.replica.immediate_messages = self.replica.immediate_messages, []
-        for to, message in urgent:
-            self.streams.send(to, msgpack.encode(message), REPLICA_CHANNEL)
+        for to, urgent_message in urgent:
+            self.streams.send(to, msgpack.encode(urgent_message), REPLICA_CHANNEL)
         ready = self.replica.take_ready() if self.output.idle else None
         if ready is not None:
             if ready.changed_keys:
@@ -336,8 +336,8 @@
             found = {
                 **found,
                 "replica_fates": len(self.idempotency_records.records),
-                "replica_repeats_answered": self.past.answers,
-                "replica_repeats_bound": self.past.bound,
+                "replica_repeats_answered": self.past.answered_count,
+                "replica_repeats_bound": self.past.pinned_count,
             }
         if self.shares is not None:
             found = {**found, "replica_warden": int(self.shares.credit_server == self.name)}
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -1,4 +1,4 @@
-"""What waits in the group's parts has a bound, reached here, and a counter of what was left out."""
+"""Queues of the replicated group state are bounded; what is dropped at the bound is counted."""
 
 import random
 from types import SimpleNamespace
@@ -24,7 +24,7 @@
 
 
 def leader():
-    """One that leads, and hears nobody any more."""
+    """A leader that receives no more messages."""
     a = RaftNode("n0", THREE, random.Random(1), 0.0)
     a.campaign(0.0, pre_vote=False)
     a.on_vote_majority(0.0, pre_vote=False)
@@ -35,7 +35,7 @@
     return a
 
 
-def test_questions_and_messages_of_a_leader_that_hears_nobody(monkeypatch):
+def test_pending_reads_and_messages_of_a_partitioned_leader_are_bounded(monkeypatch):
     monkeypatch.setattr(agreement_log, "MAX_QUEUED_MESSAGES", 500)
     a = leader()
     for n in range(agreement.MAX_PENDING_READS + 5):
@@ -47,19 +47,21 @@
     assert a.dropped == a.counters["reads"] + a.counters["messages"]
 
 
-def test_learners_and_the_roster(monkeypatch):
+def test_followers_and_the_roster_are_bounded(monkeypatch):
     monkeypatch.setattr(agreement_replication, "MAX_FOLLOWERS", 5)
     monkeypatch.setattr(rollout, "MAX_ROSTER", 3)
     a, book = leader(), RolloutState()
     for n in range(9):
         a.handle_append_response(2.0, f"m{n}", AppendResponse(a.term, True, 0, 0, b"", False))
         book.apply(n + 1, policy_gate.msgpack.encode(Join(f"m{n}")))
-        book.apply(n + 1, policy_gate.msgpack.encode(Join("m0")))  # one that is there needs no room
+        book.apply(
+            n + 1, policy_gate.msgpack.encode(Join("m0"))
+        )  # a member that is known already needs no space
     assert len(a.progress) == 5 and a.counters["learners"] == 6  # the two voters are among the five
     assert list(book.roster) == ["m0", "m1", "m2"] and book.rejected_commands == 6
 
 
-def test_questions_that_nobody_answers():
+def test_unanswered_reads_are_bounded():
     g = PolicyGate("n9", THREE, random.Random(1), 0.0)
     for n in range(100):
         g.tick(200.0 * n)
@@ -67,7 +69,7 @@
 
 
 def alone(held=0, keys=lambda n: f"server x{n}", room=10_000):
-    """A keeper that has caught up with whoever there is, and is heard by nobody."""
+    """An acceptor that has caught up and whose messages reach nobody."""
     every = [Entry(keys(n), "n0~0", n + 1, {}, b"1") for n in range(held)]
     m = Replica("n0", THREE, random.Random(1), 0.0, StoredReplica("n0~0", True, every, {"n0~0": held}), room)
     m.reachable = ["n1", "n2"]
@@ -76,14 +78,14 @@
     return m
 
 
-def test_writes_on_their_way_and_messages_of_a_keeper_whose_disk_is_slow(monkeypatch):
+def test_pending_writes_and_messages_of_an_acceptor_with_a_slow_disk_are_bounded(monkeypatch):
     monkeypatch.setattr(replica, "MAX_QUEUED_MESSAGES", 100)
     m = alone()
     for n in range(replica.MAX_PENDING_WRITES):
         assert m.write_refusal() == "" and m.write(1.0, n, f"server s{n}", b"1")
     assert "too many writes" in m.write_refusal()
     for n in range(40):
-        m.tick(100.0 * n)  # nothing is taken meanwhile
+        m.tick(100.0 * n)  # the output is not taken meanwhile
     assert len(m.ready.messages) <= 100 and m.counts["messages"] > 0 and m.dropped == m.counts["messages"]
     m.tick(replica.WRITE_TIMEOUT_MS + 10.0)
     assert (
@@ -92,7 +94,7 @@
     )
 
 
-def test_others_that_are_known_of(monkeypatch):
+def test_known_peers_are_bounded(monkeypatch):
     monkeypatch.setattr(replica, "MAX_PEERS", 4)
     m = alone()
     for n in range(9):
@@ -101,7 +103,7 @@
 
 
 @pytest.mark.parametrize(("most", "told"), [(4096, 1), (10, 0)])
-def test_a_range_too_large_to_be_told_is_left_as_it_is(most, told, monkeypatch):
+def test_a_range_too_large_to_send_is_skipped(most, told, monkeypatch):
     monkeypatch.setattr(replica, "MAX_RANGE_ENTRIES", most)
     same = [key for key in (f"server y{n}" for n in range(6000)) if range_of(key) == 7][:20]
     m = alone(len(same), lambda n: same[n])
@@ -110,7 +112,7 @@
     assert m.counts["ranges"] == 1 - told
 
 
-def test_entries_and_origins_of_a_copy(monkeypatch):
+def test_entries_and_origins_of_a_replica_are_bounded(monkeypatch):
     monkeypatch.setattr("barleybarrow.version_vectors.MAX_ORIGINS", 3)
     state = VersionedState(5)
     found = [state.merge(Entry(f"server s{n}", f"o{n}", 1, {}, b"1")) for n in range(5)]
@@ -120,7 +122,7 @@
     assert [state.write("o1", f"server t{n}", b"1") is not None for n in range(4)] == [True] * 2 + [False] * 2
 
 
-def test_what_waits_for_a_peer_that_nobody_finds_and_streams_that_are_taken(monkeypatch):
+def test_messages_for_an_unknown_peer_and_incoming_streams_are_bounded(monkeypatch):
     monkeypatch.setattr(streams, "MAX_QUEUED_BYTES", 10_000)
     monkeypatch.setattr(streams, "MAX_INCOMING_STREAMS", 0)
     peers = PeersSettings(keys={"k1": b"x" * 16}, sign="k1")
--- a/tests/test_recovery.py
+++ b/tests/test_recovery.py
@@ -1,4 +1,4 @@
-"""Recovery by hand: what stores may go on, and every command of docs/recovery.md on processes."""
+"""Manual recovery: which stores may continue, and every command of docs/recovery.md on processes."""
 
 import json
 import re
@@ -38,7 +38,7 @@
         ([], ["n1", "n2"], {"n7": 15}, ["n7 applied more"]),
     ],
 )
-def test_a_store_goes_on_alone_only_where_nothing_speaks_against_it(others, without, applied, whys):
+def test_a_store_may_continue_alone_only_without_objections(others, without, applied, whys):
     found = objections(held("n0"), others, without, applied)
     assert len(found) == len(whys)
     assert all(why in o.reason for o, why in zip(found, whys, strict=True))
@@ -46,7 +46,7 @@
     assert [bool(o.assertion) for o in found] == [any(c in why for c in claims) for why in whys]
 
 
-def test_the_store_that_is_further_along_is_that_of_the_later_term():
+def test_the_store_with_the_later_term_is_further_along():
     five = [f"n{i}" for i in range(5)]
     late, long = held("n0", count=1, last_term=5, voters=five), held("n1", count=9, voters=five)
     assert late.log_position > long.log_position
@@ -57,7 +57,7 @@
     assert "does not vote by its own log" in stranger[0].reason
 
 
-def test_one_that_goes_on_outranks_all_that_were_seen_and_votes_alone():
+def test_a_recovered_store_outranks_all_others_and_is_the_only_voter():
     mine, other = held("n0"), held("n1", term=8, last_term=3)
     ready = recovered_state(mine, [other])
     assert ready.hard_state == (8 + TERM_MARGIN, "n0") and ready.first_index == mine.last_index + 1
@@ -65,7 +65,7 @@
     assert after.voters == ["n0"] and after.log_position > max(mine.log_position, other.log_position)
 
 
-def test_what_a_store_holds_and_what_it_lacks_is_said():
+def test_missing_versions_are_listed():
     log = data(1, Join("n0"), Propose("a", "ama", "less", 0.0, ""), Step(1, JOINT), Step(1, IN_FORCE))
     book = StoreContents("n0", 1, None, log, THREE).rollout_state()
     assert book.force == 1 and list(book.roster) == ["n0"]
@@ -94,7 +94,7 @@
         assert all("Traceback" not in group.log(n) for n in range(5))
 
 
-def test_a_majority_of_the_voters_is_gone_for_good_and_one_goes_on(five):
+def test_one_voter_recovers_the_group_after_the_majority_is_lost(five):
     addresses = [five.address(n) for n in range(5)]
     whole = five.by_hand("status", 0, *addresses)
     assert whole.returncode == 0 and whole.stdout.count("admits") == 5, whole
@@ -111,8 +111,8 @@
     for n in (3, 4):
         five.leave(n)
     five.begin_again(2)
-    five.everywhere(1)  # with no one else's vote
-    five.caught_up(range(5))  # keepers whose disks are new count once they have heard all
+    five.everywhere(1)  # without another vote
+    five.caught_up(range(5))  # acceptors with empty disks count once they have the full state
     five.all_hold({"server s0": 1})
     assert five.propose(3, 2).returncode == 0
     assert five.policy("voters", 4, "--set", "n2,n3,n4").returncode == 0
@@ -122,9 +122,9 @@
     five.everywhere(3)
 
 
-def test_backups_are_checked_and_put_back_only_by_who_knows_what_is_lost(five, tmp_path):
+def test_backups_are_verified_and_restored_only_with_acknowledged_losses(five, tmp_path):
     source = tmp_path / "backup"
-    made = five.by_hand("backup", 1, "--name", "n1", "--to", str(source))  # it runs meanwhile
+    made = five.by_hand("backup", 1, "--name", "n1", "--to", str(source))  # while the proxy runs
     assert made.returncode == 0 and "version 1 is in force" in made.stdout and "1 marks" in made.stdout, made
     assert json.loads((source / "backup.json").read_text(encoding="utf-8"))["name"] == "n1"
     again = five.by_hand("backup", 1, "--name", "n1", "--to", str(source))
@@ -140,7 +140,7 @@
     assert not any(five.folder(1).iterdir())
     done = five.by_hand("restore", 1, str(source), "--i-know")
     assert done.returncode == 0, done
-    five.start(1)  # the others know better, and it is told
+    five.start(1)  # the peers recorded a later state and report it
     five.until(lambda: "no vote until caught up" in five.log(1), "an old copy is noticed")
     five.everywhere(2)
     five.caught_up(range(5))
@@ -153,13 +153,13 @@
     assert damaged.returncode == 1 and "DAMAGED" in damaged.stdout, damaged
 
 
-def test_all_disks_are_lost_but_for_an_older_backup_and_what_is_lost_is_listed(five, tmp_path):
+def test_recovery_from_an_older_backup_after_all_disks_are_lost(five, tmp_path):
     source = tmp_path / "backup"
     assert five.by_hand("backup", 0, "--name", "n0", "--to", str(source)).returncode == 0
     assert five.propose(0, 2, "--why", "later").returncode == 0
     five.everywhere(2)
     five.lose(0, 1, 2)
-    five.leave(3)  # the last one without a disk still knows
+    five.leave(3)  # the last diskless member still has the state
     told = five.by_hand("restore", 0, str(source), "--i-know")
     assert told.returncode == 0 and "nobody else answers" in told.stdout, told
     five.leave(4)
@@ -172,8 +172,8 @@
     assert five.policy("voters", 4, "--set", "n0,n1,n2").returncode == 0
 
 
-def test_two_groups_made_by_mistake_are_told_apart(tmp_path):
-    class Two(Whole):
+def test_status_shows_two_groups_created_by_mistake(tmp_path):
+    class TwoGroups(Whole):
         def operator(self, number):
             text = super().operator(number)
             return text.replace("policy.voters = n0, n1, n2", "policy.voters = n3") if number > 2 else text
@@ -181,11 +181,11 @@
         def __enter__(self):
             return super(Governed, self).__enter__()
 
-    with Two(tmp_path) as group:
+    with TwoGroups(tmp_path) as group:
         group.until(lambda: all((group.status(n) or {}).get("admits") for n in range(5)), "two groups")
         both = group.by_hand("status", 0, *(group.address(n) for n in range(5)))
         assert both.returncode == 1 and "two groups" in both.stdout, both
-        for n in (3, 4):  # one of them begins anew as part of the other
+        for n in (3, 4):  # these two restart as members of the other group
             group.leave(n)
             path = group.tmp_path / "run" / f"operator{n}.properties"
             path.write_text(Whole.operator(group, n), encoding="utf-8")
