--- a/brackenusher/group/database.py
+++ b/brackenusher/group/database.py
@@ -74,13 +74,13 @@
     def set_aside(self) -> str:
         """Renames a corrupt file and creates an empty one. Raises OSError, sqlite3.Error."""
         self.db.close()
-        aside = self.path + ".damaged"
+        damaged_path = self.path + ".damaged"
         for suffix in ("-wal", "-shm"):
             if os.path.exists(self.path + suffix):
-                os.replace(self.path + suffix, aside + suffix)
-        os.replace(self.path, aside)
+                os.replace(self.path + suffix, damaged_path + suffix)
+        os.replace(self.path, damaged_path)
         self.db = self.open()
-        return aside
+        return damaged_path
 
     @contextlib.contextmanager
     def transaction(self) -> Iterator[None]:
--- a/brackenusher/group/node.py
+++ b/brackenusher/group/node.py
@@ -59,13 +59,13 @@
         self.store: Store | None = None  # None on members that have never been voters
         self.worker: Worker | None = None
         self.creating_store = False
-        kept = StoredState()
+        stored = StoredState()
         if name in settings.voters or os.path.exists(os.path.join(settings.folder, Store.NAME)):
-            self.store, kept = self.open_store(settings.folder)
+            self.store, stored = self.open_store(settings.folder)
             self.worker = Worker()
-        self.store_opens = kept.lives
-        self.peer_incarnations = Incarnations(kept.met)
-        self.queued_incarnations = dict(kept.met)  # as last queued for the store
+        self.store_opens = stored.lives
+        self.peer_incarnations = Incarnations(stored.met)
+        self.queued_incarnations = dict(stored.met)  # as last queued for the store
         self.confirmed_by: set[str] = {name}
         self.store_outdated = False  # a peer has seen a later state of this store
         self.policy_gate = PolicyGate(
@@ -75,15 +75,15 @@
             clock(),
             settings.fence,
             settings.within_s * 1000.0,
-            kept.term,
-            kept.vote,
-            kept.snapshot,
-            kept.entries,
+            stored.term,
+            stored.vote,
+            stored.snapshot,
+            stored.entries,
             self.store is not None and len(settings.voters) > 1,
             self.store is not None,
         )
-        agreement = self.policy_gate.raft
-        only_voter = self.store is not None and agreement.voters == [name] and agreement.quarantined
+        raft = self.policy_gate.raft
+        only_voter = self.store is not None and raft.voters == [name] and raft.quarantined
         # the log names this proxy as the only voter, whatever the operators' file says
         self.quarantine_ends_at = clock() + SINGLE_VOTER_QUARANTINE_MS if only_voter else inf
         self.streams = group_parts.streams
@@ -117,14 +117,14 @@
 
     def open_store(self, folder: str) -> tuple[Store, StoredState]:
         """Opens the store and returns it with its contents. Raises ValueError."""
-        store, kept = opened(Store, Store.load, folder, "policy")
-        kept = kept or StoredState()
-        kept.lives += 1
+        store, stored = opened(Store, Store.load, folder, "policy")
+        stored = stored or StoredState()
+        stored.lives += 1
         try:
-            store.facts(lives=kept.lives)
+            store.facts(lives=stored.lives)
         except (OSError, sqlite3.Error) as error:
             raise ValueError(f"policy.folder: {folder}: {error}") from error
-        return store, kept
+        return store, stored
 
     # Start and timers
 
@@ -207,16 +207,16 @@
         if self.creating_store:
             return
         self.creating_store = True
-        worker, made = Worker(), list[tuple[Store, StoredState]]()
+        worker, created = Worker(), list[tuple[Store, StoredState]]()
         task = self.loop.spawn(self.run_completions(worker), worker.loop_socket)
 
         def make() -> None:
             try:
-                made.append(self.open_store(self.settings.folder))
+                created.append(self.open_store(self.settings.folder))
             except ValueError as error:
                 raise OSError(str(error)) from error
 
-        def ready(why: str) -> None:
+        def on_created(why: str) -> None:
             self.creating_store = False
             if why:
                 say(log, logging.ERROR, "store_failed", "policy: no store to vote by: %(why)s", why=why)
@@ -225,25 +225,25 @@
                 task.stop()
                 return
             self.worker = self.output.worker = worker
-            self.store, kept = made[0]
-            self.store_opens = self.streams.store_opens = kept.lives
+            self.store, stored = created[0]
+            self.store_opens = self.streams.store_opens = stored.lives
             self.store_full_state()
 
-        worker.submit(make, ready)
+        worker.submit(make, on_created)
 
     def store_full_state(self) -> None:
         """Writes the full state to the new store; later output is stored after it."""
         store, worker, full_state = self.store, self.worker, self.policy_gate.raft.full_state()
         assert store is not None and worker is not None
 
-        def kept(why: str) -> None:
+        def on_result(why: str) -> None:
             if why:
                 self.loop.deadlines.add(clock() + STORE_RETRY_INTERVAL_MS, self.store_full_state)
             else:
                 self.policy_gate.on_store_ready(clock())
                 say(log, logging.INFO, "store_made", "policy: keeps what it says on disk, and may vote")
 
-        worker.submit(lambda: store.keep(full_state), kept)
+        worker.submit(lambda: store.keep(full_state), on_result)
 
     # Streams
 
@@ -270,12 +270,12 @@
         self.queued_incarnations[name] = incarnation
         incarnations = {n: (m.count, m.run_id, m.previous_count) for n, m in self.queued_incarnations.items()}
 
-        def kept(why: str) -> None:
+        def on_result(why: str) -> None:
             if not why:
                 self.peer_incarnations.on_stored(name, incarnation)
             then(None if why else before)
 
-        self.worker.submit(lambda: store.facts(met=incarnations), kept)
+        self.worker.submit(lambda: store.facts(met=incarnations), on_result)
 
     def on_recorded_opens(self, name: str, recorded_opens: int) -> None:
         """A peer reports how many openings of this proxy's store it has recorded."""
@@ -292,14 +292,14 @@
                 store, own_opens = self.store, self.store_opens
                 self.worker.submit(lambda: store.facts(lives=own_opens), lambda why: None)
             return
-        agreement = self.policy_gate.raft
-        if name not in agreement.voters:
+        raft = self.policy_gate.raft
+        if name not in raft.voters:
             return
         self.confirmed_by.add(name)
         # one such report cannot be outvoted: the member has to catch up
         may_end = self.policy_gate.durable and not self.store_outdated
-        if agreement.quarantined and may_end and len(self.confirmed_by) >= agreement.majority:
-            agreement.end_quarantine()
+        if raft.quarantined and may_end and len(self.confirmed_by) >= raft.majority:
+            raft.end_quarantine()
 
     # Enforcement of the rules
 
--- a/brackenusher/group/recovery.py
+++ b/brackenusher/group/recovery.py
@@ -353,10 +353,10 @@
         return EXIT_REFUSED
     for file, folder in folders.items():
         folder.mkdir(parents=True, exist_ok=True)
-        backup_path = folder / f"{file}.aside-{int(time.time())}"
+        aside_path = folder / f"{file}.aside-{int(time.time())}"
         for end in ("", "-wal", "-shm"):
             if (folder / (file + end)).exists():
-                os.replace(folder / (file + end), f"{backup_path}{end}")
+                os.replace(folder / (file + end), f"{aside_path}{end}")
         staging = folder / "restoring"  # moved into place only once reset and synced
         shutil.rmtree(staging, ignore_errors=True)
         staging.mkdir()
--- a/brackenusher/group/replicator.py
+++ b/brackenusher/group/replicator.py
@@ -320,16 +320,16 @@
 
     def figures(self) -> list[tuple[str, int, str, list[tuple[str, str]]]]:
         """Gauges for the metrics collector."""
-        m = self.replica
+        replica = self.replica
         found: Mapping[str, int] = {
-            "replica_caught_up": int(m.stage is Stage.CAUGHT_UP),
-            "replica_entries": m.state.size,
-            "replica_bytes": m.state.bytes,
-            "replica_removed": m.state.tombstone_count,
+            "replica_caught_up": int(replica.stage is Stage.CAUGHT_UP),
+            "replica_entries": replica.state.size,
+            "replica_bytes": replica.state.bytes,
+            "replica_removed": replica.state.tombstone_count,
             "replica_conflicts": len(self.overrides.conflicts),
-            "replica_differs": int(m.has_diverged),
-            "replica_writes": len(m.pending_writes),
-            "replica_dropped": m.state.counts["room"] + self.streams.counts["room"] + m.dropped,
+            "replica_differs": int(replica.has_diverged),
+            "replica_writes": len(replica.pending_writes),
+            "replica_dropped": replica.state.counts["room"] + self.streams.counts["room"] + replica.dropped,
             "replica_turned_away": self.denied_count,
         }
         if self.past is not None and self.idempotency_records is not None:
@@ -386,11 +386,11 @@
         return {"outcome": self.write_outcomes.get(wish.number, "unknown")}
 
     def list_overrides(self, wish: Wish) -> Any:
-        m, found = self.replica, list[dict[str, Any]]()
-        keys = [k for k in islice(m.state.slots, MAX_KEYS_LISTED) if k.partition(" ")[0] in KINDS]
+        replica, found = self.replica, list[dict[str, Any]]()
+        keys = [k for k in islice(replica.state.slots, MAX_KEYS_LISTED) if k.partition(" ")[0] in KINDS]
         for key in [*sorted(self.overrides.conflicts), *sorted(set(keys) - self.overrides.conflicts)]:
             entries = []
-            for entry in m.state.slots[key]:
+            for entry in replica.state.slots[key]:
                 override = decode_override(entry)
                 facts = {"origin": entry.origin, "number": entry.number, "marked": override is not None}
                 if override is not None:
@@ -405,15 +405,20 @@
                 found.append({"key": key, "conflict": key in self.overrides.conflicts, "words": entries})
             if len(found) >= max(1, min(wish.number or 1000, 1000)):
                 break
-        return {"name": self.name, "stage": m.stage.value, "marks": found, "entries": m.state.size}
+        return {
+            "name": self.name,
+            "stage": replica.stage.value,
+            "marks": found,
+            "entries": replica.state.size,
+        }
 
     def compare_with_peers(self, wish: Wish) -> Any:
         """Compares this replica with the peers heard from recently."""
-        m, now = self.replica, clock()
+        replica, now = self.replica, clock()
         others = {}
-        for name, other in sorted((n, o) for n, o in m.peers.items() if o.run_id):
-            covered = all(m.state.vector.get(o, 0) >= n for o, n in other.vector.items())
-            covers = all(other.vector.get(o, 0) >= n for o, n in m.state.vector.items())
+        for name, other in sorted((n, o) for n, o in replica.peers.items() if o.run_id):
+            covered = all(replica.state.vector.get(o, 0) >= n for o, n in other.vector.items())
+            covers = all(other.vector.get(o, 0) >= n for o, n in replica.state.vector.items())
             relation = "has the same" if covered and covers else "is ahead" if covers else "is behind"
             others[name] = {
                 "heard_ms": int(now - other.last_heard_at),
@@ -425,20 +430,20 @@
             shares = {key: round(self.shares.share_of(key, now), 4) for key in keys}
         return {
             "name": self.name,
-            "stage": m.stage.value,
-            "origin": m.origin,
-            "whole": m.complete,
-            "entries": m.state.size,
-            "removed": m.state.tombstone_count,
-            "bytes": m.state.bytes,
-            "print": f"{m.state.digest:016x}",
-            "differs": m.has_diverged,
+            "stage": replica.stage.value,
+            "origin": replica.origin,
+            "whole": replica.complete,
+            "entries": replica.state.size,
+            "removed": replica.state.tombstone_count,
+            "bytes": replica.state.bytes,
+            "print": f"{replica.state.digest:016x}",
+            "differs": replica.has_diverged,
             "conflicts": sorted(self.overrides.conflicts)[:100],
             "others": others,
             "warden": self.shares.credit_server if self.shares is not None else "",
             "parts": shares,
             "base": round(self.shares.fallback_share, 4) if self.shares is not None else None,
-            "counts": dict(m.counts + m.state.counts),
+            "counts": dict(replica.counts + replica.state.counts),
         }
 
     def close(self) -> None:
