--- a/benchmarks/capacity_control.py
+++ b/benchmarks/capacity_control.py
@@ -74,7 +74,7 @@
                         proxies.append(ProxyProcess(settings))
                         await proxies[-1].start()
         sent = float(sum(proxy.links.counters.bytes_sent for proxy in proxies))
-        ready = all(proxy.server.readiness() for proxy in proxies)
+        ready = all(proxy.server.is_ready() for proxy in proxies)
         pipe.send((ready, time.process_time(), sent, float(resident_bytes(os.getpid()))))
 
 
--- a/benchmarks/warm_start.py
+++ b/benchmarks/warm_start.py
@@ -83,7 +83,7 @@
         self.arrived, self.sent, self.slow = 0, 0, 0
         self.asked, self.good = [0, 0], [0, 0]  # in the first second, in the four after it
         proxy.transactions.observers = Observers(
-            handled=(proxy.note, keeper.handled, self.handled), answered=(self.answered,)
+            on_event=(proxy.note, keeper.on_event, self.handled), on_answer=(self.answered,)
         )
 
     def handled(self, now: float, event: Any, actions: Sequence[Any]) -> None:
@@ -98,7 +98,7 @@
 
     def answered(self, transaction: Any, answer: Any) -> None:
         span, since = self.proxy.now - transaction.arrived, transaction.arrived - self.began
-        aim = self.proxy.settings.classes[transaction.klass].aim
+        aim = self.proxy.settings.classes[transaction.class_index].aim
         if isinstance(answer, Served) and span <= aim and since < 5000.0:
             self.good[since >= 1000.0] += 1
 
@@ -154,7 +154,7 @@
     world = World(scene(), seed)
     keepers = [keep(world, proxy) for proxy in world.proxies]
     for proxy, keeper in zip(world.proxies, keepers, strict=True):
-        proxy.transactions.observers = Observers(handled=(proxy.note, keeper.handled))
+        proxy.transactions.observers = Observers(on_event=(proxy.note, keeper.on_event))
     saved: list[bytes] = []
     for second in range(1, int(START / 1000.0) + 1):
         world.run(second * 1000.0 - 1.0)
--- a/brackenusher/assembly/proxy.py
+++ b/brackenusher/assembly/proxy.py
@@ -76,17 +76,17 @@
             self.dispatcher,
             self.limits,
             settings.limits.memory_mb,
-            ask_quota=self.limits_driver.admit,
-            may_deny=lambda: self.feed.current,
-            keys_hold=lambda: self.key_lease.holds,
+            check_quota=self.limits_driver.admit,
+            configuration_is_current=lambda: self.feed.is_current,
+            keys_valid=lambda: self.key_lease.holds,
             journal=self.journal,
         )
         self.feed = FeedClient(settings, self.links, self._apply_configuration, self._set_servers)
         self.feed.on_voters.append(self.limits_driver.voters_changed)
         self.announcer = Announcer(loop, self.dispatcher, settings.ip, settings.internal_port_range[0])
         self.monitor = Monitor(settings, self.links, rng)
-        self.monitor.on_control_addresses.append(self.feed.learn)
-        self.monitor.on_peer_version.append(self.feed.hear_of_version)
+        self.monitor.on_control_addresses.append(self.feed.add_control_addresses)
+        self.monitor.on_peer_version.append(self.feed.record_peer_version)
         self.monitor.applied_version = lambda: self.feed.version
         self.share_exchange = self.monitor.share_exchange = FallbackShareExchange(self.limits)
         self.monitor.key_lease = self.key_lease
@@ -95,14 +95,14 @@
         self.server = DataPlaneServer(self.proxy, settings.limits.max_fds, self._is_ready)
         host, port = split_address(settings.listen.ready)
         metrics = Metrics()
-        self.ready_server = HttpServer(host, port, ReadyApi(self.server.readiness, metrics).handle)
+        self.ready_server = HttpServer(host, port, ReadyApi(self.server.is_ready, metrics).handle)
         add_process_metrics(metrics)
         add_link_metrics(metrics, self.links)
         add_proxy_metrics(
             metrics,
             self.proxy,
             self.feed,
-            self.server.readiness,
+            self.server.is_ready,
             lambda: self.dispatcher.counters.counts,
             self.key_lease,
             self.announcer,
@@ -152,7 +152,7 @@
         status = messages.ProxyStatus(
             config_version=self.feed.version,
             requests_in_flight=self.proxy.in_flight(),
-            ready=self.server.readiness(),
+            ready=self.server.is_ready(),
         )
         last = self._last_status
         unchanged = last is not None and (last.config_version, last.ready) == (
--- a/brackenusher/core/admission.py
+++ b/brackenusher/core/admission.py
@@ -23,46 +23,48 @@
 class Request:
     """A request to be admitted, as every front end passes it."""
 
-    name: bytes  # its id, unique among the open requests
-    klass: int  # index of its class in the settings
-    span: float  # milliseconds until its client gives up
+    request_id: bytes  # its id, unique among the open requests
+    class_index: int  # index of its class in the settings
+    timeout_ms: float  # milliseconds until its client gives up
     tenant: int  # index in the settings, 0 if it names none
-    repeated: bool  # whether the client marks it as a retry
+    is_retry: bool  # whether the client marks it as a retry
     message: Message
     token: bytes | None = field(default=None, repr=False)
     address: str = ""  # the client's
-    beyond: bool = False  # on a connection beyond the descriptor limit, accepted only to be refused
-    free: int | None = None  # idle client connections, if clients cannot open another
-    came: float = 0.0  # when its last byte was read; it may have queued behind others of its connection
-    gone: Callable[[], bool] = never_gone  # whether its client has disconnected meanwhile
+    # on a connection beyond the descriptor limit, accepted only to be refused
+    over_connection_limit: bool = False
+    available_connections: int | None = None  # idle client connections, if clients cannot open another
+    # when its last byte was read; it may have queued behind others of its connection
+    received_at: float = 0.0
+    client_gone: Callable[[], bool] = never_gone  # whether its client has disconnected meanwhile
 
 
-class Bar(Enum):
+class DenialReason(Enum):
     """Why a request was denied; the values appear in logs."""
 
-    ROOM = "room"  # the descriptor limit
+    CONNECTION_LIMIT = "room"  # the descriptor limit
     SHUTDOWN = "end"  # the process is shutting down and too little time remains
     TOKEN = "token"
-    MARK = "mark"  # an administrators' override, or overrides that are not known here yet
+    OVERRIDE = "mark"  # an administrators' override, or overrides that are not known here yet
     POLICY = "policy"  # the group's policy, or a policy that is not known here yet
-    DOOR = "door"  # of its tenant or address
-    ID = "id"  # an open request has the same id
+    RATE_LIMIT = "door"  # of its tenant or address
+    DUPLICATE_ID = "id"  # an open request has the same id
 
 
 @dataclass(slots=True)
-class Verdict:
+class Denial:
     """Why a request was not accepted: it has an error, or may be retried after some milliseconds."""
 
-    bar: Bar
-    why: str = ""  # its error: `open`, or one of `barleybarrow.tokens`; empty if it has none
+    reason: DenialReason
+    detail: str = ""  # its error: `open`, or one of `barleybarrow.tokens`; empty if it has none
     retry_after: float = 0.0
 
     @property
     def summary(self) -> str:
         """Summary for observers: reason, detail or Retry-After, and whether rejected or refused."""
-        if self.why:
-            return f"{self.bar.value} {self.why} rejected"
-        return f"{self.bar.value} {self.retry_after:.0f} refused"
+        if self.detail:
+            return f"{self.reason.value} {self.detail} rejected"
+        return f"{self.reason.value} {self.retry_after:.0f} refused"
 
 
 class Gate(Protocol):
@@ -75,12 +77,12 @@
 class IdempotencyLookup(Protocol):
     """Looks up recorded outcomes of requests with an idempotency key, at this proxy or another."""
 
-    def ask(self, request: Request) -> "Before | None":
+    def ask(self, request: Request) -> "RecordedOutcome | None":
         """Return the answer or the server that may have executed it; None if nothing is recorded."""
 
 
 @dataclass(frozen=True, slots=True)
-class Before:
+class RecordedOutcome:
     """Recorded outcome of an earlier try: its answer, or the server that may have executed it.
 
     That server drops retries until the time `until`.
@@ -91,7 +93,7 @@
     until: float = 0.0
 
 
-NO_RECORD = Before()
+NO_RECORD = RecordedOutcome()
 
 
 class Admission:
@@ -105,7 +107,7 @@
         token_settings: tokens.TokenSettings | None = None,
         wall_clock: Callable[[], float] = time.time,
     ) -> None:
-        self.transactions, self.door, self.token_settings, self.wall_clock = (
+        self.transactions, self.rate_limiter, self.token_settings, self.wall_clock = (
             transactions,
             rate_limiter,
             token_settings,
@@ -115,92 +117,97 @@
             tokens.READ if c.effect is Effect.SAFE else tokens.SUBMIT for c in settings.classes
         ]
         self.max_retry_after_ms = settings.max_retry_after
-        self.gates: list[tuple[Bar, Gate]] = []  # in a group of proxies
-        self.past: IdempotencyLookup | None = None  # if proxies share idempotency records
+        self.gates: list[tuple[DenialReason, Gate]] = []  # in a group of proxies
+        self.idempotency: IdempotencyLookup | None = None  # if proxies share idempotency records
         self.shutdown: GracefulShutdown | None = None  # set once the process is to stop
-        self.at_the_end = 0  # requests refused because of the shutdown
+        self.refused_at_shutdown = 0  # requests refused because of the shutdown
 
-    def admit(self, request: Request, reply: Callable[[Answer], None]) -> Transaction | Verdict:
+    def admit(self, request: Request, reply: Callable[[Answer], None]) -> Transaction | Denial:
         """Accept a request, whose final answer `reply` gets once, maybe before this returns, or deny it."""
         denial = self.check(request)
         if denial is None:
-            recorded = self.past.ask(request) if self.past is not None else None
+            recorded = self.idempotency.ask(request) if self.idempotency is not None else None
             if recorded is None:
                 recorded = NO_RECORD
-            transaction = self.transactions.arrive(
-                request.name,
-                request.klass,
-                request.span,
+            transaction = self.transactions.accept(
+                request.request_id,
+                request.class_index,
+                request.timeout_ms,
                 request.message,
                 reply,
                 request.tenant,
-                request.repeated,
+                request.is_retry,
                 None if recorded is NO_RECORD else recorded.server,
                 recorded.until,
                 recorded.content,
-                request.gone,
+                request.client_gone,
             )
             if transaction is not None:
                 return transaction
-            denial = Verdict(Bar.ID, "open")
-        self.transactions.turn_away(request, denial.summary)
+            denial = Denial(DenialReason.DUPLICATE_ID, "open")
+        self.transactions.record_denial(request, denial.summary)
         return denial
 
-    def answered(self, transaction: Transaction, answer: Answer) -> None:
+    def answer_sent(self, transaction: Transaction, answer: Answer) -> None:
         """Handle that a front end has the final answer of a request; a shutdown plan records its latency."""
         if self.shutdown is not None and isinstance(answer, Served):
             self.shutdown.answered(self.transactions.clock() - transaction.arrived)
 
-    def whole(self, transaction: Transaction) -> None:
+    def body_complete(self, transaction: Transaction) -> None:
         """Handle that the body of an accepted request is complete."""
         self.transactions.body_complete(transaction)
 
-    def left(self, transaction: Transaction) -> None:
+    def client_left(self, transaction: Transaction) -> None:
         """Handle that the client of an accepted request has disconnected."""
-        self.transactions.left(transaction)
+        self.transactions.client_left(transaction)
 
-    def check(self, request: Request) -> Verdict | None:
+    def check(self, request: Request) -> Denial | None:
         """Return why a request is denied, if it is.
 
         Tokens are checked before the rate limit: a forged owner must not drain a tenant's bucket.
         """
-        if request.beyond:
-            return Verdict(Bar.ROOM, retry_after=self.max_retry_after_ms)
+        if request.over_connection_limit:
+            return Denial(DenialReason.CONNECTION_LIMIT, retry_after=self.max_retry_after_ms)
         if self.shutdown is not None and not self.fits_shutdown_plan(request, self.shutdown):
-            self.at_the_end += 1
+            self.refused_at_shutdown += 1
             wait_ms = self.shutdown.come_back(self.transactions.clock(), self.max_retry_after_ms)
-            return Verdict(Bar.SHUTDOWN, retry_after=wait_ms)
+            return Denial(DenialReason.SHUTDOWN, retry_after=wait_ms)
         if self.token_settings is not None:
             token_fault = tokens.verdict(
-                self.token_settings, request.token, self.required_rights[request.klass], self.wall_clock()
+                self.token_settings,
+                request.token,
+                self.required_rights[request.class_index],
+                self.wall_clock(),
             )
             if token_fault:
-                return Verdict(Bar.TOKEN, token_fault)
+                return Denial(DenialReason.TOKEN, token_fault)
         for reason, gate in self.gates:
-            wait_ms = gate.ask(name_of(request.message.owner), request, self.transactions.clock())
+            wait_ms = gate.ask(rate_limit_key(request.message.owner), request, self.transactions.clock())
             if wait_ms:
-                return Verdict(reason, retry_after=wait_ms)
-        if self.door is not None:
+                return Denial(reason, retry_after=wait_ms)
+        if self.rate_limiter is not None:
             message = request.message
-            key = request.address if self.door.settings.by_address else name_of(message.owner)
-            message.charged = key, self.transactions.clock()
-            wait_ms = self.door.ask(*message.charged)
+            key = request.address if self.rate_limiter.settings.by_address else rate_limit_key(message.owner)
+            message.rate_limit_charge = key, self.transactions.clock()
+            wait_ms = self.rate_limiter.ask(*message.rate_limit_charge)
             if wait_ms:
-                return Verdict(Bar.DOOR, retry_after=wait_ms)
+                return Denial(DenialReason.RATE_LIMIT, retry_after=wait_ms)
         return None
 
     def fits_shutdown_plan(self, request: Request, plan: GracefulShutdown) -> bool:
         """Whether a request can still be accepted during shutdown; shorten its timeout to the time left."""
         now, open_count = self.transactions.clock(), len(self.transactions.open)
-        timeout_ms = plan.cut(now, request.span, open_count)
-        if request.span and not timeout_ms:
+        timeout_ms = plan.cut(now, request.timeout_ms, open_count)
+        if request.timeout_ms and not timeout_ms:
             return False
-        if request.free is not None and plan.crowded(now, request.free, open_count):
+        if request.available_connections is not None and plan.crowded(
+            now, request.available_connections, open_count
+        ):
             return False
-        request.span = timeout_ms
+        request.timeout_ms = timeout_ms
         return True
 
 
-def name_of(owner: bytes | None) -> str:
+def rate_limit_key(owner: bytes | None) -> str:
     """A tenant's key in the rate limiter, truncated to its limit; requests without a tenant share one key."""
     return "" if owner is None else owner[:LONGEST_KEY].decode("latin-1")
--- a/brackenusher/core/pipe.py
+++ b/brackenusher/core/pipe.py
@@ -13,28 +13,28 @@
 MAX_REPLAYABLE_BYTES = 1024 * 1024  # of a body that is buffered completely, so that it can be sent again
 
 
-def nothing() -> None:
+def no_op() -> None:
     """Default callback: there is nobody to wake."""
 
 
-class Budget:
+class PipeBudget:
     """Memory budget of request and response bodies beyond the minimum that each may always use."""
 
     def __init__(self, total: int) -> None:
-        self.total_bytes, self.kept, self.pipes = total, 0, 0
+        self.total_bytes, self.buffered_body_bytes, self.open_pipes = total, 0, 0
         self.broken_pipes = self.opened_pipes = 0  # since the start
 
-    def may_keep(self, size: int) -> bool:
+    def may_buffer(self, size: int) -> bool:
         """Whether a body that has grown to `size` bytes may be buffered completely."""
-        return size <= MAX_REPLAYABLE_BYTES and self.kept + size <= self.total_bytes // 2
+        return size <= MAX_REPLAYABLE_BYTES and self.buffered_body_bytes + size <= self.total_bytes // 2
 
     @property
     def window_bytes(self) -> int:
         """The number of bytes that each pipe may hold now."""
-        return min(max(self.total_bytes // 2 // max(self.pipes, 1), MIN_WINDOW_BYTES), MAX_WINDOW_BYTES)
+        return min(max(self.total_bytes // 2 // max(self.open_pipes, 1), MIN_WINDOW_BYTES), MAX_WINDOW_BYTES)
 
 
-class End(Enum):
+class PipeEnd(Enum):
     """How a pipe ended."""
 
     WHOLE = "whole"
@@ -47,28 +47,28 @@
 
     __slots__ = (
         "budget",
-        "parts",
+        "chunks",
         "held_bytes",
-        "came",
-        "whole",
+        "received_bytes",
+        "complete",
         "broken",
         "closed",
         "end",
-        "tell",
-        "to_reader",
-        "to_writer",
+        "on_end",
+        "wake_reader",
+        "wake_writer",
     )
 
-    def __init__(self, budget: Budget) -> None:
+    def __init__(self, budget: PipeBudget) -> None:
         self.budget = budget
-        self.parts: list[bytes] = []
-        self.held_bytes = self.came = 0  # bytes held now, and bytes written so far
-        self.whole = self.broken = self.closed = False
-        self.end: End | None = None
-        self.tell: list[Callable[[End], None]] = []  # called once with the way it ended
-        self.to_reader: Callable[[], None] = nothing
-        self.to_writer: Callable[[], None] = nothing
-        budget.pipes += 1
+        self.chunks: list[bytes] = []
+        self.held_bytes = self.received_bytes = 0  # bytes held now, and bytes written so far
+        self.complete = self.broken = self.closed = False
+        self.end: PipeEnd | None = None
+        self.on_end: list[Callable[[PipeEnd], None]] = []  # called once with the way it ended
+        self.wake_reader: Callable[[], None] = no_op
+        self.wake_writer: Callable[[], None] = no_op
+        budget.open_pipes += 1
         budget.opened_pipes += 1
 
     # Writer's side
@@ -77,45 +77,45 @@
     def full(self) -> bool:
         return self.held_bytes >= self.budget.window_bytes
 
-    def put(self, chunk: bytes) -> None:
+    def write(self, chunk: bytes) -> None:
         if not self.closed:
-            self.parts.append(chunk)
+            self.chunks.append(chunk)
             self.held_bytes += len(chunk)
-            self.came += len(chunk)
-            self.to_reader()
+            self.received_bytes += len(chunk)
+            self.wake_reader()
 
     def finish(self) -> None:
         """End the pipe as complete."""
-        self.whole = True
-        self.to_reader()
+        self.complete = True
+        self.wake_reader()
 
     def fail(self) -> None:
         """End the pipe as incomplete."""
-        if not self.whole and not self.broken:
+        if not self.complete and not self.broken:
             self.broken = True
-            self.to_reader()
+            self.wake_reader()
 
     # Reader's side
 
     @property
-    def over(self) -> bool:
+    def exhausted(self) -> bool:
         """Whether nothing is left to read and nothing more will follow."""
-        return not self.parts and (self.whole or self.broken)
+        return not self.chunks and (self.complete or self.broken)
 
-    def take(self) -> bytes:
+    def read(self) -> bytes:
         """Take all bytes held."""
-        data = self.parts[0] if len(self.parts) == 1 else b"".join(self.parts)
-        self.parts, self.held_bytes = [], 0
-        self.to_writer()
+        data = self.chunks[0] if len(self.chunks) == 1 else b"".join(self.chunks)
+        self.chunks, self.held_bytes = [], 0
+        self.wake_writer()
         return data
 
-    def stop(self, end: End = End.GIVEN_UP) -> None:
+    def close(self, end: PipeEnd = PipeEnd.GIVEN_UP) -> None:
         """End the reader's side: it is gone, or has read everything. Only the first call counts."""
         if self.end is not None:
             return
-        self.end, self.closed, self.parts, self.held_bytes = end, True, [], 0
-        self.budget.pipes -= 1
-        self.budget.broken_pipes += end is not End.WHOLE
-        self.to_writer()
-        for callback in self.tell:
+        self.end, self.closed, self.chunks, self.held_bytes = end, True, [], 0
+        self.budget.open_pipes -= 1
+        self.budget.broken_pipes += end is not PipeEnd.WHOLE
+        self.wake_writer()
+        for callback in self.on_end:
             callback(end)
--- a/brackenusher/core/transaction.py
+++ b/brackenusher/core/transaction.py
@@ -23,7 +23,7 @@
 
 log = logging.getLogger(__name__)
 
-RESERVE = 10.0  # milliseconds reserved so that a response arrives before the client gives up
+RESPONSE_RESERVE_MS = 10.0  # milliseconds reserved so that a response arrives before the client gives up
 
 
 @dataclass(slots=True)
@@ -58,10 +58,10 @@
     """An accepted request, until it is answered and none of its attempts is in flight."""
 
     id: int
-    name: bytes
+    request_id: bytes
     message: Message
     reply: Callable[[Answer], None]
-    klass: int
+    class_index: int
     tenant: int
     arrived: float
     deadline: float
@@ -70,7 +70,7 @@
         never_gone  # whether its client has disconnected, even if not yet reported
     )
     deadline_timer: Entry | None = None
-    over: bool = False  # answered, or its client is gone
+    closed: bool = False  # answered, or its client is gone
     attempts: list["Attempt"] = field(default_factory=list)
     attempts_in_flight: int = 0
 
@@ -86,13 +86,13 @@
     sent_at: float
     timeout_ms: float  # of the policy for this attempt; 0 for the client's own
     deadline: float
-    ended: Callable[[Any, Outcome, Served | None], None]  # the first argument is the attempt
+    on_end: Callable[[Any, Outcome, Served | None], None]  # the first argument is the attempt
     outcome: Outcome | None = None
-    carriage: Any = None  # the transport's state of the attempt
+    link: Any = None  # the transport's state of the attempt
     response_started_at: float = 0.0  # when a response that is streamed began to arrive
 
 
-class Carrier(Protocol):
+class AttemptTransport(Protocol):
     """Carries out the actions that involve a backend."""
 
     def start(self, attempt: Attempt) -> None: ...
@@ -107,18 +107,22 @@
     """Callbacks of observers. Their failures are logged and affect no request."""
 
     # the policy handled an event and returned actions, which are carried out next
-    handled: tuple[Callable[[float, face.Event, Sequence[face.Action]], None], ...] = ()
+    on_event: tuple[Callable[[float, face.Event, Sequence[face.Action]], None], ...] = ()
     # the final answer is about to be sent; None if the client disconnected without one
-    answered: tuple[Callable[[Transaction, Answer | None], None], ...] = ()
+    on_answer: tuple[Callable[[Transaction, Answer | None], None], ...] = ()
     # a well-formed request was denied; the text summarizes why
-    turned_away: tuple[Callable[[Any, str], None], ...] = ()
+    on_denial: tuple[Callable[[Any, str], None], ...] = ()
 
 
 class Transactions:
     """All transactions of the process, and the policy that decides on them."""
 
     def __init__(
-        self, balancer: Balancer, clock: Callable[[], float], deadlines: Deadlines, transport: Carrier
+        self,
+        balancer: Balancer,
+        clock: Callable[[], float],
+        deadlines: Deadlines,
+        transport: AttemptTransport,
     ) -> None:
         self.balancer, self.clock, self.deadlines, self.transport = balancer, clock, deadlines, transport
         self.observers = Observers()
@@ -126,7 +130,7 @@
         self.open_ids: set[bytes] = set()  # pool members identify requests by them
         self.events: deque[face.Event] = deque()
         self.closing: list[Transaction] = []
-        self.dispatching, self.taken, self.unanswered = False, 0, 0
+        self.dispatching, self.accepted_count, self.unanswered_count = False, 0, 0
         self.action_handlers: dict[type, Callable[[Any], object]] = {
             face.Send: self.start_attempt,
             face.Refuse: lambda a: self.answer(a.request, Refused(a.retry_after)),
@@ -138,11 +142,11 @@
             face.Probe: lambda a: transport.probe(a.backend),
         }
 
-    def begin(self) -> None:
+    def start(self) -> None:
         """Carry out the policy's initial actions."""
         self.execute(self.balancer.begin())
 
-    def arrive(
+    def accept(
         self,
         request_id: bytes,
         class_index: int,
@@ -166,11 +170,11 @@
         if request_id in self.open_ids:
             return None
         now = self.clock()
-        self.taken += 1
+        self.accepted_count += 1
         self.open_ids.add(request_id)
-        deadline = now + max(0.0, timeout_ms - RESERVE)
+        deadline = now + max(0.0, timeout_ms - RESPONSE_RESERVE_MS)
         transaction = Transaction(
-            self.taken,
+            self.accepted_count,
             request_id,
             message,
             reply,
@@ -193,15 +197,15 @@
         )
         return transaction
 
-    def turn_away(self, request: Any, summary: str) -> None:
+    def record_denial(self, request: Any, summary: str) -> None:
         """Notify observers that a well-formed request was denied."""
-        self.notify(self.observers.turned_away, request, summary)
+        self.notify(self.observers.on_denial, request, summary)
 
-    def left(self, transaction: Transaction) -> None:
+    def client_left(self, transaction: Transaction) -> None:
         """Handle that the client has disconnected."""
-        if not transaction.over:
+        if not transaction.closed:
             self.close(transaction)
-            self.notify(self.observers.answered, transaction, None)
+            self.notify(self.observers.on_answer, transaction, None)
             self.post(face.Left(transaction.id))
 
     def finished(self, attempt: Attempt, outcome: Outcome, served: Served | None = None) -> None:
@@ -210,11 +214,11 @@
             return
         attempt.outcome, transaction = outcome, attempt.transaction
         transaction.attempts_in_flight -= 1
-        if served is not None and not self.answer(transaction.id, served) and served.content.rest:
-            served.content.rest.stop()  # nobody reads it
-        streamed = served is not None and served.content.rest is not None and attempt.response_started_at
+        if served is not None and not self.answer(transaction.id, served) and served.content.body_pipe:
+            served.content.body_pipe.close()  # nobody reads it
+        streamed = served is not None and served.content.body_pipe is not None and attempt.response_started_at
         elapsed = (attempt.response_started_at if streamed else self.clock()) - attempt.sent_at
-        self.post(face.Finished(transaction.id, attempt.number, outcome, elapsed, transaction.over))
+        self.post(face.Finished(transaction.id, attempt.number, outcome, elapsed, transaction.closed))
         self.remove_if_done(transaction)
 
     def post(self, event: face.Event) -> None:
@@ -230,8 +234,8 @@
                     actions = self.balancer.handle(now, event)
                 except Exception:
                     fault(log, "module_failed", "the module failed on %(told)s", told=type(event).__name__)
-                if self.observers.handled:
-                    self.notify(self.observers.handled, now, event, actions or ())
+                if self.observers.on_event:
+                    self.notify(self.observers.on_event, now, event, actions or ())
                 if actions is None:
                     self.fail_request_of(event)
                 else:
@@ -263,7 +267,7 @@
     def fail_request_of(self, item: Any) -> None:
         """Fail the transaction that an event or an action refers to, if any."""
         transaction = self.open.get(getattr(item, "request", -1))
-        if transaction is not None and not transaction.over:
+        if transaction is not None and not transaction.closed:
             self.answer(transaction.id, Failed())
             self.post(face.Left(transaction.id))
 
@@ -276,7 +280,7 @@
         )
         transaction.attempts.append(attempt)
         transaction.attempts_in_flight += 1
-        if transaction.over or message.partly_sent:  # part of its body was forwarded and is no longer here
+        if transaction.closed or message.partly_sent:  # part of its body was forwarded and is no longer here
             self.finished(attempt, Outcome.NOT_SENT)
             return
         try:
@@ -291,11 +295,11 @@
         The policy checked this when it decided, but the connection may have been established late.
         """
         transaction, now = attempt.transaction, self.clock()
-        if not transaction.over and transaction.client_gone():
-            self.left(transaction)
-        if transaction.over or transaction.message.rest is None and now >= attempt.deadline:
+        if not transaction.closed and transaction.client_gone():
+            self.client_left(transaction)
+        if transaction.closed or transaction.message.body_pipe is None and now >= attempt.deadline:
             return False  # the timeout of a streamed body starts with its last byte
-        conf = self.balancer.conf.classes[transaction.klass]
+        conf = self.balancer.conf.classes[transaction.class_index]
         earlier = transaction.attempts[: attempt.number] if conf.effect is Effect.KEYED else ()
         sent = (other.sent_at for other in earlier if other.outcome not in PROVEN)
         return now < min(sent, default=math.inf) + conf.window  # the backend drops retries for this time
@@ -312,20 +316,20 @@
     def answer(self, request: int, answer: Answer) -> bool:
         """Give the final answer; False if there already was one."""
         transaction = self.open.get(request)
-        if transaction is None or transaction.over:
+        if transaction is None or transaction.closed:
             return False
         self.close(transaction)
-        if self.observers.answered:
-            self.notify(self.observers.answered, transaction, answer)
+        if self.observers.on_answer:
+            self.notify(self.observers.on_answer, transaction, answer)
         transaction.reply(answer)
         return True
 
     def body_complete(self, transaction: Transaction) -> None:
         """Handle that a streamed request body is complete: its timeouts start now."""
-        if transaction.over:
+        if transaction.closed:
             return
         now = self.clock()
-        transaction.deadline = answer_by = now + max(0.0, transaction.timeout_ms - RESERVE)
+        transaction.deadline = answer_by = now + max(0.0, transaction.timeout_ms - RESPONSE_RESERVE_MS)
         for attempt in transaction.attempts:
             if attempt.outcome is None:
                 attempt.sent_at = now
@@ -338,7 +342,7 @@
         )
 
     def close(self, transaction: Transaction) -> None:
-        transaction.over = True
+        transaction.closed = True
         self.deadlines.remove(transaction.deadline_timer)
         transaction.deadline_timer = None  # breaks a reference cycle
         self.remove_if_done(transaction)
@@ -347,35 +351,35 @@
         """Remove a finished transaction; while dispatching later, as the policy may still refer to it."""
         if self.dispatching:
             self.closing.append(transaction)
-        elif transaction.over and not transaction.attempts_in_flight and transaction.id in self.open:
+        elif transaction.closed and not transaction.attempts_in_flight and transaction.id in self.open:
             del self.open[transaction.id]
-            self.open_ids.discard(transaction.name)
+            self.open_ids.discard(transaction.request_id)
             # Breaks a reference cycle, which would keep a long body until the next garbage collection.
             transaction.attempts.clear()
 
-    def answer_all(self) -> int:
+    def fail_open(self) -> int:
         """Fail all open transactions at the end of the process, and return their number."""
-        unanswered = [transaction for transaction in self.open.values() if not transaction.over]
+        unanswered = [transaction for transaction in self.open.values() if not transaction.closed]
         for transaction in unanswered:
-            self.unanswered += 1
+            self.unanswered_count += 1
             self.answer(transaction.id, Failed())
             self.post(face.Left(transaction.id))
         return len(unanswered)
 
     def deadline_reached(self, transaction: Transaction) -> None:
         """Fail a transaction that is unanswered at the client's deadline, as a last resort."""
-        body_pipe = transaction.message.rest
+        body_pipe = transaction.message.body_pipe
         # The timeout of a streamed request starts with the last byte of its body.
         if (
             transaction.attempts_in_flight
             and body_pipe is not None
-            and not (body_pipe.whole or body_pipe.broken)
+            and not (body_pipe.complete or body_pipe.broken)
         ):
             transaction.deadline_timer = self.deadlines.add(
                 self.clock() + transaction.timeout_ms, partial(self.deadline_reached, transaction)
             )
-        elif not transaction.over:
-            self.unanswered += 1
+        elif not transaction.closed:
+            self.unanswered_count += 1
             say(
                 log,
                 logging.ERROR,
--- a/brackenusher/daemon.py
+++ b/brackenusher/daemon.py
@@ -17,10 +17,10 @@
 from barleybarrow.rate_limiter import RateLimiter
 from brackenusher.config.operators import Operator, doubts, read_subset
 from brackenusher.config.platform import ConfigError, PlatformConfig
-from brackenusher.core.admission import Admission, Bar
+from brackenusher.core.admission import Admission, DenialReason
 from brackenusher.core.deadlines import Deadlines
-from brackenusher.core.pipe import Budget
-from brackenusher.core.transaction import RESERVE, Observers, Transactions
+from brackenusher.core.pipe import PipeBudget
+from brackenusher.core.transaction import RESPONSE_RESERVE_MS, Observers, Transactions
 from brackenusher.fronts.control import driver as control
 from brackenusher.fronts.control.machine import Reply
 from brackenusher.fronts.http import Front
@@ -90,14 +90,14 @@
         self.pool = Pool(
             settings, clock, offset, operator.connections, config.seed, read_subset(operator, config.worded)
         )
-        budget = Budget(buffer_budget_bytes(config.memory_mb))
+        budget = PipeBudget(buffer_budget_bytes(config.memory_mb))
         self.upstream = Upstream(
             self.loop, self.pool, settings, available_sockets - client_sockets, buffers, budget
         )
         started_at = clock()
         balancer = Balancer(settings, config.seed, started_at)
         self.transactions = Transactions(balancer, clock, deadlines, self.upstream)
-        self.upstream.owner = self.transactions
+        self.upstream.transactions = self.transactions
         max_idle_clients = int(config.sockets * IDLE_CLIENT_SHARE)
         rate_limiter = RateLimiter(operator.door) if operator.door else None
         self.admission = Admission(self.transactions, settings, rate_limiter, operator.token)
@@ -143,8 +143,8 @@
                 settings,
                 clock,
                 lambda now: gauges.count_servers(self.pool.size, now),
-                lambda: self.transactions.taken,
-                lambda: self.upstream.written,
+                lambda: self.transactions.accepted_count,
+                lambda: self.upstream.written_attempts,
             )
             handlers = {
                 b"/-/ready": (b"GET", self.report_readiness),
@@ -207,7 +207,7 @@
             from brackenusher.group.node import Node  # imported only if needed, as it imports sqlite3
 
             self.node = Node(*components, operator.policy, group_parts)
-            self.admission.gates.append((Bar.POLICY, self.node))
+            self.admission.gates.append((DenialReason.POLICY, self.node))
             self.http1.gates.append(self.node.ready)
         if operator.replica is not None:
             from barleybarrow.shares import SharedRateLimiter
@@ -215,14 +215,14 @@
 
             rate_limiter = None
             if operator.door is not None and operator.replica.limits and not operator.door.by_address:
-                rate_limiter = self.admission.door = SharedRateLimiter(operator.door)
+                rate_limiter = self.admission.rate_limiter = SharedRateLimiter(operator.door)
             settings, platform_settings = operator.replica, self.config.settings
             self.replicator = Replicator(
                 *components, settings, group_parts, peers, rate_limiter, platform_settings
             )
-            self.admission.past = self.replicator.past
-            self.pool.bars.append(self.replicator.bars)
-            self.admission.gates.append((Bar.MARK, self.replicator))
+            self.admission.idempotency = self.replicator.past
+            self.pool.exclusions.append(self.replicator.bars)
+            self.admission.gates.append((DenialReason.OVERRIDE, self.replicator))
             self.http1.gates.append(self.replicator.ready)
 
     def set_up_observers(self, started_at: float) -> None:
@@ -259,14 +259,14 @@
         answer_observers = [
             each for each in (self.capture, self.metrics, self.request_counts, idempotency) if each
         ]
-        event_observers = [each.handled for each in (self.capture, self.peers) if each]
+        event_observers = [each.on_event for each in (self.capture, self.peers) if each]
         if self.replicator and idempotency:
             event_observers.append(self.replicator.hurry)
         self.transactions.observers = Observers(
-            handled=tuple(event_observers),
-            answered=tuple(each.answered for each in answer_observers),
-            turned_away=tuple(
-                each.turned_away for each in (self.capture, self.metrics, self.request_counts) if each
+            on_event=tuple(event_observers),
+            on_answer=tuple(each.on_answer for each in answer_observers),
+            on_denial=tuple(
+                each.on_denial for each in (self.capture, self.metrics, self.request_counts) if each
             ),
         )
         self.outlet.redirect_log()
@@ -282,7 +282,7 @@
         """Load the known server list, listen, and connect to discovery; the event loop does the rest."""
         handover = self.replacement.take() if self.replacement else None
         self.load_known_servers(handover)
-        self.transactions.begin()
+        self.transactions.start()
         if self.replacement and handover is not None:
             self.replacement.succeed(handover)
         if self.control and self.config.control:
@@ -327,9 +327,9 @@
             "ended",
             "ended: %(taken)d taken, %(unanswered)d stood unanswered, %(refused)d refused at the end, "
             "%(left)d connections left",
-            taken=self.transactions.taken,
-            unanswered=self.transactions.unanswered,
-            refused=self.admission.at_the_end,
+            taken=self.transactions.accepted_count,
+            unanswered=self.transactions.unanswered_count,
+            refused=self.admission.refused_at_shutdown,
             left=self.connection_count,
         )
         if self.node:
@@ -394,7 +394,7 @@
             return
         if listing.whole and len(listing.hosts) == len(known["hosts"]):
             self.discovery_agent.seq = listing.seq
-        self.transactions.post(self.pool.take(listing))
+        self.transactions.post(self.pool.apply(listing))
 
     def end_warming(self) -> None:
         """Knowledge of peers has been loaded, or the wait for it is over."""
@@ -525,7 +525,7 @@
             settings.proxies <= 1 and not handed_over,
         )
         # the balancer refuses requests with less time at once
-        min_time_ms = self.transactions.balancer.margin + RESERVE
+        min_time_ms = self.transactions.balancer.margin + RESPONSE_RESERVE_MS
         plan = GracefulShutdown(
             self.stop_requested_at or clock(), longest_deadline, self.config.cores, min_time_ms, alone
         )
@@ -559,7 +559,7 @@
                 "%(connections)d connections, stalled %(stall_ms).0f ms at most",
                 phase=phase.name.lower().replace("_", " "),
                 after_ms=now - plan.told_at,
-                taken=self.transactions.taken,
+                taken=self.transactions.accepted_count,
                 in_hand=len(self.transactions.open),
                 connections=self.connection_count,
                 stall_ms=plan.stall,
@@ -573,7 +573,7 @@
             for front, _ in self.fronts:
                 front.drain(idle=True)
         if phase is Phase.CLOSING:
-            given_up = self.transactions.answer_all()
+            given_up = self.transactions.fail_open()
             if given_up:
                 say(
                     log,
--- a/brackenusher/data_plane/announcer.py
+++ b/brackenusher/data_plane/announcer.py
@@ -18,10 +18,10 @@
 
 PORT_OFFSET = 2  # from the first internal port; the two before it belong to control and to the proxy's links
 BATCH_DELAY_S = 0.004  # requests sent within this time share a datagram; prefill takes several times longer
-RELAY_GATHER_S = 0.020  # updates are then about 15 ms old within a zone: half of a prefill
-RESTATE_S = 2.0  # repeats what still holds, for lost datagrams and proxies that have just started
+RELAY_BATCH_DELAY_S = 0.020  # updates are then about 15 ms old within a zone: half of a prefill
+RESTATE_INTERVAL_S = 2.0  # repeats what still holds, for lost datagrams and proxies that have just started
 INITIAL_SEQUENCE_BITS = 32  # random start: a restarted process does not reuse its predecessor's numbers
-ACKNOWLEDGE_S = 0.1  # at most, between acknowledgements to a relay of another group that sends
+ACKNOWLEDGE_INTERVAL_S = 0.1  # at most, between acknowledgements to a relay of another group that sends
 
 
 class AnnouncementHandler(Protocol):
@@ -96,7 +96,7 @@
 
     def _restate(self) -> None:
         self._announce(self._handler.restated_announcements())
-        self._restate_timer = self._loop.call_later(RESTATE_S, self._restate)
+        self._restate_timer = self._loop.call_later(RESTATE_INTERVAL_S, self._restate)
 
     def _announce(self, announcements: list[Announcement]) -> None:
         if self._transport is None or not self._peers:
@@ -109,7 +109,7 @@
 
     def _schedule_relay(self) -> None:
         if self._relay_timer is None and self._relay.has_pending:
-            self._relay_timer = self._loop.call_later(RELAY_GATHER_S, self._forward)
+            self._relay_timer = self._loop.call_later(RELAY_BATCH_DELAY_S, self._forward)
 
     def _forward(self) -> None:
         self._relay_timer = None
@@ -139,7 +139,7 @@
     def _acknowledge(self, sender: str) -> None:
         """Tell a relay of another group that this proxy is reachable."""
         now = self._loop.time()
-        if now - self._acknowledged_at.get(sender, -ACKNOWLEDGE_S) >= ACKNOWLEDGE_S:
+        if now - self._acknowledged_at.get(sender, -ACKNOWLEDGE_INTERVAL_S) >= ACKNOWLEDGE_INTERVAL_S:
             self._acknowledged_at[sender] = now
             self._send([OutgoingMessage(sender, ForwardingScope.RECEIVER, [])])
 
--- a/brackenusher/data_plane/feed_client.py
+++ b/brackenusher/data_plane/feed_client.py
@@ -124,7 +124,7 @@
         )
 
     @property
-    def current(self) -> bool:
+    def is_current(self) -> bool:
         """Whether the configuration in force here is known to be the newest, except for the last seconds.
 
         A majority confirmed it once, and a majority of the voters was connected within `ContactMs`: at least
@@ -133,11 +133,11 @@
         majority_connected = self._now() - self._majority_seen_at <= self._settings.bounds.contact_ms
         return self._fetch.confirmed and majority_connected
 
-    def hear_of_version(self, peer: str, version: int) -> None:
+    def record_peer_version(self, peer: str, version: int) -> None:
         """Record the version that a peer has in force, from its ping."""
         self._peer_configuration.record_version(peer, version, self._now())
 
-    def learn(self, addresses: Iterable[str]) -> None:
+    def add_control_addresses(self, addresses: Iterable[str]) -> None:
         """Add internal addresses of control processes learned from a peer."""
         for address in addresses:
             self._learned_addresses.pop(address, None)
@@ -228,7 +228,7 @@
 
     def _handle_members(self, sender: str, message: betterproto.Message) -> None:
         assert isinstance(message, messages.Members)
-        self.learn(hello.address for hello in message.controls)
+        self.add_control_addresses(hello.address for hello in message.controls)
         if not message.voters or message.voters_index <= self._voters_index:
             return
         self._voters_index = message.voters_index
--- a/brackenusher/data_plane/proxy.py
+++ b/brackenusher/data_plane/proxy.py
@@ -54,9 +54,9 @@
         limits: LimitsPort,
         memory_mb: int,
         proxy_count: int = 1,
-        ask_quota: QuotaCheck | None = None,
-        may_deny: Callable[[], bool] = lambda: True,
-        keys_hold: Callable[[], bool] = lambda: True,
+        check_quota: QuotaCheck | None = None,
+        configuration_is_current: Callable[[], bool] = lambda: True,
+        keys_valid: Callable[[], bool] = lambda: True,
         journal: RequestJournal | None = None,
     ) -> None:
         self.proxy_count = proxy_count  # proxies that share the connections that a server accepts
@@ -67,9 +67,10 @@
         self._loop = loop
         self._dispatcher = dispatcher
         self._limits = limits
-        self._check_quota = ask_quota
-        self._configuration_is_current = may_deny  # whether the one in force is known to be the newest
-        self._keys_valid = keys_hold  # whether the API keys of that configuration may still be used
+        self._check_quota = check_quota
+        # whether the one in force is known to be the newest
+        self._configuration_is_current = configuration_is_current
+        self._keys_valid = keys_valid  # whether the API keys of that configuration may still be used
         self._journal = journal
         self._routes = RouteTable(())
         self._services: dict[str, Service] = {}
--- a/brackenusher/data_plane/server.py
+++ b/brackenusher/data_plane/server.py
@@ -50,7 +50,7 @@
         assert isinstance(port, int)
         return port
 
-    def readiness(self) -> bool:
+    def is_ready(self) -> bool:
         """Whether new clients should be sent here."""
         return self._feed_ready() and not self._proxy.draining and self._proxy.configuration is not None
 
--- a/brackenusher/fronts/http.py
+++ b/brackenusher/fronts/http.py
@@ -12,7 +12,7 @@
 from barleybarrow import interface as face
 from barleybarrow import tokens
 from barleybarrow.interface import Effect
-from brackenusher.core.admission import Bar, Request, Verdict
+from brackenusher.core.admission import Denial, DenialReason, Request
 from brackenusher.core.message import Message
 from brackenusher.core.transaction import Answer, Refused, Served
 
@@ -141,29 +141,29 @@
         )
 
 
-def worded(verdict: Verdict) -> Rejection:
+def worded(verdict: Denial) -> Rejection:
     """The response to a request that admission control rejected."""
-    if verdict.bar is Bar.TOKEN:
-        headers: Headers = ((b"adw-auth", verdict.why.encode()),)
-        if verdict.why in (tokens.MISSING, tokens.EXPIRED):
+    if verdict.reason is DenialReason.TOKEN:
+        headers: Headers = ((b"adw-auth", verdict.detail.encode()),)
+        if verdict.detail in (tokens.MISSING, tokens.EXPIRED):
             headers += ((b"www-authenticate", b"Adw-Token"),)
             return Rejection(401, "a valid token is needed", headers)
         return Rejection(403, "the token does not allow this", headers)
-    if verdict.bar is Bar.ID:
+    if verdict.reason is DenialReason.DUPLICATE_ID:
         return Rejection(409, "Req-Id is that of an open request", fatal=True)
     headers = ((b"retry-after", format_seconds(verdict.retry_after)),)
-    if verdict.bar is Bar.DOOR:
+    if verdict.reason is DenialReason.RATE_LIMIT:
         return Rejection(429, "over the limit", headers)
     # fatal if descriptors are short; during shutdown the connection may continue
-    return Rejection(503, "refused", headers, fatal=verdict.bar is Bar.ROOM)
+    return Rejection(503, "refused", headers, fatal=verdict.reason is DenialReason.CONNECTION_LIMIT)
 
 
 def final_response(answer: Answer) -> tuple[int, bytes, Headers]:
     """Status, body and headers for the final answer of a transaction."""
     if isinstance(answer, Served):
-        headers: Headers = ((b"content-type", answer.content.kind or b"application/octet-stream"),)
-        if answer.content.coding:
-            headers += ((b"content-encoding", answer.content.coding),)
+        headers: Headers = ((b"content-type", answer.content.content_type or b"application/octet-stream"),)
+        if answer.content.content_encoding:
+            headers += ((b"content-encoding", answer.content.content_encoding),)
         return 200, answer.content.body, headers
     if isinstance(answer, Refused):
         return 503, b"refused\n", ((b"retry-after", format_seconds(answer.retry_after)),)
--- a/brackenusher/fronts/http1/clients.py
+++ b/brackenusher/fronts/http1/clients.py
@@ -8,9 +8,9 @@
 
 from barleybarrow.eviction import Place, choose
 from barleybarrow.lifecycle import Lifecycle
-from brackenusher.core.admission import Admission, Request, Verdict
+from brackenusher.core.admission import Admission, Denial, Request
 from brackenusher.core.message import Content
-from brackenusher.core.pipe import Budget, End, Pipe, nothing
+from brackenusher.core.pipe import Pipe, PipeBudget, PipeEnd, no_op
 from brackenusher.core.transaction import Answer, Served, Transaction
 from brackenusher.fronts.http import Front, Rejection, worded
 from brackenusher.fronts.http1.virtual_server import VirtualServer
@@ -46,7 +46,7 @@
         max_idle: int,
         buffers: Buffers,
         lifecycle: Lifecycle,
-        budget: Budget | None = None,
+        budget: PipeBudget | None = None,
     ) -> None:
         super().__init__(loop, connection_limit)
         self.classifier, self.admission, self.pool, self.lifecycle = classifier, admission, pool, lifecycle
@@ -74,7 +74,7 @@
     def ready(self) -> bool:
         """Whether load balancers should send clients here."""
         checks_pass = all(gate() for gate in self.gates)
-        return self.pool.held and not self.warming and self.lifecycle.ready and checks_pass
+        return self.pool.has_list and not self.warming and self.lifecycle.ready and checks_pass
 
     def open_connection(self, sock: socket.socket, address: str) -> "Http1Connection":
         return Http1Connection(self, sock, address)
@@ -237,13 +237,13 @@
             protocol.release_budget()
             if protocol.upload is not None:
                 protocol.upload.fail()
-            if isinstance(self.answer, Served) and self.answer.content.rest is not None:
+            if isinstance(self.answer, Served) and self.answer.content.body_pipe is not None:
                 # the answer arrived in the loop iteration in which the client disconnected
-                self.answer.content.rest.stop()
+                self.answer.content.body_pipe.close()
             self.listener.links.discard(self)
             self.listener.unregister_connection()
             if self.transaction is not None:
-                self.listener.admission.left(self.transaction)
+                self.listener.admission.client_left(self.transaction)
 
     def update_idle_state(self, between: bool | None) -> None:
         """Set the group and time-out: between requests (True), receiving one (False), or neither (None)."""
@@ -277,19 +277,19 @@
     def serve(self, request: Request) -> Generator[int, int, bytes | None]:
         """Process a request; None if the client has disconnected and the connection must end at once."""
         listener = self.listener
-        request.address, request.beyond, self.answer = self.address, self.over_limit, None
+        request.address, request.over_connection_limit, self.answer = self.address, self.over_limit, None
         # a first request shows that new connections still arrive
         is_first = self.idle_group is listener.awaiting_first_request
-        request.free = None if is_first else len(listener.kept)
-        request.gone = self.peer_closed
-        if request.message.rest is None:  # else the deadline counts from the last byte of the body
-            request.span = max(0.0, request.span - (clock() - request.came))
+        request.available_connections = None if is_first else len(listener.kept)
+        request.client_gone = self.peer_closed
+        if request.message.body_pipe is None:  # else the deadline counts from the last byte of the body
+            request.timeout_ms = max(0.0, request.timeout_ms - (clock() - request.received_at))
         admitted = listener.admission.admit(request, self.on_answer)
-        if isinstance(admitted, Verdict):
+        if isinstance(admitted, Denial):
             return self.protocol.reject(worded(admitted), self.closes_after_response)
-        self.transaction, body = admitted, request.message.rest
+        self.transaction, body = admitted, request.message.body_pipe
         if body is not None:
-            body.to_writer = self.task.wake
+            body.wake_writer = self.task.wake
             self.time(BODY_STALL_TIMEOUT_MS)
         deadline_runs = body is None  # whether its deadline is already running
         try:
@@ -304,24 +304,24 @@
                         return None
                 if body is not None and (body.broken or self.timed_out):
                     return self.abort_upload(admitted)
-                if body is not None and body.whole and not deadline_runs:
+                if body is not None and body.complete and not deadline_runs:
                     deadline_runs = True
-                    listener.admission.whole(admitted)
+                    listener.admission.body_complete(admitted)
         finally:
             if body is not None:
                 self.time()
-                body.to_writer = nothing
-                body.stop(End.WHOLE if body.over else End.GIVEN_UP)
+                body.wake_writer = no_op
+                body.close(PipeEnd.WHOLE if body.exhausted else PipeEnd.GIVEN_UP)
         self.transaction, self.idle_group = None, listener.kept
-        listener.admission.answered(admitted, self.answer)
-        if isinstance(self.answer, Served) and self.answer.content.rest is not None:
-            return (yield from self.stream_response(self.answer.content, self.answer.content.rest))
+        listener.admission.answer_sent(admitted, self.answer)
+        if isinstance(self.answer, Served) and self.answer.content.body_pipe is not None:
+            return (yield from self.stream_response(self.answer.content, self.answer.content.body_pipe))
         return self.protocol.answer(self.answer, self.closes_after_response)
 
     def abort_upload(self, transaction: Transaction) -> bytes:
         """The streamed body is malformed or has stalled; no server has executed the request."""
         self.transaction = None
-        self.listener.admission.left(transaction)
+        self.listener.admission.client_left(transaction)
         item = self.protocol.next()
         if not isinstance(item, Rejection):
             item = Rejection(408, "the body took too long", fatal=True)
@@ -329,31 +329,31 @@
 
     def stream_response(self, content: Content, pipe: Pipe) -> Generator[int, int, bytes | None]:
         """Write a streamed response; returns the bytes left to write, None if it cannot be completed."""
-        pipe.to_reader = self.task.wake
+        pipe.wake_reader = self.task.wake
         try:
             data = self.protocol.encode_response_start(content, self.closes_after_response)
             while True:
-                if pipe.parts:
-                    data += self.protocol.encode_chunk(pipe.take())
-                complete = pipe.over  # read before the write, during which it may change
-                if complete and pipe.whole:
+                if pipe.chunks:
+                    data += self.protocol.encode_chunk(pipe.read())
+                complete = pipe.exhausted  # read before the write, during which it may change
+                if complete and pipe.complete:
                     data += self.protocol.encode_response_end()
                 if not (yield from self.write(data)):
                     return None
                 data = b""
                 if complete:
                     break
-                if not pipe.parts and not pipe.over and (yield HANGUP):
+                if not pipe.chunks and not pipe.exhausted and (yield HANGUP):
                     return None  # the client has disconnected
-            if pipe.whole:
-                pipe.stop(End.WHOLE)
+            if pipe.complete:
+                pipe.close(PipeEnd.WHOLE)
                 return data
-            pipe.stop(End.BROKEN)
+            pipe.close(PipeEnd.BROKEN)
             abort(self.sock)  # else a client that reads up to the FIN would take the response as complete
             return None
         finally:
-            pipe.to_reader = nothing
-            pipe.stop()
+            pipe.wake_reader = no_op
+            pipe.close()
 
     @property
     def closes_after_response(self) -> bool:
@@ -372,7 +372,7 @@
             return
         for item, *_ in islice(self.protocol.pending, items_before, None):
             if isinstance(item, Request):
-                item.came = clock()
+                item.received_at = clock()
         if self.group is self.listener.partial:
             self.active_at = clock()
             self.group.pop(self)
--- a/brackenusher/fronts/http1/virtual_server.py
+++ b/brackenusher/fronts/http1/virtual_server.py
@@ -8,8 +8,8 @@
 from httptools import HttpParserError, HttpParserUpgrade, HttpRequestParser
 
 from brackenusher.core.admission import Request
-from brackenusher.core.message import LONGEST_BODY, LONGEST_PASSED, Content, Message
-from brackenusher.core.pipe import Budget, Pipe
+from brackenusher.core.message import MAX_BUFFERED_BODY_BYTES, MAX_STREAMED_BODY_BYTES, Content, Message
+from brackenusher.core.pipe import Pipe, PipeBudget
 from brackenusher.core.transaction import Answer, Served
 from brackenusher.fronts.http import (
     AUTHORITY_PATTERN,
@@ -20,7 +20,13 @@
     Rejection,
     final_response,
 )
-from brackenusher.upstream.flow import FRAMING, LONGEST_HEAD, LONGEST_STREAM, SLACK, UnreadableAnswerError
+from brackenusher.upstream.flow import (
+    CHUNK_OVERHEAD_BYTES,
+    HEAD_SLACK_BYTES,
+    MAX_HEAD_BYTES,
+    MAX_MESSAGE_BYTES,
+    InvalidResponseError,
+)
 
 MAX_PIPELINED_REQUESTS = 16  # pipelined requests that are parsed ahead
 # Connection options that are not header names
@@ -38,7 +44,9 @@
     return {option.strip(b" \t").lower() for value in values for option in value.split(b",")}
 
 
-def check_head(header_map: HeaderMap, version: str, max_body_bytes: int = LONGEST_BODY) -> Rejection | None:
+def check_head(
+    header_map: HeaderMap, version: str, max_body_bytes: int = MAX_BUFFERED_BODY_BYTES
+) -> Rejection | None:
     """Check a request head for faults after which the rest of the stream cannot be trusted."""
     if version not in ("1.0", "1.1"):
         return Rejection(505, "HTTP/1.1 is spoken here", fatal=True)
@@ -79,10 +87,12 @@
 class VirtualServer:
     """Protocol state of one client connection; it is fed bytes and does no I/O."""
 
-    def __init__(self, classifier: Front, is_ready: Callable[[], bool], budget: Budget | None = None) -> None:
+    def __init__(
+        self, classifier: Front, is_ready: Callable[[], bool], budget: PipeBudget | None = None
+    ) -> None:
         self.classifier, self.is_ready = classifier, is_ready
         self.budget = budget  # for streamed bodies; None disables streaming
-        self.max_body_bytes = LONGEST_BODY if budget is None else LONGEST_PASSED
+        self.max_body_bytes = MAX_BUFFERED_BODY_BYTES if budget is None else MAX_STREAMED_BODY_BYTES
         # receives the rest of a body whose request is already being forwarded
         self.upload: Pipe | None = None
         # bytes charged to the budget; bytes received of the current body
@@ -117,7 +127,7 @@
                 data = self.feed_parser(data)
             if self.receiving:  # after an earlier request in the same data, its own share is unknown
                 self.check_request_size(size if self.request_count <= count_before else 0)
-        except (HttpParserError, UnreadableAnswerError) as error:
+        except (HttpParserError, InvalidResponseError) as error:
             self.reject_stream(self.rejection or Rejection(400, str(error), fatal=True))
 
     def feed_parser(self, data: bytes | memoryview) -> bytes | memoryview:
@@ -146,21 +156,21 @@
     def count_head_bytes(self, size: int) -> None:
         """Count the bytes of a head as parsed; the parser reports a header only once it is complete."""
         self.head_size += size
-        if self.head_size > LONGEST_HEAD:
+        if self.head_size > MAX_HEAD_BYTES:
             self.abort_parsing(Rejection(431, "the head is too large", fatal=True))
 
     def check_request_size(self, size: int) -> None:
         """Count bytes as received, so that data which the parser buffers unreported is bounded."""
         self.request_bytes += size
-        if not self.in_body and self.request_bytes > LONGEST_HEAD + SLACK:
+        if not self.in_body and self.request_bytes > MAX_HEAD_BYTES + HEAD_SLACK_BYTES:
             self.abort_parsing(Rejection(431, "the head is too large", fatal=True))
-        if self.request_bytes > LONGEST_STREAM + FRAMING * self.body_received:
+        if self.request_bytes > MAX_MESSAGE_BYTES + CHUNK_OVERHEAD_BYTES * self.body_received:
             self.abort_parsing(Rejection(413, "the body's framing is too large", fatal=True))
 
     def abort_parsing(self, rejection: Rejection) -> NoReturn:
         """Abort parsing from within a parser callback."""
         self.rejection = rejection
-        raise UnreadableAnswerError
+        raise InvalidResponseError
 
     # callbacks of the parser
 
@@ -203,12 +213,12 @@
         if self.body_received > self.max_body_bytes:
             self.abort_parsing(Rejection(413, "the body is too large", fatal=True))
         if self.upload is not None:
-            self.upload.put(part)
+            self.upload.write(part)
             return
         self.body += part
         if (
             self.budget is not None
-            and self.body_received > LONGEST_BODY
+            and self.body_received > MAX_BUFFERED_BODY_BYTES
             and not self.charge_budget(len(part))
         ):
             self.begin_upload(self.budget)
@@ -216,24 +226,24 @@
     def charge_budget(self, size: int) -> bool:
         """Charge received body bytes to the budget; False if no more may be buffered."""
         assert self.budget is not None
-        if not self.budget.may_keep(self.body_received):
+        if not self.budget.may_buffer(self.body_received):
             return False
         self.budgeted_bytes += size
-        self.budget.kept += size
+        self.budget.buffered_body_bytes += size
         return True
 
     def release_budget(self) -> None:
         """Return the charged bytes to the budget."""
         if self.budget is not None:
-            self.budget.kept -= self.budgeted_bytes
+            self.budget.buffered_body_bytes -= self.budgeted_bytes
             self.budgeted_bytes = 0
 
-    def begin_upload(self, budget: Budget) -> None:
+    def begin_upload(self, budget: PipeBudget) -> None:
         """Forward the request now and stream the rest of its body, which is too long to buffer."""
         item = self.complete_request()
         if isinstance(item, Rejection):
             self.abort_parsing(replace(item, fatal=True))
-        self.upload = item.message.rest = Pipe(budget)
+        self.upload = item.message.body_pipe = Pipe(budget)
         length = self.header_map.get(b"content-length")
         item.message.length = int(length) if length is not None else None
         self.body = bytearray()
@@ -258,7 +268,7 @@
         origin = origin_form(self.target, self.headers)
         if isinstance(origin, Rejection):
             return origin
-        message = Message(self.method, *origin, bytes(self.body), streams=self.budget is not None)
+        message = Message(self.method, *origin, bytes(self.body), accepts_stream=self.budget is not None)
         return self.classifier.classify(message, self.header_map, self.is_ready)
 
     # called by the connection driver
--- a/brackenusher/fronts/http2/clients.py
+++ b/brackenusher/fronts/http2/clients.py
@@ -5,7 +5,7 @@
 from functools import partial
 
 from brackenusher.config.operators import Http2Settings
-from brackenusher.core.admission import Admission, Bar, Verdict
+from brackenusher.core.admission import Admission, Denial, DenialReason
 from brackenusher.core.transaction import Answer, Transaction
 from brackenusher.fronts.http import Front, final_response, worded
 from brackenusher.fronts.http2.connection import Event, Http2Protocol
@@ -153,7 +153,7 @@
             self.listener.unregister_connection()
             protocol.remove_all_streams()
             for transaction in self.transactions.values():
-                self.listener.admission.left(transaction)
+                self.listener.admission.client_left(transaction)
 
     def read(self) -> None:
         try:
@@ -170,20 +170,20 @@
             if isinstance(event, RequestReady):
                 self.serve(event)
             elif event.stream_id in self.transactions:
-                self.listener.admission.left(self.transactions.pop(event.stream_id))
+                self.listener.admission.client_left(self.transactions.pop(event.stream_id))
 
     def serve(self, ready: RequestReady) -> None:
         """Pass a request to admission control; answer it at once if it is rejected."""
         stream_id, request = ready.stream_id, ready.request
-        request.address, request.beyond = self.address, self.over_limit
+        request.address, request.over_connection_limit = self.address, self.over_limit
         admitted = self.listener.admission.admit(request, partial(self.on_answer, stream_id))
-        if not isinstance(admitted, Verdict):
+        if not isinstance(admitted, Denial):
             self.transactions[stream_id] = admitted
             return
         rejection, now = worded(admitted), clock()
         body = rejection.text.encode() + b"\n"
         self.protocol.answer(stream_id, rejection.status, body, rejection.headers, now)
-        if admitted.bar is Bar.ROOM:  # descriptors are short
+        if admitted.reason is DenialReason.CONNECTION_LIMIT:  # descriptors are short
             self.protocol.close(now)
 
     def on_answer(self, stream_id: int, answer: Answer) -> None:
@@ -197,7 +197,7 @@
         for stream_id, answer in answers:
             transaction = self.transactions.pop(stream_id, None)
             if transaction is not None:  # else the stream ended while the answer was queued
-                self.listener.admission.answered(transaction, answer)
+                self.listener.admission.answer_sent(transaction, answer)
                 self.protocol.answer(stream_id, *final_response(answer), clock())
 
     def flush(self) -> bool:
--- a/brackenusher/fronts/http2/connection.py
+++ b/brackenusher/fronts/http2/connection.py
@@ -31,7 +31,7 @@
 from hyperframe.frame import GoAwayFrame, SettingsFrame
 
 from brackenusher.config.operators import Http2Settings
-from brackenusher.core.message import LONGEST_BODY
+from brackenusher.core.message import MAX_BUFFERED_BODY_BYTES
 from brackenusher.fronts.http import Front, Headers, Rejection
 from brackenusher.fronts.http2.frames import END_STREAM, PREFACE, Frame, FrameParser, FrameType, Http2Error
 from brackenusher.fronts.http2.heads import (
@@ -93,7 +93,7 @@
         self.charge_limit = settings.connection_kb * 1024
         self.reserved, self.reservation_limit = (
             0,
-            max(self.charge_limit - settings.streams * STREAM_OVERHEAD_BYTES, LONGEST_BODY),
+            max(self.charge_limit - settings.streams * STREAM_OVERHEAD_BYTES, MAX_BUFFERED_BODY_BYTES),
         )
         self.frame_parser = FrameParser(settings.frames, ENCODED_BLOCK_FACTOR * settings.head_bytes, now)
         self.out = bytearray()
@@ -286,7 +286,7 @@
         stream.input_ended = event.stream_ended is not None
         stream.body += data
         size, length = len(stream.body), stream.head.content_length if stream.head else None
-        if size > LONGEST_BODY:
+        if size > MAX_BUFFERED_BODY_BYTES:
             self.reject(stream, Rejection(413, "the body is too large"), now)
         elif length is not None and size > length:
             stream.malformed = True
@@ -357,7 +357,9 @@
     def reserve_body(self, stream: Stream) -> bool:
         """Reserve memory for a whole body, if available. All or nothing, so that streams cannot deadlock."""
         if not stream.body_reserved and stream.head is not None:
-            size = LONGEST_BODY if stream.head.content_length is None else stream.head.content_length
+            size = (
+                MAX_BUFFERED_BODY_BYTES if stream.head.content_length is None else stream.head.content_length
+            )
             size = len(stream.body) if stream.input_ended else size
             needed = max(size - INITIAL_WINDOW_BYTES, 0)
             available = min(
@@ -368,7 +370,7 @@
             self.charge(stream, needed)
             self.reserve(stream, needed)
             stream.body_reserved = True
-            stream.unreturned_window += LONGEST_BODY
+            stream.unreturned_window += MAX_BUFFERED_BODY_BYTES
         return True
 
     def reserve(self, stream: Stream, size: int) -> None:
--- a/brackenusher/fronts/http2/heads.py
+++ b/brackenusher/fronts/http2/heads.py
@@ -6,7 +6,7 @@
 import re
 from dataclasses import dataclass
 
-from brackenusher.core.message import LONGEST_BODY, Message
+from brackenusher.core.message import MAX_BUFFERED_BODY_BYTES, Message
 from brackenusher.fronts.http import AUTHORITY_PATTERN, Front, HeaderMap, Headers, Rejection
 
 PSEUDO_HEADERS = frozenset((b":method", b":scheme", b":authority", b":path"))
@@ -82,7 +82,7 @@
         if not re.fullmatch(rb"[0-9]{1,18}", header_map[b"content-length"]):
             return malformed("Content-Length cannot be read")
         content_length = int(header_map[b"content-length"])
-        if content_length > LONGEST_BODY:
+        if content_length > MAX_BUFFERED_BODY_BYTES:
             return Rejection(413, "the body is too large")
     if b"expect" in header_map:
         expects_continue = header_map[b"expect"].lower() == b"100-continue"
--- a/brackenusher/fronts/http2/streams.py
+++ b/brackenusher/fronts/http2/streams.py
@@ -8,7 +8,7 @@
 from hpack import Decoder, HeaderTuple
 
 from brackenusher.core.admission import Request
-from brackenusher.core.message import LONGEST_BODY
+from brackenusher.core.message import MAX_BUFFERED_BODY_BYTES
 from brackenusher.fronts.http import Headers
 from brackenusher.fronts.http2.heads import (
     RequestHead,
@@ -57,7 +57,7 @@
     def __init__(self, limit: int) -> None:
         self.limit, self.used, self.peak = limit, 0, 0
         # reserved for bodies; the rest is left to new streams
-        self.reserved, self.reservation_limit = 0, max(limit * 3 // 4, LONGEST_BODY)
+        self.reserved, self.reservation_limit = 0, max(limit * 3 // 4, MAX_BUFFERED_BODY_BYTES)
 
     def add(self, size: int) -> None:
         self.used += size
--- a/brackenusher/fronts/rpc/host.py
+++ b/brackenusher/fronts/rpc/host.py
@@ -13,13 +13,13 @@
 from barleybarrow import interface as face
 from barleybarrow.brain import Balancer
 from barleybarrow.interface import Outcome
-from brackenusher.core.admission import Admission, Request, Verdict
+from brackenusher.core.admission import Admission, Denial, Request
 from brackenusher.core.deadlines import Deadlines
 from brackenusher.core.transaction import (
-    RESERVE,
+    RESPONSE_RESERVE_MS,
     Answer,
     Attempt,
-    Carrier,
+    AttemptTransport,
     Failed,
     Refused,
     Served,
@@ -125,7 +125,7 @@
         settings: face.Settings,
         seed: int,
         loop: asyncio.AbstractEventLoop,
-        carrier: Carrier,
+        carrier: AttemptTransport,
         max_open_calls: int,
     ) -> None:
         self.settings, self.loop, self.max_open_calls = settings, loop, max_open_calls
@@ -162,14 +162,14 @@
             self.admit(pending, over_limit=True)
         elif self.has_list:
             self.admit(pending)
-        elif timeout_ms <= RESERVE:
+        elif timeout_ms <= RESPONSE_RESERVE_MS:
             self.refuse_without_list(pending)
         else:
             self.last_number += 1
             number = self.last_number
             self.waiting_for_list[number] = pending
             pending.wait_timer = self.deadlines.add(
-                pending.deadline - RESERVE, lambda: self.on_list_timeout(number)
+                pending.deadline - RESPONSE_RESERVE_MS, lambda: self.on_list_timeout(number)
             )
         return pending
 
@@ -177,16 +177,16 @@
         """Pass a call to admission control; answer it at once if it is rejected."""
         self.last_number += 1
         request = Request(
-            name=b"%d" % self.last_number,
-            klass=pending.klass,
-            span=pending.deadline - self.clock(),
+            request_id=b"%d" % self.last_number,
+            class_index=pending.klass,
+            timeout_ms=pending.deadline - self.clock(),
             tenant=pending.tenant,
-            repeated=pending.is_retry,
+            is_retry=pending.is_retry,
             message=pending.message,
-            beyond=over_limit,
+            over_connection_limit=over_limit,
         )
         admitted = self.admission.admit(request, lambda answer: self.deliver(pending, answer))
-        if isinstance(admitted, Verdict):
+        if isinstance(admitted, Denial):
             self.deliver(pending, Refused(admitted.retry_after))
         else:
             pending.transaction = admitted
@@ -202,7 +202,7 @@
             self.refuse_without_list(pending)
 
     def refuse_without_list(self, pending: PendingCall) -> None:
-        self.transactions.turn_away(pending.message, f"list {self.settings.max_retry_after:.0f} refused")
+        self.transactions.record_denial(pending.message, f"list {self.settings.max_retry_after:.0f} refused")
         self.deliver(pending, Refused(self.settings.max_retry_after))
 
     def cancel_call(self, pending: PendingCall) -> None:
@@ -211,7 +211,7 @@
             return
         pending.reply = None
         if pending.transaction is not None:
-            self.admission.left(pending.transaction)
+            self.admission.client_left(pending.transaction)
             return
         self.deadlines.remove(pending.wait_timer)
         for number, waiting in self.waiting_for_list.items():
@@ -239,7 +239,7 @@
         False if the caller has cancelled, so that nobody will read it.
         """
         transaction = attempt.transaction
-        if transaction.over:
+        if transaction.closed:
             return False
         self.transactions.post(face.Began(transaction.id, attempt.number))
         self.transactions.answer(transaction.id, Served(stream))
@@ -269,7 +269,7 @@
     def attempt_not_started(self, attempt: Attempt, outcome: Outcome) -> None:
         """An attempt failed before it was started."""
         self.report_attempt(attempt, outcome)
-        attempt.ended(attempt, outcome, None)
+        attempt.on_end(attempt, outcome, None)
 
     def attempt_cancelled(self, attempt: Attempt) -> None:
         """The policy has cancelled an attempt."""
@@ -290,7 +290,7 @@
             self.deliver(pending, Refused(self.settings.max_retry_after))
         self.waiting_for_list.clear()
         for transaction in list(self.transactions.open.values()):
-            if not transaction.over:
+            if not transaction.closed:
                 transaction.reply(Failed())
-                self.transactions.left(transaction)
+                self.transactions.client_left(transaction)
         self.deadlines.close()
--- a/brackenusher/fronts/rpc/lines.py
+++ b/brackenusher/fronts/rpc/lines.py
@@ -93,7 +93,7 @@
         if member is None or remaining_ms <= 0 or self.closed:
             self.runner.attempt_not_started(attempt, Outcome.NOT_SENT)
             return
-        if not self.pool.may_begin(member):
+        if not self.pool.may_send(member):
             self.runner.attempt_not_started(attempt, Outcome.CONNECT_FAILED)
             return
         managed = self.connection_to(member)
@@ -102,7 +102,7 @@
             if remaining_ms <= self.handshake_ms:
                 self.runner.attempt_not_started(attempt, Outcome.NOT_SENT)
                 return
-        flight = attempt.carriage = InFlightAttempt(managed.connection)
+        flight = attempt.link = InFlightAttempt(managed.connection)
         managed.user_count += 1
         self.runner.attempt_started()
         flight.expiry = self.runner.deadlines.add(
@@ -113,7 +113,7 @@
         flight.task.add_done_callback(lambda _: self.release(managed))
 
     def cancel(self, attempt: Attempt) -> None:
-        flight: InFlightAttempt | None = attempt.carriage
+        flight: InFlightAttempt | None = attempt.link
         if flight is not None and not flight.finished:
             self.mark_finished(flight, attempt)
             self.runner.attempt_cancelled(attempt)
@@ -202,7 +202,7 @@
                 outcome = Outcome.CONNECT_FAILED
             elif (remaining_ms := attempt.deadline - self.runner.clock()) <= 0:
                 outcome = Outcome.NOT_SENT
-            elif not self.pool.may_begin(member):
+            elif not self.pool.may_send(member):
                 outcome = Outcome.CONNECT_FAILED
             else:
                 outcome, served = await managed.connection.execute(attempt, flight, remaining_ms)
@@ -240,7 +240,7 @@
 
     def on_deadline(self, attempt: Attempt, managed: ManagedConnection) -> None:
         """The attempt's deadline has passed; it was executed only if it was written."""
-        flight: InFlightAttempt = attempt.carriage
+        flight: InFlightAttempt = attempt.link
         self.finish(attempt, flight, managed, Outcome.TIMEOUT if flight.written else Outcome.NOT_SENT)
         self.cancel_task(flight)
 
--- a/brackenusher/fronts/rpc/metrics.py
+++ b/brackenusher/fronts/rpc/metrics.py
@@ -45,12 +45,14 @@
         elif isinstance(answer, Refused):
             label = "refused"
         duration_ms = transactions.clock() - transaction.arrived
-        metrics.answered(target, names[transaction.klass], label, duration_ms, len(transaction.attempts))
+        metrics.answered(
+            target, names[transaction.class_index], label, duration_ms, len(transaction.attempts)
+        )
 
     def turned_away(request: Any, verdict: str) -> None:
         metrics.turned_away(target, verdict.partition(" ")[0])
 
-    return Observers(answered=(answered,), turned_away=(turned_away,))
+    return Observers(on_answer=(answered,), on_denial=(turned_away,))
 
 
 def attempt_observer(
@@ -60,7 +62,9 @@
     names, target = [c.name for c in config.settings.classes], config.target
 
     def attempted(attempt: Attempt, outcome: Outcome) -> None:
-        metrics.attempted(target, names[attempt.transaction.klass], outcome.value, clock() - attempt.sent_at)
+        metrics.attempted(
+            target, names[attempt.transaction.class_index], outcome.value, clock() - attempt.sent_at
+        )
 
     return attempted
 
--- a/brackenusher/fronts/rpc/picture.py
+++ b/brackenusher/fronts/rpc/picture.py
@@ -62,7 +62,7 @@
 
     def start(self) -> None:
         """Start the policy and the source of the list of servers."""
-        self.runner.transactions.begin()
+        self.runner.transactions.start()
         if self.watch is not None:
             self.watch.start()
         if self.config.fixed:
@@ -87,7 +87,7 @@
     def apply(self, listing: Listing) -> None:
         """Apply a list and report it to the policy."""
         self.seq = listing.seq
-        event = self.pool.take(listing)
+        event = self.pool.apply(listing)
         self.connection_manager.close_outdated()
         self.runner.update_list(event)
         previous, self.list_changed = self.list_changed, asyncio.Event()
--- a/brackenusher/fronts/rpc/transport.py
+++ b/brackenusher/fronts/rpc/transport.py
@@ -19,7 +19,7 @@
 from barleybarrow import interface as face
 from barleybarrow.interface import Outcome
 from brackenusher.core.admission import Request
-from brackenusher.core.message import LONGEST_BODY, Content, Message
+from brackenusher.core.message import MAX_BUFFERED_BODY_BYTES, Content, Message
 from brackenusher.core.transaction import Answer, Attempt, Served
 from brackenusher.fronts.http import Front, Rejection, final_response
 from brackenusher.fronts.rpc import picture as target_states
@@ -119,7 +119,7 @@
         body = bytearray()
         async for chunk in response.aiter_raw():
             body += chunk
-            if len(body) > LONGEST_BODY:
+            if len(body) > MAX_BUFFERED_BODY_BYTES:
                 return Outcome.ERROR, None
         if response.status_code == 200:
             kind, coding = (response.headers.get(name) for name in ("content-type", "content-encoding"))
@@ -171,14 +171,14 @@
         header_map = self.classifier.index_headers(headers)
         if isinstance(header_map, Rejection):
             return header_map
-        if len(body) > LONGEST_BODY:
+        if len(body) > MAX_BUFFERED_BODY_BYTES:
             return Rejection(413, "the body is too large")
         item = self.classifier.parse(forwarded, header_map)
         if isinstance(item, Rejection):
             return item
         read_timeout_s = (request.extensions.get("timeout") or {}).get("read")
         if read_timeout_s is not None:
-            item.span = min(item.span, read_timeout_s * 1000.0)
+            item.timeout_ms = min(item.timeout_ms, read_timeout_s * 1000.0)
         return forwarded, item
 
 
@@ -266,7 +266,12 @@
                 answered.set_result(answer)
 
         pending = runner.start_call(
-            classified.klass, classified.span, forwarded, reply, classified.tenant, classified.repeated
+            classified.class_index,
+            classified.timeout_ms,
+            forwarded,
+            reply,
+            classified.tenant,
+            classified.is_retry,
         )
         try:
             return build_response(await answered)
--- a/brackenusher/group/acting.py
+++ b/brackenusher/group/acting.py
@@ -9,7 +9,7 @@
 from barleybarrow.budget import ClientRetryBudget
 from barleybarrow.policy import Rules, stricter_bound
 from barleybarrow.rate_limiter import CLOSED_WAIT, RateLimiter, RateLimiterSettings
-from brackenusher.core.admission import Request, name_of
+from brackenusher.core.admission import Request, rate_limit_key
 from brackenusher.core.transaction import Transactions
 from brackenusher.upstream.listing import Host
 from brackenusher.upstream.pool import Pool
@@ -27,7 +27,7 @@
         self.budget: ClientRetryBudget | None = None
         self.connections = pool.planner.settings  # what the operators' file says, be it stricter
         self.counts = {"door": 0, "shares": 0, "repeats": 0}  # turned away
-        pool.bars.append(self.bars)
+        pool.exclusions.append(self.bars)
 
     def bars(self, host: Host) -> bool:
         return host.name in self.rules.servers or host.cell in self.rules.blocks
@@ -40,17 +40,19 @@
         rules = self.rules
         if key in rules.shares and self.in_hand(key) >= rules.shares[key]:
             return self.turned_away("shares", FULL_WAIT if rules.shares[key] else CLOSED_WAIT)
-        if self.budget is not None and request.repeated and self.budget.exhausted:
+        if self.budget is not None and request.is_retry and self.budget.exhausted:
             return self.turned_away("repeats", REPEAT_WAIT if self.budget.limit.ratio else CLOSED_WAIT)
         if key in rules.tenants and (wait := self.door.ask(key, now)):
             return self.turned_away("door", wait)
         if self.budget is not None:
-            self.budget.record(request.repeated)
+            self.budget.record(request.is_retry)
         return 0.0
 
     def in_hand(self, key: str) -> int:
         """Requests of a tenant that are not answered yet; counted anew, as few tenants have a share."""
-        return sum(not t.over and name_of(t.message.owner) == key for t in self.transactions.open.values())
+        return sum(
+            not t.closed and rate_limit_key(t.message.owner) == key for t in self.transactions.open.values()
+        )
 
     def turned_away(self, by: str, wait: float) -> float:
         self.counts[by] += 1
@@ -80,4 +82,4 @@
             requests=int(stricter_bound(base.requests, rules.requests)),
         )
         if (rules.servers, rules.blocks) != (before.servers, before.blocks):
-            self.transactions.post(self.pool.look_again())
+            self.transactions.post(self.pool.reevaluate())
--- a/brackenusher/group/keyed_requests.py
+++ b/brackenusher/group/keyed_requests.py
@@ -9,7 +9,7 @@
 from barleybarrow.idempotency_records import MAX_BODY_BYTES, IdempotencyRecords, SavedResponse
 from barleybarrow.interface import Effect, Group
 from brackenusher.core import transaction as core
-from brackenusher.core.admission import Before, Request
+from brackenusher.core.admission import RecordedOutcome, Request
 from brackenusher.core.message import Content, Message
 from brackenusher.runtime.loop import clock
 
@@ -31,7 +31,7 @@
 
 
 class KeyedRequests:
-    """A `brackenusher.core.admission.Past`, and an observer of the transactions."""
+    """A `brackenusher.core.admission.IdempotencyLookup`, and an observer of the transactions."""
 
     def __init__(
         self, fates: IdempotencyRecords, owner: "core.Transactions", settings: face.Settings
@@ -39,8 +39,8 @@
         self.fates, self.owner, self.classes = fates, owner, settings.classes
         self.answers = self.bound = 0
 
-    def ask(self, request: Request) -> Before | None:
-        conf = self.classes[request.klass]
+    def ask(self, request: Request) -> RecordedOutcome | None:
+        conf = self.classes[request.class_index]
         if conf.effect is not Effect.KEYED:
             return None
         key = key_of(request.message)
@@ -50,11 +50,11 @@
         if known.response is not None:
             self.answers += 1
             a = known.response
-            return Before(Content(a.body, a.content_type, a.content_encoding))
+            return RecordedOutcome(Content(a.body, a.content_type, a.content_encoding))
         self.bound += 1
-        return Before(None, known.server, known.until)
+        return RecordedOutcome(None, known.server, known.until)
 
-    def handled(self, now: float, event: face.Event, actions: Sequence[Any]) -> None:
+    def on_event(self, now: float, event: face.Event, actions: Sequence[Any]) -> None:
         fates = self.fates
         if isinstance(event, face.Arrived):
             conf = self.classes[event.klass]
@@ -68,10 +68,10 @@
             if isinstance(action, face.Send):
                 fates.on_attempt_sent(now, action.request, action.backend)
 
-    def answered(self, transaction: "core.Transaction", answer: "core.Answer | None") -> None:
+    def on_answer(self, transaction: "core.Transaction", answer: "core.Answer | None") -> None:
         kept = None
         if isinstance(answer, core.Served):
             content = answer.content
-            if content.rest is None and len(content.body) <= MAX_BODY_BYTES:
-                kept = SavedResponse(bytes(content.body), content.kind, content.coding)
+            if content.body_pipe is None and len(content.body) <= MAX_BODY_BYTES:
+                kept = SavedResponse(bytes(content.body), content.content_type, content.content_encoding)
         self.fates.on_request_done(clock(), transaction.id, kept)
--- a/brackenusher/group/replicator.py
+++ b/brackenusher/group/replicator.py
@@ -245,7 +245,7 @@
         """An observer of the transactions: a fate is told soon."""
         assert self.past is not None and self.fates is not None
         before = self.fates.flush_at
-        self.past.handled(now, event, actions)
+        self.past.on_event(now, event, actions)
         if self.fates.flush_at < before:
             self.again()
 
@@ -259,7 +259,7 @@
         if blocks:
             names += [m.name for m in self.pool.members.values() if m.host.cell in blocks]
         if names:
-            self.transactions.post(self.pool.look_again(names))
+            self.transactions.post(self.pool.reevaluate(names))
 
     def bars(self, host: Host) -> bool:
         return host.name in self.effect.servers or host.cell in self.effect.blocks
--- a/brackenusher/membership/agent.py
+++ b/brackenusher/membership/agent.py
@@ -128,7 +128,7 @@
         finally:
             for listing in listings:
                 self.seq = listing.seq
-                self.owner.post(self.pool.take(listing))
+                self.owner.post(self.pool.apply(listing))
         self.spoke, self.failures = True, 0
         if machine.heard > before:
             self.wait(SILENCE)
--- a/brackenusher/membership/keeper.py
+++ b/brackenusher/membership/keeper.py
@@ -44,7 +44,7 @@
         self.dumped_at, self.dumped, self.tidy_at = -inf, list[bytes](), -inf
         self.told = self.rejected = 0  # words told to the module; records that were none
 
-    def handled(self, now: float, event: face.Event, actions: Sequence[Any]) -> None:
+    def on_event(self, now: float, event: face.Event, actions: Sequence[Any]) -> None:
         """An observer of the transactions: note how an attempt ended."""
         if isinstance(event, face.Finished):
             sent = self.sent.get(event.request, ())
@@ -115,7 +115,7 @@
         said = self.book.hearsay(now, lives, (self.name, self.epoch))
         words = []
         for name, (slower, weight) in said.items():
-            started = self.pool.module_time(lives[name])
+            started = self.pool.policy_time(lives[name])
             of, when, before = self.posted.get(name, (started, now, 0.0))
             left = before * (1 - FADE) ** ((now - when) / 1000.0) if of == started else 0.0
             lowers = max(0.0, slower) * weight
--- a/brackenusher/membership/peers.py
+++ b/brackenusher/membership/peers.py
@@ -96,7 +96,7 @@
         self.epoch = int(time.time() * 1000.0)
         self.keeper = Keeper(name, self.epoch, transactions, pool)
         self.keeper.listed = self.list_changed
-        self.handled = self.keeper.handled
+        self.on_event = self.keeper.on_event
         self.swim: Swim | None = None
         if peers is not None:
             ask = (name, peers.known_as, self.epoch, peers.keys, peers.sign, peers.seeds)
--- a/brackenusher/records/capture.py
+++ b/brackenusher/records/capture.py
@@ -77,9 +77,9 @@
 
 def charge_pair(message: Message) -> str:
     """The rate limiter's pair on a request's line: when and under which key it was charged."""
-    if message.charged is None:
+    if message.rate_limit_charge is None:
         return ""
-    return f" door={message.charged[1]!r},{quote(message.charged[0], safe='')}"
+    return f" door={message.rate_limit_charge[1]!r},{quote(message.rate_limit_charge[0], safe='')}"
 
 
 class FileRing:
@@ -258,19 +258,19 @@
 
     # observer interface
 
-    def answered(self, transaction: Transaction, answer: Answer | None) -> None:
+    def on_answer(self, transaction: Transaction, answer: Answer | None) -> None:
         record = self.open_records.get(transaction.id)
         if record is not None:
             record.result = RESULT_NAMES[type(answer)]
             if record.closed and not record.in_flight:
                 self.finish(record)
 
-    def turned_away(self, request: Request, verdict: str) -> None:
+    def on_denial(self, request: Request, verdict: str) -> None:
         self.event_count += 1
-        columns = request_columns(request.name, self.class_names[request.klass], request.message)
+        columns = request_columns(request.request_id, self.class_names[request.class_index], request.message)
         self.write(f"{columns} {verdict}{charge_pair(request.message)} event={self.event_count}")
 
-    def handled(self, now: float, event: face.Event, actions: Sequence[face.Action]) -> None:
+    def on_event(self, now: float, event: face.Event, actions: Sequence[face.Action]) -> None:
         self.event_count += 1
         number = self.event_count
         if isinstance(event, face.TimerDue):
@@ -360,7 +360,7 @@
     def write_record(self, record: RequestRecord) -> None:
         """Write a request's line, with timers and probes since the last one."""
         event, transaction = record.arrival, record.transaction
-        columns = request_columns(transaction.name, self.class_names[event.klass], transaction.message)
+        columns = request_columns(transaction.request_id, self.class_names[event.klass], transaction.message)
         fields = f"{event.request},{event.klass},{event.tenant},{event.repeated:d},{event.deadline!r}"
         line = (
             f"{columns} {record.decision()} {record.result or 'open'} "
--- a/brackenusher/records/figures.py
+++ b/brackenusher/records/figures.py
@@ -140,8 +140,8 @@
 
     # observer interface
 
-    def answered(self, transaction: Transaction, answer: Answer | None) -> None:
-        key = transaction.klass, transaction.tenant if transaction.message.owner else NO_TENANT
+    def on_answer(self, transaction: Transaction, answer: Answer | None) -> None:
+        key = transaction.class_index, transaction.tenant if transaction.message.owner else NO_TENANT
         self.requests[key] += 1
         kind = type(answer)
         if kind is Served:
@@ -150,8 +150,8 @@
         elif kind is Refused:
             self.refused[key] += 1
 
-    def turned_away(self, request: Request, verdict: str) -> None:
-        key = request.klass, request.tenant if request.message.owner else NO_TENANT
+    def on_denial(self, request: Request, verdict: str) -> None:
+        key = request.class_index, request.tenant if request.message.owner else NO_TENANT
         self.requests[key] += 1
         if verdict.endswith(" refused"):
             self.refused[key] += 1
@@ -187,9 +187,9 @@
     def flush(self) -> None:
         """Send counters, gauges and the remaining timers."""
         inflight = Counter(
-            (t.klass, t.tenant if t.message.owner else NO_TENANT)
+            (t.class_index, t.tenant if t.message.owner else NO_TENANT)
             for t in self.transactions.values()
-            if not t.over
+            if not t.closed
         )
         for name, sums in (("requests", self.requests), ("refused", self.refused)):
             for key, count in sums.items():
--- a/brackenusher/records/tally.py
+++ b/brackenusher/records/tally.py
@@ -10,7 +10,7 @@
 
 from barleybarrow import interface as face
 from brackenusher.core.admission import Request
-from brackenusher.core.pipe import End
+from brackenusher.core.pipe import PipeEnd
 from brackenusher.core.transaction import Answer, Failed, Refused, Served, Transaction
 
 HOST_COUNT_TTL_MS = 250.0  # how long a count of servers is cached
@@ -48,16 +48,20 @@
         """Requests accepted and not ended."""
         return self.count_accepted() - self.ended_count
 
-    def answered(self, transaction: Transaction, answer: Answer | None) -> None:
+    def on_answer(self, transaction: Transaction, answer: Answer | None) -> None:
         """A request has its final response, or None if its client left without one."""
-        if isinstance(answer, Served) and answer.content.rest is not None:
-            answer.content.rest.tell.append(partial(self.stream_ended, transaction.klass, answer))
+        if isinstance(answer, Served) and answer.content.body_pipe is not None:
+            answer.content.body_pipe.on_end.append(
+                partial(self.stream_ended, transaction.class_index, answer)
+            )
         else:
-            self.count_result(transaction.klass, answer)
+            self.count_result(transaction.class_index, answer)
 
-    def stream_ended(self, klass: int, answer: Answer, end: End) -> None:
+    def stream_ended(self, klass: int, answer: Answer, end: PipeEnd) -> None:
         """A streamed response has ended."""
-        self.count_result(klass, answer if end is End.WHOLE else Failed() if end is End.BROKEN else None)
+        self.count_result(
+            klass, answer if end is PipeEnd.WHOLE else Failed() if end is PipeEnd.BROKEN else None
+        )
 
     def count_result(self, klass: int, answer: Answer | None) -> None:
         self.ended_count += 1
@@ -71,9 +75,9 @@
         else:
             self.failure[klass] += 1
 
-    def turned_away(self, request: Request, verdict: str) -> None:
+    def on_denial(self, request: Request, verdict: str) -> None:
         """A well-formed request was rejected."""
-        (self.busy if verdict.endswith(" refused") else self.failure)[request.klass] += 1
+        (self.busy if verdict.endswith(" refused") else self.failure)[request.class_index] += 1
 
     def to_json(self) -> bytes:
         """The counts as a JSON object."""
--- a/brackenusher/upstream/connections.py
+++ b/brackenusher/upstream/connections.py
@@ -13,14 +13,14 @@
 from barleybarrow.interface import Outcome
 from barleybarrow.settings import REPORT_FIELDS
 from brackenusher.core.message import Message
-from brackenusher.core.pipe import Budget, End, nothing
+from brackenusher.core.pipe import PipeBudget, PipeEnd, no_op
 from brackenusher.core.transaction import Attempt, Served, Transactions
 from brackenusher.runtime.buffers import Buffers
 from brackenusher.runtime.driver import SHORTAGE, open_socket, write
 from brackenusher.runtime.log import say
 from brackenusher.runtime.loop import READ, WRITE, Coroutine, Loop, clock
 from brackenusher.runtime.timers import Entry
-from brackenusher.upstream.flow import AttemptResult, Flow
+from brackenusher.upstream.flow import AttemptResult, UpstreamCodec
 from brackenusher.upstream.pool import Member, Pool
 
 log = logging.getLogger(__name__)
@@ -42,7 +42,7 @@
         settings: face.Settings,
         max_connections: int,
         buffers: Buffers,
-        budget: Budget | None = None,
+        budget: PipeBudget | None = None,
     ) -> None:
         self.loop, self.pool, self.settings, self.max_connections, self.buffers = (
             loop,
@@ -55,10 +55,11 @@
         self.connect_timeout_ms = settings.connect_timeout or DEFAULT_CONNECT_TIMEOUT_MS
         self.planner = pool.planner
         self.planner.room = max_connections
-        self.written = 0  # attempts written completely, without probes
+        self.written_attempts = 0  # attempts written completely, without probes
         self.sweep_scheduled = False  # a sweep of the planner is scheduled
         self.reported_counts: Counter[tuple[str, str]] = Counter()  # by name and cause
-        self.owner: Transactions  # set by the creator of the transactions, which need this object first
+        # set by the creator of the transactions, which need this object first
+        self.transactions: Transactions
         self.watch = lambda: None
 
     def start(self, attempt: "Attempt | Probe") -> None:
@@ -66,12 +67,12 @@
         self.assign(attempt, self.pool.members[attempt.backend])
 
     def assign(self, attempt: "Attempt | Probe", member: Member) -> None:
-        idle_link = self.pool.lend(member, attempt.message.method == b"GET")
+        idle_link = self.pool.take_idle(member, attempt.message.method == b"GET")
         link = idle_link if idle_link is not None else self.connect(member)
         if isinstance(link, Outcome):
-            attempt.ended(attempt, link, None)
+            attempt.on_end(attempt, link, None)
         else:
-            link.carry(attempt)
+            link.assign(attempt)
 
     def connect(self, member: Member, ahead: bool = False) -> "ServerLink | Outcome":
         planner, now = self.planner, clock()
@@ -125,13 +126,13 @@
         return [*changes, ("connections_held", planner.total, "g", []), ("connections_idle", idle, "g", [])]
 
     def cancel(self, attempt: Attempt) -> None:
-        if attempt.carriage is not None:
-            attempt.carriage.close(Cause.GIVEN_UP)
+        if attempt.link is not None:
+            attempt.link.close(Cause.GIVEN_UP)
 
     def disconnect(self, backend: str) -> None:
         member = self.pool.members.get(backend)
         if member is not None:
-            member.hang_up()
+            member.close_idle()
 
     def probe(self, backend: str) -> None:
         """Request a member's load report, or its health if members do not report."""
@@ -142,7 +143,7 @@
 
     def probe_ended(self, probe: "Probe", outcome: Outcome, served: Served | None) -> None:
         report = read_report(served.content.body) if served and self.settings.probe_reports else None
-        self.owner.post(face.Probed(probe.backend, outcome, clock() - probe.sent_at, report))
+        self.transactions.post(face.Probed(probe.backend, outcome, clock() - probe.sent_at, report))
 
 
 @dataclass(slots=True)
@@ -153,8 +154,8 @@
     message: Message
     sent_at: float
     deadline: float
-    ended: Callable[[Any, Outcome, Served | None], None]  # as of an attempt
-    carriage: "ServerLink | None" = None
+    on_end: Callable[[Any, Outcome, Served | None], None]  # as of an attempt
+    link: "ServerLink | None" = None
     response_started_at: float = 0.0
 
 
@@ -189,11 +190,11 @@
         self.attempt: Attempt | Probe | None = None
         self.connect_timer: Entry | None = None
         self.deadline_timer: Entry | None = None
-        self.stall: Entry | None = None
+        self.stall_timer: Entry | None = None
         self.written_at: float | None = None  # when the present request was written completely
         self.rechecked = False  # a last read was made after the deadline
         self.close_cause = Cause.FAULT
-        self.flow = Flow(f"{member.address[0]}:{member.address[1]}".encode(), upstream.budget)
+        self.codec = UpstreamCodec(f"{member.address[0]}:{member.address[1]}".encode(), upstream.budget)
         self.progress_at = 0.0  # when the peer last accepted or sent bytes
         self.result: AttemptResult | None = None
         if not connected:
@@ -201,11 +202,11 @@
             self.connect_timer = upstream.loop.deadlines.add(until, self.connect_timed_out)
         self.task = upstream.loop.spawn(self.run(connected), sock)
 
-    def carry(self, attempt: "Attempt | Probe") -> None:
+    def assign(self, attempt: "Attempt | Probe") -> None:
         """Start an attempt on this connection."""
-        self.attempt, self.written_at, self.rechecked, attempt.carriage = attempt, None, False, self
-        if attempt.message.rest is None:  # else its timeout starts with the last byte of its body
-            self.deadline_timer = self.upstream.loop.deadlines.add(attempt.deadline, self.expired)
+        self.attempt, self.written_at, self.rechecked, attempt.link = attempt, None, False, self
+        if attempt.message.body_pipe is None:  # else its timeout starts with the last byte of its body
+            self.deadline_timer = self.upstream.loop.deadlines.add(attempt.deadline, self.deadline_reached)
         self.task.wake()
 
     def run(self, connected: bool) -> Coroutine:
@@ -231,14 +232,14 @@
 
     def exchange(self) -> Generator[int, int, bool]:
         """Carry out one request; return whether the connection can be reused."""
-        if not self.upstream.pool.may_begin(self.member):
+        if not self.upstream.pool.may_send(self.member):
             # it waited for the connect until after the drain limit
             return self.finish_attempt(Outcome.CONNECT_FAILED, cause=Cause.LEFT)
         if not self.healthy():
             return self.retry_on_another(self.close_cause)
         attempt, self.result = self.attempt, None
         assert attempt is not None
-        if isinstance(attempt, Attempt) and not self.upstream.owner.may_start(attempt):
+        if isinstance(attempt, Attempt) and not self.upstream.transactions.may_start(attempt):
             # not this connection's fault; if the attempt was cancelled meanwhile, the connection is closed
             return self.attempt is not None and self.finish_attempt(Outcome.NOT_SENT, reusable=True)
         try:
@@ -251,26 +252,26 @@
                 return self.finish_attempt(Outcome.NOT_SENT, cause=Cause.GIVEN_UP)
             if early_result.outcome is Outcome.RESET:
                 return self.retry_on_another(Cause.UNWRITTEN)
-            if self.flow.rest is not None:
+            if self.codec.body_pipe is not None:
                 return (yield from self.stream_response())
             return self.finish_attempt(early_result.outcome, early_result.served, cause=Cause.TOLD)
         self.written_at = clock()
         if isinstance(attempt, Attempt):
-            self.upstream.written += 1
+            self.upstream.written_attempts += 1
         try:
             while self.result is None:
                 yield READ
                 self.receive()
-                if self.stall is None and self.flow.begun and self.result is None:
+                if self.stall_timer is None and self.codec.response_started and self.result is None:
                     attempt.response_started_at = clock()
-                    self.stall = self.upstream.loop.deadlines.add(
-                        attempt.response_started_at + STREAM_AFTER_MS, self.hurry
+                    self.stall_timer = self.upstream.loop.deadlines.add(
+                        attempt.response_started_at + STREAM_AFTER_MS, self.stream_or_wait
                     )
         except OSError:
             return self.connection_reset()
         if self.result.outcome is Outcome.RESET:
             return self.connection_reset()
-        if self.flow.rest is not None:
+        if self.codec.body_pipe is not None:
             return (yield from self.stream_response())
         result, reusable = self.result, self.finish_response()
         return self.finish_attempt(result.outcome, result.served, reusable, Cause.TOLD)
@@ -278,9 +279,9 @@
     def finish_response(self) -> bool:
         """Handle a complete response; return whether the connection can be reused."""
         self.planner.answered(self.held, clock())
-        reusable = self.flow.renew()
-        if self.flow.keep_alive_s is not None:
-            self.planner.promised(self.held, self.flow.keep_alive_s * 1000.0)
+        reusable = self.codec.prepare_next()
+        if self.codec.keep_alive_s is not None:
+            self.planner.promised(self.held, self.codec.keep_alive_s * 1000.0)
         return reusable
 
     def send_request(self, attempt: "Attempt | Probe") -> Generator[int, int, bool]:
@@ -288,21 +289,23 @@
 
         `result` is then set if the member responded or closed; otherwise the client did not go on.
         """
-        message, pipe = attempt.message, attempt.message.rest
-        unsent = memoryview(self.flow.request(message, attempt.deadline - clock()))
+        message, pipe = attempt.message, attempt.message.body_pipe
+        unsent = memoryview(self.codec.encode_request(message, attempt.deadline - clock()))
         if pipe is not None:
-            pipe.to_reader = self.task.wake
+            pipe.wake_reader = self.task.wake
             self.start_stall_timer(REQUEST_STALL_TIMEOUT_MS, self.stream_stalled)
         while True:
             if not unsent and pipe is not None:
-                if pipe.closed and pipe.end is not End.WHOLE:
+                if pipe.closed and pipe.end is not PipeEnd.WHOLE:
                     return False
-                if pipe.parts:
+                if pipe.chunks:
                     message.partly_sent = True
-                    unsent = memoryview(self.flow.encode_body(pipe.take()))
-                elif pipe.whole:  # its timeout has started
-                    self.deadline_timer = self.upstream.loop.deadlines.add(attempt.deadline, self.expired)
-                    unsent, pipe = memoryview(self.flow.encode_end()), None
+                    unsent = memoryview(self.codec.encode_body(pipe.read()))
+                elif pipe.complete:  # its timeout has started
+                    self.deadline_timer = self.upstream.loop.deadlines.add(
+                        attempt.deadline, self.deadline_reached
+                    )
+                    unsent, pipe = memoryview(self.codec.encode_end()), None
                 elif pipe.broken:
                     return False
             if unsent:
@@ -312,10 +315,10 @@
             elif pipe is not None:
                 self.progress_at = clock()  # waits for the client, not for the member
             if not unsent and pipe is None:
-                if message.rest is not None:
+                if message.body_pipe is not None:
                     self.stop_stall_timer()
                 return True
-            if unsent or not (pipe and (pipe.parts or pipe.whole or pipe.broken)):
+            if unsent or not (pipe and (pipe.chunks or pipe.complete or pipe.broken)):
                 if (yield READ | (WRITE if unsent else 0)) & READ:
                     self.receive()
                     if self.result is not None:
@@ -323,13 +326,13 @@
 
     def stream_response(self) -> Generator[int, int, bool]:
         """Stream the rest of a response at the client's pace; the attempt counts as served."""
-        pipe, result, codec = self.flow.rest, self.result, self.flow
+        pipe, result, codec = self.codec.body_pipe, self.result, self.codec
         assert pipe is not None and result is not None
         attempt = self.detach_attempt()
-        pipe.to_writer = self.task.wake
+        pipe.wake_writer = self.task.wake
         try:
             if attempt is not None:
-                attempt.ended(attempt, result.outcome, result.served)
+                attempt.on_end(attempt, result.outcome, result.served)
             self.start_stall_timer(STREAM_STALL_TIMEOUT_MS, self.stream_stalled)
             while not codec.ended and not pipe.closed:
                 full = pipe.full
@@ -341,10 +344,10 @@
             pass
         finally:
             self.stop_stall_timer()
-            pipe.to_writer = nothing
+            pipe.wake_writer = no_op
             if not codec.ended:
                 codec.end_stream(complete=False)
-        return self.keep_or_close(pipe.whole and self.finish_response(), Cause.TOLD)
+        return self.keep_or_close(pipe.complete and self.finish_response(), Cause.TOLD)
 
     def receive(self) -> None:
         try:
@@ -354,7 +357,7 @@
             pass
 
     def feed(self, data: memoryview) -> None:
-        self.result = self.flow.receive(data)
+        self.result = self.codec.receive(data)
 
     def start_stall_timer(self, timeout_ms: float, on_stall: Callable[[], None]) -> None:
         """Have `on_stall` called once the peer has made no progress for this time."""
@@ -364,18 +367,18 @@
 
     def schedule_stall_check(self, timeout_ms: float, on_stall: Callable[[], None]) -> None:
         check = partial(self.check_stall, timeout_ms, on_stall, self.progress_at)
-        self.stall = self.upstream.loop.deadlines.add(self.progress_at + timeout_ms, check)
+        self.stall_timer = self.upstream.loop.deadlines.add(self.progress_at + timeout_ms, check)
 
     def check_stall(self, timeout_ms: float, on_stall: Callable[[], None], since: float) -> None:
-        self.stall = None
+        self.stall_timer = None
         if self.progress_at > since:
             self.schedule_stall_check(timeout_ms, on_stall)
         else:
             on_stall()
 
     def stop_stall_timer(self) -> None:
-        self.upstream.loop.deadlines.remove(self.stall)
-        self.stall = None
+        self.upstream.loop.deadlines.remove(self.stall_timer)
+        self.stall_timer = None
 
     def retry_on_another(self, cause: Cause) -> bool:
         """Handle a request that cannot have been executed, as its last byte was not written.
@@ -399,10 +402,10 @@
 
     def connection_reset(self) -> bool:
         """Handle the loss of the connection after a request was written: it may have been executed."""
-        if self.written_at is not None and not self.flow.begun:
+        if self.written_at is not None and not self.codec.response_started:
             self.planner.lost(self.held, clock(), self.written_at, reset=True)
-        if self.flow.rest is not None:  # streaming had just started, and nobody reads the pipe yet
-            self.flow.rest.stop()
+        if self.codec.body_pipe is not None:  # streaming had just started, and nobody reads the pipe yet
+            self.codec.body_pipe.close()
         return self.finish_attempt(Outcome.RESET, cause=Cause.RESET)
 
     def detach_attempt(self) -> "Attempt | Probe | None":
@@ -410,10 +413,10 @@
         deadlines, attempt, self.attempt = self.upstream.loop.deadlines, self.attempt, None
         deadlines.remove(self.deadline_timer)
         self.stop_stall_timer()
-        if attempt is not None and attempt.message.rest is not None:
-            attempt.message.rest.to_reader = nothing
+        if attempt is not None and attempt.message.body_pipe is not None:
+            attempt.message.body_pipe.wake_reader = no_op
         if attempt is not None:
-            attempt.carriage = None
+            attempt.link = None
         return attempt
 
     def finish_attempt(
@@ -430,7 +433,7 @@
         attempt = self.detach_attempt()
         kept = self.keep_or_close(reusable, cause)
         if attempt is not None:  # a connection opened ahead of need has none
-            attempt.ended(attempt, outcome, served)
+            attempt.on_end(attempt, outcome, served)
         return kept
 
     def keep_or_close(self, reusable: bool, cause: Cause) -> bool:
@@ -445,7 +448,7 @@
         self.finish_attempt(Outcome.CONNECT_FAILED, cause=Cause.REFUSED)
         self.close(Cause.REFUSED)
 
-    def expired(self) -> None:
+    def deadline_reached(self) -> None:
         """Handle the attempt's deadline; it cannot have been executed unless it was written completely.
 
         A response that arrived in time may be unread: it is read first, and the deadline is checked again at
@@ -454,20 +457,20 @@
         if self.written_at is not None and not self.rechecked:
             self.rechecked, self.deadline_timer = (
                 True,
-                self.upstream.loop.deadlines.add(clock(), self.expired),
+                self.upstream.loop.deadlines.add(clock(), self.deadline_reached),
             )
             self.task.wake()
             return
-        if self.written_at is not None and not self.flow.begun:
+        if self.written_at is not None and not self.codec.response_started:
             self.planner.lost(self.held, clock(), self.written_at, reset=False)
         self.finish_attempt(
             Outcome.TIMEOUT if self.written_at is not None else Outcome.NOT_SENT, cause=Cause.GIVEN_UP
         )
         self.close(Cause.GIVEN_UP)
 
-    def hurry(self) -> None:
+    def stream_or_wait(self) -> None:
         """Handle a slow response: stream it if possible, or else wait for it until it stalls."""
-        self.stall, self.result = None, self.flow.stream_if_possible()
+        self.stall_timer, self.result = None, self.codec.stream_if_possible()
         if self.result is None:
             self.start_stall_timer(RESPONSE_STALL_TIMEOUT_MS, self.response_stalled)
         self.task.wake()
--- a/brackenusher/upstream/pool.py
+++ b/brackenusher/upstream/pool.py
@@ -19,7 +19,7 @@
     member: "Member"
     held: Held
 
-    def carry(self, attempt: Any) -> None: ...
+    def assign(self, attempt: Any) -> None: ...
     def close(self, cause: Cause) -> None: ...
 
 
@@ -34,7 +34,7 @@
         self.left_at: float | None = None  # when this proxy learned that it drains or is gone
         self.line = line  # the connections to its present process
 
-    def hang_up(self) -> None:
+    def close_idle(self) -> None:
         """Close its idle connections."""
         for held in list(self.line.idle):
             held.link.close(Cause.LEFT)
@@ -76,8 +76,8 @@
         self.drain_grace = settings.drain_grace
         self.zones, self.kinds = NamePositions(settings.zones), NamePositions(settings.kinds)
         self.members: dict[str, Member] = {}
-        self.held = False  # whether a list has been applied
-        self.bars: list[Callable[[Host], bool]] = []  # whether administrators have taken one out of use
+        self.has_list = False  # whether a list has been applied
+        self.exclusions: list[Callable[[Host], bool]] = []  # whether administrators have taken one out of use
         self.seq = 0
 
     @property
@@ -92,16 +92,16 @@
             return list(self.listed.values())
         return [member.host for member in self.members.values()]
 
-    def take(self, listing: Listing) -> face.ListChanged:
+    def apply(self, listing: Listing) -> face.ListChanged:
         """Apply a list, and return the event for the policy."""
-        self.held, self.seq = True, listing.seq
+        self.has_list, self.seq = True, listing.seq
         if self.subset is not None:
             listing = self.select_subset(listing, self.subset)
         entries = [self.update_member(host) for host in listing.hosts if host.health in STATES]
         if listing.whole:
             listed_names = {entry.backend for entry in entries}
             for name in [name for name in self.members if name not in listed_names]:
-                self.part(self.members.pop(name))
+                self.mark_leaving(self.members.pop(name))
         scope = face.ListScope.COMPLETE if listing.whole else face.ListScope.CHANGES
         return face.ListChanged(scope, entries, listing.seq)
 
@@ -139,54 +139,54 @@
             self.drop_connections(member)  # the connections lead to a process that no longer exists
             member.address, member.born_ms = host.address, host.born_ms
         health = host.health
-        if health == "ready" and self.bars and any(excludes(host) for excludes in self.bars):
+        if health == "ready" and self.exclusions and any(excludes(host) for excludes in self.exclusions):
             health = "draining"  # for the policy, until administrators put it back into use
         if health == "ready":
             member.left_at = None
             if member.line.left:
                 member.line = self.add_line(host)
         else:
-            self.part(member)
+            self.mark_leaving(member)
             if health == "gone":
                 del self.members[host.name]
         return face.Entry(
             host.name,
             STATES[health],
-            self.module_time(host.born_ms),
+            self.policy_time(host.born_ms),
             host.cell,
             self.zones.position(host.zone),
             self.kinds.position(host.kind),
         )
 
-    def look_again(self, names: Iterable[str] | None = None) -> face.ListChanged:
+    def reevaluate(self, names: Iterable[str] | None = None) -> face.ListChanged:
         """Update some or all members after administrators have taken some out of use or put them back."""
         members = [self.members[name] for name in (names if names is not None else list(self.members))]
         return face.ListChanged(
             face.ListScope.CHANGES, [self.update_member(m.host) for m in members], self.seq
         )
 
-    def part(self, member: Member) -> None:
+    def mark_leaving(self, member: Member) -> None:
         if member.left_at is None:
             member.left_at = self.clock()
         self.drop_connections(member)
 
     def add_line(self, host: Host) -> Line:
-        return self.planner.join(host.name, self.clock(), self.module_time(host.born_ms))
+        return self.planner.join(host.name, self.clock(), self.policy_time(host.born_ms))
 
     def drop_connections(self, member: Member) -> None:
         """Close the connections to the member's present process; requests in flight finish first."""
         for held in self.planner.leave(member.line):
             held.link.close(Cause.LEFT)
 
-    def module_time(self, born_ms: float) -> float:
+    def policy_time(self, born_ms: float) -> float:
         """Convert Unix time to the policy's clock; 0, for long ago, stays 0."""
         return born_ms - self.unix_offset if born_ms else 0.0
 
-    def may_begin(self, member: Member) -> bool:
+    def may_send(self, member: Member) -> bool:
         """Whether new requests may still be written to a member."""
         return member.left_at is None or self.clock() - member.left_at < self.drain_grace
 
-    def lend(self, member: Member, safe: bool) -> Connection | None:
+    def take_idle(self, member: Member, safe: bool) -> Connection | None:
         """Take an idle connection; None if a new one is to be opened."""
         held = self.planner.lend(member.line, self.clock(), safe)
         return held.link if held is not None else None
--- a/testbed/proxy.py
+++ b/testbed/proxy.py
@@ -89,7 +89,7 @@
             proxy.pool.planner.closed(self.held, proxy.local(proxy.world.now), cause)
             proxy.forget(self)
 
-    def carry(self, load: "Carry") -> None:
+    def assign(self, load: "Carry") -> None:
         """Take on an attempt."""
         self.load = load
 
@@ -138,7 +138,7 @@
         if self.over:
             return
         self.let_go()
-        self.attempt.ended(self.attempt, outcome, served)
+        self.attempt.on_end(self.attempt, outcome, served)
 
     def let_go(self) -> None:
         self.over = True
@@ -208,7 +208,7 @@
         self.told = Told()
         self.balancer = POLICIES[policy](self.settings, seed, self.now, world.sight(self))
         self.transactions = Transactions(self.balancer, self.clock, self.deadlines, self)  # type: ignore[arg-type]
-        self.transactions.observers = Observers(handled=(self.note,))
+        self.transactions.observers = Observers(on_event=(self.note,))
         self.connect_time = self.settings.connect_timeout or 1000.0
         self.ticking = False  # the planner's sweep is due at some time
         self.links: dict[Link, None] = {}
@@ -216,7 +216,7 @@
         self.idle_since: int | None = None  # since when servers stood idle for it, for the oracle
         self.wake_at: int | None = None
         self.enter()
-        self.transactions.begin()
+        self.transactions.start()
         self.tell(listing)
         self.rest()
 
@@ -265,7 +265,7 @@
         conf = self.world.scenario
         span = (t.due - t.sent) / 1000.0
         repeated = t.number_of_op > 0 and conf.clients.marks_retry
-        t.transaction = self.transactions.arrive(
+        t.transaction = self.transactions.accept(
             t.name, t.op.klass, span, Wanted(t), t.reply, t.op.tenant, repeated
         )
         self.rest()
@@ -274,7 +274,7 @@
         """The client has closed its connection."""
         if self.alive and t.transaction is not None:
             self.enter()
-            self.transactions.left(t.transaction)
+            self.transactions.client_left(t.transaction)
             self.rest()
 
     def tell(self, listing: Listing) -> None:
@@ -282,7 +282,7 @@
         now = self.world.now
         self.told.seqs.append(listing.seq)
         self.told.times.append(now)
-        self.transactions.post(self.pool.take(listing))
+        self.transactions.post(self.pool.apply(listing))
 
     # The carrier
 
@@ -293,14 +293,14 @@
         t = wanted.t
         member = self.pool.members[attempt.backend]
         safe = self.settings.classes[t.op.klass].effect is face.Effect.SAFE
-        lent = self.pool.lend(member, safe)
+        lent = self.pool.take_idle(member, safe)
         link = lent if isinstance(lent, Link) else self.connect(member)
         if link is None:
-            attempt.ended(attempt, Outcome.NOT_SENT, None)
+            attempt.on_end(attempt, Outcome.NOT_SENT, None)
             return
         carry = Carry(self, attempt, t, world.names.get(attempt.backend), link, world.now)
-        attempt.carriage = carry
-        link.carry(carry)
+        attempt.link = carry
+        link.assign(carry)
         t.carries.append(carry)
         t.out += 1
         world.count_attempt(t)
@@ -363,7 +363,7 @@
     def write(self, carry: Carry) -> None:
         """The connection stands: write the request, unless its member has left meanwhile."""
         link = carry.link
-        if not self.pool.may_begin(link.member):
+        if not self.pool.may_send(link.member):
             carry.end(Outcome.CONNECT_FAILED)
             link.load = None
             link.close(Cause.LEFT)
@@ -425,7 +425,7 @@
         self.rest()
 
     def cancel(self, attempt: Attempt) -> None:
-        carry = attempt.carriage
+        carry = attempt.link
         if carry is not None and not carry.over:
             carry.let_go()
             carry.give_up()
@@ -433,7 +433,7 @@
     def disconnect(self, backend: str) -> None:
         member = self.pool.members.get(backend)
         if member is not None:
-            member.hang_up()
+            member.close_idle()
 
     def watch(self) -> None:
         self.world.watch(self)
--- a/tests/fleet/lease_world.py
+++ b/tests/fleet/lease_world.py
@@ -100,7 +100,7 @@
         answer = messages.PingAck()
         self.leases[peer].fill_answer(answer)
         if await self._deliver_datagram(peer, proxy.address) and proxy.links.alive:
-            proxy.client.hear_of_version(peer, self.proxies[peer].client.version)
+            proxy.client.record_peer_version(peer, self.proxies[peer].client.version)
             lease.peer_answered(answer, sent_at)
 
     async def _deliver_datagram(self, sender: str, receiver: str) -> bool:
--- a/tests/fleet/test_data_plane_shutdown.py
+++ b/tests/fleet/test_data_plane_shutdown.py
@@ -16,9 +16,9 @@
 
 class Readiness(DataPlaneTest):
     async def test_ready_requires_feed_and_configuration(self) -> None:
-        self.assertFalse(self.server.readiness())
+        self.assertFalse(self.server.is_ready())
         self.proxy.configure(configuration())
-        self.assertTrue(self.server.readiness())
+        self.assertTrue(self.server.is_ready())
 
     async def test_older_configuration_is_ignored(self) -> None:
         self.proxy.configure(configuration())
@@ -33,7 +33,7 @@
         await self.start_servers(hello)
         ending = asyncio.ensure_future(self.server.shut_down(GRACE_S))
         await asyncio.sleep(0)
-        self.assertFalse(self.server.readiness())
+        self.assertFalse(self.server.is_ready())
         reply = await self.fetch(request_bytes())
         self.assertEqual((reply.status, reply.headers["connection"]), (200, "close"))
         self.advance(2.6)
--- a/tests/fleet/test_feed_paths.py
+++ b/tests/fleet/test_feed_paths.py
@@ -234,7 +234,7 @@
         simulation.spawn(proxy.run())
         await asyncio.sleep(3.0)
         self.assertEqual(proxy.client.version, 0)
-        proxy.client.learn(simulation.voters[:1])
+        proxy.client.add_control_addresses(simulation.voters[:1])
         await asyncio.sleep(3.0)
         self.assertTrue(proxy.client.ready)
         self.assertEqual(links.wanted_peers, set(simulation.voters))
--- a/tests/fleet/test_routing_announcements.py
+++ b/tests/fleet/test_routing_announcements.py
@@ -14,7 +14,12 @@
 from barleybarrow.routing.dispatcher import Dispatcher
 from barleybarrow.routing.pool import MAX_TRACKED_SEGMENTS, PEER_STREAMS_TTL_MS
 from brackenusher.data_plane.announcement_datagrams import MAX_DATAGRAM_BYTES, decode, encode
-from brackenusher.data_plane.announcer import ACKNOWLEDGE_S, RELAY_GATHER_S, RESTATE_S, Announcer
+from brackenusher.data_plane.announcer import (
+    ACKNOWLEDGE_INTERVAL_S,
+    RELAY_BATCH_DELAY_S,
+    RESTATE_INTERVAL_S,
+    Announcer,
+)
 
 ROUTE = Route("r", "h", "/p/", "streaming", 2_000.0, 200.0, 1, "llm", gap_aim_ms=150.0)
 
@@ -405,13 +410,13 @@
     def test_nothing_is_sent_after_stop(self) -> None:
         self.dispatcher.request_arrived(0.0, request(1))
         self.announcer.stop()
-        self.loop.advance(3 * RESTATE_S)
+        self.loop.advance(3 * RESTATE_INTERVAL_S)
         self.assertEqual(self.transport.sent, [])
 
     def test_stream_counts_are_restated_even_when_there_are_none(self) -> None:
         self.announcer._restate()
         self.dispatcher.pools["llm"].servers["b"].streams = 2
-        self.loop.advance(RESTATE_S)
+        self.loop.advance(RESTATE_INTERVAL_S)
         restated = [
             decode(data)[1][0].announcements for data, addr in self.transport.sent if addr[0] == "10.0.0.2"
         ]
@@ -441,7 +446,7 @@
     def test_stream_counts_are_restated_even_when_there_are_none(self) -> None:
         self.announcer._restate()
         self.dispatcher.pools["llm"].servers["b"].streams = 2
-        self.loop.advance(RESTATE_S)
+        self.loop.advance(RESTATE_INTERVAL_S)
         restated = [decode(data)[1][0].announcements for data, _ in self.transport.sent]
         self.assertEqual(restated, [[], [Announcement("llm", "b", "", 0, 0, 2)]])
 
@@ -454,7 +459,7 @@
             self.announcer.datagram_received(data, (origin, 7002))
         self.assertEqual(self.dispatcher.announcement_queue.count_proxies(1_000.0), 3)
         self.assertEqual(self.transport.sent, [])
-        self.loop.advance(RELAY_GATHER_S)
+        self.loop.advance(RELAY_BATCH_DELAY_S)
         scopes = [decode(data)[0] for data, _ in self.transport.sent]
         self.assertEqual(
             (scopes.count(ForwardingScope.RECEIVER), scopes.count(ForwardingScope.GROUP)), (2, 1)
@@ -468,7 +473,7 @@
         [data] = encode(ForwardingScope.GROUP, [AnnouncementUpdate("10.1.0.7", 7, [])])
         for _ in range(20):
             self.announcer.datagram_received(data, ("10.1.0.5", 7002))
-            self.loop.advance(ACKNOWLEDGE_S / 10)
+            self.loop.advance(ACKNOWLEDGE_INTERVAL_S / 10)
         acknowledgements = [decode(data) for data, addr in self.transport.sent if addr[0] == "10.1.0.5"]
         self.assertEqual(acknowledgements, [(ForwardingScope.RECEIVER, [])] * 2)
         self.assertEqual({decode(data)[0] for data, _ in self.transport.sent}, {ForwardingScope.RECEIVER})
--- a/tests/fleet/test_stale_control.py
+++ b/tests/fleet/test_stale_control.py
@@ -21,7 +21,7 @@
         for proxy in world.proxies.values():
             for peer in world.proxies.values():
                 if peer is not proxy and peer.links.alive and proxy.links.alive and peer.client.version:
-                    proxy.client.hear_of_version(peer.address, peer.client.version)
+                    proxy.client.record_peer_version(peer.address, peer.client.version)
 
 
 async def start_proxy_at_lagging_voter(world: FeedSimulation) -> ProxyProcess:
@@ -47,7 +47,7 @@
         while not proxy.client.ready:
             await asyncio.sleep(0.05)
         self.assertEqual(proxy.client.version, NEW)
-        self.assertFalse(proxy.client.current, "no majority has confirmed it")
+        self.assertFalse(proxy.client.is_current, "no majority has confirmed it")
 
     @simulated
     async def test_newer_version_arrives_with_first_ping(self, world: FeedSimulation) -> None:
@@ -95,22 +95,22 @@
                 peer.links.alive = False
         await asyncio.sleep(12.0)
         self.assertEqual((proxy.client.version, proxy.client.ready), (OLD, True))
-        self.assertFalse(proxy.client.current)
+        self.assertFalse(proxy.client.is_current)
 
     @simulated
     async def test_disconnected_proxy_denies_nobody(self, world: FeedSimulation) -> None:
         world.commit(make_configuration(OLD))
         await asyncio.sleep(3.0)
         proxy = next(iter(world.proxies.values()))
-        self.assertTrue(proxy.client.current)
+        self.assertTrue(proxy.client.is_current)
         for voter in world.voters[:2]:
             world.network.cut(proxy.address, voter)
         await asyncio.sleep(6.0)
-        self.assertFalse(proxy.client.current)
+        self.assertFalse(proxy.client.is_current)
         for voter in world.voters[:2]:
             world.network.heal(proxy.address, voter)
         await asyncio.sleep(3.0)
-        self.assertTrue(proxy.client.current)
+        self.assertTrue(proxy.client.is_current)
 
     @simulated
     async def test_connected_proxy_opens_no_peer_links(self, world: FeedSimulation) -> None:
@@ -148,17 +148,17 @@
     def test_detects_ignored_peer_versions(self) -> None:
         bug = lambda self, peer, version: None  # noqa: E731
         test = "test_not_ready_with_older_version_than_peers"
-        self.assert_detected(test, FeedClient, "hear_of_version", bug)
+        self.assert_detected(test, FeedClient, "record_peer_version", bug)
 
     def test_detects_denial_while_disconnected(self) -> None:
         bug = property(lambda self: self._fetch.confirmed)
         test = "test_disconnected_proxy_denies_nobody"
-        self.assert_detected(test, FeedClient, "current", bug)
+        self.assert_detected(test, FeedClient, "is_current", bug)
 
     def test_detects_denial_by_unconfirmed_version(self) -> None:
         bug = property(lambda self: True)
         test = "test_without_peers_serves_old_version_and_denies_nobody"
-        self.assert_detected(test, FeedClient, "current", bug)
+        self.assert_detected(test, FeedClient, "is_current", bug)
 
 
 if __name__ == "__main__":
--- a/tests/rpc_world.py
+++ b/tests/rpc_world.py
@@ -137,7 +137,7 @@
         self.entries = []
 
     def watch(self, transactions):
-        transactions.observers = Observers(handled=(self.handled,), answered=(self.answered,))
+        transactions.observers = Observers(on_event=(self.handled,), on_answer=(self.answered,))
 
     def handled(self, now, event, actions):
         if not isinstance(event, face.ListChanged):
@@ -163,7 +163,7 @@
             Balancer(settings, seed, self.clock_ms()), self.clock_ms, self.deadlines, self
         )
         entries = [face.Entry(name, face.State.LIVE) for name in models]
-        self.transactions.begin()
+        self.transactions.start()
         self.transactions.post(face.ListChanged(face.ListScope.COMPLETE, entries, 1))
 
     def clock_ms(self):
@@ -185,19 +185,19 @@
 
     def start(self, attempt):
         verdict, at = self.models[attempt.backend].ask(self.clock_ms(), attempt.message.target)
-        attempt.carriage = self.deadlines.add(
-            attempt.deadline, lambda: attempt.ended(attempt, Outcome.TIMEOUT, None)
+        attempt.link = self.deadlines.add(
+            attempt.deadline, lambda: attempt.on_end(attempt, Outcome.TIMEOUT, None)
         )
         outcome = {SERVED: Outcome.SERVED, FAILED: Outcome.ERROR, DECLINED: Outcome.FULL}.get(verdict)
         if verdict != SILENT:
             self.schedule(at / 1000.0, lambda: self.end_attempt(attempt, outcome))
 
     def end_attempt(self, attempt, outcome):
-        self.deadlines.remove(attempt.carriage)
-        attempt.ended(attempt, outcome, Served(Content(b"")) if outcome is Outcome.SERVED else None)
+        self.deadlines.remove(attempt.link)
+        attempt.on_end(attempt, outcome, Served(Content(b"")) if outcome is Outcome.SERVED else None)
 
     def cancel(self, attempt):
-        self.deadlines.remove(attempt.carriage)
+        self.deadlines.remove(attempt.link)
 
 
 def run_core(models, settings_document, seed, arrivals):
@@ -208,7 +208,7 @@
         message = Message(b"GET", klass)
         core.schedule(
             at / 1000.0,
-            lambda n=n, i=index, m=message, s=timeout_ms: core.transactions.arrive(
+            lambda n=n, i=index, m=message, s=timeout_ms: core.transactions.accept(
                 b"%d" % n, i, s, m, lambda answer: None
             ),
         )
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -6,7 +6,7 @@
 from barleybarrow.rate_limiter import Limit, RateLimiter, RateLimiterSettings
 from barleybarrow.settings import read_settings
 from barleybarrow.tokens import TokenSettings, issue
-from brackenusher.core.admission import Admission, Bar, Request, Verdict
+from brackenusher.core.admission import Admission, Denial, DenialReason, Request
 from brackenusher.core.deadlines import Deadlines
 from brackenusher.core.message import Message
 from brackenusher.core.transaction import Observers, Transaction, Transactions
@@ -34,7 +34,7 @@
         self.policy, self.denials = RecordingPolicy(), []
         self.transactions = Transactions(self.policy, lambda: 1000.0, Deadlines(), None)
         self.transactions.observers = Observers(
-            turned_away=(lambda request, words: self.denials.append(words),)
+            on_denial=(lambda request, words: self.denials.append(words),)
         )
         self.rate_limiter = RateLimiter(RateLimiterSettings(tenants={"kente-wars": Limit(2.0, burst)}))
         self.admission = Admission(self.transactions, CONF, self.rate_limiter, KEYS, lambda: 1_000.0)
@@ -48,8 +48,8 @@
 def test_accepted_request_reaches_policy_once_and_can_be_abandoned():
     harness = Harness()
     accepted = harness.admit()
-    assert isinstance(accepted, Transaction) and accepted.message.charged == ("kente-wars", 1000.0)
-    harness.admission.left(accepted)
+    assert isinstance(accepted, Transaction) and accepted.message.rate_limit_charge == ("kente-wars", 1000.0)
+    harness.admission.client_left(accepted)
     assert [type(event).__name__ for event in harness.policy.events] == [
         "Arrived",
         "Left",
@@ -59,11 +59,11 @@
 def test_failed_check_is_not_charged_to_the_next():
     # guards against requests without tokens, or beyond the descriptor limit, draining a tenant's bucket
     harness = Harness()
-    assert harness.admit(token=None, beyond=True) == Verdict(Bar.ROOM, "", 600.0)
-    assert harness.admit(token=None) == Verdict(Bar.TOKEN, "missing")
+    assert harness.admit(token=None, beyond=True) == Denial(DenialReason.CONNECTION_LIMIT, "", 600.0)
+    assert harness.admit(token=None) == Denial(DenialReason.TOKEN, "missing")
     assert not harness.rate_limiter.buckets
     assert isinstance(harness.admit(), Transaction)
-    assert harness.admit() == Verdict(Bar.DOOR, "", 500.0)  # before the id is checked
+    assert harness.admit() == Denial(DenialReason.RATE_LIMIT, "", 500.0)  # before the id is checked
     assert harness.denials == ["room 600 refused", "token missing rejected", "door 500 refused"]
     assert len(harness.policy.events) == 1
 
@@ -71,18 +71,20 @@
 def test_duplicate_id_is_denied():
     harness = Harness(burst=2)
     harness.admit()
-    assert harness.admit() == Verdict(Bar.ID, "open") and harness.denials == ["id open rejected"]
+    assert harness.admit() == Denial(DenialReason.DUPLICATE_ID, "open") and harness.denials == [
+        "id open rejected"
+    ]
 
 
 @pytest.mark.parametrize(
     ("verdict", "status", "headers", "fatal"),
     [
-        (Verdict(Bar.ROOM, "", 600.0), 503, ((b"retry-after", b"0.600"),), True),
-        (Verdict(Bar.TOKEN, "missing"), 401, ((b"adw-auth", b"missing"), CHALLENGE), False),
-        (Verdict(Bar.TOKEN, "expired"), 401, ((b"adw-auth", b"expired"), CHALLENGE), False),
-        (Verdict(Bar.TOKEN, "rights"), 403, ((b"adw-auth", b"rights"),), False),
-        (Verdict(Bar.DOOR, "", 350.0), 429, ((b"retry-after", b"0.350"),), False),
-        (Verdict(Bar.ID, "open"), 409, (), True),
+        (Denial(DenialReason.CONNECTION_LIMIT, "", 600.0), 503, ((b"retry-after", b"0.600"),), True),
+        (Denial(DenialReason.TOKEN, "missing"), 401, ((b"adw-auth", b"missing"), CHALLENGE), False),
+        (Denial(DenialReason.TOKEN, "expired"), 401, ((b"adw-auth", b"expired"), CHALLENGE), False),
+        (Denial(DenialReason.TOKEN, "rights"), 403, ((b"adw-auth", b"rights"),), False),
+        (Denial(DenialReason.RATE_LIMIT, "", 350.0), 429, ((b"retry-after", b"0.350"),), False),
+        (Denial(DenialReason.DUPLICATE_ID, "open"), 409, (), True),
     ],
 )
 def test_http_response_to_each_denial(verdict, status, headers, fatal):
--- a/tests/test_capture.py
+++ b/tests/test_capture.py
@@ -50,7 +50,7 @@
 
     def emit(self, event, *actions):
         self.now += 0.1
-        self.capture.handled(self.now, event, actions)
+        self.capture.on_event(self.now, event, actions)
 
     def arrive(self, number, name=b"id", message=None, backend="s0"):
         message = message or Message(b"GET", b"/board-read?k=m1", [], b"", b"kente-wars", b"1400m")
@@ -60,7 +60,7 @@
         return transaction
 
     def serve(self, number, **wording):
-        self.capture.answered(self.arrive(number, **wording), Served(None))
+        self.capture.on_answer(self.arrive(number, **wording), Served(None))
         self.emit(face.Finished(number, 0, Outcome.SERVED, 20.5, True))
 
     def list(self, *names, state=State.LIVE):
@@ -87,9 +87,9 @@
     harness.serve(1, name=b"9b1f03aa5c7e2d41", backend="s-5be2a07c")
     refused = harness.arrive(2)
     harness.emit(face.Finished(2, 0, Outcome.FULL, 1.0, False), face.Refuse(2, 312.5531))
-    harness.capture.answered(refused, Refused(312.5531))
+    harness.capture.on_answer(refused, Refused(312.5531))
     message = Message(b"GET", b"/board-read", [], b"", None, None, ("", 5.0))
-    harness.capture.turned_away(Request(b"x", 0, 1.0, 0, False, message), "door 350 refused")
+    harness.capture.on_denial(Request(b"x", 0, 1.0, 0, False, message), "door 350 refused")
     lines = harness.queued_lines()[1:]
     assert lines[0].startswith("list 43 s-5be2a07c draining ")
     assert lines[1].startswith("9b1f03aa5c7e2d41 board-read kente-wars k=m1 1400m forward s-5be2a07c served ")
@@ -108,7 +108,7 @@
     harness = CaptureHarness()
     message = Message(b"GET", b"/board-read?k=" + text, [], b"", text, text)
     harness.serve(1, name=text, message=message)
-    harness.capture.turned_away(Request(text, 0, 1.0, 0, False, message), "token forged rejected")
+    harness.capture.on_denial(Request(text, 0, 1.0, 0, False, message), "token forged rejected")
     lines = harness.queued_lines()[1:]
     assert [LINE_PATTERN.match(line)["words"].split()[5] for line in lines] == ["forward", "token"]
     assert all(len(line) < 1200 and line.isascii() for line in lines)
@@ -192,7 +192,7 @@
             harness.emit(face.TimerDue(0))
             harness.emit(face.Arrived(n, 0, harness.now), face.Send(n, "s0"))
             if not n % 2:
-                harness.capture.answered(owner.open[n], Served(None))
+                harness.capture.on_answer(owner.open[n], Served(None))
                 harness.emit(face.Finished(n, 0, Outcome.SERVED, 20.5, True))
         assert tracemalloc.get_traced_memory()[1] < 1_000_000
         assert harness.capture.dropped > 1000 and len(harness.capture.open_records) <= 1000
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -525,7 +525,7 @@
             else:
                 listed[entry["host"]] = entry
         for pool, known in zip(pools, seen, strict=True):
-            event = pool.take(read_listing({"seq": seq, "whole": whole, "hosts": hosts}))
+            event = pool.apply(read_listing({"seq": seq, "whole": whole, "hosts": hosts}))
             if event.scope is ListScope.COMPLETE:
                 known.clear()
             for entry in event.entries:
@@ -546,7 +546,7 @@
         self.pool = Pool(settings, clock, 0.0)
         self.upstream = connections.Upstream(self.loop, self.pool, settings, room, Buffers())
         hosts = [host(f"s{n}", server) for n, server in enumerate(servers)]
-        self.pool.take(read_listing({"seq": 1, "whole": True, "hosts": hosts}))
+        self.pool.apply(read_listing({"seq": 1, "whole": True, "hosts": hosts}))
 
     def start(self, name, ended):
         message, now = Message(b"GET", b"/board-read"), clock()
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -99,19 +99,21 @@
     with Stepped(tmp_path, server) as stepped, stepped.connect() as sock:
         sock.sendall(read_request())
         transactions = stepped.daemon.transactions
-        stepped.turn_until(lambda: transactions.taken and not transactions.open, "the answer's begin")
-        pipe = next(iter(stepped.daemon.http1.links)).answer.content.rest
-        stepped.turn_until(lambda: pipe.came == 99_999 and not pipe.parts, "the first pieces")
+        stepped.turn_until(
+            lambda: transactions.accepted_count and not transactions.open, "the answer's begin"
+        )
+        pipe = next(iter(stepped.daemon.http1.links)).answer.content.body_pipe
+        stepped.turn_until(lambda: pipe.received_bytes == 99_999 and not pipe.chunks, "the first pieces")
         full.append(True)
         server.last.set()
-        stepped.turn_until(lambda: pipe.came == 100_000 and not pipe.parts, "the last piece")
+        stepped.turn_until(lambda: pipe.received_bytes == 100_000 and not pipe.chunks, "the last piece")
         server.end.set()
-        stepped.turn_until(lambda: pipe.whole, "the end")
+        stepped.turn_until(lambda: pipe.complete, "the end")
         full.clear()
         assert stepped.hear(sock)[::2] == (200, server.body)
 
 
-@pytest.mark.parametrize("moment", ["hurry", "expired"])
+@pytest.mark.parametrize("moment", ["stream_or_wait", "deadline_reached"])
 def test_reset_at_the_moment_of_a_timeout_is_no_end_of_stream_and_leaks_no_pipe(tmp_path, moment):
     # A peek consumed the reset before the read, so that a truncated response was served as complete, and its
     # share of the budget was never returned. The request must be retried, as its client has received nothing.
@@ -130,19 +132,21 @@
     with Stepped(tmp_path, server, agent=agent, known=False) as stepped, stepped.connect() as sock:
         stepped.turn_until(lambda: agent.watchers, "the watch")
         sock.sendall(read_request())
-        stepped.turn_until(lambda: stepped.daemon.upstream.written, "the attempt")
+        stepped.turn_until(lambda: stepped.daemon.upstream.written_attempts, "the attempt")
         agent.tell([host("s1", other)])
-        link = next(iter(stepped.daemon.transactions.open.values())).attempts[0].carriage
-        stepped.turn_until(lambda: link.flow.begun and "s1" in stepped.daemon.pool.members, "its begin")
+        link = next(iter(stepped.daemon.transactions.open.values())).attempts[0].link
+        stepped.turn_until(
+            lambda: link.codec.response_started and "s1" in stepped.daemon.pool.members, "its begin"
+        )
         poll = select.poll()
         poll.register(link.sock, select.POLLHUP)
         reset.set()
         until(lambda: poll.poll(0), "the reset")
-        link.upstream.loop.deadlines.remove(link.stall)
+        link.upstream.loop.deadlines.remove(link.stall_timer)
         getattr(link, moment)()
-        assert (link.flow.rest is not None) == (moment == "hurry")
+        assert (link.codec.body_pipe is not None) == (moment == "stream_or_wait")
         assert stepped.hear(sock)[::2] == (200, b"board")
-        assert stepped.daemon.upstream.budget.pipes == 0
+        assert stepped.daemon.upstream.budget.open_pipes == 0
         other.close()
 
 
@@ -198,7 +202,7 @@
         while not (daemon.transactions.balancer.any_held or len(socks) > 10):  # until a request is queued
             socks.append(stack.enter_context(stepped.connect()))
             socks[-1].sendall(read_request(len(socks)))
-            stepped.turn_until(lambda: daemon.transactions.taken == len(socks))
+            stepped.turn_until(lambda: daemon.transactions.accepted_count == len(socks))
         held = f"id{len(socks)}"
         until(lambda: len(server.requests) == len(socks) - 1, "the others")
         stepped.loop.epoll = first = MemberEventsFirst(stepped.loop)
@@ -329,7 +333,7 @@
         second.set()
         assert stepped.hear(sock)[::2] == (200, b"board")
         assert [len(server.requests) for server in servers] == [1, 1]
-        assert daemon.transactions.taken == 1 and not daemon.transactions.open
+        assert daemon.transactions.accepted_count == 1 and not daemon.transactions.open
         sock.close()
 
 
@@ -372,11 +376,11 @@
     server = TurnServer()
     with Stepped(tmp_path, server) as stepped, stepped.connect() as sock:
         sock.sendall(read_request())
-        stepped.turn_until(lambda: stepped.daemon.upstream.written, "the attempt")
+        stepped.turn_until(lambda: stepped.daemon.upstream.written_attempts, "the attempt")
         (attempt,) = next(iter(stepped.daemon.transactions.open.values())).attempts
-        link = attempt.carriage
+        link = attempt.link
         until(lambda: readable(link.sock), "the answer")
-        link.expired()
+        link.deadline_reached()
         assert stepped.hear(sock)[::2] == (200, b"board") and len(server.requests) == 1
 
 
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -11,7 +11,7 @@
 from barleybarrow.rate_limiter import CLOSED_WAIT, Limit, RateLimiter, RateLimiterSettings
 from brackenusher.config.operators import Operator, load_operator, read_operator
 from brackenusher.config.platform import ConfigError
-from brackenusher.core.admission import name_of
+from brackenusher.core.admission import rate_limit_key
 
 
 def test_client_is_admitted_after_the_wait_and_rejections_are_not_charged():
@@ -134,4 +134,4 @@
 
 def test_rate_limit_key_is_truncated():
     # guards against capture records that grow with the name of an owner when no tenants are configured
-    assert name_of(b"x" * 300) == "x" * 64 and name_of(None) == ""
+    assert rate_limit_key(b"x" * 300) == "x" * 64 and rate_limit_key(None) == ""
--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -52,7 +52,7 @@
     def answer(self, number, answer, after=0.0):
         self.now += after
         transaction = self.open.pop(number)
-        self.figures.answered(transaction, answer)
+        self.figures.on_answer(transaction, answer)
 
     def lines(self):
         self.deadlines.sweep(self.now + 10_000.0)
@@ -67,7 +67,7 @@
     harness.answer(1, Refused(5.0))
     harness.answer(3, None)
     for verdict in ("door 350 refused", "token forged rejected"):
-        harness.figures.turned_away(Request(b"", 1, 1.0, 1, False, Message(b"", b"", owner=b"x")), verdict)
+        harness.figures.on_denial(Request(b"", 1, 1.0, 1, False, Message(b"", b"", owner=b"x")), verdict)
     return harness.lines()
 
 
--- a/tests/test_http2.py
+++ b/tests/test_http2.py
@@ -369,7 +369,7 @@
     )
     server.feed(body(1, b"mo", end=False) + body(1, b"ve", padding=9))
     request = server.requests[1]
-    assert (request.name, request.message.method, request.message.target) == (
+    assert (request.request_id, request.message.method, request.message.target) == (
         b"id1",
         b"POST",
         b"/turn-submit?k=m1",
--- a/tests/test_long.py
+++ b/tests/test_long.py
@@ -16,11 +16,11 @@
 from barleybarrow.interface import Outcome
 from barleybarrow.settings import read_settings
 from brackenusher.core.admission import Request
-from brackenusher.core.message import LONGEST_BODY, Message
-from brackenusher.core.pipe import MAX_REPLAYABLE_BYTES, MIN_WINDOW_BYTES, Budget, End, Pipe
+from brackenusher.core.message import MAX_BUFFERED_BODY_BYTES, Message
+from brackenusher.core.pipe import MAX_REPLAYABLE_BYTES, MIN_WINDOW_BYTES, Pipe, PipeBudget, PipeEnd
 from brackenusher.fronts.http import Front, Rejection
 from brackenusher.fronts.http1.virtual_server import VirtualServer
-from brackenusher.upstream.flow import Flow
+from brackenusher.upstream.flow import UpstreamCodec
 
 MB = 1024 * 1024
 BIG = os.urandom(1024) * 3 * 1024  # three MB
@@ -29,28 +29,28 @@
 @given(st.lists(st.binary(max_size=50), max_size=20), st.integers(1, 7))
 def test_pipe_preserves_bytes_and_ends_once(parts, every):
     # guards against lost, duplicated or reordered bytes, and a pipe that is counted twice
-    budget, got, ends = Budget(MB), b"", []
+    budget, got, ends = PipeBudget(MB), b"", []
     pipe = Pipe(budget)
-    pipe.tell.append(ends.append)
+    pipe.on_end.append(ends.append)
     for number, part in enumerate(parts):
-        pipe.put(part)
+        pipe.write(part)
         if number % every == 0:
-            got += pipe.take()
+            got += pipe.read()
     pipe.finish()
-    got += pipe.take()
-    assert got == b"".join(parts) and pipe.over and pipe.held_bytes == 0
-    pipe.stop(End.WHOLE)
-    pipe.stop()
-    assert ends == [End.WHOLE] and budget.pipes == 0
+    got += pipe.read()
+    assert got == b"".join(parts) and pipe.exhausted and pipe.held_bytes == 0
+    pipe.close(PipeEnd.WHOLE)
+    pipe.close()
+    assert ends == [PipeEnd.WHOLE] and budget.open_pipes == 0
 
 
 def test_budget_guarantees_minimum_and_bounds_buffered_bodies():
-    budget = Budget(4 * MB)
+    budget = PipeBudget(4 * MB)
     pipes = [Pipe(budget) for _ in range(1000)]
     assert budget.window_bytes == MIN_WINDOW_BYTES and not pipes[0].full
-    assert budget.may_keep(MAX_REPLAYABLE_BYTES) and not budget.may_keep(MAX_REPLAYABLE_BYTES + 1)
-    budget.kept = 2 * MB
-    assert not budget.may_keep(1)
+    assert budget.may_buffer(MAX_REPLAYABLE_BYTES) and not budget.may_buffer(MAX_REPLAYABLE_BYTES + 1)
+    budget.buffered_body_bytes = 2 * MB
+    assert not budget.may_buffer(1)
 
 
 def head(extra):
@@ -69,20 +69,20 @@
     for at in range(0, len(data), size):
         server.receive(data[at : at + size])
         item = item or server.next()
-        if isinstance(item, Request) and item.message.rest is not None:
-            body += item.message.rest.take()
+        if isinstance(item, Request) and item.message.body_pipe is not None:
+            body += item.message.body_pipe.read()
     if isinstance(item, Rejection):
         return item.status, b"", True
-    whole = item.message.rest is None or item.message.rest.whole
+    whole = item.message.body_pipe is None or item.message.body_pipe.complete
     return "taken", item.message.body + body, whole
 
 
-SMALL_BUDGET = Budget(LONGEST_BODY)
-LONG = BIG[: 3 * LONGEST_BODY]
+SMALL_BUDGET = PipeBudget(MAX_BUFFERED_BODY_BYTES)
+LONG = BIG[: 3 * MAX_BUFFERED_BODY_BYTES]
 
 
 @pytest.mark.parametrize("size", [1, 1000, 16384, MB])
-@pytest.mark.parametrize("budget", [SMALL_BUDGET, Budget(64 * MB)], ids=["passed on", "kept"])
+@pytest.mark.parametrize("budget", [SMALL_BUDGET, PipeBudget(64 * MB)], ids=["passed on", "kept"])
 @pytest.mark.parametrize(
     ("data", "expected"),
     [
@@ -116,19 +116,19 @@
 )
 def test_long_response_is_independent_of_chunking(data, close, whole, size):
     # guards against a truncated response taken for complete, and one that is forwarded only at its end
-    flow, got, pipe = Flow(b"m:1", SMALL_BUDGET), b"", None
-    flow.request(Message(b"GET", b"/r", streams=True), 500.0)
+    flow, got, pipe = UpstreamCodec(b"m:1", SMALL_BUDGET), b"", None
+    flow.encode_request(Message(b"GET", b"/r", accepts_stream=True), 500.0)
     for at in range(0, len(data), size):
         reply = flow.receive(data[at : at + size])
         if reply is not None and pipe is None:
-            assert reply.outcome is Outcome.SERVED and at < 2 * LONGEST_BODY
-            pipe = reply.served.content.rest
+            assert reply.outcome is Outcome.SERVED and at < 2 * MAX_BUFFERED_BODY_BYTES
+            pipe = reply.served.content.body_pipe
         if pipe is not None:
-            got += pipe.take()
+            got += pipe.read()
     if close:
         flow.receive(b"")
-    assert got == LONG and (pipe.whole, pipe.broken) == (whole, not whole)
-    assert flow.renew() == (whole and not close)
+    assert got == LONG and (pipe.complete, pipe.broken) == (whole, not whole)
+    assert flow.prepare_next() == (whole and not close)
 
 
 class Server(Listener):
@@ -255,7 +255,7 @@
     with Program(tmp_path, Server(cut), control=True) as program, program.connect() as sock:
         sock.sendall(read_request())
         status, got, whole = read_response(sock)
-        assert status == 200 and not whole and len(got) > LONGEST_BODY
+        assert status == 200 and not whole and len(got) > MAX_BUFFERED_BODY_BYTES
         until(lambda: program.figures()["calls"]["board-read"]["failure"] == 1, "the failure")
         assert len(program.servers[0].bodies) == 1  # a response that has started is not retried
 
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -16,7 +16,7 @@
 from brackenusher.fronts.http1.virtual_server import VirtualServer
 from brackenusher.membership.discovery import Discovery, DiscoveryError, read_listing
 from brackenusher.runtime.buffers import Buffers
-from brackenusher.upstream.flow import Flow
+from brackenusher.upstream.flow import UpstreamCodec
 from brackenusher.upstream.pool import Pool
 
 CONF = read_settings(SETTINGS)
@@ -25,8 +25,8 @@
 
 def codec_result(data, step=None):
     """The codec, and its result for a response fed in chunks of `step` bytes."""
-    codec = Flow(b"a:1")
-    codec.request(READ, 500.0)
+    codec = UpstreamCodec(b"a:1")
+    codec.encode_request(READ, 500.0)
     step = step or len(data)
     for i in range(0, len(data), step):
         result = codec.receive(data[i : i + step])
@@ -80,10 +80,10 @@
 @pytest.mark.parametrize("step", [1, 4096])
 def test_invalid_response_is_detected_at_once(data, step):
     # guards against waiting for an endless response: the connection stays open until the client's deadline
-    codec = Flow(b"a:1")
-    codec.request(READ, 500.0)
+    codec = UpstreamCodec(b"a:1")
+    codec.encode_request(READ, 500.0)
     results = [codec.receive(data[i : i + step]) for i in range(0, len(data), step)]
-    assert results[-1].outcome is Outcome.ERROR and not codec.renew()
+    assert results[-1].outcome is Outcome.ERROR and not codec.prepare_next()
 
 
 @pytest.mark.parametrize(
@@ -99,19 +99,19 @@
 def test_connection_is_reused_only_between_messages(data, again):
     # guards against taking surplus bytes of one response for the response to the next request
     codec, _ = codec_result(data)
-    assert codec.renew() is again
+    assert codec.prepare_next() is again
 
 
 def test_request_carries_deadline_and_drops_hop_by_hop_headers():
     message = Message(b"POST", b"/t", [(b"host", b"x"), (b"connection", b"close"), (b"a", b"b")], b"move")
-    data = Flow(b"a:1").request(message, 812.7)
+    data = UpstreamCodec(b"a:1").encode_request(message, 812.7)
     assert b"req-deadline: 812m" in data and b"close" not in data and b"a: b" in data
     assert data.endswith(b"content-length: 4\r\n\r\nmove")
 
 
 def test_request_without_host_gets_host_of_member():
     # HTTP/1.0 clients need not send Host; the attempt failed before it was written
-    assert b"host: a:1\r\n" in Flow(b"a:1").request(Message(b"GET", b"/r"), 5.0)
+    assert b"host: a:1\r\n" in UpstreamCodec(b"a:1").encode_request(Message(b"GET", b"/r"), 5.0)
 
 
 def make_server():
@@ -152,7 +152,7 @@
 def test_deadline_units(text, span):
     server = make_server()
     server.receive(read_request(span=text))
-    assert server.next().span == span
+    assert server.next().timeout_ms == span
 
 
 def test_retry_after_is_in_decimal_seconds():
@@ -241,12 +241,12 @@
 
 def make_pool(*hosts, clock=None):
     pool = Pool(CONF, clock or Clock(), 1_000_000.0)
-    pool.take(read_listing({"seq": 1, "whole": True, "hosts": list(hosts)}))
+    pool.apply(read_listing({"seq": 1, "whole": True, "hosts": list(hosts)}))
     return pool
 
 
 def apply_changes(pool, *hosts, whole=False):
-    return pool.take(read_listing({"seq": 2, "whole": whole, "hosts": list(hosts)}))
+    return pool.apply(read_listing({"seq": 2, "whole": whole, "hosts": list(hosts)}))
 
 
 def test_start_times_are_converted_to_policy_clock():
@@ -272,16 +272,16 @@
     pool = make_pool(host("a", Server), clock=clock)
     member = pool.members["a"]
     idle, busy = FakeConnection(pool, member), FakeConnection(pool, member)
-    assert idle.reusable and pool.lend(member, True) is busy and pool.may_begin(member)
+    assert idle.reusable and pool.take_idle(member, True) is busy and pool.may_send(member)
     if how == "left out":
         apply_changes(pool, whole=True)
     else:
         apply_changes(pool, host("a", Server, how))
-    assert idle.closed and not busy.closed and not busy.finish_request() and pool.may_begin(member)
+    assert idle.closed and not busy.closed and not busy.finish_request() and pool.may_send(member)
     clock.now += 400
     apply_changes(pool, *([] if how == "left out" else [host("a", Server, how)]))
     clock.now += 101
-    assert not pool.may_begin(member)
+    assert not pool.may_send(member)
 
 
 def test_idle_connections_to_previous_process_are_closed():
@@ -289,9 +289,9 @@
     pool = make_pool(host("a", Server))
     member = pool.members["a"]
     idle, busy = FakeConnection(pool, member), FakeConnection(pool, member)
-    assert pool.lend(member, True) is busy
+    assert pool.take_idle(member, True) is busy
     apply_changes(pool, host("a", Server, born_ms=5))
-    assert idle.closed and not busy.finish_request() and pool.lend(member, True) is None
+    assert idle.closed and not busy.finish_request() and pool.take_idle(member, True) is None
 
 
 def test_member_ready_again_gets_new_connections():
@@ -300,15 +300,15 @@
     apply_changes(pool, host("a", Server, "draining"))
     apply_changes(pool, host("a", Server))
     member = pool.members["a"]
-    assert FakeConnection(pool, member).reusable and pool.lend(member, True) is not None
+    assert FakeConnection(pool, member).reusable and pool.take_idle(member, True) is not None
 
 
 def test_most_recent_idle_connection_is_used_and_oldest_evicted():
     pool = make_pool(host("a", Server))
     member = pool.members["a"]
     old, new = FakeConnection(pool, member), FakeConnection(pool, member)
-    assert pool.lend(member, True) is new and pool.evict_idle() and old.closed
-    assert pool.lend(member, True) is None and not pool.evict_idle()
+    assert pool.take_idle(member, True) is new and pool.evict_idle() and old.closed
+    assert pool.take_idle(member, True) is None and not pool.evict_idle()
 
 
 def test_deadlines_are_called_in_order_despite_a_failure():
--- a/tests/test_odd_messages.py
+++ b/tests/test_odd_messages.py
@@ -15,7 +15,7 @@
 from brackenusher.core.transaction import Served
 from brackenusher.fronts.http import Front
 from brackenusher.fronts.http1.virtual_server import VirtualServer
-from brackenusher.upstream.flow import Flow
+from brackenusher.upstream.flow import UpstreamCodec as Flow
 
 FRONT = Front(read_settings(SETTINGS))
 POST = b"POST /turn-submit?k=m HTTP/1.1\r\nHost: x\r\nReq-Id: 1\r\nIdempotency-Key: k\r\n"
@@ -42,7 +42,7 @@
 def read_at_member(request):
     """The request as a pool member reads it, with an independent parser."""
     member = h11.Connection(h11.SERVER)
-    member.receive_data(Flow(b"member:1").request(request.message, 500.0))
+    member.receive_data(Flow(b"member:1").encode_request(request.message, 500.0))
     head, body = member.next_event(), b""
     while isinstance(event := member.next_event(), h11.Data):
         body += bytes(event.data)
@@ -406,11 +406,11 @@
 
 def hear(flow, chunks):
     """The result of parsing a response, its content or outcome, and whether the connection may be reused."""
-    flow.request(Message(b"GET", b"/r"), 5.0)
+    flow.encode_request(Message(b"GET", b"/r"), 5.0)
     for chunk in [*chunks, b""]:
         reply = flow.receive(chunk)
         if reply is not None:
-            return reply.served.content if reply.served else reply.outcome, flow.renew()
+            return reply.served.content if reply.served else reply.outcome, flow.prepare_next()
 
 
 @pytest.mark.parametrize("name", ANSWERS)
--- a/tests/test_oracle.py
+++ b/tests/test_oracle.py
@@ -74,7 +74,7 @@
 
     def answer(self, request, content):
         transaction = self.open.get(request)
-        if transaction is not None and not transaction.over and request % 20 == 0:
+        if transaction is not None and not transaction.closed and request % 20 == 0:
             self.close(transaction)  # and nobody is told
         else:
             real(self, request, content)
@@ -83,12 +83,12 @@
 
 
 def answer_late(patch):
-    real = Transactions.arrive
+    real = Transactions.accept
 
-    def arrive(self, name, klass, span, *rest, **more):
+    def accept(self, name, klass, span, *rest, **more):
         return real(self, name, klass, span + 200.0, *rest, **more)
 
-    patch.setattr(Transactions, "arrive", arrive)
+    patch.setattr(Transactions, "accept", accept)
 
 
 def forget_drains(patch):
@@ -100,7 +100,7 @@
         real(self, event)
 
     patch.setattr(Balancer, "on_list_changed", on_list_changed)
-    patch.setattr(Pool, "part", lambda self, member: None)
+    patch.setattr(Pool, "mark_leaving", lambda self, member: None)
 
 
 def answer_twice(patch):
@@ -108,7 +108,7 @@
 
     def answer(self, request, content):
         transaction = self.open.get(request)
-        twice = transaction is not None and not transaction.over and request % 20 == 0
+        twice = transaction is not None and not transaction.closed and request % 20 == 0
         real(self, request, content)
         if twice:
             transaction.reply(content)
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -153,19 +153,19 @@
 
 def test_rejected_requests_are_not_charged_and_a_share_counts_open_requests():
     opened = {}
-    fleet = SimpleNamespace(bars=[], planner=SimpleNamespace(settings=ConnectionSettings(age=9000.0)))
+    fleet = SimpleNamespace(exclusions=[], planner=SimpleNamespace(settings=ConnectionSettings(age=9000.0)))
     acting = Acting(SimpleNamespace(open=opened), fleet)
     text = "[shares.tenants.a]\nopen = 1\n[repeats]\npart = 0.5\nburst = 1\n[connections]\n"
     acting.act(parse_policy(text + "age_s = 3\nrequests = 7\n[door.tenants.a]\nrate = 1\nburst = 2\n"))
     assert (fleet.planner.settings.age, fleet.planner.settings.requests) == (3000.0, 7)
 
     def ask(tenant="a", repeated=False):
-        return acting.ask(tenant, SimpleNamespace(repeated=repeated), 0.0)
+        return acting.ask(tenant, SimpleNamespace(is_retry=repeated), 0.0)
 
     assert ask() == 0.0
-    opened[1] = SimpleNamespace(over=False, message=SimpleNamespace(owner=b"a"))
+    opened[1] = SimpleNamespace(closed=False, message=SimpleNamespace(owner=b"a"))
     assert ask() == ask() == FULL_WAIT and ask("b") == 0.0
-    opened[1].over = True
+    opened[1].closed = True
     assert ask() == 0.0 and ask() > 0.0 and ask() > 0.0  # two tokens in the bucket: none was lost
     assert ask("b", True) == 0.0 and ask("b", True) == REPEAT_WAIT == ask("b", True)
     assert ask("b") == ask("b") == 0.0 and ask("b", True) == 0.0  # two first attempts earned one
--- a/tests/test_relay_promises.py
+++ b/tests/test_relay_promises.py
@@ -18,7 +18,7 @@
 import pytest
 from helpers import SETTINGS, WAIT, DiscoveryAgent, Program, TurnServer, host, response, until
 
-from brackenusher.upstream.flow import Flow
+from brackenusher.upstream.flow import UpstreamCodec
 from testbed.relay.driver import Relay
 from testbed.relay.script import Hop, Rule, Script
 
@@ -463,7 +463,7 @@
     served = 0
     for at in range(begin, len(whole)):
         for byte in range(256):
-            flow = Flow(b"h")
+            flow = UpstreamCodec(b"h")
             reply = flow.receive(whole[:at] + bytes([byte]) + whole[at + 1 :])
             if reply is None or reply.served is None:
                 continue
--- a/tests/test_rpc_cold.py
+++ b/tests/test_rpc_cold.py
@@ -61,10 +61,10 @@
         verdict, at = self.models[attempt.backend].ask(self.loop.ms, attempt.message.target)
         outcome = Outcome.SERVED if verdict == SERVED else Outcome.FULL
         served = Served(Content(b"")) if verdict == SERVED else None
-        attempt.carriage = self.transactions.deadlines.add(
-            attempt.deadline, lambda: attempt.ended(attempt, Outcome.TIMEOUT, None)
+        attempt.link = self.transactions.deadlines.add(
+            attempt.deadline, lambda: attempt.on_end(attempt, Outcome.TIMEOUT, None)
         )
-        self.loop.call_at(at / 1000.0, lambda: attempt.ended(attempt, outcome, served))
+        self.loop.call_at(at / 1000.0, lambda: attempt.on_end(attempt, outcome, served))
 
     def cancel(self, attempt):
         pass
@@ -75,7 +75,7 @@
         def reply(answer):
             self.served_count += isinstance(answer, Served)
 
-        self.transactions.arrive(b"%d" % self.call_count, index, timeout_ms, Message(b"GET", klass), reply)
+        self.transactions.accept(b"%d" % self.call_count, index, timeout_ms, Message(b"GET", klass), reply)
 
 
 def measure_peak_load(proxies, configured_instances, rate):
--- a/tests/test_transaction.py
+++ b/tests/test_transaction.py
@@ -15,8 +15,15 @@
 from brackenusher.core.admission import Request
 from brackenusher.core.deadlines import Deadlines
 from brackenusher.core.message import Content, Message
-from brackenusher.core.pipe import Budget, End, Pipe
-from brackenusher.core.transaction import RESERVE, Failed, Observers, Refused, Served, Transactions
+from brackenusher.core.pipe import Pipe, PipeBudget, PipeEnd
+from brackenusher.core.transaction import (
+    RESPONSE_RESERVE_MS,
+    Failed,
+    Observers,
+    Refused,
+    Served,
+    Transactions,
+)
 from brackenusher.records.tally import Tally
 
 
@@ -56,7 +63,7 @@
     def accept(self, timeout_ms=800.0, class_index=0, request_id=None):
         self.last_id += 1
         request_id = request_id or b"%d" % self.last_id
-        return self.owner.arrive(
+        return self.owner.accept(
             request_id, class_index, timeout_ms, Message(b"GET", b"/r"), self.answers.append
         )
 
@@ -112,7 +119,7 @@
     harness.owner.post(face.ListChanged(ListScope.COMPLETE, []))
     harness.accept()
     harness.advance(799.0)
-    assert [type(a) for a in harness.answers] == [Refused] and not harness.owner.unanswered
+    assert [type(a) for a in harness.answers] == [Refused] and not harness.owner.unanswered_count
 
 
 def test_unanswered_request_is_failed_and_logged_at_deadline(caplog):
@@ -121,7 +128,7 @@
     harness.advance(799.0)
     assert harness.answers == []
     harness.advance(1.0)
-    assert harness.answers == [Failed()] and harness.owner.unanswered == 1
+    assert harness.answers == [Failed()] and harness.owner.unanswered_count == 1
     assert "unanswered" in caplog.text
     assert type(harness.owner.balancer.events[-1]) is face.Left
 
@@ -129,7 +136,7 @@
 def test_policy_deadline_reserves_time_for_the_response():
     harness = Harness(ScriptedPolicy())
     harness.accept(800.0)
-    assert harness.owner.balancer.events[-1].deadline == harness.now + 800.0 - RESERVE
+    assert harness.owner.balancer.events[-1].deadline == harness.now + 800.0 - RESPONSE_RESERVE_MS
 
 
 def test_attempt_deadline_is_bounded_by_its_timeout():
@@ -137,13 +144,16 @@
         ScriptedPolicy(Arrived=lambda e: [face.Send(e.request, "a", 30.0), face.Send(e.request, "a")])
     )
     harness.accept(800.0)
-    assert [a.deadline - harness.now for a in harness.transport.started] == [30.0, 800.0 - RESERVE]
+    assert [a.deadline - harness.now for a in harness.transport.started] == [
+        30.0,
+        800.0 - RESPONSE_RESERVE_MS,
+    ]
 
 
 def test_client_disconnect_cancels_attempts():
     harness = Harness()
     transaction = harness.accept(class_index=KEYED)
-    harness.owner.left(transaction)
+    harness.owner.client_left(transaction)
     assert harness.transport.cancelled == harness.transport.started != []
     assert harness.answers == [] and not harness.owner.open and not harness.owner.balancer.requests
 
@@ -153,7 +163,7 @@
     harness = Harness(ScriptedPolicy(TimerDue=lambda e: [face.Send(1, "a")]))
     transaction = harness.accept()
     harness.owner.dispatching = True
-    harness.owner.left(transaction)
+    harness.owner.client_left(transaction)
     harness.owner.dispatching = False
     harness.owner.events.appendleft(face.TimerDue(0))
     harness.owner.post(face.TimerDue(0))
@@ -177,7 +187,7 @@
         assert script.events[-1].outcome is Outcome.NOT_SENT
         harness.deadlines.sweep(harness.now + 800.0)
     assert harness.answers[0] == Failed()
-    assert first.over is (where == "carrier")
+    assert first.closed is (where == "carrier")
 
 
 class WeakReferenceableMessage(Message):
@@ -192,7 +202,7 @@
     try:
         message = WeakReferenceableMessage(b"POST", b"/r", body=b"move")
         seen = weakref.ref(message)
-        harness.owner.arrive(b"x", 0, 800.0, message, harness.answers.append)
+        harness.owner.accept(b"x", 0, 800.0, message, harness.answers.append)
         harness.owner.finished(harness.transport.started.pop(), Outcome.SERVED, Served(Content(b"board")))
         del message
         assert seen() is None
@@ -207,7 +217,7 @@
         st.tuples(st.just("finish"), st.sampled_from([*Outcome])),
         st.tuples(st.just("leave"), st.integers(0, 50)),
         st.tuples(st.just("wait"), st.integers(1, 900)),
-        st.tuples(st.just("drip"), st.sampled_from([*End])),
+        st.tuples(st.just("drip"), st.sampled_from([*PipeEnd])),
     ),
     max_size=60,
 )
@@ -218,8 +228,10 @@
     # guards against a request counted twice or never: arrived = ended + in flight
     harness = Harness()
     harness.owner.balancer.conf.classes[0].name = "c"
-    tally = Tally(settings(), lambda: harness.now, lambda now: (1, 0), lambda: harness.owner.taken, lambda: 0)
-    harness.owner.observers = Observers(answered=(tally.answered,), turned_away=(tally.turned_away,))
+    tally = Tally(
+        settings(), lambda: harness.now, lambda now: (1, 0), lambda: harness.owner.accepted_count, lambda: 0
+    )
+    harness.owner.observers = Observers(on_answer=(tally.on_answer,), on_denial=(tally.on_denial,))
     pipes, accepted, denied = [], [], 0
     for what, how in steps:
         in_flight = [attempt for attempt in harness.transport.started if attempt.outcome is None]
@@ -227,21 +239,21 @@
             accepted.append(harness.accept(class_index=how))
         elif what == "away":
             denied += 1
-            harness.owner.turn_away(Request(b"x", 0, 1.0, 0, False, Message(b"GET", b"/")), "door" + how)
+            harness.owner.record_denial(Request(b"x", 0, 1.0, 0, False, Message(b"GET", b"/")), "door" + how)
         elif what == "finish" and in_flight:
             served = Served(Content(b"board")) if how is Outcome.SERVED else None
             harness.owner.finished(in_flight[0], how, served)
         elif what == "drip" and in_flight:
-            pipes.append((Pipe(Budget(1)), how))
-            harness.owner.finished(in_flight[0], Outcome.SERVED, Served(Content(b"", rest=pipes[-1][0])))
+            pipes.append((Pipe(PipeBudget(1)), how))
+            harness.owner.finished(in_flight[0], Outcome.SERVED, Served(Content(b"", body_pipe=pipes[-1][0])))
         elif what == "leave" and accepted:
-            harness.owner.left(accepted[how % len(accepted)])
+            harness.owner.client_left(accepted[how % len(accepted)])
         elif what == "wait":
             harness.advance(how)
         ended = sum(tally.success) + sum(tally.busy) + sum(tally.failure) + sum(tally.abandoned)
-        assert harness.owner.taken + denied == ended + tally.inflight
+        assert harness.owner.accepted_count + denied == ended + tally.inflight
         streaming = sum(pipe.end is None for pipe, _ in pipes)
-        assert tally.inflight == sum(not t.over for t in accepted) + streaming
+        assert tally.inflight == sum(not t.closed for t in accepted) + streaming
     for pipe, end in pipes:
-        pipe.stop(end)
-    assert tally.inflight == sum(not t.over for t in accepted)
+        pipe.close(end)
+    assert tally.inflight == sum(not t.closed for t in accepted)
