--- a/brackenusher/daemon.py
+++ b/brackenusher/daemon.py
@@ -22,10 +22,10 @@
 from brackenusher.core.pipe import PipeBudget
 from brackenusher.core.transaction import RESPONSE_RESERVE_MS, Observers, Transactions
 from brackenusher.fronts.control import driver as control
-from brackenusher.fronts.control.machine import Reply
-from brackenusher.fronts.http import Front
-from brackenusher.fronts.http1.clients import Clients
-from brackenusher.fronts.listener import OVERFLOW, Listener, Room
+from brackenusher.fronts.control.machine import Response
+from brackenusher.fronts.http import RequestClassifier
+from brackenusher.fronts.http1.clients import Http1Listener
+from brackenusher.fronts.listener import MAX_REFUSED_CONNECTIONS, ConnectionLimit, Listener
 from brackenusher.handover.new import Taken
 from brackenusher.handover.replacement import Replacement
 from brackenusher.membership.agent import Agent
@@ -82,9 +82,12 @@
         deadlines, buffers = Deadlines(), Buffers()
         self.config, self.operator, self.loop = config, operator, Loop(deadlines)
         available_sockets = (
-            config.sockets - RESERVED_SOCKETS - OVERFLOW - (PEER_SOCKETS if operator.peers else 0)
+            config.sockets
+            - RESERVED_SOCKETS
+            - MAX_REFUSED_CONNECTIONS
+            - (PEER_SOCKETS if operator.peers else 0)
         )
-        available_sockets -= control.SOCKETS if config.control else 0
+        available_sockets -= control.MAX_DESCRIPTORS if config.control else 0
         client_sockets = int(available_sockets * CLIENT_SOCKET_SHARE)
         offset = time.time() * 1000.0 - clock()
         self.pool = Pool(
@@ -101,9 +104,9 @@
         max_idle_clients = int(config.sockets * IDLE_CLIENT_SHARE)
         rate_limiter = RateLimiter(operator.door) if operator.door else None
         self.admission = Admission(self.transactions, settings, rate_limiter, operator.token)
-        front = Front(settings, with_tokens=operator.token is not None)
-        client_slots = Room(client_sockets)
-        self.http1 = Clients(
+        front = RequestClassifier(settings, with_tokens=operator.token is not None)
+        client_slots = ConnectionLimit(client_sockets)
+        self.http1 = Http1Listener(
             self.loop,
             front,
             self.admission,
@@ -118,11 +121,11 @@
         self.http2 = None
         if operator.http2:  # imported only if enabled: h2 and its dependencies take memory
             try:
-                from brackenusher.fronts.http2.clients import Http2Clients
+                from brackenusher.fronts.http2.clients import Http2Listener
             except ImportError as error:
                 raise ConfigError(f"http2.enabled: {error}; install brackenusher[http2]") from error
-            self.http2 = Http2Clients(
-                self.loop, operator.http2, front, self.admission, self.http1.ready, client_slots, buffers
+            self.http2 = Http2Listener(
+                self.loop, operator.http2, front, self.admission, self.http1.is_ready, client_slots, buffers
             )
             self.fronts.append((self.http2, operator.http2.listen))
         self.discovery_agent = Agent(
@@ -136,7 +139,7 @@
         if operator.peers or operator.snapshot:
             self.set_up_peers(buffers)
         self.request_counts: Tally | None = None
-        self.control: control.Control | None = None
+        self.control: control.ControlServer | None = None
         if config.control:
             gauges = BalancerGauges(balancer, clock)
             self.request_counts = Tally(
@@ -152,7 +155,7 @@
                 b"/-/drain": (b"POST", self.drain),
                 b"/-/resume": (b"POST", self.resume),
             }
-            self.control = control.Control(self.loop, handlers, buffers)
+            self.control = control.ControlServer(self.loop, handlers, buffers)
         self.replacement: Replacement | None = None
         if config.control:
             self.replacement = Replacement(
@@ -164,7 +167,7 @@
                 self.discovery_agent,
                 self.transactions,
                 available_sockets - client_sockets,
-                RESERVED_SOCKETS + OVERFLOW + control.SOCKETS,
+                RESERVED_SOCKETS + MAX_REFUSED_CONNECTIONS + control.MAX_DESCRIPTORS,
             )
         self.set_up_observers(started_at)
 
@@ -172,7 +175,7 @@
         """Once this process is ready, tell its predecessor in a handover."""
         if self.replacement is None:
             return
-        if not self.http1.ready() and self.lifecycle.stage is Stage.READY:
+        if not self.http1.is_ready() and self.lifecycle.stage is Stage.READY:
             self.schedule(STEP_INTERVAL_MS, self.notify_predecessor)
         else:
             self.replacement.serves()
@@ -208,7 +211,7 @@
 
             self.node = Node(*components, operator.policy, group_parts)
             self.admission.gates.append((DenialReason.POLICY, self.node))
-            self.http1.gates.append(self.node.ready)
+            self.http1.readiness_checks.append(self.node.ready)
         if operator.replica is not None:
             from barleybarrow.shares import SharedRateLimiter
             from brackenusher.group.replicator import Replicator
@@ -223,7 +226,7 @@
             self.admission.idempotency = self.replicator.past
             self.pool.exclusions.append(self.replicator.bars)
             self.admission.gates.append((DenialReason.OVERRIDE, self.replicator))
-            self.http1.gates.append(self.replicator.ready)
+            self.http1.readiness_checks.append(self.replicator.ready)
 
     def set_up_observers(self, started_at: float) -> None:
         """Set up the observers of transactions that the operators enabled."""
@@ -247,7 +250,7 @@
                 config.settings,
             )
             self.metrics.sources.append(self.upstream.figures)
-            self.metrics.sources.append(self.http1.figures)
+            self.metrics.sources.append(self.http1.metrics)
             self.metrics.sources.append(BalancerGauges(self.transactions.balancer, clock).samples)
             if self.peers:
                 self.metrics.sources.append(self.peers.figures)
@@ -296,7 +299,7 @@
             sock.close()
         self.lifecycle.serves()
         if self.peers:
-            self.http1.warming = True
+            self.http1.awaiting_warm_state = True
             self.peers.start(self.end_warming)
         if self.node:
             self.node.start()
@@ -341,7 +344,7 @@
         summary = self.pool.planner.summary()
         say(log, logging.INFO, "connections_ended", "connections to members: %(summary)s", summary=summary)
         if self.http2:
-            counts = self.http2.counts
+            counts = self.http2.counters
             say(
                 log,
                 logging.INFO,
@@ -351,10 +354,10 @@
                 streams=counts.streams,
                 refused=counts.refused,
                 reset=counts.reset,
-                stuck=counts.stuck,
-                late=counts.late,
+                stuck=counts.stalled,
+                late=counts.timed_out,
                 floods=counts.floods,
-                faults=counts.faults,
+                faults=counts.errors,
             )
         if self.capture:
             self.capture.close()
@@ -398,12 +401,12 @@
 
     def end_warming(self) -> None:
         """Knowledge of peers has been loaded, or the wait for it is over."""
-        self.http1.warming = False
+        self.http1.awaiting_warm_state = False
 
     @property
     def connection_count(self) -> int:
         """The number of client connections of all listeners."""
-        return sum(len(front.links) for front, _ in self.fronts)
+        return sum(len(front.connections) for front, _ in self.fronts)
 
     def catch_signals(self) -> None:
         """Deliver signals to the loop through a socket pair."""
@@ -461,16 +464,16 @@
         if config.discovery != self.discovery_agent.address:
             self.discovery_agent.move(config.discovery)
 
-    def report_readiness(self) -> Reply:
-        if self.http1.ready() and not (self.replacement and self.replacement.awaited):
+    def report_readiness(self) -> Response:
+        if self.http1.is_ready() and not (self.replacement and self.replacement.awaited):
             return 200, b"ready\n"
         return 503, self.lifecycle.stage.value.encode() + b"\n"
 
-    def report_metrics(self) -> Reply:
+    def report_metrics(self) -> Response:
         assert self.request_counts is not None
         return 200, self.request_counts.to_json()
 
-    def drain(self) -> Reply:
+    def drain(self) -> Response:
         """Direct clients to other proxies; can be undone by resume."""
         before = self.lifecycle.stage
         if not self.lifecycle.drain(clock()):
@@ -487,7 +490,7 @@
             self.step_drain(self.lifecycle.drains)
         return 200, b"draining\n"
 
-    def resume(self) -> Reply:
+    def resume(self) -> Response:
         before = self.lifecycle.stage
         if not self.lifecycle.resume():
             return 409, b"the process ends\n"
@@ -541,7 +544,7 @@
             answered_ms=plan.answered_by - plan.told_at,
         )
         for front, _ in self.fronts:
-            front.told()
+            front.announce_shutdown()
         if self.replacement:
             self.replacement.stop()
         self.schedule(STEP_INTERVAL_MS, partial(self.step_shutdown, plan, clock() + STEP_INTERVAL_MS))
@@ -549,7 +552,9 @@
     def step_shutdown(self, plan: GracefulShutdown, due: float) -> None:
         """Advance the graceful shutdown."""
         now, before = clock(), plan.phase
-        phase = plan.step(now, now - due, self.connection_count, all(front.shut for front, _ in self.fronts))
+        phase = plan.step(
+            now, now - due, self.connection_count, all(front.closed for front, _ in self.fronts)
+        )
         if phase != before:
             say(
                 log,
@@ -568,7 +573,7 @@
             self.loop.running = False
             return
         for front, _ in self.fronts:
-            front.pass_idle()
+            front.transfer_idle()
         if phase >= Phase.DRAINING:
             for front, _ in self.fronts:
                 front.drain(idle=True)
@@ -583,7 +588,7 @@
                     count=given_up,
                 )
             for front, _ in self.fronts:
-                front.hurry()
+                front.reject_incomplete()
                 front.stop_accepting()
         self.schedule(STEP_INTERVAL_MS, partial(self.step_shutdown, plan, clock() + STEP_INTERVAL_MS))
 
--- a/brackenusher/fronts/control/driver.py
+++ b/brackenusher/fronts/control/driver.py
@@ -7,7 +7,7 @@
 import socket
 from collections.abc import Generator
 
-from brackenusher.fronts.control.machine import Call, Handlers
+from brackenusher.fronts.control.machine import ControlProtocol, Handlers
 from brackenusher.runtime.buffers import Buffers
 from brackenusher.runtime.driver import SHORTAGE, Address, open_listener, write
 from brackenusher.runtime.log import say
@@ -16,14 +16,14 @@
 
 log = logging.getLogger(__name__)
 
-MOST_CALLERS = 12  # above this, the oldest without a complete request is closed
-SOCKETS = MOST_CALLERS + 2  # with the listener, and one accepted before another is closed
+MAX_CONNECTIONS = 12  # above this, the oldest without a complete request is closed
+MAX_DESCRIPTORS = MAX_CONNECTIONS + 2  # with the listener, and one accepted before another is closed
 REQUEST_TIMEOUT_MS = 5000.0  # to receive a complete request
 RESPONSE_WRITE_TIMEOUT_MS = 2000.0  # for the client to read the response
 LINGER_MS = 300.0  # input is discarded before the close, so that no TCP reset destroys the response
 
 
-class Control:
+class ControlServer:
     """Accepts control connections."""
 
     def __init__(self, loop: Loop, handlers: Handlers, buffers: Buffers) -> None:
@@ -44,7 +44,7 @@
                     client, _ = sock.accept()
                     client.setblocking(False)
                     ControlConnection(self, client)
-                    if len(self.connections) > MOST_CALLERS:
+                    if len(self.connections) > MAX_CONNECTIONS:
                         self.evict_oldest()
             except BlockingIOError:
                 continue
@@ -75,8 +75,8 @@
 class ControlConnection:
     """One connection, which carries one request."""
 
-    def __init__(self, server: Control, sock: socket.socket) -> None:
-        self.server, self.sock, self.protocol = server, sock, Call(server.handlers)
+    def __init__(self, server: ControlServer, sock: socket.socket) -> None:
+        self.server, self.sock, self.protocol = server, sock, ControlProtocol(server.handlers)
         self.timer: Entry | None = None
         self.timed_out = False
         server.connections[self] = None
@@ -90,7 +90,7 @@
                 answer = self.protocol.time_out() if self.timed_out else self.read()
                 if not (yield from self.write(answer)):
                     return
-            if self.protocol.ended:
+            if self.protocol.input_ended:
                 return
             self.server.answered += 1
             self.sock.shutdown(socket.SHUT_WR)
--- a/brackenusher/fronts/control/machine.py
+++ b/brackenusher/fronts/control/machine.py
@@ -12,11 +12,11 @@
 MAX_HEAD_BYTES = 16 * 1024  # bytes
 MAX_BODY_BYTES = 64 * 1024  # no request needs a body; one up to this size is read and ignored
 
-Reply = tuple[int, bytes]  # status and body: JSON or a line of text
-Handlers = Mapping[bytes, tuple[bytes, Callable[[], Reply]]]  # by path: the allowed method and the handler
+Response = tuple[int, bytes]  # status and body: JSON or a line of text
+Handlers = Mapping[bytes, tuple[bytes, Callable[[], Response]]]  # by path: the allowed method and the handler
 
 
-class Call:
+class ControlProtocol:
     """Protocol state of a connection; `out` holds the complete response once there is one."""
 
     def __init__(self, handlers: Handlers) -> None:
@@ -24,12 +24,12 @@
         self.connection = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEAD_BYTES)
         self.request: h11.Request | None = None
         self.body_received = 0  # bytes received of the body
-        self.ended = False  # the client closed before its request was complete, and awaits no response
+        self.input_ended = False  # the client closed before its request was complete, and awaits no response
 
     @property
     def done(self) -> bool:
         """Whether no more input is needed."""
-        return bool(self.out) or self.ended
+        return bool(self.out) or self.input_ended
 
     def receive(self, data: bytes) -> bytes:
         """Feed bytes, b"" at the end of the stream; returns what to write now."""
@@ -40,7 +40,7 @@
             return self.process_events()
         except h11.RemoteProtocolError as error:
             if not data:
-                self.ended = True
+                self.input_ended = True
             else:
                 self.respond(error.error_status_hint, str(error).encode() + b"\n")
             return self.out
@@ -66,7 +66,7 @@
             elif isinstance(event, h11.EndOfMessage):
                 self.run_handler()
             elif isinstance(event, h11.ConnectionClosed):
-                self.ended = True
+                self.input_ended = True
             else:
                 return b""
         return self.out
--- a/brackenusher/fronts/http.py
+++ b/brackenusher/fronts/http.py
@@ -69,7 +69,7 @@
     fatal: bool = False
 
 
-class Front:
+class RequestClassifier:
     """Validates requests and maps them to the configured classes and tenants; shared by all connections."""
 
     def __init__(self, settings: face.Settings, with_tokens: bool = False) -> None:
@@ -141,7 +141,7 @@
         )
 
 
-def worded(verdict: Denial) -> Rejection:
+def rejection_for(verdict: Denial) -> Rejection:
     """The response to a request that admission control rejected."""
     if verdict.reason is DenialReason.TOKEN:
         headers: Headers = ((b"adw-auth", verdict.detail.encode()),)
--- a/brackenusher/fronts/http1/clients.py
+++ b/brackenusher/fronts/http1/clients.py
@@ -12,9 +12,9 @@
 from brackenusher.core.message import Content
 from brackenusher.core.pipe import Pipe, PipeBudget, PipeEnd, no_op
 from brackenusher.core.transaction import Answer, Served, Transaction
-from brackenusher.fronts.http import Front, Rejection, worded
-from brackenusher.fronts.http1.virtual_server import VirtualServer
-from brackenusher.fronts.listener import Listener, Room, TransferConnections
+from brackenusher.fronts.http import Rejection, RequestClassifier, rejection_for
+from brackenusher.fronts.http1.virtual_server import Http1Protocol
+from brackenusher.fronts.listener import ConnectionLimit, Listener, TransferConnections
 from brackenusher.runtime.buffers import Buffers
 from brackenusher.runtime.driver import abort, write
 from brackenusher.runtime.loop import HANGUP, READ, WRITE, Coroutine, Loop, clock
@@ -33,16 +33,16 @@
 NEW_CONNECTION_GRACE_MS = 20.0
 
 
-class Clients(Listener):
+class Http1Listener(Listener):
     """Accepts HTTP/1.1 connections and tracks their states for eviction and shutdown."""
 
     def __init__(
         self,
         loop: Loop,
-        classifier: Front,
+        classifier: RequestClassifier,
         admission: Admission,
         pool: Pool,
-        connection_limit: Room,
+        connection_limit: ConnectionLimit,
         max_idle: int,
         buffers: Buffers,
         lifecycle: Lifecycle,
@@ -50,31 +50,32 @@
     ) -> None:
         super().__init__(loop, connection_limit)
         self.classifier, self.admission, self.pool, self.lifecycle = classifier, admission, pool, lifecycle
-        self.most_kept, self.buffers = max_idle, buffers
+        self.max_idle, self.buffers = max_idle, buffers
         self.budget = budget  # for streamed bodies and responses; None disables streaming
-        self.links: set[Http1Connection] = set()
+        self.connections: set[Http1Connection] = set()
         self.awaiting_first_request: dict[Http1Connection, None] = {}  # no request so far; oldest first
-        self.kept: dict[Http1Connection, None] = {}  # between requests; most recently used last
-        self.partial: dict[Http1Connection, None] = {}  # receiving a request; most recently active last
+        self.idle: dict[Http1Connection, None] = {}  # between requests; most recently used last
+        self.receiving: dict[Http1Connection, None] = {}  # receiving a request; most recently active last
         self.lingering: dict[Http1Connection, None] = {}  # final response sent, remaining input is discarded
         self.eviction_groups = {
             Place.SPENT: self.lingering,
             Place.SILENT: self.awaiting_first_request,
-            Place.PARTIAL: self.partial,
-            Place.RESTING: self.kept,
+            Place.PARTIAL: self.receiving,
+            Place.RESTING: self.idle,
         }
         self.evicted: Counter[Place] = Counter()
         self.reported_evictions: Counter[Place] = Counter()  # as last reported
         self.draining = False  # each response closes its connection
         # sends idle connections to the successor process during handover
         self.transfer: TransferConnections | None = None
-        self.gates: list[Callable[[], bool]] = []  # further conditions of readiness
-        self.warming = False  # still waiting, for a fraction of a second, for the state known to peers
+        self.readiness_checks: list[Callable[[], bool]] = []  # further conditions of readiness
+        # still waiting, for a fraction of a second, for the state known to peers
+        self.awaiting_warm_state = False
 
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Whether load balancers should send clients here."""
-        checks_pass = all(gate() for gate in self.gates)
-        return self.pool.has_list and not self.warming and self.lifecycle.ready and checks_pass
+        checks_pass = all(gate() for gate in self.readiness_checks)
+        return self.pool.has_list and not self.awaiting_warm_state and self.lifecycle.ready and checks_pass
 
     def open_connection(self, sock: socket.socket, address: str) -> "Http1Connection":
         return Http1Connection(self, sock, address)
@@ -95,7 +96,7 @@
         candidates[chosen].task.stop()
         return True
 
-    def figures(self) -> list[tuple[str, int, str, list[tuple[str, str]]]]:
+    def metrics(self) -> list[tuple[str, int, str, list[tuple[str, str]]]]:
         """Number of connections evicted since the last call, by state."""
         new_evictions = self.evicted - self.reported_evictions
         self.reported_evictions = self.evicted.copy()
@@ -115,17 +116,17 @@
     def hand_over(self, transfer: TransferConnections) -> None:
         super().hand_over(transfer)
         self.transfer = transfer
-        self.pass_idle()
+        self.transfer_idle()
 
-    def take_back(self) -> None:
-        super().take_back()
+    def resume_accepting(self) -> None:
+        super().resume_accepting()
         self.transfer = None
 
-    def pass_idle(self) -> None:
+    def transfer_idle(self) -> None:
         idle = [
             connection
-            for connection in [*self.awaiting_first_request, *self.kept]
-            if connection.protocol.between
+            for connection in [*self.awaiting_first_request, *self.idle]
+            if connection.protocol.is_idle
         ]
         for start in range(0, len(idle), TRANSFER_BATCH_SIZE):
             batch = idle[start : start + TRANSFER_BATCH_SIZE]
@@ -137,33 +138,33 @@
     def close_idle(self) -> None:
         """Close the connections between requests."""
         opened_before = clock() - NEW_CONNECTION_GRACE_MS
-        for connection in [*self.awaiting_first_request, *self.kept]:
-            if connection.idle_group is self.kept or connection.opened_at < opened_before:
+        for connection in [*self.awaiting_first_request, *self.idle]:
+            if connection.idle_group is self.idle or connection.opened_at < opened_before:
                 connection.close_gracefully()
 
-    def hurry(self) -> None:
+    def reject_incomplete(self) -> None:
         """Time out requests that are still being received: none of them was accepted."""
         opened_before = clock() - NEW_CONNECTION_GRACE_MS
-        for connection in [link for link in self.partial if link.group_since < opened_before]:
+        for connection in [link for link in self.receiving if link.group_since < opened_before]:
             connection.time_out_now()
 
 
 class Http1Connection:
     """One client connection."""
 
-    def __init__(self, listener: Clients, sock: socket.socket, address: str) -> None:
+    def __init__(self, listener: Http1Listener, sock: socket.socket, address: str) -> None:
         self.listener, self.sock, self.address = listener, sock, address
-        self.protocol = VirtualServer(listener.classifier, listener.ready, listener.budget)
+        self.protocol = Http1Protocol(listener.classifier, listener.is_ready, listener.budget)
         self.transaction: Transaction | None = None
         self.answer: Answer | None = None
         self.timer: Entry | None = None
         self.timed_out, self.seen_body_bytes = False, 0  # body bytes received at the last check
         self.opened_at = self.active_at = clock()
-        self.resting, self.group_since = False, 0.0
+        self.is_idle, self.group_since = False, 0.0
         self.closing_when_idle = False  # close once no request is being received
         self.group: dict[Http1Connection, None] | None = None  # the listener's group that it is in
         self.idle_group = listener.awaiting_first_request  # its group between requests
-        listener.links.add(self)
+        listener.connections.add(self)
         self.over_limit = listener.register_connection()  # accepted only to be refused
         self.task = listener.loop.spawn(self.run(), sock)
 
@@ -197,26 +198,26 @@
     def run(self) -> Coroutine:
         protocol = self.protocol
         try:
-            while not protocol.last:
-                item = protocol.next()
+            while not protocol.closes_connection:
+                item = protocol.next_request()
                 if item is None:
-                    if protocol.ended or protocol.last:
+                    if protocol.input_ended or protocol.closes_connection:
                         return
                     transfer = self.listener.transfer
-                    if transfer is not None and protocol.between and transfer([self.sock]):
+                    if transfer is not None and protocol.is_idle and transfer([self.sock]):
                         return
-                    if self.closing_when_idle and protocol.between:
+                    if self.closing_when_idle and protocol.is_idle:
                         if self.idle_group is self.listener.awaiting_first_request:
                             return  # no response was sent that a reset could destroy
                         break
-                    self.update_idle_state(protocol.between)
-                    if not (yield from self.write(protocol.go_on())):
+                    self.update_idle_state(protocol.is_idle)
+                    if not (yield from self.write(protocol.continue_response())):
                         return
                     yield READ
                     self.read()
-                    if not self.timed_out or self.resting and not protocol.between:
+                    if not self.timed_out or self.is_idle and not protocol.is_idle:
                         continue
-                    if self.resting:
+                    if self.is_idle:
                         self.closing_when_idle = True
                         continue
                     item = Rejection(408, "the request took too long", fatal=True)
@@ -224,7 +225,7 @@
                 if isinstance(item, Request):
                     data = yield from self.serve(item)
                 else:
-                    data = protocol.reject(item, self.closes_after_response)
+                    data = protocol.encode_rejection(item, self.closes_after_response)
                 if data is None or not (yield from self.write(data)):
                     return
                 if not protocol.pending:
@@ -240,7 +241,7 @@
             if isinstance(self.answer, Served) and self.answer.content.body_pipe is not None:
                 # the answer arrived in the loop iteration in which the client disconnected
                 self.answer.content.body_pipe.close()
-            self.listener.links.discard(self)
+            self.listener.connections.discard(self)
             self.listener.unregister_connection()
             if self.transaction is not None:
                 self.listener.admission.client_left(self.transaction)
@@ -248,18 +249,18 @@
     def update_idle_state(self, between: bool | None) -> None:
         """Set the group and time-out: between requests (True), receiving one (False), or neither (None)."""
         if between is None:
-            self.time()
-            self.stand(None)
-        elif between and not self.resting:
-            self.time(IDLE_TIMEOUT_MS)
-            self.stand(self.idle_group)
-        elif not between and (self.resting or self.timer is None):
+            self.set_timer()
+            self.move_to_group(None)
+        elif between and not self.is_idle:
+            self.set_timer(IDLE_TIMEOUT_MS)
+            self.move_to_group(self.idle_group)
+        elif not between and (self.is_idle or self.timer is None):
             is_first = self.idle_group is self.listener.awaiting_first_request
-            self.time(REQUEST_TIMEOUT_MS - (clock() - self.opened_at if is_first else 0.0))
-            self.stand(self.listener.partial)
-        self.resting = bool(between)
+            self.set_timer(REQUEST_TIMEOUT_MS - (clock() - self.opened_at if is_first else 0.0))
+            self.move_to_group(self.listener.receiving)
+        self.is_idle = bool(between)
 
-    def stand(self, group: "dict[Http1Connection, None] | None") -> None:
+    def move_to_group(self, group: "dict[Http1Connection, None] | None") -> None:
         """Move to a group of evictable connections, or to none."""
         if self.group is not None:
             self.group.pop(self, None)
@@ -268,8 +269,8 @@
         if group is not None:
             group[self] = None
         if (
-            group is self.listener.kept
-            and len(group) > self.listener.most_kept
+            group is self.listener.idle
+            and len(group) > self.listener.max_idle
             and not self.exempt_from_idle_timeout
         ):
             next(iter(group)).close_gracefully()
@@ -280,27 +281,27 @@
         request.address, request.over_connection_limit, self.answer = self.address, self.over_limit, None
         # a first request shows that new connections still arrive
         is_first = self.idle_group is listener.awaiting_first_request
-        request.available_connections = None if is_first else len(listener.kept)
+        request.available_connections = None if is_first else len(listener.idle)
         request.client_gone = self.peer_closed
         if request.message.body_pipe is None:  # else the deadline counts from the last byte of the body
             request.timeout_ms = max(0.0, request.timeout_ms - (clock() - request.received_at))
         admitted = listener.admission.admit(request, self.on_answer)
         if isinstance(admitted, Denial):
-            return self.protocol.reject(worded(admitted), self.closes_after_response)
+            return self.protocol.encode_rejection(rejection_for(admitted), self.closes_after_response)
         self.transaction, body = admitted, request.message.body_pipe
         if body is not None:
             body.wake_writer = self.task.wake
-            self.time(BODY_STALL_TIMEOUT_MS)
+            self.set_timer(BODY_STALL_TIMEOUT_MS)
         deadline_runs = body is None  # whether its deadline is already running
         try:
             while self.answer is None:
-                paused = self.protocol.full
+                paused = self.protocol.read_paused
                 events = yield HANGUP if paused else READ
                 if events and self.answer is None:
                     if paused:
                         return None
                     self.read()
-                    if self.protocol.ended:
+                    if self.protocol.input_ended:
                         return None
                 if body is not None and (body.broken or self.timed_out):
                     return self.abort_upload(admitted)
@@ -309,23 +310,23 @@
                     listener.admission.body_complete(admitted)
         finally:
             if body is not None:
-                self.time()
+                self.set_timer()
                 body.wake_writer = no_op
                 body.close(PipeEnd.WHOLE if body.exhausted else PipeEnd.GIVEN_UP)
-        self.transaction, self.idle_group = None, listener.kept
+        self.transaction, self.idle_group = None, listener.idle
         listener.admission.answer_sent(admitted, self.answer)
         if isinstance(self.answer, Served) and self.answer.content.body_pipe is not None:
             return (yield from self.stream_response(self.answer.content, self.answer.content.body_pipe))
-        return self.protocol.answer(self.answer, self.closes_after_response)
+        return self.protocol.encode_answer(self.answer, self.closes_after_response)
 
     def abort_upload(self, transaction: Transaction) -> bytes:
         """The streamed body is malformed or has stalled; no server has executed the request."""
         self.transaction = None
         self.listener.admission.client_left(transaction)
-        item = self.protocol.next()
+        item = self.protocol.next_request()
         if not isinstance(item, Rejection):
             item = Rejection(408, "the body took too long", fatal=True)
-        return self.protocol.reject(item, True)
+        return self.protocol.encode_rejection(item, True)
 
     def stream_response(self, content: Content, pipe: Pipe) -> Generator[int, int, bytes | None]:
         """Write a streamed response; returns the bytes left to write, None if it cannot be completed."""
@@ -358,7 +359,7 @@
     @property
     def closes_after_response(self) -> bool:
         """Whether to close after the response: not while pipelined requests await theirs."""
-        return self.listener.draining and self.protocol.between
+        return self.listener.draining and self.protocol.is_idle
 
     def on_answer(self, answer: Answer) -> None:
         self.answer = answer
@@ -373,7 +374,7 @@
         for item, *_ in islice(self.protocol.pending, items_before, None):
             if isinstance(item, Request):
                 item.received_at = clock()
-        if self.group is self.listener.partial:
+        if self.group is self.listener.receiving:
             self.active_at = clock()
             self.group.pop(self)
             self.group[self] = None
@@ -382,20 +383,20 @@
         """Write all data; False if the client did not read it in time."""
         unsent = write(self.sock, memoryview(data)) if data else memoryview(data)
         while unsent:
-            self.time(RESPONSE_WRITE_TIMEOUT_MS)
+            self.set_timer(RESPONSE_WRITE_TIMEOUT_MS)
             yield WRITE
             if self.timed_out:
                 return False
             unsent = write(self.sock, unsent)
             if not unsent:
-                self.time()
+                self.set_timer()
         return True
 
     def linger(self) -> Coroutine:
         """Shut down the write side and discard input, so that no TCP reset destroys the response."""
         self.sock.shutdown(socket.SHUT_WR)
-        self.time(LINGER_MS)
-        self.stand(self.listener.lingering)
+        self.set_timer(LINGER_MS)
+        self.move_to_group(self.listener.lingering)
         while not self.timed_out:
             yield READ
             try:
@@ -404,7 +405,7 @@
             except BlockingIOError:
                 pass
 
-    def time(self, timeout_ms: float | None = None) -> None:
+    def set_timer(self, timeout_ms: float | None = None) -> None:
         """Restart the timer, or cancel it."""
         deadlines = self.listener.loop.deadlines
         deadlines.remove(self.timer)
@@ -418,13 +419,13 @@
         if deadline > clock():
             self.timer = self.listener.loop.deadlines.add(deadline, self.on_timer)
             return
-        self.timed_out = not (self.resting and self.exempt_from_idle_timeout)
+        self.timed_out = not (self.is_idle and self.exempt_from_idle_timeout)
         if self.timed_out:
             self.task.wake()
 
     def time_out_now(self) -> None:
         """Time out the request that is being received now."""
-        self.time()
+        self.set_timer()
         self.timed_out = True
         self.task.wake()
 
@@ -433,9 +434,11 @@
         protocol = self.protocol
         if self.transaction is not None:
             seen_before, self.seen_body_bytes = self.seen_body_bytes, protocol.body_received
-            progresses = protocol.upload is None or protocol.full or protocol.body_received > seen_before
+            progresses = (
+                protocol.upload is None or protocol.read_paused or protocol.body_received > seen_before
+            )
             return clock() + BODY_STALL_TIMEOUT_MS if progresses else 0.0
-        if self.group is self.listener.partial and protocol.body_received:
+        if self.group is self.listener.receiving and protocol.body_received:
             started_at = (
                 self.opened_at
                 if self.idle_group is self.listener.awaiting_first_request
@@ -447,4 +450,4 @@
     @property
     def exempt_from_idle_timeout(self) -> bool:
         """Whether the idle time-out is waived: during shutdown clients cannot open another connection."""
-        return self.listener.admission.shutdown is not None and self.idle_group is self.listener.kept
+        return self.listener.admission.shutdown is not None and self.idle_group is self.listener.idle
--- a/brackenusher/fronts/http1/virtual_server.py
+++ b/brackenusher/fronts/http1/virtual_server.py
@@ -14,10 +14,10 @@
 from brackenusher.fronts.http import (
     AUTHORITY_PATTERN,
     REASON_PHRASES,
-    Front,
     HeaderMap,
     Headers,
     Rejection,
+    RequestClassifier,
     final_response,
 )
 from brackenusher.upstream.flow import (
@@ -84,11 +84,11 @@
     return path if path[:1] == b"/" else b"/" + path, [(b"host", authority), *others]
 
 
-class VirtualServer:
+class Http1Protocol:
     """Protocol state of one client connection; it is fed bytes and does no I/O."""
 
     def __init__(
-        self, classifier: Front, is_ready: Callable[[], bool], budget: PipeBudget | None = None
+        self, classifier: RequestClassifier, is_ready: Callable[[], bool], budget: PipeBudget | None = None
     ) -> None:
         self.classifier, self.is_ready = classifier, is_ready
         self.budget = budget  # for streamed bodies; None disables streaming
@@ -111,15 +111,16 @@
         self.request_count, self.request_bytes = 0, 0
         self.rejection: Rejection | None = None  # why the stream cannot be parsed any further
         self.keep_alive = True  # whether the connection stays open after the current response
-        self.ended = self.last = False  # end of input; the current response closes the connection
+        # end of input; the current response closes the connection
+        self.input_ended = self.closes_connection = False
 
     def receive(self, data: bytes | memoryview) -> None:
         """Feed bytes, b"" at the end of the stream."""
         if not data:
-            self.ended = True  # recorded even after a fatal parse error
+            self.input_ended = True  # recorded even after a fatal parse error
             if self.receiving:
                 self.reject_stream(Rejection(400, "the stream ends inside a request", fatal=True))
-        if self.ended or self.rejection is not None:
+        if self.input_ended or self.rejection is not None:
             return
         count_before, size = self.request_count + (not self.receiving), len(data)
         try:
@@ -274,24 +275,24 @@
     # called by the connection driver
 
     @property
-    def between(self) -> bool:
+    def is_idle(self) -> bool:
         """Whether no request is being received or pending."""
         return not self.receiving and not self.pending
 
     @property
-    def full(self) -> bool:
+    def read_paused(self) -> bool:
         """Whether reading is paused, as enough pipelined requests or body bytes are buffered."""
         return len(self.pending) >= MAX_PIPELINED_REQUESTS or self.upload is not None and self.upload.full
 
-    def next(self) -> Request | Rejection | None:
+    def next_request(self) -> Request | Rejection | None:
         """The next request, or the rejection to send in its place; None until more bytes arrive."""
         if self.pending:
             item, self.keep_alive, self.response_version = self.pending.popleft()
             return item
-        self.last = self.last or self.ended
+        self.closes_connection = self.closes_connection or self.input_ended
         return None
 
-    def go_on(self) -> bytes:
+    def continue_response(self) -> bytes:
         """The interim response for a client that expects 100 Continue."""
         if not self.receiving or not self.in_body or self.version != "1.1":
             return b""
@@ -301,11 +302,11 @@
             return b""
         return b"HTTP/1.1 100 Continue\r\n\r\n"
 
-    def answer(self, answer: Answer, close: bool) -> bytes:
+    def encode_answer(self, answer: Answer, close: bool) -> bytes:
         """Encode a final answer; `close` announces the end of the connection."""
         return self.encode_response(*final_response(answer), close)
 
-    def reject(self, rejection: Rejection, close: bool) -> bytes:
+    def encode_rejection(self, rejection: Rejection, close: bool) -> bytes:
         """Encode a rejection."""
         body = rejection.text.encode() + b"\n" if rejection.text else b""
         return self.encode_response(rejection.status, body, rejection.headers, close or rejection.fatal)
@@ -337,9 +338,9 @@
 
     def encode_head(self, status: int, headers: Sequence[tuple[bytes, bytes]], close: bool) -> bytes:
         upload_unfinished = self.upload is not None  # the response precedes the end of the request body
-        self.last = close or self.ended or not self.keep_alive or upload_unfinished
+        self.closes_connection = close or self.input_ended or not self.keep_alive or upload_unfinished
         lines = [b"HTTP/1.1 %d %s" % (status, REASON_PHRASES[status])]
         lines += [b"%s: %s" % header for header in headers]
-        if self.last:
+        if self.closes_connection:
             lines.append(b"connection: close")
         return b"\r\n".join(lines) + b"\r\n\r\n"
--- a/brackenusher/fronts/http2/clients.py
+++ b/brackenusher/fronts/http2/clients.py
@@ -7,10 +7,10 @@
 from brackenusher.config.operators import Http2Settings
 from brackenusher.core.admission import Admission, Denial, DenialReason
 from brackenusher.core.transaction import Answer, Transaction
-from brackenusher.fronts.http import Front, final_response, worded
+from brackenusher.fronts.http import RequestClassifier, final_response, rejection_for
 from brackenusher.fronts.http2.connection import Event, Http2Protocol
 from brackenusher.fronts.http2.streams import Counters, MemoryBudget, RequestReady
-from brackenusher.fronts.listener import Listener, Room
+from brackenusher.fronts.listener import ConnectionLimit, Listener
 from brackenusher.runtime.buffers import Buffers
 from brackenusher.runtime.driver import write
 from brackenusher.runtime.loop import READ, WRITE, Coroutine, Loop, clock
@@ -20,17 +20,17 @@
 LINGER_MS = 500.0  # input is discarded before the close, so that no TCP reset destroys the responses
 
 
-class Http2Clients(Listener):
+class Http2Listener(Listener):
     """Accepts HTTP/2 connections and tracks their states for eviction and shutdown."""
 
     def __init__(
         self,
         loop: Loop,
         settings: Http2Settings,
-        classifier: Front,
+        classifier: RequestClassifier,
         admission: Admission,
         is_ready: Callable[[], bool],
-        connection_limit: Room,
+        connection_limit: ConnectionLimit,
         buffers: Buffers,
     ) -> None:
         super().__init__(loop, connection_limit)
@@ -40,8 +40,8 @@
             admission,
             is_ready,
         )
-        self.buffers, self.counts, self.memory = buffers, Counters(), MemoryBudget(settings.held_kb * 1024)
-        self.links: set[Http2Connection] = set()
+        self.buffers, self.counters, self.memory = buffers, Counters(), MemoryBudget(settings.held_kb * 1024)
+        self.connections: set[Http2Connection] = set()
         self.idle: dict[Http2Connection, None] = {}  # without open streams; longest idle first
         self.lingering: dict[Http2Connection, None] = {}  # closed for writing, remaining input is discarded
 
@@ -59,14 +59,14 @@
             connection.close_now()
         return connection is not None
 
-    def told(self) -> None:
+    def announce_shutdown(self) -> None:
         """Send a first GOAWAY; streams that clients open all the same are served."""
-        for connection in self.links:
+        for connection in self.connections:
             connection.protocol.announce_shutdown(clock())
             connection.task.wake()
 
     def drain(self, idle: bool) -> None:
-        for connection in self.links:
+        for connection in self.connections:
             if not connection.protocol.closing:
                 # final GOAWAY: open streams are answered, clients reconnect for others
                 connection.protocol.close(clock())
@@ -75,8 +75,8 @@
     def resume(self) -> None:
         pass  # a GOAWAY cannot be taken back; new connections are served as usual
 
-    def hurry(self) -> None:
-        for connection in self.links:
+    def reject_incomplete(self) -> None:
+        for connection in self.connections:
             if connection.protocol.receiving:
                 connection.protocol.refuse_incomplete(clock())
                 connection.task.wake()
@@ -85,14 +85,14 @@
 class Http2Connection:
     """One client connection."""
 
-    def __init__(self, listener: Http2Clients, sock: socket.socket, address: str) -> None:
+    def __init__(self, listener: Http2Listener, sock: socket.socket, address: str) -> None:
         self.listener, self.sock, self.address = listener, sock, address
         self.protocol = Http2Protocol(
             listener.classifier,
             listener.is_ready,
             listener.settings,
             listener.memory,
-            listener.counts,
+            listener.counters,
             clock(),
         )
         self.transactions: dict[int, Transaction] = {}  # by stream id
@@ -102,7 +102,7 @@
         self.unsent, self.written_at = b"", clock()
         self.timer: Entry | None = None
         self.peer_closed = False
-        listener.links.add(self)
+        listener.connections.add(self)
         self.over_limit = listener.register_connection()  # accepted only to be refused
         self.task = listener.loop.spawn(self.run(), sock)
 
@@ -135,7 +135,7 @@
                 events = yield (WRITE if self.unsent else 0) | (0 if blocked else READ)
                 now = clock()
                 if self.unsent and now >= self.written_at + self.listener.settings.answer_ms:
-                    self.listener.counts.stuck += len(protocol.sending)
+                    self.listener.counters.stalled += len(protocol.sending)
                     return
                 if events & ~WRITE:
                     self.read()
@@ -149,7 +149,7 @@
             self.listener.loop.deadlines.remove(self.timer)
             self.listener.idle.pop(self, None)
             self.listener.lingering.pop(self, None)
-            self.listener.links.discard(self)
+            self.listener.connections.discard(self)
             self.listener.unregister_connection()
             protocol.remove_all_streams()
             for transaction in self.transactions.values():
@@ -180,7 +180,7 @@
         if not isinstance(admitted, Denial):
             self.transactions[stream_id] = admitted
             return
-        rejection, now = worded(admitted), clock()
+        rejection, now = rejection_for(admitted), clock()
         body = rejection.text.encode() + b"\n"
         self.protocol.answer(stream_id, rejection.status, body, rejection.headers, now)
         if admitted.reason is DenialReason.CONNECTION_LIMIT:  # descriptors are short
--- a/brackenusher/fronts/http2/connection.py
+++ b/brackenusher/fronts/http2/connection.py
@@ -32,7 +32,7 @@
 
 from brackenusher.config.operators import Http2Settings
 from brackenusher.core.message import MAX_BUFFERED_BODY_BYTES
-from brackenusher.fronts.http import Front, Headers, Rejection
+from brackenusher.fronts.http import Headers, Rejection, RequestClassifier
 from brackenusher.fronts.http2.frames import END_STREAM, PREFACE, Frame, FrameParser, FrameType, Http2Error
 from brackenusher.fronts.http2.heads import (
     DEFAULT_URGENCY,
@@ -80,7 +80,7 @@
 
     def __init__(
         self,
-        classifier: Front,
+        classifier: RequestClassifier,
         is_ready: Callable[[], bool],
         settings: Http2Settings,
         memory: MemoryBudget,
@@ -436,7 +436,7 @@
             stream = next(iter(self.sending.values()))
             if stream.phase_started_at + STALLED_RESPONSE_MS > now:
                 return
-            self.counters.stuck += 1
+            self.counters.stalled += 1
             self.reset_stream(stream.id, ErrorCodes.ENHANCE_YOUR_CALM)
 
     def enqueue(self, stream: Stream) -> None:
@@ -553,12 +553,12 @@
         """Close the connection for an error."""
         if code == ErrorCodes.ENHANCE_YOUR_CALM:
             self.counters.floods += 1
-            self.counters.faults -= 1
+            self.counters.errors -= 1
         self.send_goaway(self.h2.highest_inbound_stream_id, code, reason)
         self.terminate(code)
 
     def terminate(self, code: int) -> None:
-        self.counters.faults += 1
+        self.counters.errors += 1
         self.finished, self.frame_parser.buffer = True, bytearray()
         self.remove_all_streams()
 
@@ -603,11 +603,11 @@
             self.receiving
             and (stream := next(iter(self.receiving.values()))).phase_started_at + REQUEST_TIMEOUT_MS <= now
         ):
-            self.counters.late += 1
+            self.counters.timed_out += 1
             self.reject(stream, Rejection(408, "the request took too long"), now)
         limit = now - self.settings.answer_ms
         while self.sending and (stream := next(iter(self.sending.values()))).phase_started_at <= limit:
-            self.counters.stuck += 1
+            self.counters.stalled += 1
             self.reset_stream(stream.id, ErrorCodes.CANCEL)
         self.drop_stalled_responses(now)
         self.update_windows()
--- a/brackenusher/fronts/http2/heads.py
+++ b/brackenusher/fronts/http2/heads.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from brackenusher.core.message import MAX_BUFFERED_BODY_BYTES, Message
-from brackenusher.fronts.http import AUTHORITY_PATTERN, Front, HeaderMap, Headers, Rejection
+from brackenusher.fronts.http import AUTHORITY_PATTERN, HeaderMap, Headers, Rejection, RequestClassifier
 
 PSEUDO_HEADERS = frozenset((b":method", b":scheme", b":authority", b":path"))
 CONNECTION_HEADERS = frozenset(
@@ -43,7 +43,7 @@
     return Rejection(400, text, fatal=True)
 
 
-def parse_head(headers: Headers, classifier: Front, max_bytes: int) -> RequestHead | Rejection:
+def parse_head(headers: Headers, classifier: RequestClassifier, max_bytes: int) -> RequestHead | Rejection:
     """Parse the header list of a request of at most `max_bytes`."""
     # size as defined by RFC 9113 6.5.2
     if sum(len(name) + len(value) + 32 for name, value in headers) > max_bytes:
--- a/brackenusher/fronts/http2/streams.py
+++ b/brackenusher/fronts/http2/streams.py
@@ -45,10 +45,10 @@
     streams: int = 0
     refused: int = 0  # streams reset as not processed: stream limit, memory limit, shutdown
     reset: int = 0  # reset by clients before the response was sent
-    stuck: int = 0  # responses dropped as the client did not read them in time, or for memory
-    late: int = 0  # requests that were not complete in time
+    stalled: int = 0  # responses dropped as the client did not read them in time, or for memory
+    timed_out: int = 0  # requests that were not complete in time
     floods: int = 0  # connections closed for too many frames that request nothing
-    faults: int = 0  # connections closed for other errors
+    errors: int = 0  # connections closed for other errors
 
 
 class MemoryBudget:
--- a/brackenusher/fronts/listener.py
+++ b/brackenusher/fronts/listener.py
@@ -16,7 +16,7 @@
 
 log = logging.getLogger(__name__)
 
-OVERFLOW = 16  # connections over the limit that are accepted only to be sent a refusal
+MAX_REFUSED_CONNECTIONS = 16  # connections over the limit that are accepted only to be sent a refusal
 ACCEPT_BACKLOG = 1024  # length of the kernel's accept queue
 MAX_ACCEPTS_PER_WAKEUP = 64  # per wake-up, so that other tasks get to run
 SO_ATTACH_FILTER = 26  # the standard library does not define it
@@ -49,17 +49,17 @@
 TransferConnections = Callable[[Sequence[socket.socket]], bool]
 
 
-class Room:
+class ConnectionLimit:
     """Limit on client connections, derived from the descriptor limit and shared by all listeners."""
 
     def __init__(self, limit: int) -> None:
-        self.most, self.held = limit, 0
+        self.limit, self.open_count = limit, 0
         self.listeners: list[Listener] = []
 
     @property
     def exhausted(self) -> bool:
         """Whether no connection can be accepted any more, not even to be refused."""
-        return self.held >= self.most + OVERFLOW
+        return self.open_count >= self.limit + MAX_REFUSED_CONNECTIONS
 
     def evict_one(self, preferred: "Listener") -> bool:
         """Close one connection without a pending response, preferably one of the listener `preferred`."""
@@ -71,12 +71,12 @@
 class Listener:
     """Accepts the connections of one listening address."""
 
-    links: Sized  # the open connections
+    connections: Sized  # the open connections
 
-    def __init__(self, loop: Loop, connection_limit: Room) -> None:
+    def __init__(self, loop: Loop, connection_limit: ConnectionLimit) -> None:
         self.loop, self.connection_limit = loop, connection_limit
         connection_limit.listeners.append(self)
-        self.shut = False  # accepts no more connections
+        self.closed = False  # accepts no more connections
         self.shared = False  # another process listens on the same socket
         self.handed_over = False  # that process accepts instead of this one
         self.warned_at = -WARNING_INTERVAL_MS
@@ -92,7 +92,7 @@
         """Close a connection without a pending response; False if there is none."""
         raise NotImplementedError
 
-    def told(self) -> None:
+    def announce_shutdown(self) -> None:
         """Shutdown has been requested; requests are still accepted."""
 
     def drain(self, idle: bool) -> None:
@@ -103,7 +103,7 @@
         """Draining was cancelled."""
         raise NotImplementedError
 
-    def hurry(self) -> None:
+    def reject_incomplete(self) -> None:
         """All accepted requests are answered: reject those still being received. Called repeatedly."""
         raise NotImplementedError
 
@@ -111,11 +111,11 @@
 
     def register_connection(self) -> bool:
         """Count a new connection; True if it exceeds the limit and was accepted only to be refused."""
-        self.connection_limit.held += 1
-        return self.connection_limit.held > self.connection_limit.most
+        self.connection_limit.open_count += 1
+        return self.connection_limit.open_count > self.connection_limit.limit
 
     def unregister_connection(self) -> None:
-        self.connection_limit.held -= 1
+        self.connection_limit.open_count -= 1
 
     def listen(self, address: Address, shared: bool = False, sock: socket.socket | None = None) -> None:
         """Listen on an address. `shared`: another process listens too; `sock`: its socket, if handed over."""
@@ -152,7 +152,7 @@
                     self.warned_at = clock()
                     say(log, logging.WARNING, "accept_failed", "accept failed: %(why)s", why=error)
                 return self.connection_limit.evict_one(self)
-            if self.connection_limit.held >= self.connection_limit.most:
+            if self.connection_limit.open_count >= self.connection_limit.limit:
                 self.connection_limit.evict_one(self)  # evicts only once a client is there to make room for
             self.start_connection(client, peer[0])
         return True
@@ -162,11 +162,11 @@
         client.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         self.open_connection(client, address)
 
-    def take_over(self, client: socket.socket) -> None:
+    def adopt_connection(self, client: socket.socket) -> None:
         """Serve a connection accepted by the previous process; its unread data is still in the socket."""
         try:
             address = client.getpeername()[0]
-            if self.connection_limit.held >= self.connection_limit.most:
+            if self.connection_limit.open_count >= self.connection_limit.limit:
                 self.connection_limit.evict_one(self)
             self.start_connection(client, address)
         except OSError:
@@ -177,14 +177,14 @@
         self.handed_over = True
         self.task.wake()
 
-    def take_back(self) -> None:
+    def resume_accepting(self) -> None:
         """The successor process is gone: accept again."""
         self.shared = False
-        if self.handed_over and not self.shut:
+        if self.handed_over and not self.closed:
             self.handed_over = False
             self.task.wake()
 
-    def pass_idle(self) -> None:
+    def transfer_idle(self) -> None:
         """Transfer connections between requests to the other process; called repeatedly."""
 
     def stop_accepting(self) -> None:
@@ -192,16 +192,16 @@
 
         If the connection limit does not allow this yet, the socket stays open until a later call.
         """
-        if self.shut:
+        if self.closed:
             return
         if self.shared:  # a filter on the shared socket would affect the other process
-            self.shut = True
+            self.closed = True
             return self.task.stop()
         attach_drop_filter(self.task.sock)
         count_before = -1
-        while count_before != len(self.links):
-            count_before = len(self.links)
+        while count_before != len(self.connections):
+            count_before = len(self.connections)
             if not self.accept_pending(self.task.sock):
                 return
-        self.shut = True
+        self.closed = True
         self.task.stop()
--- a/brackenusher/fronts/rpc/transport.py
+++ b/brackenusher/fronts/rpc/transport.py
@@ -21,7 +21,7 @@
 from brackenusher.core.admission import Request
 from brackenusher.core.message import MAX_BUFFERED_BODY_BYTES, Content, Message
 from brackenusher.core.transaction import Answer, Attempt, Served
-from brackenusher.fronts.http import Front, Rejection, final_response
+from brackenusher.fronts.http import Rejection, RequestClassifier, final_response
 from brackenusher.fronts.rpc import picture as target_states
 from brackenusher.fronts.rpc.config import RpcConfig, read_config
 from brackenusher.fronts.rpc.host import TransactionRunner
@@ -158,7 +158,7 @@
     """Interprets requests as the proxy does, for the classes and tenants of the settings."""
 
     def __init__(self, settings: face.Settings) -> None:
-        self.classifier = Front(settings)
+        self.classifier = RequestClassifier(settings)
         self.ids = (f"{secrets.token_hex(6)}{n:04x}".encode() for n in itertools.count())
 
     def read(self, request: httpx.Request, body: bytes) -> tuple[ForwardedRequest, Request] | Rejection:
--- a/brackenusher/handover/replacement.py
+++ b/brackenusher/handover/replacement.py
@@ -11,7 +11,7 @@
 from barleybarrow import warm_state
 from barleybarrow.descriptor_split import parts
 from brackenusher.core.transaction import Transactions
-from brackenusher.fronts.listener import Listener, Room
+from brackenusher.fronts.listener import ConnectionLimit, Listener
 from brackenusher.handover.messages import Kind, word, worded
 from brackenusher.handover.new import New, Taken, take
 from brackenusher.handover.old import Old, path_for
@@ -40,7 +40,7 @@
         loop: Loop,
         name: str,
         fronts: Sequence[tuple[Listener, Address]],
-        room: Room,
+        room: ConnectionLimit,
         pool: Pool,
         agent: Agent,
         owner: Transactions,
@@ -48,7 +48,7 @@
         own: int,
     ) -> None:
         self.loop, self.fronts, self.room, self.pool, self.agent = loop, fronts, room, pool, agent
-        self.owner, self.for_clients, self.for_flows, self.own = owner, room.most, for_flows, own
+        self.owner, self.for_clients, self.for_flows, self.own = owner, room.limit, for_flows, own
         self.part = self.for_clients, self.for_flows  # what the process before leaves of both
         self.stopping = False  # the word to stop has come
         self.dividing: Entry | None = None  # when it is next looked how the descriptors are divided
@@ -77,7 +77,7 @@
         learned = warm_state.take(self.owner.balancer, taken.learned, clock())
         self.leave_to_old(taken.state)
         first = self.fronts[0][0]
-        self.new = New(self.loop, taken.link, self.leave_to_old, first.take_over, self.old_ended)
+        self.new = New(self.loop, taken.link, self.leave_to_old, first.adopt_connection, self.old_ended)
         say(
             log,
             logging.INFO,
@@ -154,7 +154,7 @@
             front.hand_over(self.old.pass_on)
 
     def holding(self) -> dict[str, Any]:
-        return {"clients": self.room.held, "flows": self.pool.planner.total, "stopping": self.stopping}
+        return {"clients": self.room.open_count, "flows": self.pool.planner.total, "stopping": self.stopping}
 
     def divide(self) -> None:
         """Keep to this process's part of the descriptors while another has the rest, and tell it of that."""
@@ -172,9 +172,9 @@
         """Hold no more than the process before leaves, and leave the one after its own."""
         clients, flows = self.part
         if self.old is not None and self.old.link is not None:
-            clients = parts(self.both(clients), self.room.held, self.stopping)[0]
+            clients = parts(self.both(clients), self.room.open_count, self.stopping)[0]
             flows = parts(self.both(flows), self.pool.planner.total, False)[0]
-        self.room.most, self.pool.planner.room = clients, max(1, flows)
+        self.room.limit, self.pool.planner.room = clients, max(1, flows)
 
     def both(self, part: int) -> int:
         """What two processes have for a purpose that one has `part` for: each needs its own beside."""
@@ -187,7 +187,7 @@
         self.loop.deadlines.remove(self.dividing)
         self.keep_to_part()
         for front, _ in self.fronts:
-            front.take_back()
+            front.resume_accepting()
         if not self.stopping:
             self.old.listen()
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -10,7 +10,7 @@
 from brackenusher.core.deadlines import Deadlines
 from brackenusher.core.message import Message
 from brackenusher.core.transaction import Observers, Transaction, Transactions
-from brackenusher.fronts.http import worded
+from brackenusher.fronts.http import rejection_for
 
 CONF = read_settings(SETTINGS)
 KEYS = TokenSettings({"k1": b"0123456789abcdef"})
@@ -88,5 +88,5 @@
     ],
 )
 def test_http_response_to_each_denial(verdict, status, headers, fatal):
-    response = worded(verdict)
+    response = rejection_for(verdict)
     assert (response.status, response.headers, response.fatal) == (status, headers, fatal)
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -22,17 +22,17 @@
 
 from barleybarrow.graceful_shutdown import MAX_ACCEPT_MS
 from barleybarrow.lifecycle import DRAIN_SETTLED_MS, IDLE_CLOSE_DELAY_MS, Lifecycle, Stage
-from brackenusher.fronts.control.driver import MOST_CALLERS
-from brackenusher.fronts.control.machine import Call
+from brackenusher.fronts.control.driver import MAX_CONNECTIONS
+from brackenusher.fronts.control.machine import ControlProtocol
 
 
 def send_in_chunks(data, size):
     """Feed a request in chunks; returns the status, the number of calls carried out, and whether it ended."""
     done = []
-    call = Call({b"/-/do": (b"POST", lambda: done.append(1) or (200, b"done\n"))})
+    call = ControlProtocol({b"/-/do": (b"POST", lambda: done.append(1) or (200, b"done\n"))})
     for start in range(0, len(data), size):
         call.receive(data[start : start + size])
-    return call.out.split(b"\r\n")[0].partition(b" ")[2][:3], len(done), call.ended
+    return call.out.split(b"\r\n")[0].partition(b" ")[2][:3], len(done), call.input_ended
 
 
 HEAD = b"POST /-/do HTTP/1.1\r\nHost: x\r\n"
@@ -107,7 +107,7 @@
     # guards against incomplete calls that use up the capacity for complete ones
     with Program(tmp_path, TurnServer(), control=True) as program, contextlib.ExitStack() as stack:
         callers = []
-        for _ in range(3 * MOST_CALLERS):
+        for _ in range(3 * MAX_CONNECTIONS):
             callers.append(stack.enter_context(socket.create_connection(("127.0.0.1", program.control))))
             callers[-1].sendall(b"GET /-/re")
         with contextlib.suppress(ConnectionResetError):
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -102,7 +102,7 @@
         stepped.turn_until(
             lambda: transactions.accepted_count and not transactions.open, "the answer's begin"
         )
-        pipe = next(iter(stepped.daemon.http1.links)).answer.content.body_pipe
+        pipe = next(iter(stepped.daemon.http1.connections)).answer.content.body_pipe
         stepped.turn_until(lambda: pipe.received_bytes == 99_999 and not pipe.chunks, "the first pieces")
         full.append(True)
         server.last.set()
@@ -181,7 +181,7 @@
         stepped.turn_until(lambda: stepped.daemon.upstream.planner.opened, "the connect")
         stepped.loop.epoll = MemberEventsFirst(stepped.loop)
         sock.close()
-        stepped.turn_until(lambda: not stepped.daemon.http1.links, "the end")
+        stepped.turn_until(lambda: not stepped.daemon.http1.connections, "the end")
         assert stepped.ask(read_request("-other"))[0] == 200
         assert request_ids(server) == ["id-other"]
         assert not stepped.daemon.transactions.open
@@ -212,7 +212,7 @@
         release.set()
         until(lambda: len(poll.poll(0)) == len(socks) - 1, "the answers")
         socks[-1].close()  # its event comes after theirs, in the same iteration
-        stepped.turn_until(lambda: len(daemon.http1.links) == len(socks) - 1, "the end")
+        stepped.turn_until(lambda: len(daemon.http1.connections) == len(socks) - 1, "the end")
         assert stepped.ask(read_request("-other"))[0] == 200
         assert held not in request_ids(server)
 
@@ -268,16 +268,16 @@
     with Stepped(tmp_path, server) as stepped, stepped.connect() as sock:
         sock.sendall(read_request(1))
         assert stepped.hear(sock)[0] == 200
-        (link,) = stepped.daemon.http1.kept
+        (link,) = stepped.daemon.http1.idle
         link.task.sock = CrossingSocket(link.sock, sock, read_request(2))
         link.sock = link.task.sock
         if how == "limit":
-            link.resting and link.time(0.0)
+            link.is_idle and link.set_timer(0.0)
         elif how == "draining":
             stepped.daemon.http1.drain(idle=True)
         else:
-            monkeypatch.setattr(stepped.daemon.http1, "most_kept", 0)
-            link.stand(stepped.daemon.http1.kept)
+            monkeypatch.setattr(stepped.daemon.http1, "max_idle", 0)
+            link.move_to_group(stepped.daemon.http1.idle)
         stepped.turn_until(lambda: link.sock.crossed, "the end")
         stepped.turns(50)
         assert sock.recv(1) == b""  # end of stream, not a reset
@@ -317,8 +317,8 @@
         data, sock = submit_request(), None
         steps = [
             lambda: stepped.turn_until(lambda: pool.members and agent.watchers, "the list"),
-            lambda: stepped.turn_until(lambda: daemon.http1.links, "the connection"),
-            lambda: (sock.sendall(data[:40]), stepped.turn_until(lambda: daemon.http1.partial, "the head")),
+            lambda: stepped.turn_until(lambda: daemon.http1.connections, "the connection"),
+            lambda: (sock.sendall(data[:40]), stepped.turn_until(lambda: daemon.http1.receiving, "the head")),
             lambda: (sock.sendall(data[40:-2]), stepped.turns(5)),
             lambda: (sock.sendall(data[-2:]), stepped.turn_until(lambda: servers[0].requests, "the attempt")),
             lambda: stepped.agent.tell([host("s1", servers[1])]),
--- a/tests/test_http2.py
+++ b/tests/test_http2.py
@@ -34,7 +34,7 @@
 
 from barleybarrow.settings import read_settings
 from brackenusher.config.operators import Http2Settings
-from brackenusher.fronts.http import Front
+from brackenusher.fronts.http import RequestClassifier
 from brackenusher.fronts.http2.connection import Http2Protocol
 from brackenusher.fronts.http2.streams import Counters, MemoryBudget, RequestReady
 
@@ -51,7 +51,7 @@
             memory or MemoryBudget(self.settings.held_kb * 1024),
             Counters(),
         )
-        classifier = Front(read_settings(SETTINGS))
+        classifier = RequestClassifier(read_settings(SETTINGS))
         self.protocol = Http2Protocol(
             classifier, lambda: True, self.settings, self.memory, self.counters, self.now
         )
@@ -408,7 +408,7 @@
         ]
     assert server.memory.used == 60_000 + 4096
     assert server.advance(9_999) == [] and server.advance(1) == ["1!CANCEL"]
-    assert server.memory.used == 0 and server.counters.stuck == 1
+    assert server.memory.used == 0 and server.counters.stalled == 1
 
 
 def test_one_byte_window_updates_are_served_until_the_rate_limit():
@@ -453,7 +453,7 @@
     assert server.memory.used == 3 * 68 * 1024
     assert server.feed(head(7)) == ["7!REFUSED_STREAM"]
     assert server.advance(999) == [] and server.advance(1) == ["1!ENHANCE_YOUR_CALM", "3!ENHANCE_YOUR_CALM"]
-    assert server.feed(head(9)) == ["?9"] and (server.counters.refused, server.counters.stuck) == (1, 2)
+    assert server.feed(head(9)) == ["?9"] and (server.counters.refused, server.counters.stalled) == (1, 2)
 
 
 # flow control from the client
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -143,7 +143,7 @@
         ("brackenusher.core.x", "def f():\n    import socket"),
         ("brackenusher.runtime.x", "import brackenusher.core.deadlines"),
         ("brackenusher.records.x", "from ..fronts.http1 import clients"),
-        ("brackenusher.fronts.rpc.x", "from brackenusher.fronts.http1.clients import Clients"),
+        ("brackenusher.fronts.rpc.x", "from brackenusher.fronts.http1.clients import Http1Listener"),
         ("brackenusher.fronts.x", "import testbed"),
         ("brackenusher.cli", "from testbed.sockets import demo"),
         ("barleybarrow.x", "from time import monotonic"),
@@ -170,9 +170,9 @@
 @pytest.mark.parametrize(
     ("module", "text"),
     [
-        ("brackenusher.fronts.http1.x", "from brackenusher.fronts.http import Front"),
+        ("brackenusher.fronts.http1.x", "from brackenusher.fronts.http import RequestClassifier"),
         ("brackenusher.fronts.http1.x", "from . import virtual_server"),
-        ("brackenusher.daemon", "from brackenusher.fronts.http1.clients import Clients"),
+        ("brackenusher.daemon", "from brackenusher.fronts.http1.clients import Http1Listener"),
         ("testbed.x", "import time\nfrom brackenusher.core import transaction"),
         ("brackenusher.cli", "from brackenusher.commands import roles"),
         ("brackenusher.assembly.x", "from brackenusher.data_plane.headers import Header"),
--- a/tests/test_long.py
+++ b/tests/test_long.py
@@ -18,8 +18,8 @@
 from brackenusher.core.admission import Request
 from brackenusher.core.message import MAX_BUFFERED_BODY_BYTES, Message
 from brackenusher.core.pipe import MAX_REPLAYABLE_BYTES, MIN_WINDOW_BYTES, Pipe, PipeBudget, PipeEnd
-from brackenusher.fronts.http import Front, Rejection
-from brackenusher.fronts.http1.virtual_server import VirtualServer
+from brackenusher.fronts.http import Rejection, RequestClassifier
+from brackenusher.fronts.http1.virtual_server import Http1Protocol
 from brackenusher.upstream.flow import UpstreamCodec
 
 MB = 1024 * 1024
@@ -64,11 +64,11 @@
 
 def parse_request(data, size, budget):
     """Feed a client's bytes in chunks; the result, the body, and whether it is complete."""
-    server = VirtualServer(Front(read_settings(SETTINGS)), lambda: True, budget)
+    server = Http1Protocol(RequestClassifier(read_settings(SETTINGS)), lambda: True, budget)
     body, item = b"", None
     for at in range(0, len(data), size):
         server.receive(data[at : at + size])
-        item = item or server.next()
+        item = item or server.next_request()
         if isinstance(item, Request) and item.message.body_pipe is not None:
             body += item.message.body_pipe.read()
     if isinstance(item, Rejection):
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -12,8 +12,8 @@
 from brackenusher.core.deadlines import Deadlines
 from brackenusher.core.message import Content, Message
 from brackenusher.core.transaction import Failed, Refused, Served
-from brackenusher.fronts.http import Front
-from brackenusher.fronts.http1.virtual_server import VirtualServer
+from brackenusher.fronts.http import RequestClassifier
+from brackenusher.fronts.http1.virtual_server import Http1Protocol
 from brackenusher.membership.discovery import Discovery, DiscoveryError, read_listing
 from brackenusher.runtime.buffers import Buffers
 from brackenusher.upstream.flow import UpstreamCodec
@@ -115,7 +115,7 @@
 
 
 def make_server():
-    return VirtualServer(Front(CONF), lambda: True)
+    return Http1Protocol(RequestClassifier(CONF), lambda: True)
 
 
 @pytest.mark.parametrize("data", [read_request(), submit_request(body=b"a move")])
@@ -124,53 +124,53 @@
     whole, bytewise = make_server(), make_server()
     whole.receive(data)
     for i in range(len(data)):
-        assert bytewise.next() is None
+        assert bytewise.next_request() is None
         bytewise.receive(data[i : i + 1])
-    item = whole.next()
-    assert isinstance(item, Request) and bytewise.next() == item
+    item = whole.next_request()
+    assert isinstance(item, Request) and bytewise.next_request() == item
 
 
 def test_pipelined_request_waits_for_previous_response():
     server = make_server()
     server.receive(read_request(1) + read_request(2))
-    assert dict(server.next().message.headers)[b"req-id"] == b"id1"
-    assert not server.between
-    server.answer(Failed(), False)
-    assert dict(server.next().message.headers)[b"req-id"] == b"id2" and server.between
+    assert dict(server.next_request().message.headers)[b"req-id"] == b"id1"
+    assert not server.is_idle
+    server.encode_answer(Failed(), False)
+    assert dict(server.next_request().message.headers)[b"req-id"] == b"id2" and server.is_idle
 
 
 def test_pipelined_requests_are_bounded():
     # guards against one client filling the memory with pipelined requests
     server = make_server()
     server.receive(read_request() * 16)
-    assert server.full
-    server.next()
-    assert not server.full
+    assert server.read_paused
+    server.next_request()
+    assert not server.read_paused
 
 
 @pytest.mark.parametrize(("text", "span"), [("480m", 480.0), ("480000u", 480.0), ("0.5m", 0.5)])
 def test_deadline_units(text, span):
     server = make_server()
     server.receive(read_request(span=text))
-    assert server.next().timeout_ms == span
+    assert server.next_request().timeout_ms == span
 
 
 def test_retry_after_is_in_decimal_seconds():
     server = make_server()
     server.receive(read_request())
-    server.next()
-    data = server.answer(Refused(299.2), True)
+    server.next_request()
+    data = server.encode_answer(Refused(299.2), True)
     assert data.startswith(b"HTTP/1.1 503 ") and b"retry-after: 0.300\r\n" in data
-    assert b"connection: close\r\n" in data and server.last
+    assert b"connection: close\r\n" in data and server.closes_connection
 
 
 def test_truncated_request_is_not_accepted():
     server = make_server()
     server.receive(submit_request()[:-2])
-    assert server.next() is None
+    assert server.next_request() is None
     server.receive(b"")
-    server.reject(server.next(), False)
-    assert server.last
+    server.encode_rejection(server.next_request(), False)
+    assert server.closes_connection
 
 
 LISTING = {"seq": 41, "whole": True, "hosts": []}
--- a/tests/test_odd_messages.py
+++ b/tests/test_odd_messages.py
@@ -13,11 +13,11 @@
 from brackenusher.core.admission import Request
 from brackenusher.core.message import Content, Message
 from brackenusher.core.transaction import Served
-from brackenusher.fronts.http import Front
-from brackenusher.fronts.http1.virtual_server import VirtualServer
+from brackenusher.fronts.http import RequestClassifier
+from brackenusher.fronts.http1.virtual_server import Http1Protocol
 from brackenusher.upstream.flow import UpstreamCodec as Flow
 
-FRONT = Front(read_settings(SETTINGS))
+FRONT = RequestClassifier(read_settings(SETTINGS))
 POST = b"POST /turn-submit?k=m HTTP/1.1\r\nHost: x\r\nReq-Id: 1\r\nIdempotency-Key: k\r\n"
 GET = b"GET /board-read?k=m HTTP/1.1\r\nHost: x\r\nReq-Id: 1\r\n"
 UPGRADE = b"Connection: Upgrade\r\nUpgrade: websocket\r\n"
@@ -61,19 +61,19 @@
 
 def play(chunks, wanted):
     """Feed a client's bytes; the result of each request: the forwarded request, or the response status."""
-    machine, results = VirtualServer(FRONT, lambda: True), []
+    machine, results = Http1Protocol(FRONT, lambda: True), []
     for chunk in chunks:
         machine.receive(chunk)
-        while not machine.last and (item := machine.next()) is not None:
+        while not machine.closes_connection and (item := machine.next_request()) is not None:
             if isinstance(item, Request):
                 expected = wanted[len(results)] if len(results) < len(wanted) else None
                 results.append(forwarded(item, expected if isinstance(expected, ForwardedRequest) else MOVE))
-                answer = machine.answer(Served(Content(b"done")), False)
+                answer = machine.encode_answer(Served(Content(b"done")), False)
                 assert answer.startswith(b"HTTP/1.1 200 ")
             else:
-                results.append(int(machine.reject(item, False)[9:12]))
-        machine.go_on()
-    return [*results, ENDED] if machine.last else results
+                results.append(int(machine.encode_rejection(item, False)[9:12]))
+        machine.continue_response()
+    return [*results, ENDED] if machine.closes_connection else results
 
 
 def cut(data, positions):
@@ -295,35 +295,37 @@
 
 @pytest.mark.parametrize("value", [b"100-continue", b"100-Continue"])
 def test_100_continue_is_sent_once_and_only_to_clients_that_expect_it(value):
-    machine = VirtualServer(FRONT, lambda: True)
+    machine = Http1Protocol(FRONT, lambda: True)
     head = POST + LENGTH + (b"Expect: " + value + b"\r\n") * 2 + b"\r\n"
     machine.receive(head[:-1])
-    assert not machine.go_on()
+    assert not machine.continue_response()
     machine.receive(head[-1:])
-    assert machine.go_on() == b"HTTP/1.1 100 Continue\r\n\r\n" and not machine.go_on()
+    assert machine.continue_response() == b"HTTP/1.1 100 Continue\r\n\r\n" and not machine.continue_response()
     machine.receive(b"move")
-    assert forwarded(machine.next(), MOVE) == MOVE
-    machine = VirtualServer(FRONT, lambda: True)
+    assert forwarded(machine.next_request(), MOVE) == MOVE
+    machine = Http1Protocol(FRONT, lambda: True)
     machine.receive(head.replace(b"/1.1", b"/1.0"))
-    assert not machine.go_on()  # HTTP/1.0 has no 100 Continue
+    assert not machine.continue_response()  # HTTP/1.0 has no 100 Continue
 
 
 def test_response_to_head_has_no_body():
     # the client would take a body for the beginning of the next response
-    machine = VirtualServer(FRONT, lambda: True)
+    machine = Http1Protocol(FRONT, lambda: True)
     machine.receive(b"HEAD" + GET[3:] + b"\r\n" + GET + b"\r\n")
-    answer = machine.reject(machine.next(), False)
-    assert answer.startswith(b"HTTP/1.1 405 ") and answer.endswith(b"\r\n\r\n") and not machine.last
-    assert isinstance(machine.next(), Request)
+    answer = machine.encode_rejection(machine.next_request(), False)
+    assert (
+        answer.startswith(b"HTTP/1.1 405 ") and answer.endswith(b"\r\n\r\n") and not machine.closes_connection
+    )
+    assert isinstance(machine.next_request(), Request)
 
 
 def test_end_of_an_invalid_stream_is_reported():
     # otherwise the driver would poll the closed socket in a busy loop until the first response is sent
-    machine = VirtualServer(FRONT, lambda: True)
+    machine = Http1Protocol(FRONT, lambda: True)
     machine.receive(GET + b"\r\n" + b"\0")
-    assert isinstance(machine.next(), Request) and not machine.ended
+    assert isinstance(machine.next_request(), Request) and not machine.input_ended
     machine.receive(b"")
-    assert machine.ended
+    assert machine.input_ended
 
 
 OK = b"HTTP/1.1 200 OK\r\n"
