--- a/brackenusher/assembly/process.py
+++ b/brackenusher/assembly/process.py
@@ -13,7 +13,7 @@
 
 from barleybarrow.limits.bounds import LimitBounds
 from brackenusher.cluster import messages
-from brackenusher.runtime.fleet_log import set_up
+from brackenusher.runtime.fleet_log import configure_logging
 from brackenusher.settings.local import LocalSettings
 from brackenusher.settings.reading import EXIT_BAD_SETTINGS, SETTINGS_ENV_VAR, load_settings
 
@@ -98,7 +98,7 @@
     settings = settings_from_environment()
     if settings is None:
         return EXIT_BAD_SETTINGS
-    set_up(settings.role, settings.log_level)
+    configure_logging(settings.role, settings.log_level)
     log.info("event=starting role=%s node=%s", settings.role, settings.node_name)
     try:
         asyncio.run(_serve(create, settings))
--- a/brackenusher/assembly/proxy.py
+++ b/brackenusher/assembly/proxy.py
@@ -70,7 +70,7 @@
         )
         self.key_lease = KeyLease(settings.bounds, self.links, lambda: loop.time() * 1000.0)
         self.journal = RequestJournal(loop.time)
-        StatusResponder(self.links, self.journal.tell)
+        StatusResponder(self.links, self.journal.status_document)
         self.proxy = Proxy(
             loop,
             self.dispatcher,
--- a/brackenusher/cli.py
+++ b/brackenusher/cli.py
@@ -13,54 +13,54 @@
 from barleybarrow.tokens import TokenError, issue
 from brackenusher import __version__
 from brackenusher.config.operators import (
-    doubts,
-    load_operator,
-    load_peers,
-    load_tokens,
+    find_warnings,
+    load_operator_settings,
+    load_peers_settings,
+    load_token_settings,
     read_subset,
 )
-from brackenusher.config.platform import ConfigError, load, load_again
+from brackenusher.config.platform import ConfigError, load, reload_config
 from brackenusher.daemon import Daemon
 from brackenusher.records.replay import replay_capture
-from brackenusher.runtime.log import TEXT, LogFormatError, take_form
+from brackenusher.runtime.log import TEXT_FORMAT, LogFormatError, set_format
 
 LOG_LEVELS = ("debug", "info", "warning", "error")
 
 
 def serve(options: argparse.Namespace) -> int:
-    config, operator = load(os.environ), load_operator(options.operator)
-    logging.basicConfig(level=options.log_level.upper(), format=TEXT)
+    config, operator = load(os.environ), load_operator_settings(options.operator)
+    logging.basicConfig(level=options.log_level.upper(), format=TEXT_FORMAT)
     try:
-        take_form(operator.log_format)
+        set_format(operator.log_format)
     except LogFormatError as error:
         raise ConfigError(f"{options.operator}: log.format: {error}") from error
     try:
-        return Daemon(config, partial(load_again, os.environ), operator).run()
+        return Daemon(config, partial(reload_config, os.environ), operator).run()
     except OSError as error:
         print(f"brackenusher: {error}", file=sys.stderr)
         return 1
 
 
 def check_config(options: argparse.Namespace) -> int:
-    config, operator = load(os.environ), load_operator(options.operator)
-    classes, hosts = len(config.settings.classes), len(config.known.get("hosts") or [])
+    config, operator = load(os.environ), load_operator_settings(options.operator)
+    classes, hosts = len(config.settings.classes), len(config.known_servers.get("hosts") or [])
     print(
         f"{config.name}: listens on {config.listen[0]}:{config.listen[1]}, {classes} classes, {hosts} known"
     )
     if options.operator:
         print(f"{options.operator}: on: {', '.join(operator.features) or 'nothing'}")
-    read_subset(operator, config.worded)
-    for doubt in doubts(operator, config.settings):
+    read_subset(operator, config.raw_settings)
+    for doubt in find_warnings(operator, config.settings):
         print(f"{options.operator}: {doubt}")
     return 0
 
 
 def run_replay(options: argparse.Namespace) -> int:
-    return replay_capture(options.file, load_operator(options.properties), sys.stdout)
+    return replay_capture(options.file, load_operator_settings(options.properties), sys.stdout)
 
 
 def issue_token(options: argparse.Namespace) -> int:
-    settings, expiry = load_tokens(options.properties), int(time.time()) + options.ttl
+    settings, expiry = load_token_settings(options.properties), int(time.time()) + options.ttl
     try:
         print(issue(settings, options.kid, options.holder, options.rights, expiry))
     except TokenError as error:
@@ -74,7 +74,7 @@
     except ImportError as error:
         needs = "knowledge needs the extra knowledge: pip install 'brackenusher[knowledge]'"
         raise ConfigError(f"{needs} ({error})") from error
-    settings = load_peers(options.properties) if options.properties else None
+    settings = load_peers_settings(options.properties) if options.properties else None
     if options.verb == "show":
         return show.show(options.source, settings, sys.stdout)
     return show.diff(options.source, options.other, settings, sys.stdout)
@@ -86,7 +86,7 @@
     except ImportError as error:
         needs = "policy needs the extra knowledge: pip install 'brackenusher[knowledge]'"
         raise ConfigError(f"{needs} ({error})") from error
-    settings = load_peers(options.properties) if options.verb != "check" else None
+    settings = load_peers_settings(options.properties) if options.verb != "check" else None
     try:
         return policies.run(options, settings, sys.stdout)
     except KeyboardInterrupt:
@@ -99,7 +99,7 @@
     except ImportError as error:
         needs = "replica needs the extra knowledge: pip install 'brackenusher[knowledge]'"
         raise ConfigError(f"{needs} ({error})") from error
-    return replicas.run(options, load_peers(options.properties), sys.stdout)
+    return replicas.run(options, load_peers_settings(options.properties), sys.stdout)
 
 
 def run_group(options: argparse.Namespace) -> int:
@@ -108,7 +108,7 @@
     except ImportError as error:
         needs = "group needs the extra knowledge: pip install 'brackenusher[knowledge]'"
         raise ConfigError(f"{needs} ({error})") from error
-    return recovery.run(options, load_peers, sys.stdout)
+    return recovery.run(options, load_peers_settings, sys.stdout)
 
 
 def add_group_commands(commands: "argparse._SubParsersAction[argparse.ArgumentParser]") -> None:
@@ -226,7 +226,9 @@
         needs = "members needs the extra knowledge: pip install 'brackenusher[knowledge]'"
         raise ConfigError(f"{needs} ({error})") from error
     try:
-        return members.show(options.address, load_peers(options.properties), sys.stdout, options.watch)
+        return members.show(
+            options.address, load_peers_settings(options.properties), sys.stdout, options.watch
+        )
     except KeyboardInterrupt:
         return 130
 
--- a/brackenusher/cluster/link_metrics.py
+++ b/brackenusher/cluster/link_metrics.py
@@ -30,11 +30,9 @@
             "failed": float(links.counters.connect_failures),
         }
 
-    metrics.readings("gauge", "links", "Links to peers that are up.", "role", links_by_role)
-    metrics.readings(
-        "counter", "link_sent_bytes_total", "Bytes sent by message.", "message", bytes_by_message
-    )
-    metrics.readings("counter", "link_frames_total", "Frames on links.", "event", frames_by_event)
-    metrics.readings(
+    metrics.sampled("gauge", "links", "Links to peers that are up.", "role", links_by_role)
+    metrics.sampled("counter", "link_sent_bytes_total", "Bytes sent by message.", "message", bytes_by_message)
+    metrics.sampled("counter", "link_frames_total", "Frames on links.", "event", frames_by_event)
+    metrics.sampled(
         "counter", "link_connects_total", "Connections opened to peers.", "outcome", connects_by_outcome
     )
--- a/brackenusher/config/operators.py
+++ b/brackenusher/config/operators.py
@@ -53,7 +53,7 @@
     ask: int = 3
 
     @property
-    def known_as(self) -> Address:
+    def advertised_address(self) -> Address:
         return self.advertise if self.advertise[0] else self.listen
 
 
@@ -106,7 +106,7 @@
 
 
 @dataclass(frozen=True)
-class Operator:
+class OperatorSettings:
     """Settings of the enabled features; None if a feature is off."""
 
     door: RateLimiterSettings | None = None
@@ -402,7 +402,7 @@
 }
 
 
-def read_operator(path: str, text: str) -> Operator:
+def parse_operator_settings(path: str, text: str) -> OperatorSettings:
     """Parse the whole file; settings of disabled features are validated too."""
     properties = Properties(path, text)
     enabled = {name: properties.get(f"{name}.enabled", parse_bool, False) for name in FEATURES}
@@ -429,10 +429,10 @@
     if enabled["http2"] and not features["http2"].listen[0]:
         raise properties.error("http2.listen", "is missing: HTTP/2 needs an address of its own")
     enabled_features = {name: settings for name, settings in features.items() if enabled[name]}
-    return Operator(**enabled_features, log_format=log_format)
+    return OperatorSettings(**enabled_features, log_format=log_format)
 
 
-def read_subset(operator: Operator, platform_settings: Mapping[str, Any]) -> Subset | None:
+def read_subset(operator: OperatorSettings, platform_settings: Mapping[str, Any]) -> Subset | None:
     """The subset of servers that this proxy uses; index and number of proxies default to the platform's."""
     connections = operator.connections
     if connections is None or not connections.subset:
@@ -448,7 +448,7 @@
     return Subset(connections.subset, index, proxies)
 
 
-def doubts(operator: Operator, settings: face.Settings) -> list[str]:
+def find_warnings(operator: OperatorSettings, settings: face.Settings) -> list[str]:
     """Warnings on settings that are valid, as tenants come and go, but may be mistakes."""
     tenants = operator.door.tenants if operator.door and settings.tenants else ()
     keys = operator.token.keys if operator.token else {}
@@ -469,20 +469,20 @@
         raise ConfigError(f"{name}: {error}") from error
 
 
-def load_operator(name: str | None) -> Operator:
+def load_operator_settings(name: str | None) -> OperatorSettings:
     """Read the operators' file; without one all features are off."""
-    return Operator() if name is None else read_operator(name, read_text(name))
+    return OperatorSettings() if name is None else parse_operator_settings(name, read_text(name))
 
 
-def load_peers(name: str) -> PeersSettings:
+def load_peers_settings(name: str) -> PeersSettings:
     """The settings of peers, even if they are disabled: commands that query a proxy need them too."""
     text = read_text(name)
-    read_operator(name, text)
+    parse_operator_settings(name, text)
     return read_peers(Properties(name, text))
 
 
-def load_tokens(name: str) -> TokenSettings:
+def load_token_settings(name: str) -> TokenSettings:
     """The settings of tokens, even if they are disabled: the issuer of tokens need not be a proxy."""
     text = read_text(name)
-    read_operator(name, text)
+    parse_operator_settings(name, text)
     return read_token(Properties(name, text))
--- a/brackenusher/config/platform.py
+++ b/brackenusher/config/platform.py
@@ -27,9 +27,9 @@
     discovery: Address
     seed: int
     sockets: int
-    known: dict[str, Any]
+    known_servers: dict[str, Any]
     settings: face.Settings
-    worded: dict[str, Any]  # the settings as written in the file
+    raw_settings: dict[str, Any]  # the settings as written in the file
     cores: float = 1.0  # CPU limit of the process
     memory_mb: float = 64.0  # memory limit of the process
     control: Address | None = None  # address of the control interface; older deployments have none
@@ -62,7 +62,7 @@
         raise ConfigError(f"{path}: {type(error).__name__}: {error}") from error
 
 
-def load_again(environ: Mapping[str, str]) -> PlatformConfig:
+def reload_config(environ: Mapping[str, str]) -> PlatformConfig:
     """Read the configuration at a reload, with the discovery address of the file.
 
     GW_DISCOVERY still has the address from the start of the process.
@@ -95,9 +95,9 @@
         discovery=read_address(environ.get("GW_DISCOVERY") or document.get("discovery"), "discovery"),
         seed=int(str(document.get("seed", "0")), 16),
         sockets=sockets,
-        known=known,
+        known_servers=known,
         settings=settings,
-        worded=document["settings"],
+        raw_settings=document["settings"],
         cores=cores,
         memory_mb=memory_mb,
         control=read_address(control, "control") if control else None,
--- a/brackenusher/control_plane/control_metrics.py
+++ b/brackenusher/control_plane/control_metrics.py
@@ -33,8 +33,8 @@
         "is_leader", "1 at the leader of the configuration.", lambda: float(shard.is_leader)
     )
     metrics.gauge_function("voters", "Voters of the configuration.", lambda: float(len(shard.voters())))
-    metrics.readings("gauge", "servers", "Servers that are known.", "state", servers)
-    metrics.readings("gauge", "proxies", "Proxies that follow this process.", "state", proxies)
+    metrics.sampled("gauge", "servers", "Servers that are known.", "state", servers)
+    metrics.sampled("gauge", "proxies", "Proxies that follow this process.", "state", proxies)
     metrics.counter_function(
         "connections_turned_away_total", "Callers beyond the bound.", lambda: float(server.turned_away)
     )
--- a/brackenusher/core/transaction.py
+++ b/brackenusher/core/transaction.py
@@ -18,8 +18,8 @@
 from barleybarrow.interface import Effect, Outcome
 from brackenusher.core.deadlines import Deadlines
 from brackenusher.core.message import Content, Message
-from brackenusher.runtime.log import fault, say
-from brackenusher.runtime.timers import Entry
+from brackenusher.runtime.log import log_event, log_exception
+from brackenusher.runtime.timers import Timer
 
 log = logging.getLogger(__name__)
 
@@ -69,7 +69,7 @@
     client_gone: Callable[[], bool] = (
         never_gone  # whether its client has disconnected, even if not yet reported
     )
-    deadline_timer: Entry | None = None
+    deadline_timer: Timer | None = None
     closed: bool = False  # answered, or its client is gone
     attempts: list["Attempt"] = field(default_factory=list)
     attempts_in_flight: int = 0
@@ -233,7 +233,9 @@
                 try:
                     actions = self.balancer.handle(now, event)
                 except Exception:
-                    fault(log, "module_failed", "the module failed on %(told)s", told=type(event).__name__)
+                    log_exception(
+                        log, "module_failed", "the module failed on %(told)s", told=type(event).__name__
+                    )
                 if self.observers.on_event:
                     self.notify(self.observers.on_event, now, event, actions or ())
                 if actions is None:
@@ -252,14 +254,14 @@
             try:
                 observer(*arguments)
             except Exception:
-                fault(log, "observer_failed", "an observer failed")
+                log_exception(log, "observer_failed", "an observer failed")
 
     def execute(self, actions: list[face.Action]) -> None:
         for action in actions:
             try:
                 self.action_handlers[type(action)](action)
             except Exception:
-                fault(
+                log_exception(
                     log, "action_failed", "%(action)s could not be carried out", action=type(action).__name__
                 )
                 self.fail_request_of(action)
@@ -286,7 +288,7 @@
         try:
             self.transport.start(attempt)
         except Exception:
-            fault(log, "attempt_failed", "an attempt could not be started")
+            log_exception(log, "attempt_failed", "an attempt could not be started")
             self.finished(attempt, Outcome.NOT_SENT)
 
     def may_start(self, attempt: Attempt) -> bool:
@@ -380,7 +382,7 @@
             )
         elif not transaction.closed:
             self.unanswered_count += 1
-            say(
+            log_event(
                 log,
                 logging.ERROR,
                 "unanswered",
--- a/brackenusher/daemon.py
+++ b/brackenusher/daemon.py
@@ -15,7 +15,7 @@
 from barleybarrow.graceful_shutdown import GracefulShutdown, Phase
 from barleybarrow.lifecycle import Lifecycle, Stage
 from barleybarrow.rate_limiter import RateLimiter
-from brackenusher.config.operators import Operator, doubts, read_subset
+from brackenusher.config.operators import OperatorSettings, find_warnings, read_subset
 from brackenusher.config.platform import ConfigError, PlatformConfig
 from brackenusher.core.admission import Admission, DenialReason
 from brackenusher.core.deadlines import Deadlines
@@ -33,12 +33,12 @@
 from brackenusher.records.capture import Capture
 from brackenusher.records.figures import MetricsReporter
 from brackenusher.records.insight import BalancerGauges
-from brackenusher.records.tally import Tally
-from brackenusher.runtime.buffers import Buffers
+from brackenusher.records.tally import RequestCounts
+from brackenusher.runtime.buffers import BufferPool
 from brackenusher.runtime.driver import Address
-from brackenusher.runtime.log import say
-from brackenusher.runtime.loop import READ, Coroutine, Loop, clock
-from brackenusher.runtime.outlet import Outlet
+from brackenusher.runtime.log import log_event
+from brackenusher.runtime.loop import READ, Coroutine, EventLoop, clock
+from brackenusher.runtime.outlet import LineWriter
 from brackenusher.upstream.connections import Upstream
 from brackenusher.upstream.pool import Pool
 
@@ -72,15 +72,15 @@
     """One proxy."""
 
     def __init__(
-        self, config: PlatformConfig, load_config: Callable[[], PlatformConfig], operator: Operator
+        self, config: PlatformConfig, load_config: Callable[[], PlatformConfig], operator: OperatorSettings
     ) -> None:
         self.load_config = load_config  # reads the configuration again, for a reload
         self.stop_requested_at: float | None = None  # time of the first stop signal
         self.shutdown: GracefulShutdown | None = None
         self.lifecycle = Lifecycle()
         settings = config.settings
-        deadlines, buffers = Deadlines(), Buffers()
-        self.config, self.operator, self.loop = config, operator, Loop(deadlines)
+        deadlines, buffers = Deadlines(), BufferPool()
+        self.config, self.operator, self.loop = config, operator, EventLoop(deadlines)
         available_sockets = (
             config.sockets
             - RESERVED_SOCKETS
@@ -91,7 +91,12 @@
         client_sockets = int(available_sockets * CLIENT_SOCKET_SHARE)
         offset = time.time() * 1000.0 - clock()
         self.pool = Pool(
-            settings, clock, offset, operator.connections, config.seed, read_subset(operator, config.worded)
+            settings,
+            clock,
+            offset,
+            operator.connections,
+            config.seed,
+            read_subset(operator, config.raw_settings),
         )
         budget = PipeBudget(buffer_budget_bytes(config.memory_mb))
         self.upstream = Upstream(
@@ -117,7 +122,7 @@
             self.lifecycle,
             budget,
         )
-        self.fronts: list[tuple[Listener, Address]] = [(self.http1, config.listen)]
+        self.listeners: list[tuple[Listener, Address]] = [(self.http1, config.listen)]
         self.http2 = None
         if operator.http2:  # imported only if enabled: h2 and its dependencies take memory
             try:
@@ -127,22 +132,22 @@
             self.http2 = Http2Listener(
                 self.loop, operator.http2, front, self.admission, self.http1.is_ready, client_slots, buffers
             )
-            self.fronts.append((self.http2, operator.http2.listen))
+            self.listeners.append((self.http2, operator.http2.listen))
         self.discovery_agent = Agent(
             self.loop, config.discovery, self.pool, self.transactions, buffers, random.Random(config.seed)
         )
         self.upstream.watch = self.discovery_agent.connect
-        self.outlet = Outlet(deadlines, clock)
+        self.outlet = LineWriter(deadlines, clock)
         self.node: Node | None = None
         self.replicator: Replicator | None = None
         self.peers: Peers | None = None
         if operator.peers or operator.snapshot:
             self.set_up_peers(buffers)
-        self.request_counts: Tally | None = None
+        self.request_counts: RequestCounts | None = None
         self.control: control.ControlServer | None = None
         if config.control:
             gauges = BalancerGauges(balancer, clock)
-            self.request_counts = Tally(
+            self.request_counts = RequestCounts(
                 settings,
                 clock,
                 lambda now: gauges.count_servers(self.pool.size, now),
@@ -161,7 +166,7 @@
             self.replacement = Replacement(
                 self.loop,
                 config.name,
-                self.fronts,
+                self.listeners,
                 client_slots,
                 self.pool,
                 self.discovery_agent,
@@ -180,7 +185,7 @@
         else:
             self.replacement.serves()
 
-    def set_up_peers(self, buffers: Buffers) -> None:
+    def set_up_peers(self, buffers: BufferPool) -> None:
         """Set up sharing of knowledge with peers, or with the next start through a snapshot file."""
         try:
             from brackenusher.membership.peers import Peers  # imported only if needed, as it imports msgspec
@@ -196,7 +201,7 @@
         except (OSError, ValueError) as error:
             raise ConfigError(str(error)) from error
 
-    def set_up_group(self, buffers: Buffers) -> None:
+    def set_up_group(self, buffers: BufferPool) -> None:
         """Set up the group's policy and replicated state."""
         from brackenusher.group.group_parts import GroupParts
         from brackenusher.group.streams import Streams
@@ -244,7 +249,7 @@
             self.metrics = MetricsReporter(
                 operator.figures,
                 self.outlet,
-                self.loop.deadlines,
+                self.loop.timers,
                 clock,
                 self.transactions.open,
                 config.settings,
@@ -291,7 +296,7 @@
         if self.control and self.config.control:
             self.control.listen(self.config.control)
         inherited = handover.listeners if handover is not None else {}
-        for front, address in self.fronts:
+        for front, address in self.listeners:
             front.listen(
                 address, bool(self.config.control), inherited.pop(f"{address[0]}:{address[1]}", None)
             )
@@ -309,10 +314,10 @@
         self.discovery_agent.connect()
         gc.collect()
         gc.freeze()  # objects created so far stay; later collections skip them
-        for warning in doubts(self.operator, self.config.settings):
-            say(log, logging.WARNING, "operators_file_doubt", "operators' file: %(what)s", what=warning)
-        for _, (host, port) in self.fronts:
-            say(
+        for warning in find_warnings(self.operator, self.config.settings):
+            log_event(log, logging.WARNING, "operators_file_doubt", "operators' file: %(what)s", what=warning)
+        for _, (host, port) in self.listeners:
+            log_event(
                 log,
                 logging.INFO,
                 "serving",
@@ -324,7 +329,7 @@
 
     def finish(self) -> int:
         """Log a summary and release resources."""
-        say(
+        log_event(
             log,
             logging.INFO,
             "ended",
@@ -342,10 +347,12 @@
         if self.peers:
             self.peers.close()
         summary = self.pool.planner.summary()
-        say(log, logging.INFO, "connections_ended", "connections to members: %(summary)s", summary=summary)
+        log_event(
+            log, logging.INFO, "connections_ended", "connections to members: %(summary)s", summary=summary
+        )
         if self.http2:
             counts = self.http2.counters
-            say(
+            log_event(
                 log,
                 logging.INFO,
                 "streams_ended",
@@ -361,7 +368,7 @@
             )
         if self.capture:
             self.capture.close()
-            say(
+            log_event(
                 log,
                 logging.INFO,
                 "capture_ended",
@@ -372,11 +379,13 @@
         if self.metrics:
             self.metrics.close()
             dropped = self.metrics.sink.dropped
-            say(log, logging.INFO, "figures_ended", "figures: %(dropped)d batches dropped", dropped=dropped)
+            log_event(
+                log, logging.INFO, "figures_ended", "figures: %(dropped)d batches dropped", dropped=dropped
+            )
         evicted = ", ".join(f"{state.value} {count}" for state, count in self.http1.evicted.items())
         if evicted:
             text = "clients' connections evicted: %(evicted)s"
-            say(log, logging.INFO, "evicted", text, evicted=evicted)
+            log_event(log, logging.INFO, "evicted", text, evicted=evicted)
         if self.replacement:
             self.replacement.close()
         self.outlet.close()
@@ -384,7 +393,7 @@
 
     def load_known_servers(self, handover: Taken | None = None) -> None:
         """Load the last known server list, so that discovery is asked only for changes since then."""
-        known = self.config.known
+        known = self.config.known_servers
         if handover is not None and handover.hosts:
             known = {"seq": handover.state["seq"], "whole": True, "hosts": handover.hosts}
         if not known.get("hosts"):
@@ -393,7 +402,7 @@
             listing = read_listing(known)
         except DiscoveryError as error:
             text = "ignoring the known server list: %(why)s"
-            say(log, logging.WARNING, "known_list_unusable", text, why=error)
+            log_event(log, logging.WARNING, "known_list_unusable", text, why=error)
             return
         if listing.whole and len(listing.hosts) == len(known["hosts"]):
             self.discovery_agent.seq = listing.seq
@@ -406,7 +415,7 @@
     @property
     def connection_count(self) -> int:
         """The number of client connections of all listeners."""
-        return sum(len(front.connections) for front, _ in self.fronts)
+        return sum(len(front.connections) for front, _ in self.listeners)
 
     def catch_signals(self) -> None:
         """Deliver signals to the loop through a socket pair."""
@@ -442,7 +451,7 @@
         try:
             config = self.load_config()
         except ConfigError as error:
-            say(
+            log_event(
                 log,
                 logging.ERROR,
                 "reload_unusable",
@@ -452,7 +461,7 @@
             return
         for name in ("listen", "sockets", "settings", "control"):
             if getattr(config, name) != getattr(self.config, name):
-                say(
+                log_event(
                     log,
                     logging.WARNING,
                     "reload_waits",
@@ -460,7 +469,9 @@
                     entry=name,
                 )
         host, port = config.discovery
-        say(log, logging.INFO, "reloaded", "reload: discovery is at %(host)s:%(port)d", host=host, port=port)
+        log_event(
+            log, logging.INFO, "reloaded", "reload: discovery is at %(host)s:%(port)d", host=host, port=port
+        )
         if config.discovery != self.discovery_agent.address:
             self.discovery_agent.move(config.discovery)
 
@@ -479,7 +490,7 @@
         if not self.lifecycle.drain(clock()):
             return 409, b"the process ends\n"
         if not before.away:
-            say(
+            log_event(
                 log,
                 logging.INFO,
                 "draining",
@@ -495,8 +506,8 @@
         if not self.lifecycle.resume():
             return 409, b"the process ends\n"
         if before.away:
-            say(log, logging.INFO, "resumed", "resumed: serving normally")
-            for front, _ in self.fronts:
+            log_event(log, logging.INFO, "resumed", "resumed: serving normally")
+            for front, _ in self.listeners:
                 front.resume()
         return 200, b"ready\n"
 
@@ -509,9 +520,9 @@
         if lifecycle.step(now, self.connection_count) is Stage.DRAINED and before is not Stage.DRAINED:
             text = "drained after %(span_ms).0f ms: %(connections)d connections"
             elapsed = now - lifecycle.drained_from
-            say(log, logging.INFO, "drained", text, span_ms=elapsed, connections=self.connection_count)
+            log_event(log, logging.INFO, "drained", text, span_ms=elapsed, connections=self.connection_count)
         if lifecycle.answers_end(now):
-            for front, _ in self.fronts:
+            for front, _ in self.listeners:
                 front.drain(idle=lifecycle.idle_end(now))
         wait = STEP_INTERVAL_MS if lifecycle.stage is Stage.DRAINING else DRAINED_STEP_INTERVAL_MS
         self.schedule(wait, partial(self.step_drain, number))
@@ -519,7 +530,7 @@
     def stop(self) -> None:
         """Begin a graceful shutdown, serving as long as the deployment allows; further calls do nothing."""
         if self.shutdown is not None:
-            say(log, logging.INFO, "stopping_already", "stopping already")
+            log_event(log, logging.INFO, "stopping_already", "stopping already")
             return
         settings = self.config.settings
         handed_over = self.replacement is not None and self.replacement.handed
@@ -534,7 +545,7 @@
         )
         self.shutdown = self.admission.shutdown = plan
         self.lifecycle.end()
-        say(
+        log_event(
             log,
             logging.INFO,
             "stopping",
@@ -543,7 +554,7 @@
             kill_ms=plan.limit - plan.told_at,
             answered_ms=plan.answered_by - plan.told_at,
         )
-        for front, _ in self.fronts:
+        for front, _ in self.listeners:
             front.announce_shutdown()
         if self.replacement:
             self.replacement.stop()
@@ -553,10 +564,10 @@
         """Advance the graceful shutdown."""
         now, before = clock(), plan.phase
         phase = plan.step(
-            now, now - due, self.connection_count, all(front.closed for front, _ in self.fronts)
+            now, now - due, self.connection_count, all(front.closed for front, _ in self.listeners)
         )
         if phase != before:
-            say(
+            log_event(
                 log,
                 logging.INFO,
                 "stop_phase",
@@ -572,25 +583,25 @@
         if phase is Phase.ENDED:
             self.loop.running = False
             return
-        for front, _ in self.fronts:
+        for front, _ in self.listeners:
             front.transfer_idle()
         if phase >= Phase.DRAINING:
-            for front, _ in self.fronts:
+            for front, _ in self.listeners:
                 front.drain(idle=True)
         if phase is Phase.CLOSING:
             given_up = self.transactions.fail_open()
             if given_up:
-                say(
+                log_event(
                     log,
                     logging.WARNING,
                     "given_up",
                     "failed %(count)d open transactions at shutdown",
                     count=given_up,
                 )
-            for front, _ in self.fronts:
+            for front, _ in self.listeners:
                 front.reject_incomplete()
                 front.stop_accepting()
         self.schedule(STEP_INTERVAL_MS, partial(self.step_shutdown, plan, clock() + STEP_INTERVAL_MS))
 
     def schedule(self, delay_ms: float, action: Callable[[], None]) -> None:
-        self.loop.deadlines.add(clock() + delay_ms, action)
+        self.loop.timers.add(clock() + delay_ms, action)
--- a/brackenusher/data_plane/proxy.py
+++ b/brackenusher/data_plane/proxy.py
@@ -318,7 +318,7 @@
         """Record an event of a request for the operators' command `explain`."""
         request_id = exchange.request.metadata.request_id
         if self._journal is not None and request_id:
-            self._journal.note(request_id.decode("latin-1"), event, *details)
+            self._journal.record(request_id.decode("latin-1"), event, *details)
 
     def _dispatch(self, exchange: Exchange, tenant: Tenant | None) -> None:
         now = self._now_ms()
--- a/brackenusher/data_plane/proxy_metrics.py
+++ b/brackenusher/data_plane/proxy_metrics.py
@@ -34,8 +34,8 @@
     metrics.gauge_function(
         "client_connections", "Open to clients.", lambda: float(len(proxy.client_connections))
     )
-    metrics.readings("counter", "decisions_total", "What the dispatcher decided.", "decision", decided)
-    metrics.readings(
+    metrics.sampled("counter", "decisions_total", "What the dispatcher decided.", "decision", decided)
+    metrics.sampled(
         "counter", "announcement_datagrams_total", "News between proxies.", "what", announcer.counts
     )
     metrics.counter_function(
--- a/brackenusher/fronts/control/driver.py
+++ b/brackenusher/fronts/control/driver.py
@@ -8,11 +8,11 @@
 from collections.abc import Generator
 
 from brackenusher.fronts.control.machine import ControlProtocol, Handlers
-from brackenusher.runtime.buffers import Buffers
-from brackenusher.runtime.driver import SHORTAGE, Address, open_listener, write
-from brackenusher.runtime.log import say
-from brackenusher.runtime.loop import READ, WRITE, Coroutine, Loop, clock
-from brackenusher.runtime.timers import Entry
+from brackenusher.runtime.buffers import BufferPool
+from brackenusher.runtime.driver import RESOURCE_ERRNOS, Address, open_listener, write
+from brackenusher.runtime.log import log_event
+from brackenusher.runtime.loop import READ, WRITE, Coroutine, EventLoop, clock
+from brackenusher.runtime.timers import Timer
 
 log = logging.getLogger(__name__)
 
@@ -26,7 +26,7 @@
 class ControlServer:
     """Accepts control connections."""
 
-    def __init__(self, loop: Loop, handlers: Handlers, buffers: Buffers) -> None:
+    def __init__(self, loop: EventLoop, handlers: Handlers, buffers: BufferPool) -> None:
         self.loop, self.handlers, self.buffers = loop, handlers, buffers
         self.connections: dict[ControlConnection, None] = {}  # oldest first
         self.answered = self.dropped = 0  # requests answered; connections closed to make room
@@ -34,7 +34,7 @@
     def listen(self, address: Address) -> None:
         """Listen on an address. Raises OSError if that fails."""
         sock = open_listener(address, backlog=128)
-        self.task = self.loop.spawn(self.accept(sock), sock, first=True)
+        self.task = self.loop.spawn(self.accept(sock), sock, priority=True)
 
     def accept(self, sock: socket.socket) -> Coroutine:
         while True:
@@ -51,9 +51,9 @@
             except ConnectionError:
                 continue
             except OSError as error:
-                if error.errno not in SHORTAGE:
+                if error.errno not in RESOURCE_ERRNOS:
                     raise
-                say(
+                log_event(
                     log,
                     logging.WARNING,
                     "control_accept_failed",
@@ -77,10 +77,10 @@
 
     def __init__(self, server: ControlServer, sock: socket.socket) -> None:
         self.server, self.sock, self.protocol = server, sock, ControlProtocol(server.handlers)
-        self.timer: Entry | None = None
+        self.timer: Timer | None = None
         self.timed_out = False
         server.connections[self] = None
-        self.task = server.loop.spawn(self.run(), sock, first=True)
+        self.task = server.loop.spawn(self.run(), sock, priority=True)
 
     def run(self) -> Coroutine:
         try:
@@ -105,7 +105,7 @@
         except OSError:
             pass  # the client broke the connection
         finally:
-            self.server.loop.deadlines.remove(self.timer)
+            self.server.loop.timers.remove(self.timer)
             self.server.connections.pop(self, None)
 
     def read(self) -> bytes:
@@ -129,10 +129,10 @@
         return True
 
     def set_timer(self, timeout_ms: float) -> None:
-        self.server.loop.deadlines.remove(self.timer)
+        self.server.loop.timers.remove(self.timer)
         self.timed_out, self.timer = (
             False,
-            self.server.loop.deadlines.add(clock() + timeout_ms, self.on_timer),
+            self.server.loop.timers.add(clock() + timeout_ms, self.on_timer),
         )
 
     def on_timer(self) -> None:
--- a/brackenusher/fronts/http.py
+++ b/brackenusher/fronts/http.py
@@ -141,21 +141,21 @@
         )
 
 
-def rejection_for(verdict: Denial) -> Rejection:
+def rejection_for(denial: Denial) -> Rejection:
     """The response to a request that admission control rejected."""
-    if verdict.reason is DenialReason.TOKEN:
-        headers: Headers = ((b"adw-auth", verdict.detail.encode()),)
-        if verdict.detail in (tokens.MISSING, tokens.EXPIRED):
+    if denial.reason is DenialReason.TOKEN:
+        headers: Headers = ((b"adw-auth", denial.detail.encode()),)
+        if denial.detail in (tokens.MISSING, tokens.EXPIRED):
             headers += ((b"www-authenticate", b"Adw-Token"),)
             return Rejection(401, "a valid token is needed", headers)
         return Rejection(403, "the token does not allow this", headers)
-    if verdict.reason is DenialReason.DUPLICATE_ID:
+    if denial.reason is DenialReason.DUPLICATE_ID:
         return Rejection(409, "Req-Id is that of an open request", fatal=True)
-    headers = ((b"retry-after", format_seconds(verdict.retry_after)),)
-    if verdict.reason is DenialReason.RATE_LIMIT:
+    headers = ((b"retry-after", format_seconds(denial.retry_after)),)
+    if denial.reason is DenialReason.RATE_LIMIT:
         return Rejection(429, "over the limit", headers)
     # fatal if descriptors are short; during shutdown the connection may continue
-    return Rejection(503, "refused", headers, fatal=verdict.reason is DenialReason.CONNECTION_LIMIT)
+    return Rejection(503, "refused", headers, fatal=denial.reason is DenialReason.CONNECTION_LIMIT)
 
 
 def final_response(answer: Answer) -> tuple[int, bytes, Headers]:
--- a/brackenusher/fronts/http1/clients.py
+++ b/brackenusher/fronts/http1/clients.py
@@ -15,10 +15,10 @@
 from brackenusher.fronts.http import Rejection, RequestClassifier, rejection_for
 from brackenusher.fronts.http1.virtual_server import Http1Protocol
 from brackenusher.fronts.listener import ConnectionLimit, Listener, TransferConnections
-from brackenusher.runtime.buffers import Buffers
-from brackenusher.runtime.driver import abort, write
-from brackenusher.runtime.loop import HANGUP, READ, WRITE, Coroutine, Loop, clock
-from brackenusher.runtime.timers import Entry
+from brackenusher.runtime.buffers import BufferPool
+from brackenusher.runtime.driver import reset_on_close, write
+from brackenusher.runtime.loop import HANGUP, READ, WRITE, Coroutine, EventLoop, clock
+from brackenusher.runtime.timers import Timer
 from brackenusher.upstream.pool import Pool
 
 IDLE_TIMEOUT_MS = 2_050.0  # between requests: some clients send one request and keep the connection open
@@ -38,13 +38,13 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         classifier: RequestClassifier,
         admission: Admission,
         pool: Pool,
         connection_limit: ConnectionLimit,
         max_idle: int,
-        buffers: Buffers,
+        buffers: BufferPool,
         lifecycle: Lifecycle,
         budget: PipeBudget | None = None,
     ) -> None:
@@ -157,7 +157,7 @@
         self.protocol = Http1Protocol(listener.classifier, listener.is_ready, listener.budget)
         self.transaction: Transaction | None = None
         self.answer: Answer | None = None
-        self.timer: Entry | None = None
+        self.timer: Timer | None = None
         self.timed_out, self.seen_body_bytes = False, 0  # body bytes received at the last check
         self.opened_at = self.active_at = clock()
         self.is_idle, self.group_since = False, 0.0
@@ -350,7 +350,9 @@
                 pipe.close(PipeEnd.WHOLE)
                 return data
             pipe.close(PipeEnd.BROKEN)
-            abort(self.sock)  # else a client that reads up to the FIN would take the response as complete
+            reset_on_close(
+                self.sock
+            )  # else a client that reads up to the FIN would take the response as complete
             return None
         finally:
             pipe.wake_reader = no_op
@@ -407,17 +409,17 @@
 
     def set_timer(self, timeout_ms: float | None = None) -> None:
         """Restart the timer, or cancel it."""
-        deadlines = self.listener.loop.deadlines
-        deadlines.remove(self.timer)
+        timers = self.listener.loop.timers
+        timers.remove(self.timer)
         self.timed_out, self.timer = False, None
         if timeout_ms is not None:
-            self.timer = deadlines.add(clock() + timeout_ms, self.on_timer)
+            self.timer = timers.add(clock() + timeout_ms, self.on_timer)
 
     def on_timer(self) -> None:
         self.timer = None
         deadline = self.effective_deadline()
         if deadline > clock():
-            self.timer = self.listener.loop.deadlines.add(deadline, self.on_timer)
+            self.timer = self.listener.loop.timers.add(deadline, self.on_timer)
             return
         self.timed_out = not (self.is_idle and self.exempt_from_idle_timeout)
         if self.timed_out:
--- a/brackenusher/fronts/http2/clients.py
+++ b/brackenusher/fronts/http2/clients.py
@@ -11,10 +11,10 @@
 from brackenusher.fronts.http2.connection import Event, Http2Protocol
 from brackenusher.fronts.http2.streams import Counters, MemoryBudget, RequestReady
 from brackenusher.fronts.listener import ConnectionLimit, Listener
-from brackenusher.runtime.buffers import Buffers
+from brackenusher.runtime.buffers import BufferPool
 from brackenusher.runtime.driver import write
-from brackenusher.runtime.loop import READ, WRITE, Coroutine, Loop, clock
-from brackenusher.runtime.timers import Entry
+from brackenusher.runtime.loop import READ, WRITE, Coroutine, EventLoop, clock
+from brackenusher.runtime.timers import Timer
 
 MAX_UNSENT_BYTES = 64 * 1024  # bytes waiting for the socket's send buffer; input is not read above this
 LINGER_MS = 500.0  # input is discarded before the close, so that no TCP reset destroys the responses
@@ -25,13 +25,13 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         settings: Http2Settings,
         classifier: RequestClassifier,
         admission: Admission,
         is_ready: Callable[[], bool],
         connection_limit: ConnectionLimit,
-        buffers: Buffers,
+        buffers: BufferPool,
     ) -> None:
         super().__init__(loop, connection_limit)
         self.settings, self.classifier, self.admission, self.is_ready = (
@@ -100,7 +100,7 @@
         self.pending_answers: list[tuple[int, Answer]] = []
         # encoded and not written yet; when the socket last accepted data
         self.unsent, self.written_at = b"", clock()
-        self.timer: Entry | None = None
+        self.timer: Timer | None = None
         self.peer_closed = False
         listener.connections.add(self)
         self.over_limit = listener.register_connection()  # accepted only to be refused
@@ -146,7 +146,7 @@
         except OSError:
             pass  # the client broke the connection
         finally:
-            self.listener.loop.deadlines.remove(self.timer)
+            self.listener.loop.timers.remove(self.timer)
             self.listener.idle.pop(self, None)
             self.listener.lingering.pop(self, None)
             self.listener.connections.discard(self)
@@ -225,9 +225,9 @@
         if self.unsent:
             deadline = min(deadline, self.written_at + self.listener.settings.answer_ms)
         if self.timer is None or self.timer[0] > deadline:
-            deadlines = self.listener.loop.deadlines
-            deadlines.remove(self.timer)
-            self.timer = deadlines.add(deadline, self.on_timer) if deadline < float("inf") else None
+            timers = self.listener.loop.timers
+            timers.remove(self.timer)
+            self.timer = timers.add(deadline, self.on_timer) if deadline < float("inf") else None
 
     def on_timer(self) -> None:
         self.timer = None
@@ -239,8 +239,8 @@
         self.listener.idle.pop(self, None)
         self.listener.lingering[self] = None
         end = clock() + LINGER_MS
-        self.listener.loop.deadlines.remove(self.timer)
-        self.timer = self.listener.loop.deadlines.add(end, self.on_timer)
+        self.listener.loop.timers.remove(self.timer)
+        self.timer = self.listener.loop.timers.add(end, self.on_timer)
         while clock() < end:
             yield READ
             try:
--- a/brackenusher/fronts/listener.py
+++ b/brackenusher/fronts/listener.py
@@ -10,9 +10,9 @@
 from collections.abc import Callable, Sequence, Sized
 from typing import Any
 
-from brackenusher.runtime.driver import SHORTAGE, Address, open_listener
-from brackenusher.runtime.log import say
-from brackenusher.runtime.loop import READ, Coroutine, Loop, Task, clock
+from brackenusher.runtime.driver import RESOURCE_ERRNOS, Address, open_listener
+from brackenusher.runtime.log import log_event
+from brackenusher.runtime.loop import READ, Coroutine, EventLoop, Task, clock
 
 log = logging.getLogger(__name__)
 
@@ -36,7 +36,7 @@
     try:
         sock.setsockopt(socket.SOL_SOCKET, SO_ATTACH_FILTER, struct.pack("HP", 1, program.buffer_info()[0]))
     except OSError as error:  # without filters the race window is some microseconds
-        say(
+        log_event(
             log,
             logging.INFO,
             "no_filter",
@@ -73,7 +73,7 @@
 
     connections: Sized  # the open connections
 
-    def __init__(self, loop: Loop, connection_limit: ConnectionLimit) -> None:
+    def __init__(self, loop: EventLoop, connection_limit: ConnectionLimit) -> None:
         self.loop, self.connection_limit = loop, connection_limit
         connection_limit.listeners.append(self)
         self.closed = False  # accepts no more connections
@@ -128,7 +128,7 @@
         while True:
             if pause:
                 pause = False
-                self.loop.deadlines.add(clock() + 10.0, self.task.wake)
+                self.loop.timers.add(clock() + 10.0, self.task.wake)
                 yield 0
             else:
                 yield 0 if self.handed_over else READ
@@ -146,11 +146,11 @@
             except ConnectionError:
                 continue
             except OSError as error:
-                if error.errno not in SHORTAGE:
+                if error.errno not in RESOURCE_ERRNOS:
                     raise
                 if clock() >= self.warned_at + WARNING_INTERVAL_MS:
                     self.warned_at = clock()
-                    say(log, logging.WARNING, "accept_failed", "accept failed: %(why)s", why=error)
+                    log_event(log, logging.WARNING, "accept_failed", "accept failed: %(why)s", why=error)
                 return self.connection_limit.evict_one(self)
             if self.connection_limit.open_count >= self.connection_limit.limit:
                 self.connection_limit.evict_one(self)  # evicts only once a client is there to make room for
--- a/brackenusher/fronts/rpc/host.py
+++ b/brackenusher/fronts/rpc/host.py
@@ -26,8 +26,8 @@
     Transaction,
     Transactions,
 )
-from brackenusher.runtime.log import fault
-from brackenusher.runtime.timers import Entry
+from brackenusher.runtime.log import log_exception
+from brackenusher.runtime.timers import Timer
 
 log = logging.getLogger("brackenusher.rpc")
 
@@ -57,7 +57,7 @@
         """The loop's time in milliseconds."""
         return self.loop.time() * 1000.0
 
-    def add(self, when: float, action: Callable[[], None]) -> Entry:
+    def add(self, when: float, action: Callable[[], None]) -> Timer:
         entry = super().add(when, action)
         if when < self.armed_for:
             self.arm()
@@ -67,7 +67,7 @@
         """Set the timer to the earliest deadline."""
         if self.timer is not None:
             self.timer.cancel()
-        earliest = None if self.closed else self.next()
+        earliest = None if self.closed else self.next_due()
         self.armed_for = inf if earliest is None else earliest
         self.timer = (
             None if earliest is None else self.loop.call_at(earliest / 1000.0 + TIMER_MARGIN_S, self.on_timer)
@@ -91,7 +91,7 @@
             self.run_sweep()
 
     def run_sweep(self) -> None:
-        self.sweep(self.clock())
+        self.run_due(self.clock())
         self.late_ms = 0.0
         if not self.closed:
             self.arm()
@@ -114,7 +114,7 @@
     is_retry: bool
     deadline: float  # clock time in milliseconds
     transaction: Transaction | None = None
-    wait_timer: Entry | None = None
+    wait_timer: Timer | None = None
 
 
 class TransactionRunner:
@@ -125,19 +125,19 @@
         settings: face.Settings,
         seed: int,
         loop: asyncio.AbstractEventLoop,
-        carrier: AttemptTransport,
+        attempt_transport: AttemptTransport,
         max_open_calls: int,
     ) -> None:
         self.settings, self.loop, self.max_open_calls = settings, loop, max_open_calls
         self.deadlines = LoopDeadlines(loop)
         self.clock = self.deadlines.clock
         balancer = Balancer(settings, seed, self.clock())
-        self.transactions = Transactions(balancer, self.clock, self.deadlines, carrier)
+        self.transactions = Transactions(balancer, self.clock, self.deadlines, attempt_transport)
         self.admission = Admission(self.transactions, settings)
         self.waiting_for_list: dict[int, PendingCall] = {}  # waiting for the first list, in order of arrival
         self.has_list = self.closed = False
         self.last_number = self.in_flight = self.refused_count = 0
-        self.pulse_timer: Entry | None = None
+        self.pulse_timer: Timer | None = None
         self.on_attempt_ended: Callable[[Attempt, Outcome], None] | None = None  # metrics callback
 
     # called by channels and transports
@@ -231,7 +231,7 @@
                 self.deadlines.remove(pending.wait_timer)
                 self.admit(pending)
 
-    # called by the carrier
+    # called by the attempt transport
 
     def stream_began(self, attempt: Attempt, stream: Any) -> bool:
         """A streamed response has begun and is handed to the caller; it is not retried after this.
@@ -281,7 +281,7 @@
             try:
                 self.on_attempt_ended(attempt, outcome)
             except Exception:
-                fault(log, "metrics_failed", "metrics collector raised an exception")
+                log_exception(log, "metrics_failed", "metrics collector raised an exception")
 
     def close(self) -> None:
         """Answer all open calls and reject new ones."""
--- a/brackenusher/fronts/rpc/lines.py
+++ b/brackenusher/fronts/rpc/lines.py
@@ -13,8 +13,8 @@
 from barleybarrow.interface import Outcome
 from brackenusher.core.transaction import Attempt, Served
 from brackenusher.fronts.rpc.host import TransactionRunner
-from brackenusher.runtime.log import fault
-from brackenusher.runtime.timers import Entry
+from brackenusher.runtime.log import log_exception
+from brackenusher.runtime.timers import Timer
 from brackenusher.upstream.pool import Member, Pool
 
 log = logging.getLogger("brackenusher.rpc")
@@ -29,7 +29,7 @@
 
     connection: "ServerConnection"
     task: "asyncio.Task[None] | None" = None
-    expiry: Entry | None = None
+    expiry: Timer | None = None
     written: bool = False  # from here on it may have been executed
     finished: bool = False
 
@@ -66,7 +66,7 @@
 
 
 class ConnectionManager:
-    """Executes the policy's actions: the carrier of `Transactions`."""
+    """Executes the policy's actions: the attempt transport of `Transactions`."""
 
     def __init__(
         self,
@@ -85,7 +85,7 @@
         # called when the policy requests the list of servers
         self.on_list_requested: Callable[[], None] = lambda: None
 
-    # carrier interface
+    # attempt transport interface
 
     def start(self, attempt: Attempt) -> None:
         """Start an attempt; one that cannot finish before its deadline is not sent."""
@@ -179,7 +179,7 @@
         except TimeoutError:
             connected = False
         except Exception:
-            fault(log, "connect_failed", "unexpected error while connecting")
+            log_exception(log, "connect_failed", "unexpected error while connecting")
             connected = False
         if connected:
             duration_ms = self.runner.clock() - started_at
@@ -212,7 +212,7 @@
             if not flight.finished:  # not cancelled here: the library closed it
                 outcome = Outcome.RESET if flight.written else Outcome.CONNECT_FAILED
         except Exception:
-            fault(log, "attempt_failed", "unexpected error in an attempt")
+            log_exception(log, "attempt_failed", "unexpected error in an attempt")
             outcome = Outcome.RESET if flight.written else Outcome.NOT_SENT
         self.finish(attempt, flight, managed, outcome, served)
 
--- a/brackenusher/fronts/rpc/watch.py
+++ b/brackenusher/fronts/rpc/watch.py
@@ -7,7 +7,7 @@
 
 from brackenusher.membership.discovery import Discovery, DiscoveryError
 from brackenusher.runtime.driver import Address
-from brackenusher.runtime.log import fault, say
+from brackenusher.runtime.log import log_event, log_exception
 from brackenusher.upstream.listing import Listing
 
 log = logging.getLogger("brackenusher.rpc")
@@ -54,9 +54,9 @@
             except asyncio.CancelledError:
                 raise
             except Exception:
-                fault(log, "discovery_failed", "discovery: unexpected error")
+                log_exception(log, "discovery_failed", "discovery: unexpected error")
                 reason = "failed"
-            say(log, logging.WARNING, "discovery_lost", "discovery: %(why)s", why=reason)
+            log_event(log, logging.WARNING, "discovery_lost", "discovery: %(why)s", why=reason)
             self.on_lost()
             wait_ms = self.backoff_ms * (0.5 + self.rng.random())
             self.backoff_ms = min(2 * self.backoff_ms, MAX_BACKOFF_MS)
--- a/brackenusher/group/database.py
+++ b/brackenusher/group/database.py
@@ -17,8 +17,8 @@
 
 from msgspec import DecodeError, msgpack
 
-from brackenusher.runtime.log import say
-from brackenusher.runtime.points import disk
+from brackenusher.runtime.log import log_event
+from brackenusher.runtime.points import disk_failpoint
 
 log = logging.getLogger(__name__)
 
@@ -85,7 +85,7 @@
     @contextlib.contextmanager
     def durably(self) -> Iterator[None]:
         """All that is done within is on disk after it, or nothing. Raises OSError, sqlite3.Error."""
-        disk()
+        disk_failpoint()
         self.db.execute("BEGIN IMMEDIATE")
         try:
             yield
@@ -132,7 +132,7 @@
     except (OSError, sqlite3.Error) as error:
         raise ValueError(f"{what}.folder: {folder}: {error}") from error
     text = "%(what)s: %(file)s does not hold together (%(why)s): set aside as %(aside)s"
-    say(log, logging.ERROR, "store_damaged", text, what=what, file=file.path, why=why, aside=aside)
+    log_event(log, logging.ERROR, "store_damaged", text, what=what, file=file.path, why=why, aside=aside)
     return file, None
 
 
--- a/brackenusher/group/node.py
+++ b/brackenusher/group/node.py
@@ -28,10 +28,10 @@
 from brackenusher.group.ordered_output import OrderedOutput
 from brackenusher.group.store import Kept, Store
 from brackenusher.membership.frames import Wish
-from brackenusher.runtime.log import say
-from brackenusher.runtime.loop import READ, Coroutine, Loop, clock
-from brackenusher.runtime.points import reach
-from brackenusher.runtime.timers import Entry as Limit
+from brackenusher.runtime.log import log_event
+from brackenusher.runtime.loop import READ, Coroutine, EventLoop, clock
+from brackenusher.runtime.points import failpoint
+from brackenusher.runtime.timers import Timer as Limit
 from brackenusher.upstream.pool import Pool
 
 log = logging.getLogger(__name__)
@@ -48,7 +48,7 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         transactions: Transactions,
         pool: Pool,
         name: str,
@@ -159,10 +159,10 @@
             self.streams.nudge(name)
 
     def again(self) -> None:
-        self.loop.deadlines.remove(self.due)
+        self.loop.timers.remove(self.due)
         now = clock()
         when = min(max(self.governed.next_wakeup(), now + LEAST_WAIT), now + LONGEST_WAIT)
-        self.due = self.loop.deadlines.add(when, self.work)
+        self.due = self.loop.timers.add(when, self.work)
 
     # Store, send, apply
 
@@ -182,13 +182,13 @@
 
     def stored(self, ready: Ready) -> None:
         """It is on disk: send, apply, and go on."""
-        reach("before-send")
+        failpoint("before-send")
         for to, message in ready.messages:
             self.streams.send(to, msgpack.encode(message))
-        reach("after-send")
+        failpoint("after-send")
         made = self.governed.on_stored(clock(), ready)
         if ready.committed_entries:
-            reach("after-apply")
+            failpoint("after-apply")
         if made is not None and self.store is not None and self.worker is not None:
             store = self.store
             self.worker.put(lambda: store.compact(made), lambda why: None)
@@ -214,8 +214,8 @@
         def ready(why: str) -> None:
             self.preparing = False
             if why:
-                say(log, logging.ERROR, "store_failed", "policy: no store to vote by: %(why)s", why=why)
-                self.loop.deadlines.add(clock() + STORE_AGAIN, self.prepare)
+                log_event(log, logging.ERROR, "store_failed", "policy: no store to vote by: %(why)s", why=why)
+                self.loop.timers.add(clock() + STORE_AGAIN, self.prepare)
                 worker.close()
                 task.stop()
                 return
@@ -233,10 +233,10 @@
 
         def kept(why: str) -> None:
             if why:
-                self.loop.deadlines.add(clock() + STORE_AGAIN, self.keep_whole)
+                self.loop.timers.add(clock() + STORE_AGAIN, self.keep_whole)
             else:
                 self.governed.on_store_ready(clock())
-                say(log, logging.INFO, "store_made", "policy: keeps what it says on disk, and may vote")
+                log_event(log, logging.INFO, "store_made", "policy: keeps what it says on disk, and may vote")
 
         worker.put(lambda: store.keep(whole), kept)
 
@@ -276,7 +276,7 @@
             return
         if lives >= self.lives and lives > 0:
             text = "policy: %(peer)s knows this proxy's store to be later than it is: no vote until caught up"
-            say(log, logging.ERROR, "store_old", text, peer=name)
+            log_event(log, logging.ERROR, "store_old", text, peer=name)
             self.lives = lives + 1
             self.streams.lives = self.lives
             self.cleared, self.alone_at, self.old = {self.name}, inf, True
@@ -318,7 +318,7 @@
             self.why = why
             level = logging.WARNING if why else logging.INFO
             text = "policy: admits nothing: %(why)s" if why else "policy: admits"
-            say(log, level, "policy_gate", text, **({"why": why} if why else {}))
+            log_event(log, level, "policy_gate", text, **({"why": why} if why else {}))
         book = governed.rollout_state
         v = book.versions.get(book.pending)
         phase = (book.force, book.pending, v.phase if v is not None else "")
@@ -326,12 +326,12 @@
             self.phase = phase
             text = "policy: at %(at).1f version %(force)d is in force; on its way: %(pending)d %(phase)s"
             facts = {"at": clock(), "force": book.force, "pending": book.pending, "phase": phase[2] or "none"}
-            say(log, logging.INFO, "policy_version", text, **facts)
+            log_event(log, logging.INFO, "policy_version", text, **facts)
         role = governed.raft.role.value
         if role != self.role:
             self.role = role
             text, term = "policy: is %(role)s in term %(term)d", governed.raft.term
-            say(log, logging.INFO, "policy_role", text, role=role, term=term)
+            log_event(log, logging.INFO, "policy_role", text, role=role, term=term)
 
     def ready(self) -> bool:
         return not self.governed.admission_refusal(clock())
--- a/brackenusher/group/ordered_output.py
+++ b/brackenusher/group/ordered_output.py
@@ -9,8 +9,8 @@
 from typing import Generic, TypeVar
 
 from brackenusher.group.database import Worker
-from brackenusher.runtime.log import say
-from brackenusher.runtime.loop import Loop, clock
+from brackenusher.runtime.log import log_event
+from brackenusher.runtime.loop import EventLoop, clock
 
 log = logging.getLogger(__name__)
 
@@ -27,7 +27,7 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         worker: Worker | None,
         needs: Callable[[R], bool],
         keep: Callable[[R], None],
@@ -60,14 +60,14 @@
             if self.outside:
                 self.outside = False
                 text = "%(what)s: the disk takes what is stored again"
-                say(log, logging.INFO, "store_back", text, what=self.what)
+                log_event(log, logging.INFO, "store_back", text, what=self.what)
             self.stored()
             return
         if not self.outside:
             self.outside = True
             text = "%(what)s: the disk fails (%(why)s): no promise through this proxy; it goes on serving"
-            say(log, logging.ERROR, "store_failed", text, what=self.what, why=why)
-        self.loop.deadlines.add(clock() + STORE_AGAIN, self.go_on)
+            log_event(log, logging.ERROR, "store_failed", text, what=self.what, why=why)
+        self.loop.timers.add(clock() + STORE_AGAIN, self.go_on)
 
     def stored(self) -> None:
         ready, self.busy = self.busy, None
--- a/brackenusher/group/recovery.py
+++ b/brackenusher/group/recovery.py
@@ -18,7 +18,7 @@
 
 from barleybarrow.recovery import Objection, StoreContents, missing_versions, objections, recovered_state
 from barleybarrow.replica import Ready
-from brackenusher.config.operators import Operator, PeersSettings, load_operator
+from brackenusher.config.operators import OperatorSettings, PeersSettings, load_operator_settings
 from brackenusher.config.platform import ConfigError
 from brackenusher.group.database import DatabaseDamagedError, F, K
 from brackenusher.group.policies import wish
@@ -83,20 +83,20 @@
     return StoreContents(name, kept.term, kept.snapshot, kept.entries, named)
 
 
-def folders_of(operator: Operator) -> dict[str, Path]:
+def folders_of(operator: OperatorSettings) -> dict[str, Path]:
     """Where a proxy keeps what it must not forget, by the file's name."""
     parts = ((operator.policy, Store), (operator.replica, ReplicaStore))
     return {kind.NAME: Path(part.folder) for part, kind in parts if part is not None and part.folder}
 
 
-def stores_of(operator: Operator) -> dict[str, Path]:
+def stores_of(operator: OperatorSettings) -> dict[str, Path]:
     """The files that are there."""
     found = {file: folder / file for file, folder in folders_of(operator).items()}
     return {file: path for file, path in found.items() if path.exists()}
 
 
-def loaded(name: str) -> tuple[Operator, PeersSettings]:
-    operator = load_operator(name)
+def loaded(name: str) -> tuple[OperatorSettings, PeersSettings]:
+    operator = load_operator_settings(name)
     if operator.peers is None:
         raise ConfigError(f"{name}: peers.enabled: a group needs peers")
     return operator, operator.peers
@@ -119,11 +119,11 @@
 # Who answers
 
 
-def heard(operator: Operator, peers: PeersSettings) -> dict[str, dict[str, Any]]:
+def heard(operator: OperatorSettings, peers: PeersSettings) -> dict[str, dict[str, Any]]:
     """What the seeds that answer say of themselves, by name: status, history, marks, where these are on."""
     found = {}
     for seed in peers.seeds:
-        if seed in (peers.listen, peers.known_as):
+        if seed in (peers.listen, peers.advertised_address):
             continue
         at = worded(seed)
         status, shown = asked(at, peers, "status"), asked(at, peers, "replica show")
--- a/brackenusher/group/replica_store.py
+++ b/brackenusher/group/replica_store.py
@@ -7,7 +7,7 @@
 from barleybarrow.replica import Ready, StoredReplica
 from barleybarrow.version_vectors import Entry
 from brackenusher.group.database import DatabaseDamagedError, File
-from brackenusher.runtime.points import reach
+from brackenusher.runtime.points import failpoint
 
 ENTRIES = msgpack.Decoder(list[Entry])
 
@@ -38,7 +38,7 @@
 
     def keep(self, ready: Ready) -> None:
         """Make durable what the machine wants kept, all of it or nothing. Raises OSError, sqlite3.Error."""
-        reach("before-keep")
+        failpoint("before-keep")
         with self.durably():
             gone = [(key,) for key, slot in ready.entries_by_key.items() if not slot]
             rows = [(key, msgpack.encode(slot)) for key, slot in ready.entries_by_key.items() if slot]
@@ -50,4 +50,4 @@
             if ready.metadata is not None:
                 self.fact("kept", msgpack.encode(ready.metadata))
                 self.fact("form", self.FORM)
-        reach("after-keep")
+        failpoint("after-keep")
--- a/brackenusher/group/replicator.py
+++ b/brackenusher/group/replicator.py
@@ -40,10 +40,10 @@
 from brackenusher.group.replica_store import ReplicaStore
 from brackenusher.membership.frames import Wish
 from brackenusher.membership.peers import Peers
-from brackenusher.runtime.log import say
-from brackenusher.runtime.loop import READ, Coroutine, Loop, clock
-from brackenusher.runtime.points import reach
-from brackenusher.runtime.timers import Entry as Limit
+from brackenusher.runtime.log import log_event
+from brackenusher.runtime.loop import READ, Coroutine, EventLoop, clock
+from brackenusher.runtime.points import failpoint
+from brackenusher.runtime.timers import Timer as Limit
 from brackenusher.upstream.listing import Host
 from brackenusher.upstream.pool import Pool
 
@@ -62,7 +62,7 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         transactions: Transactions,
         pool: Pool,
         name: str,
@@ -81,7 +81,7 @@
             kept = kept or StoredReplica()
             if settings.from_empty and kept.origin:
                 kept, aside = StoredReplica(), shelf.set_aside()
-                say(log, logging.WARNING, "store_left", "replica: left aside as %(aside)s", aside=aside)
+                log_event(log, logging.WARNING, "store_left", "replica: left aside as %(aside)s", aside=aside)
             self.worker = Worker()
         self.shelf: ReplicaStore | None = shelf
         rng = random.Random(random.SystemRandom().getrandbits(64))
@@ -165,14 +165,14 @@
             self.again()
 
     def again(self) -> None:
-        self.loop.deadlines.remove(self.due)
+        self.loop.timers.remove(self.due)
         now, when = clock(), self.machine.next_wakeup()
         if self.shares is not None:
             when = min(when, self.shares.next_wakeup())
         if self.fates is not None:
             when = min(when, self.fates.next_wakeup())
         when = min(max(when, now + LEAST_WAIT), now + LONGEST_WAIT)
-        self.due = self.loop.deadlines.add(when, self.work)
+        self.due = self.loop.timers.add(when, self.work)
 
     def give_in(self, now: float) -> None:
         """It could not catch up in time: serve with what there is, where that is wanted."""
@@ -180,7 +180,7 @@
             return
         self.open_anyhow = True
         text = "replica: not caught up after %(after_s)d s: serves by what its own copy holds"
-        say(log, logging.WARNING, "replica_behind", text, after_s=self.settings.within_s)
+        log_event(log, logging.WARNING, "replica_behind", text, after_s=self.settings.within_s)
 
     def lapse(self, now: float) -> None:
         """Clear marks whose span is over, as the first keeper that sees it."""
@@ -220,7 +220,7 @@
     def stored(self, ready: Ready) -> None:
         for to, message in ready.messages:
             self.streams.send(to, msgpack.encode(message), COPIES)
-        reach("after-tell")
+        failpoint("after-tell")
         for token, good in ready.write_results:
             self.outcomes[token] = "acknowledged" if good else "unknown"
             while len(self.outcomes) > MOST_OUTCOMES:
@@ -286,20 +286,20 @@
         before, self.told = self.told, now
         if now[0] != before[0]:
             text = "replica: %(stage)s, %(entries)d entries"
-            say(log, logging.INFO, "replica_stage", text, stage=now[0], entries=m.state.size)
+            log_event(log, logging.INFO, "replica_stage", text, stage=now[0], entries=m.state.size)
         if now[1] != before[1]:
             text, some = "replica: %(count)d in conflict: %(keys)s", " ".join(sorted(effect.conflicts)[:10])
-            say(log, logging.WARNING, "replica_conflicts", text, count=now[1], keys=some or "-")
+            log_event(log, logging.WARNING, "replica_conflicts", text, count=now[1], keys=some or "-")
         if now[2] and not before[2]:
             text = "replica: a copy that has heard the same as this one holds something else"
-            say(log, logging.ERROR, "replica_differs", text)
+            log_event(log, logging.ERROR, "replica_differs", text)
         if now[3] != before[3]:
             text = "replica: others know of more than its store holds: it counts as an empty one"
-            say(log, logging.ERROR, "replica_store_old", text)
+            log_event(log, logging.ERROR, "replica_store_old", text)
         aside, m.replaced_entries = m.replaced_entries, []
         for entry in aside:
             text = "replica: set aside, as a majority holds something else: %(key)s by %(origin)s"
-            say(log, logging.ERROR, "replica_set_aside", text, key=entry.key, origin=entry.origin)
+            log_event(log, logging.ERROR, "replica_set_aside", text, key=entry.key, origin=entry.origin)
 
     def figures(self) -> list[tuple[str, int, str, list[tuple[str, str]]]]:
         """Gauges for a collector."""
--- a/brackenusher/group/store.py
+++ b/brackenusher/group/store.py
@@ -8,7 +8,7 @@
 from barleybarrow.agreement_messages import Entry, Ready, Snapshot
 from barleybarrow.incarnations import Incarnation
 from brackenusher.group.database import DatabaseDamagedError, File, check
-from brackenusher.runtime.points import reach
+from brackenusher.runtime.points import failpoint
 
 
 @dataclass
@@ -58,7 +58,7 @@
 
     def keep(self, ready: Ready) -> None:
         """Make durable what the machine wants kept, all of it or nothing. Raises OSError, sqlite3.Error."""
-        reach("before-store")
+        failpoint("before-store")
         with self.durably():
             if ready.hard_state is not None:
                 self.fact("term", ready.hard_state[0])
@@ -73,7 +73,7 @@
                     for at, e in enumerate(ready.entries, ready.first_index)
                 ]
                 self.db.executemany("INSERT INTO log VALUES (?, ?, ?, ?, ?)", rows)
-        reach("after-store")
+        failpoint("after-store")
 
     def compact(self, snapshot: Snapshot) -> None:
         """Put a snapshot in the place of what came up to it. Raises OSError, sqlite3.Error."""
--- a/brackenusher/group/streams.py
+++ b/brackenusher/group/streams.py
@@ -19,10 +19,10 @@
 from brackenusher.config.operators import PeersSettings
 from brackenusher.membership.frames import MOST_FRAME, FrameError, Open, Opened, pack, unpack
 from brackenusher.membership.seal import SealError, seal, unseal
-from brackenusher.runtime.buffers import Buffers
+from brackenusher.runtime.buffers import BufferPool
 from brackenusher.runtime.driver import Address, write
-from brackenusher.runtime.log import say
-from brackenusher.runtime.loop import READ, WRITE, Coroutine, Loop, Task, clock
+from brackenusher.runtime.log import log_event
+from brackenusher.runtime.loop import READ, WRITE, Coroutine, EventLoop, Task, clock
 
 log = logging.getLogger(__name__)
 
@@ -88,8 +88,8 @@
 
     def __init__(
         self,
-        loop: Loop,
-        buffers: Buffers,
+        loop: EventLoop,
+        buffers: BufferPool,
         settings: PeersSettings,
         name: str,
         where: Callable[[str], Address | None],
@@ -167,7 +167,7 @@
 
     def carry(self, sock: socket.socket, out: Outgoing) -> Coroutine:
         settings, frames = self.settings, Frames()
-        limit = self.loop.deadlines.add(clock() + PATIENCE, lambda: self.late(out))
+        limit = self.loop.timers.add(clock() + PATIENCE, lambda: self.late(out))
         try:
             yield WRITE
             code = sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR)
@@ -185,7 +185,7 @@
             told = unpack(settings.keys, bodies[0])
             if not isinstance(told, Opened):
                 raise FrameError("not an answer to what was said")
-            self.loop.deadlines.remove(limit)
+            self.loop.timers.remove(limit)
             self.known(out.name, told.lives)
             count, rest = 0, b""
             key = settings.keys[settings.sign]
@@ -206,7 +206,7 @@
                     raise FrameError("closed")
         except (OSError, FrameError) as error:
             code = error.errno or 0 if isinstance(error, OSError) else 0
-            say(
+            log_event(
                 log,
                 logging.DEBUG,
                 "stream_ended",
@@ -216,7 +216,7 @@
             )
             self.failed(out, code)
         finally:
-            self.loop.deadlines.remove(limit)
+            self.loop.timers.remove(limit)
             out.task = None
 
     # Taken
@@ -271,7 +271,7 @@
                     if body.data:
                         self.hand(said.name, body.data)
         except (OSError, FrameError, SealError, DecodeError, ValidationError, BlockingIOError) as error:
-            say(
+            log_event(
                 log,
                 logging.DEBUG,
                 "stream_ended",
--- a/brackenusher/handover/new.py
+++ b/brackenusher/handover/new.py
@@ -12,8 +12,8 @@
 
 from brackenusher.handover.messages import LONGEST, MOST_PASSED, HandoverMessageError, Kind, read, word
 from brackenusher.handover.old import ours
-from brackenusher.runtime.log import say
-from brackenusher.runtime.loop import READ, Coroutine, Loop, clock
+from brackenusher.runtime.log import log_event
+from brackenusher.runtime.loop import READ, Coroutine, EventLoop, clock
 
 log = logging.getLogger(__name__)
 
@@ -58,7 +58,7 @@
                 return taken
     except (OSError, HandoverMessageError, ValueError, TypeError, KeyError) as error:
         taken.drop()
-        say(log, logging.WARNING, "no_handover", "no handover, an ordinary start: %(why)s", why=error)
+        log_event(log, logging.WARNING, "no_handover", "no handover, an ordinary start: %(why)s", why=error)
         return None
 
 
@@ -96,7 +96,7 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         link: socket.socket,
         held: Callable[[dict[str, Any]], None],
         client: Callable[[socket.socket], None],
@@ -104,14 +104,14 @@
     ) -> None:
         self.link, self.held, self.client, self.ended = link, held, client, ended
         self.clients = 0  # connections that were passed on
-        self.task = loop.spawn(self.run(), link, first=True)
+        self.task = loop.spawn(self.run(), link, priority=True)
 
     def serves(self) -> None:
         """Tell the old process that this one serves."""
         try:
             self.link.send(word(Kind.SERVES))
         except OSError as error:
-            say(log, logging.WARNING, "handover_broken", "handover: %(why)s", why=error)
+            log_event(log, logging.WARNING, "handover_broken", "handover: %(why)s", why=error)
 
     def run(self) -> Coroutine:
         try:
@@ -119,7 +119,7 @@
                 yield READ
                 data, fds, flags, _ = socket.recv_fds(self.link, LONGEST, MOST_PASSED)
                 if flags & socket.MSG_CTRUNC:
-                    say(log, logging.WARNING, "clients_lost", "handover: descriptors run short")
+                    log_event(log, logging.WARNING, "clients_lost", "handover: descriptors run short")
                 for fd in fds:
                     self.clients += 1
                     self.client(socket.socket(fileno=fd))
@@ -131,6 +131,6 @@
                 elif kind is not Kind.CLIENTS:
                     raise HandoverMessageError(f"{kind.value} is out of turn")
         except (OSError, HandoverMessageError) as error:
-            say(log, logging.WARNING, "handover_broken", "handover: %(why)s", why=error)
+            log_event(log, logging.WARNING, "handover_broken", "handover: %(why)s", why=error)
         finally:
             self.ended()
--- a/brackenusher/handover/old.py
+++ b/brackenusher/handover/old.py
@@ -11,8 +11,8 @@
 from pathlib import Path
 
 from brackenusher.handover.messages import LONGEST, MOST_PASSED, HandoverMessageError, Kind, read, word
-from brackenusher.runtime.log import say
-from brackenusher.runtime.loop import READ, WRITE, Coroutine, Loop
+from brackenusher.runtime.log import log_event
+from brackenusher.runtime.loop import READ, WRITE, Coroutine, EventLoop
 
 log = logging.getLogger(__name__)
 
@@ -40,7 +40,7 @@
     """Waits for a successor, and gives it what it needs."""
 
     def __init__(
-        self, loop: Loop, path: Path, give: Callable[[], tuple[list[str], list[int], Iterable[bytes]]]
+        self, loop: EventLoop, path: Path, give: Callable[[], tuple[list[str], list[int], Iterable[bytes]]]
     ):
         self.loop, self.path, self.give = loop, path, give
         self.link: socket.socket | None = None  # to the successor
@@ -66,9 +66,11 @@
             beside.rename(self.path)
         except OSError as error:
             sock.close()
-            say(log, logging.WARNING, "handover_off", "no handover to a new process: %(why)s", why=error)
+            log_event(
+                log, logging.WARNING, "handover_off", "no handover to a new process: %(why)s", why=error
+            )
             return
-        self.task = self.loop.spawn(self.accept(sock), sock, first=True)
+        self.task = self.loop.spawn(self.accept(sock), sock, priority=True)
 
     def accept(self, sock: socket.socket) -> Coroutine:
         while True:
@@ -82,7 +84,7 @@
                 link.close()  # one at a time, and nobody else's
                 continue
             self.link = link
-            self.loop.spawn(self.serve(link), link, first=True)
+            self.loop.spawn(self.serve(link), link, priority=True)
 
     def serve(self, link: socket.socket) -> Coroutine:
         try:
@@ -96,16 +98,16 @@
                     yield from self.welcome(link)
                 elif kind is Kind.SERVES and self.given:
                     self.serves = True
-                    say(log, logging.INFO, "successor_serves", "a new process serves beside this one")
+                    log_event(log, logging.INFO, "successor_serves", "a new process serves beside this one")
                     self.came()
                 else:
                     raise HandoverMessageError(f"{kind.value} is out of turn")
         except (OSError, HandoverMessageError) as error:
-            say(log, logging.WARNING, "handover_broken", "handover: %(why)s", why=error)
+            log_event(log, logging.WARNING, "handover_broken", "handover: %(why)s", why=error)
         finally:
             self.link, self.given, self.serves = None, False, False
             if self.loop.running:
-                say(log, logging.INFO, "successor_gone", "the new process is gone from the handover")
+                log_event(log, logging.INFO, "successor_gone", "the new process is gone from the handover")
                 self.went()
 
     def welcome(self, link: socket.socket) -> Generator[int, int, None]:
--- a/brackenusher/handover/replacement.py
+++ b/brackenusher/handover/replacement.py
@@ -18,9 +18,9 @@
 from brackenusher.membership.agent import Agent
 from brackenusher.membership.discovery import word_host
 from brackenusher.runtime.driver import Address
-from brackenusher.runtime.log import say
-from brackenusher.runtime.loop import Loop, clock
-from brackenusher.runtime.timers import Entry
+from brackenusher.runtime.log import log_event
+from brackenusher.runtime.loop import EventLoop, clock
+from brackenusher.runtime.timers import Timer
 from brackenusher.upstream.pool import Pool
 
 log = logging.getLogger(__name__)
@@ -37,7 +37,7 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         name: str,
         fronts: Sequence[tuple[Listener, Address]],
         room: ConnectionLimit,
@@ -51,7 +51,7 @@
         self.owner, self.for_clients, self.for_flows, self.own = owner, room.limit, for_flows, own
         self.part = self.for_clients, self.for_flows  # what the process before leaves of both
         self.stopping = False  # the word to stop has come
-        self.dividing: Entry | None = None  # when it is next looked how the descriptors are divided
+        self.dividing: Timer | None = None  # when it is next looked how the descriptors are divided
         self.told: dict[str, Any] = {}  # what the successor was last told of them
         self.new: New | None = None  # toward the process whose place it takes
         self.old: Old | None = None  # toward one that takes its place
@@ -59,7 +59,7 @@
         self.path = path_for(name, os.environ)
         if self.path is None:
             text = "no handover to a new process: no $TMPDIR of a usable length"
-            say(log, logging.INFO, "handover_off", text)
+            log_event(log, logging.INFO, "handover_off", text)
             return
         self.old = Old(loop, self.path, self.give)
         self.old.came, self.old.went = self.came, self.alone_again
@@ -78,7 +78,7 @@
         self.leave_to_old(taken.state)
         first = self.fronts[0][0]
         self.new = New(self.loop, taken.link, self.leave_to_old, first.adopt_connection, self.old_ended)
-        say(
+        log_event(
             log,
             logging.INFO,
             "handover",
@@ -111,7 +111,7 @@
         self.part = self.for_clients, self.for_flows
         self.keep_to_part()
         text = "the old process has ended; %(passed)d clients' connections came"
-        say(log, logging.INFO, "old_ended", text, passed=self.new.clients)
+        log_event(log, logging.INFO, "old_ended", text, passed=self.new.clients)
         self.new, self.awaited = None, False
 
     # toward the process that takes its place
@@ -165,8 +165,8 @@
         if held != self.told:
             self.told = held
             self.old.tell(Kind.HELD, held)
-        self.loop.deadlines.remove(self.dividing)
-        self.dividing = self.loop.deadlines.add(clock() + DIVIDE, self.divide)
+        self.loop.timers.remove(self.dividing)
+        self.dividing = self.loop.timers.add(clock() + DIVIDE, self.divide)
 
     def keep_to_part(self) -> None:
         """Hold no more than the process before leaves, and leave the one after its own."""
@@ -184,7 +184,7 @@
     def alone_again(self) -> None:
         """The new process has gone: serve on, in the end as well, as if it had never come."""
         assert self.old is not None
-        self.loop.deadlines.remove(self.dividing)
+        self.loop.timers.remove(self.dividing)
         self.keep_to_part()
         for front, _ in self.fronts:
             front.resume_accepting()
@@ -195,5 +195,5 @@
         """The process ends."""
         if self.old is not None:
             text = "%(passed)d connections passed on"
-            say(log, logging.INFO, "passed_on", text, passed=self.old.passed)
+            log_event(log, logging.INFO, "passed_on", text, passed=self.old.passed)
             self.old.close()
--- a/brackenusher/membership/agent.py
+++ b/brackenusher/membership/agent.py
@@ -9,11 +9,11 @@
 from barleybarrow import interface as face
 from brackenusher.core.transaction import Transactions
 from brackenusher.membership.discovery import Discovery, DiscoveryError
-from brackenusher.runtime.buffers import Buffers
-from brackenusher.runtime.driver import Address, open_socket, write
-from brackenusher.runtime.log import say
-from brackenusher.runtime.loop import READ, WRITE, Coroutine, Loop, Task, clock
-from brackenusher.runtime.timers import Entry
+from brackenusher.runtime.buffers import BufferPool
+from brackenusher.runtime.driver import Address, start_connect, write
+from brackenusher.runtime.log import log_event
+from brackenusher.runtime.loop import READ, WRITE, Coroutine, EventLoop, Task, clock
+from brackenusher.runtime.timers import Timer
 from brackenusher.upstream.listing import Listing
 from brackenusher.upstream.pool import Pool
 
@@ -32,11 +32,11 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         address: Address,
         pool: Pool,
         owner: Transactions,
-        buffers: Buffers,
+        buffers: BufferPool,
         rng: random.Random,
     ) -> None:
         self.loop, self.address, self.pool, self.owner, self.buffers = loop, address, pool, owner, buffers
@@ -47,9 +47,9 @@
         self.asked_word = max(SLOW_WORD, ASKED_WORD * settings.ask_within)
         self.failures = 0  # calls in a row
         self.spoke = False  # a byte has come on the present connection
-        self.limit: Entry | None = None
+        self.limit: Timer | None = None
         self.late = False  # the limit is reached, and it is looked once more
-        self.retry: Entry | None = None
+        self.retry: Timer | None = None
         self.machine: Discovery | None = None  # that of the connection which counts
         self.task: Task  # and its coroutine
 
@@ -65,9 +65,9 @@
         """Open a connection, unless one is open."""
         if self.machine is not None and not self.task.ended:
             return
-        self.loop.deadlines.remove(self.retry)
+        self.loop.timers.remove(self.retry)
         try:
-            sock, _ = open_socket(self.address)
+            sock, _ = start_connect(self.address)
         except OSError as error:
             self.again(str(error))
             return
@@ -77,8 +77,8 @@
 
     def wait(self, span: float) -> None:
         """Give the agent so many milliseconds for its next word."""
-        self.loop.deadlines.remove(self.limit)
-        self.late, self.limit = False, self.loop.deadlines.add(clock() + span, self.silent)
+        self.loop.timers.remove(self.limit)
+        self.late, self.limit = False, self.loop.timers.add(clock() + span, self.silent)
 
     def patience(self) -> float:
         """Milliseconds until the first word of a call.
@@ -110,7 +110,7 @@
         except (OSError, DiscoveryError) as error:
             why = str(error)
         finally:
-            self.loop.deadlines.remove(self.limit)
+            self.loop.timers.remove(self.limit)
             if self.loop.running and machine is self.machine:
                 if machine.watching and not self.must_ask:
                     self.seq = None  # the whole list is asked for, see `again`
@@ -147,10 +147,10 @@
         """
         self.failures += 1
         if self.must_ask or self.failures & (self.failures - 1) == 0:  # the first, second, fourth, ...
-            say(log, logging.WARNING, "discovery_lost", "discovery: %(why)s", why=why)
+            log_event(log, logging.WARNING, "discovery_lost", "discovery: %(why)s", why=why)
         if self.must_ask:
             self.owner.post(face.ListChanged(face.ListScope.LOST, []))
             return
         wait = BACK_OFF * (0.5 + self.rng.random())
-        self.loop.deadlines.remove(self.retry)
-        self.retry = self.loop.deadlines.add(clock() + wait, self.connect)
+        self.loop.timers.remove(self.retry)
+        self.retry = self.loop.timers.add(clock() + wait, self.connect)
--- a/brackenusher/membership/discovery.py
+++ b/brackenusher/membership/discovery.py
@@ -8,7 +8,7 @@
 import ujson
 
 from brackenusher.config.platform import ConfigError, read_address
-from brackenusher.runtime.log import say
+from brackenusher.runtime.log import log_event
 from brackenusher.upstream.listing import Host, Listing
 
 log = logging.getLogger(__name__)
@@ -63,7 +63,7 @@
         try:
             listing.hosts.append(read_host(entry))
         except (KeyError, TypeError, ValueError, ConfigError) as error:
-            say(
+            log_event(
                 log, logging.WARNING, "entry_left_out", "discovery: an entry was left out: %(why)r", why=error
             )
     return listing
--- a/brackenusher/membership/peers.py
+++ b/brackenusher/membership/peers.py
@@ -39,12 +39,12 @@
 from brackenusher.membership.swim import Swim
 from brackenusher.membership.swim_members import LONGEST
 from brackenusher.membership.swim_messages import LONGEST_NAME, STATES
-from brackenusher.runtime.buffers import Buffers
+from brackenusher.runtime.buffers import BufferPool
 from brackenusher.runtime.driver import Address, write
-from brackenusher.runtime.log import say
-from brackenusher.runtime.loop import READ, WRITE, Coroutine, Loop, Task, clock
-from brackenusher.runtime.outlet import Outlet
-from brackenusher.runtime.timers import Entry
+from brackenusher.runtime.log import log_event
+from brackenusher.runtime.loop import READ, WRITE, Coroutine, EventLoop, Task, clock
+from brackenusher.runtime.outlet import LineWriter
+from brackenusher.runtime.timers import Timer
 from brackenusher.upstream.pool import Pool
 
 log = logging.getLogger(__name__)
@@ -78,9 +78,9 @@
 
     def __init__(
         self,
-        loop: Loop,
-        buffers: Buffers,
-        outlet: Outlet,
+        loop: EventLoop,
+        buffers: BufferPool,
+        outlet: LineWriter,
         transactions: Transactions,
         pool: Pool,
         name: str,
@@ -99,11 +99,11 @@
         self.on_event = self.keeper.on_event
         self.swim: Swim | None = None
         if peers is not None:
-            ask = (name, peers.known_as, self.epoch, peers.keys, peers.sign, peers.seeds)
+            ask = (name, peers.advertised_address, self.epoch, peers.keys, peers.sign, peers.seeds)
             self.swim = Swim(*ask, float(peers.period_ms), self.rng, clock())
-        self.channel = outlet.channel(self.write_snapshot, ROOM, ROOM) if saved else None
-        self.anew: Entry | None = None
-        self.due: Entry | None = None
+        self.channel = outlet.open_channel(self.write_snapshot, ROOM, ROOM) if saved else None
+        self.anew: Timer | None = None
+        self.due: Timer | None = None
         self.askers = self.turned_away = self.unsent = self.snapshots = 0
         self.conflicts = self.slept = 0
         self.held: frozenset[str] = frozenset()
@@ -111,7 +111,7 @@
         self.asking: dict[Address, Task] = {}
         self.then: Callable[[], None] | None = None
         self.datagrams: socket.socket | None = None
-        self.limits: dict[socket.socket, Entry] = {}
+        self.limits: dict[socket.socket, Timer] = {}
         self.group: Group | None = None  # what the proxies agree on, where that is on
 
     # The start
@@ -129,7 +129,7 @@
             asked = self.rng.sample(settings.seeds, min(settings.ask, len(settings.seeds)))
             if settings.warm_ms:
                 for address in asked:
-                    if address not in (settings.listen, settings.known_as):
+                    if address not in (settings.listen, settings.advertised_address):
                         self.ask(address, settings)
             self.later(settings.warm_ms, self.late)
             self.work()
@@ -149,12 +149,12 @@
         then, self.then = self.then, None
         if then is not None:
             text = "knowledge: %(pieces)d pieces held at the start"
-            say(log, logging.INFO, "knowledge_ready", text, pieces=self.keeper.book.size)
+            log_event(log, logging.INFO, "knowledge_ready", text, pieces=self.keeper.book.size)
             self.advise()
             then()
 
-    def later(self, span: float, action: Callable[[], None]) -> Entry:
-        return self.loop.deadlines.add(clock() + span, action)
+    def later(self, span: float, action: Callable[[], None]) -> Timer:
+        return self.loop.timers.add(clock() + span, action)
 
     # Times
 
@@ -166,10 +166,10 @@
     def advise(self) -> None:
         """Have the module told what others say, a part at a time; after a pause once one is heard."""
         if self.swim is not None and self.swim.dazed:
-            self.loop.deadlines.remove(self.anew)
+            self.loop.timers.remove(self.anew)
             self.anew = self.later(DAZED, self.advise)
             return
-        self.loop.deadlines.remove(self.anew)
+        self.loop.timers.remove(self.anew)
         self.anew = self.later(NEXT_PART, self.advise) if self.keeper.advise(clock()) else None
 
     def look(self) -> None:
@@ -198,8 +198,8 @@
     def again(self) -> None:
         """Be called when membership next has something to do."""
         assert self.swim is not None
-        self.loop.deadlines.remove(self.due)
-        self.due = self.loop.deadlines.add(max(self.swim.next(), clock() + LEAST_WAIT), self.work)
+        self.loop.timers.remove(self.due)
+        self.due = self.loop.timers.add(max(self.swim.next(), clock() + LEAST_WAIT), self.work)
 
     # Datagrams
 
@@ -247,11 +247,13 @@
         changes, swim.changes = swim.changes, []
         for name, state in changes:
             text, members = "peers: %(peer)s is %(state)s, %(members)d members", len(swim.alive()) + 1
-            say(log, logging.INFO, "peer_changed", text, peer=name, state=STATES[state], members=members)
+            log_event(
+                log, logging.INFO, "peer_changed", text, peer=name, state=STATES[state], members=members
+            )
         self.watch(now)
         if swim.counts["name"] and not self.conflicts:
             text = "peers: a name is used by two, or a peer has moved: its datagrams are left aside"
-            say(log, logging.WARNING, "peer_name_taken", text)
+            log_event(log, logging.WARNING, "peer_name_taken", text)
         self.conflicts = swim.counts["name"]
 
     def watch(self, now: float) -> None:
@@ -265,7 +267,7 @@
         for life, view in views:
             if view is None:
                 text = "peers: taken out of the group: life %(life)d is over, and it joins anew"
-                say(log, logging.WARNING, "view_lost", text, life=life)
+                log_event(log, logging.WARNING, "view_lost", text, life=life)
                 continue
             names = frozenset(view.by_name)
             came, left = sorted(names - self.held), sorted(self.held - names)
@@ -274,11 +276,11 @@
                 "peers: view %(number)d of group %(group)s, %(members)d members; came %(came)s; left %(gone)s"
             )
             some = {"came": " ".join(came[:20]) or "-", "gone": " ".join(left[:20]) or "-"}
-            say(log, logging.INFO, "view_changed", text, **facts, **some)
+            log_event(log, logging.INFO, "view_changed", text, **facts, **some)
             lives = " ".join(f"{m.name}@{m.epoch}" for m in view.members)
             text = "peers: at %(at).3f life %(life)d holds view %(number)d of %(group)s: %(lives)s"
             whole = {"at": now, "life": life, "lives": lives, "number": view.number, "group": view.group}
-            say(log, logging.DEBUG, "view_held", text, **whole)
+            log_event(log, logging.DEBUG, "view_held", text, **whole)
             self.held = names
         if agreement.disconnected != self.cut:
             self.cut = agreement.disconnected
@@ -286,13 +288,13 @@
                 heard = sum(now - link.heard_at < swim.period * 5 for link in agreement.links.values())
                 text = "peers: cut off: no majority of the %(members)d answers; %(heard)d are heard"
                 size = len(agreement.view.members) if agreement.view else 0
-                say(log, logging.WARNING, "cut_off", text, members=size, heard=heard)
+                log_event(log, logging.WARNING, "cut_off", text, members=size, heard=heard)
             else:
-                say(log, logging.INFO, "in_touch", "peers: in touch with a majority")
+                log_event(log, logging.INFO, "in_touch", "peers: in touch with a majority")
         if swim.counts["slept"] != self.slept:
             self.slept = swim.counts["slept"]
             text = "peers: stood still for over a period: what it knew counts once the group is heard again"
-            say(log, logging.WARNING, "stood_still", text)
+            log_event(log, logging.WARNING, "stood_still", text)
 
     def where(self, name: str) -> Address | None:
         """The address of a peer, be it in touch or not."""
@@ -386,7 +388,7 @@
             elif isinstance(asked, Wish) and self.group is not None:
                 answer = self.group.wish(asked)
             elif isinstance(asked, Open) and self.group is not None:
-                self.loop.deadlines.remove(self.limits.pop(sock, None))
+                self.loop.timers.remove(self.limits.pop(sock, None))
                 self.askers -= 1
                 streaming = True
                 yield from self.group.streams.serve(sock, asked)
@@ -397,9 +399,9 @@
                     if rest:
                         yield WRITE
         except (OSError, FrameError) as error:
-            say(log, logging.DEBUG, "knowledge_not_told", "peers: a question: %(why)s", why=str(error))
+            log_event(log, logging.DEBUG, "knowledge_not_told", "peers: a question: %(why)s", why=str(error))
         finally:
-            self.loop.deadlines.remove(self.limits.pop(sock, None))
+            self.loop.timers.remove(self.limits.pop(sock, None))
             self.askers -= not streaming
 
     def read(self, sock: socket.socket, reader: Reader) -> bytes | None:
@@ -459,7 +461,7 @@
 
     def told(self, address: Address, why: str) -> None:
         text = "knowledge: %(address)s was asked: %(what)s"
-        say(log, logging.INFO, "knowledge_asked", text, address="{}:{}".format(*address), what=why)
+        log_event(log, logging.INFO, "knowledge_asked", text, address="{}:{}".format(*address), what=why)
 
     # Snapshots
 
@@ -478,7 +480,7 @@
             except OSError as stuck:
                 what = f"left where it is: {stuck}"
             text = "snapshot: %(file)s is %(what)s: %(why)s"
-            say(log, logging.WARNING, "snapshot_unusable", text, file=path, what=what, why=str(error))
+            log_event(log, logging.WARNING, "snapshot_unusable", text, file=path, what=what, why=str(error))
             return
         age = max(0.0, now - held.saved)
         if held.epoch >= self.epoch:  # the clock went back: what comes must count as later all the same
@@ -488,7 +490,7 @@
         news = self.keeper.take(clock() - age, held.records)
         facts = {"file": path, "age_s": age / 1000.0, "news": len(news), "pieces": len(held.records)}
         text = "snapshot: %(file)s is %(age_s).1f s old, %(news)d pieces of %(pieces)d count"
-        say(log, logging.INFO, "snapshot_loaded", text, **facts)
+        log_event(log, logging.INFO, "snapshot_loaded", text, **facts)
 
     def save(self, again: bool = True) -> None:
         """Hand a snapshot to the thread that writes; dropped where that is still busy with others."""
@@ -528,7 +530,7 @@
             self.send(self.swim.leave())
             dropped = ", ".join(f"{why} {count}" for why, count in sorted(self.swim.counts.items()))
             text = "peers: left; dropped: %(dropped)s"
-            say(log, logging.INFO, "peers_left", text, dropped=dropped or "nothing")
+            log_event(log, logging.INFO, "peers_left", text, dropped=dropped or "nothing")
         keeper, book = self.keeper, self.keeper.book
         text = (
             "knowledge: %(pieces)d pieces held, %(words)d words told to the module; %(absurd)d absurd, "
@@ -536,4 +538,4 @@
         )
         unsaved = self.channel.dropped if self.channel is not None else 0
         facts = {"pieces": book.size, "words": keeper.told, "absurd": book.absurd + keeper.rejected}
-        say(log, logging.INFO, "knowledge_end", text, **facts, dropped=book.dropped, unsaved=unsaved)
+        log_event(log, logging.INFO, "knowledge_end", text, **facts, dropped=book.dropped, unsaved=unsaved)
--- a/brackenusher/records/capture.py
+++ b/brackenusher/records/capture.py
@@ -23,7 +23,7 @@
 from brackenusher.core.admission import Request
 from brackenusher.core.message import Message
 from brackenusher.core.transaction import Answer, Failed, Refused, Served, Transaction
-from brackenusher.runtime.outlet import Outlet, write_all, write_stderr
+from brackenusher.runtime.outlet import LineWriter, write_all, write_stderr
 
 QUEUE_BYTES = 256 * 1024  # waiting to be written
 MAX_OPEN_REQUESTS = 1000  # requests whose line is not written yet
@@ -186,7 +186,7 @@
     def __init__(
         self,
         settings: CaptureSettings,
-        writer: Outlet,
+        writer: LineWriter,
         transactions: Mapping[int, Transaction],
         config: PlatformConfig,
         started_at: float,
@@ -196,10 +196,14 @@
             [quote(c.name, safe="") for c in config.settings.classes],
         )
         self.ring = FileRing(settings) if settings.folder else None
-        self.channel = writer.channel(self.ring.write if self.ring else write_stderr, QUEUE_BYTES)
+        self.channel = writer.open_channel(self.ring.write if self.ring else write_stderr, QUEUE_BYTES)
         self.file_bytes = settings.file_kb * 1024 if self.ring else 0
         self.static_header = {"capture": FORMAT_VERSION, "version": __version__, "module": source_digest()}
-        self.run_header = {"seed": f"{config.seed:x}", "began": repr(started_at), "settings": config.worded}
+        self.run_header = {
+            "seed": f"{config.seed:x}",
+            "began": repr(started_at),
+            "settings": config.raw_settings,
+        }
         self.open_records: dict[int, RequestRecord] = {}
         self.escaped_hosts: dict[str, str] = {}  # escaped names, by name
         self.server_lines: dict[str, str] = {}  # the current server list: each host's line without its number
--- a/brackenusher/records/figures.py
+++ b/brackenusher/records/figures.py
@@ -15,7 +15,7 @@
 from brackenusher.core.admission import Request
 from brackenusher.core.transaction import Answer, Refused, Served, Transaction
 from brackenusher.runtime.driver import Address, open_udp_socket
-from brackenusher.runtime.outlet import Channel, Outlet, write_all, write_stderr
+from brackenusher.runtime.outlet import Channel, LineWriter, write_all, write_stderr
 from brackenusher.runtime.timers import Timers
 
 QUEUE_BYTES = 96 * 1024  # waiting to be written
@@ -113,7 +113,7 @@
     def __init__(
         self,
         settings: FiguresSettings,
-        writer: Outlet,
+        writer: LineWriter,
         timers: Timers,
         clock: Callable[[], float],
         transactions: Mapping[int, Transaction],
@@ -127,7 +127,7 @@
         else:
             write = write_stderr if settings.target is None else FileSink(settings.target).write
             # chunks are not merged: a batch is the unit of drops
-            self.sink = writer.channel(write, QUEUE_BYTES, chunk_bytes=0)
+            self.sink = writer.open_channel(write, QUEUE_BYTES, chunk_bytes=0)
         self.requests: Counter[TagKey] = Counter()
         self.refused: Counter[TagKey] = Counter()
         self.formatted_tags: dict[TagKey, str] = {}
--- a/brackenusher/records/replay.py
+++ b/brackenusher/records/replay.py
@@ -21,7 +21,7 @@
 from barleybarrow.brain import Balancer
 from barleybarrow.rate_limiter import RateLimiter, RateLimiterSettings
 from barleybarrow.settings import read_settings
-from brackenusher.config.operators import Operator
+from brackenusher.config.operators import OperatorSettings
 from brackenusher.config.platform import ConfigError
 from brackenusher.records.capture import FORMAT_VERSION, HEADER_PREFIX, STATE_NAMES, source_digest
 
@@ -365,7 +365,7 @@
     return int(line.fields("event" if "event" in line.pairs else "at")[0])
 
 
-def replay_capture(path: str, operator: Operator, out: TextIO) -> int:
+def replay_capture(path: str, operator: OperatorSettings, out: TextIO) -> int:
     """Replay a file and print the differences; the exit code is 1 if there are any."""
     try:
         with sys.stdin if path == "-" else open(path, encoding="utf-8", errors="replace") as file:
@@ -379,7 +379,7 @@
         raise ConfigError(f"{path}: not a capture that can be replayed: {error}") from error
 
 
-def replay_run(run: CapturedRun, operator: Operator, out: TextIO) -> int:
+def replay_run(run: CapturedRun, operator: OperatorSettings, out: TextIO) -> int:
     replay = Replay(run, operator.door)
     replay.run_all()
     differences = list(replay.differences())
@@ -396,7 +396,7 @@
     return 1 if differences else 0
 
 
-def remarks(replay: Replay, operator: Operator) -> Iterable[str]:
+def remarks(replay: Replay, operator: OperatorSettings) -> Iterable[str]:
     """Remarks on how complete and comparable the replay is."""
     run = replay.run
     for first, last in sorted(set(replay.missing_ranges)):
--- a/brackenusher/records/tally.py
+++ b/brackenusher/records/tally.py
@@ -16,7 +16,7 @@
 HOST_COUNT_TTL_MS = 250.0  # how long a count of servers is cached
 
 
-class Tally:
+class RequestCounts:
     """Counts since the start of the process.
 
     `count_hosts` returns the number of servers listed and of those that get no new requests, `count_accepted`
--- a/brackenusher/runtime/buffers.py
+++ b/brackenusher/runtime/buffers.py
@@ -7,7 +7,7 @@
 MAX_FREE_BUFFERS = 32  # each buffer is released before the next is acquired, so more are never in use
 
 
-class Buffers:
+class BufferPool:
     """A free list of receive buffers."""
 
     def __init__(self, size: int = BUFFER_BYTES) -> None:
--- a/brackenusher/runtime/driver.py
+++ b/brackenusher/runtime/driver.py
@@ -6,10 +6,10 @@
 from typing import TypeVar
 
 Address = tuple[str, int]  # IP address or host name, and port
-SHORTAGE = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
+RESOURCE_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
 
 
-def open_socket(address: Address) -> tuple[socket.socket, bool]:
+def start_connect(address: Address) -> tuple[socket.socket, bool]:
     """Start a non-blocking connect; also returns whether it is complete already."""
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM | socket.SOCK_NONBLOCK | socket.SOCK_CLOEXEC)
     try:
@@ -51,7 +51,7 @@
     return sock
 
 
-def abort(sock: socket.socket) -> None:
+def reset_on_close(sock: socket.socket) -> None:
     """Make close() send a reset, so that the peer cannot take a truncated message for a complete one."""
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
 
--- a/brackenusher/runtime/fleet_log.py
+++ b/brackenusher/runtime/fleet_log.py
@@ -29,7 +29,7 @@
 _PLAIN = re.compile(r"[!#-<>-\[\]-~]+")  # no space, quote, equals sign or backslash
 
 
-def set_up(role: str, level: str = "info") -> None:
+def configure_logging(role: str, level: str = "info") -> None:
     """Route all logging of this process to standard error through absl.logging. `level` is one of LEVELS."""
     from absl import flags  # imported here: tests and commands do not need it
     from absl import logging as absl_logging
--- a/brackenusher/runtime/log.py
+++ b/brackenusher/runtime/log.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 FORMATS = ("text", "logfmt", "json")
-TEXT = "%(asctime)s %(levelname)s %(name)s: %(message)s"
+TEXT_FORMAT = "%(asctime)s %(levelname)s %(name)s: %(message)s"
 MAX_FIELD_CHARACTERS = 1000  # bounds what clients and peers can add to the log
 UNNAMED_EVENT = "note"  # event of records logged by libraries, which have none
 
@@ -18,7 +18,7 @@
     """The log format is not available."""
 
 
-def say(log: logging.Logger, level: int, event: str, text: str, /, **fields: Any) -> None:
+def log_event(log: logging.Logger, level: int, event: str, text: str, /, **fields: Any) -> None:
     """Log an event. `text` is the message for people and refers to fields as `%(name)s`.
 
     The event is in snake case, and the same wherever it occurs.
@@ -27,7 +27,7 @@
         log.log(level, text, *((fields,) if fields else ()), extra={"event": event}, stacklevel=2)
 
 
-def fault(log: logging.Logger, event: str, text: str, /, **fields: Any) -> None:
+def log_exception(log: logging.Logger, event: str, text: str, /, **fields: Any) -> None:
     """Log the exception being handled, with its traceback."""
     if log.isEnabledFor(logging.ERROR):
         arguments = (fields,) if fields else ()
@@ -40,7 +40,7 @@
     return str(value)[:MAX_FIELD_CHARACTERS]
 
 
-def take_form(log_format: str) -> None:
+def set_format(log_format: str) -> None:
     """Write all records in this format from now on. Raises LogFormatError if structlog is missing."""
     if log_format == "text":
         return
--- a/brackenusher/runtime/loop.py
+++ b/brackenusher/runtime/loop.py
@@ -12,7 +12,7 @@
 from collections.abc import Generator
 from inspect import GEN_RUNNING, getgeneratorstate
 
-from brackenusher.runtime.log import fault
+from brackenusher.runtime.log import log_exception
 from brackenusher.runtime.timers import Timers
 
 log = logging.getLogger(__name__)
@@ -46,7 +46,9 @@
         "spawned_in",
     )
 
-    def __init__(self, loop: "Loop", coroutine: Coroutine, sock: socket.socket, epoll: select.epoll) -> None:
+    def __init__(
+        self, loop: "EventLoop", coroutine: Coroutine, sock: socket.socket, epoll: select.epoll
+    ) -> None:
         self.loop, self.coroutine, self.sock, self.fd = loop, coroutine, sock, sock.fileno()
         self.epoll = epoll  # where the socket is registered
         # Events polled in this iteration belong to an earlier socket with the same descriptor.
@@ -68,12 +70,12 @@
             self.loop.close_task(self)
 
 
-class Loop:
+class EventLoop:
     """Runs the tasks and the due timers, one iteration after the other."""
 
-    def __init__(self, deadlines: Timers) -> None:
+    def __init__(self, timers: Timers) -> None:
         self.epoll = select.epoll()
-        self.deadlines = deadlines
+        self.timers = timers
         self.tasks: dict[int, Task] = {}
         self.woken_tasks: deque[Task] = deque()
         self.running = True
@@ -81,13 +83,13 @@
         # polled first in each iteration; created for the first priority task
         self.priority_epoll: select.epoll | None = None
 
-    def spawn(self, coroutine: Coroutine, sock: socket.socket, first: bool = False) -> Task:
+    def spawn(self, coroutine: Coroutine, sock: socket.socket, priority: bool = False) -> Task:
         """Start a coroutine that owns a socket, and run it to its first yield.
 
         With `first`, its events are handled before all others of an iteration.
         """
         epoll = self.epoll
-        if first:
+        if priority:
             if self.priority_epoll is None:
                 self.priority_epoll = select.epoll()
                 self.epoll.register(self.priority_epoll.fileno(), READ)
@@ -110,7 +112,7 @@
         except StopIteration:
             self.close_task(task)
         except Exception:  # an error ends only the connection on which it occurred
-            fault(log, "coroutine_failed", "a coroutine failed")
+            log_exception(log, "coroutine_failed", "a coroutine failed")
             self.close_task(task)
         else:
             if task.stopped:
@@ -119,10 +121,10 @@
                 task.mask = mask
                 task.epoll.modify(task.fd, mask)
 
-    def turn(self) -> None:
+    def run_once(self) -> None:
         """Poll for events, resume their tasks, then run the due timers."""
         self.iterations += 1
-        due = self.deadlines.next()
+        due = self.timers.next_due()
         wait = MAX_WAIT_MS if due is None else min(max(due - clock(), 0.0), MAX_WAIT_MS)
         polled = self.epoll.poll(0 if self.woken_tasks else wait / 1000.0, MAX_EVENTS_PER_ITERATION)
         if self.priority_epoll is not None and polled:
@@ -132,7 +134,7 @@
             if task is not None and task.spawned_in != self.iterations:
                 self.resume(task, events)
         self.resume_woken()
-        self.deadlines.sweep(clock())
+        self.timers.run_due(clock())
         self.resume_woken()
 
     def resume_woken(self) -> None:
@@ -144,4 +146,4 @@
 
     def run(self) -> None:
         while self.running:
-            self.turn()
+            self.run_once()
--- a/brackenusher/runtime/metrics.py
+++ b/brackenusher/runtime/metrics.py
@@ -163,7 +163,7 @@
         """Register a histogram; the default buckets are in seconds."""
         return self._register("histogram", name, help_text, labels, lambda: Histogram(self._lock, bounds))
 
-    def readings(
+    def sampled(
         self, kind: str, name: str, help_text: str, label: str, read: Callable[[], Mapping[str, float]]
     ) -> None:
         """Register a "counter" or "gauge" with one label whose series are read at each scrape.
--- a/brackenusher/runtime/outlet.py
+++ b/brackenusher/runtime/outlet.py
@@ -12,7 +12,7 @@
 import threading
 from collections.abc import Callable
 
-from brackenusher.runtime.timers import Entry, Timers
+from brackenusher.runtime.timers import Timer, Timers
 
 ATOMIC_WRITE_BYTES = 4096  # PIPE_BUF: smaller writes are atomic, so no line is split or interleaved
 FLUSH_BYTES = 32 * 1024  # a batch of this size is passed to the writer without delay
@@ -40,7 +40,7 @@
     """A bounded queue of lines for one target."""
 
     def __init__(
-        self, writer: "Outlet", write: Write, capacity_bytes: int, chunk_bytes: int = ATOMIC_WRITE_BYTES
+        self, writer: "LineWriter", write: Write, capacity_bytes: int, chunk_bytes: int = ATOMIC_WRITE_BYTES
     ) -> None:
         self.writer, self.write, self.capacity_bytes, self.chunk_bytes = (
             writer,
@@ -50,7 +50,7 @@
         )
         self.chunks: list[bytearray] = []
         self.buffered_bytes, self.item_count = 0, 0
-        self.flush_timer: Entry | None = None
+        self.flush_timer: Timer | None = None
         # changed by the loop's thread: bytes passed to the writer, and items dropped as the queue was full
         self.submitted_bytes = self.refused_items = 0
         # changed by the writer's thread: bytes taken from the queue, and items that could not be written
@@ -92,7 +92,7 @@
             self.writer.queue.put((self, lambda _: then(), [], 0, 0))
 
 
-class Outlet:
+class LineWriter:
     """Writes to standard error and files from one daemon thread."""
 
     def __init__(self, timers: Timers, clock: Callable[[], float]) -> None:
@@ -101,7 +101,9 @@
         self.channels: list[Channel] = []
         self.closed = threading.Event()
 
-    def channel(self, write: Write, capacity_bytes: int, chunk_bytes: int = ATOMIC_WRITE_BYTES) -> Channel:
+    def open_channel(
+        self, write: Write, capacity_bytes: int, chunk_bytes: int = ATOMIC_WRITE_BYTES
+    ) -> Channel:
         """Open a channel; the first one starts the writer thread."""
         if not self.channels:
             threading.Thread(target=self.run, name="outlet", daemon=True).start()
@@ -131,7 +133,7 @@
         """Write the log through a channel if standard error has one: a direct write could block the loop."""
         if any(channel.write is write_stderr for channel in self.channels):
             root = logging.getLogger()
-            handler = LogHandler(self.channel(write_stderr, LOG_CAPACITY_BYTES))
+            handler = LogHandler(self.open_channel(write_stderr, LOG_CAPACITY_BYTES))
             for old in [old for old in root.handlers if isinstance(old, logging.StreamHandler)]:
                 handler.setFormatter(old.formatter)
                 root.removeHandler(old)
--- a/brackenusher/runtime/points.py
+++ b/brackenusher/runtime/points.py
@@ -18,13 +18,13 @@
         return []
 
 
-def reach(name: str) -> None:
+def failpoint(name: str) -> None:
     """Kill the process if the failpoint of this name is armed."""
     if SCRIPT_PATH and ["kill", name] in read_script():
         os.kill(os.getpid(), signal.SIGKILL)
 
 
-def disk() -> None:
+def disk_failpoint() -> None:
     """Called before each write to disk: delays it, or raises OSError if the disk is to be full."""
     if not SCRIPT_PATH:
         return
--- a/brackenusher/runtime/request_journal.py
+++ b/brackenusher/runtime/request_journal.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 
 MAX_REQUESTS = 1000  # the oldest are evicted; about 1 KB each
-MAX_EVENTS = 24  # per request; further ones are only counted
+MAX_EVENTS_PER_REQUEST = 24  # per request; further ones are only counted
 EXPLAIN_TOPIC_PREFIX = "explain:"
 
 Event = tuple[float, str, tuple[object, ...]]
@@ -21,7 +21,7 @@
         self._events: dict[str, list[Event]] = {}  # oldest request first
         self._omitted_events: dict[str, int] = {}
 
-    def note(self, request_id: str, event: str, *details: object) -> None:
+    def record(self, request_id: str, event: str, *details: object) -> None:
         """Record an event such as "arrived", "sent" or "refused", with its details."""
         events = self._events.get(request_id)
         if events is None:
@@ -30,7 +30,7 @@
                 oldest = next(iter(self._events))
                 del self._events[oldest]
                 self._omitted_events.pop(oldest, None)
-        if len(events) < MAX_EVENTS:
+        if len(events) < MAX_EVENTS_PER_REQUEST:
             events.append((self._clock(), event, details))
         else:
             self._omitted_events[request_id] = self._omitted_events.get(request_id, 0) + 1
@@ -54,7 +54,7 @@
             rows.append({"after_ms": None, "event": "further events", "details": str(omitted)})
         return rows
 
-    def tell(self, topic: str) -> object | None:
+    def status_document(self, topic: str) -> object | None:
         """The status document of the topic explain:REQUEST-ID; for a StatusResponder."""
         return (
             self.explain(topic.removeprefix(EXPLAIN_TOPIC_PREFIX))
--- a/brackenusher/upstream/connections.py
+++ b/brackenusher/upstream/connections.py
@@ -15,11 +15,11 @@
 from brackenusher.core.message import Message
 from brackenusher.core.pipe import PipeBudget, PipeEnd, no_op
 from brackenusher.core.transaction import Attempt, Served, Transactions
-from brackenusher.runtime.buffers import Buffers
-from brackenusher.runtime.driver import SHORTAGE, open_socket, write
-from brackenusher.runtime.log import say
-from brackenusher.runtime.loop import READ, WRITE, Coroutine, Loop, clock
-from brackenusher.runtime.timers import Entry
+from brackenusher.runtime.buffers import BufferPool
+from brackenusher.runtime.driver import RESOURCE_ERRNOS, start_connect, write
+from brackenusher.runtime.log import log_event
+from brackenusher.runtime.loop import READ, WRITE, Coroutine, EventLoop, clock
+from brackenusher.runtime.timers import Timer
 from brackenusher.upstream.flow import AttemptResult, UpstreamCodec
 from brackenusher.upstream.pool import Member, Pool
 
@@ -37,11 +37,11 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         pool: Pool,
         settings: face.Settings,
         max_connections: int,
-        buffers: Buffers,
+        buffers: BufferPool,
         budget: PipeBudget | None = None,
     ) -> None:
         self.loop, self.pool, self.settings, self.max_connections, self.buffers = (
@@ -81,9 +81,9 @@
         if planner.total >= planner.room and (ahead or not self.pool.evict_idle()):
             return Outcome.NOT_SENT
         try:
-            sock, done = open_socket(member.address)
+            sock, done = start_connect(member.address)
         except OSError as error:
-            if error.errno not in SHORTAGE:
+            if error.errno not in RESOURCE_ERRNOS:
                 planner.not_opened(member.line, now)
                 return Outcome.CONNECT_FAILED
             if not ahead:
@@ -91,7 +91,7 @@
             return Outcome.NOT_SENT
         if not self.sweep_scheduled:
             self.sweep_scheduled = True
-            self.loop.deadlines.add(now + planner.every, self.sweep)
+            self.loop.timers.add(now + planner.every, self.sweep)
         return ServerLink(self, member, sock, done, ahead)
 
     def sweep(self) -> None:
@@ -105,7 +105,7 @@
                 self.connect(member, ahead=True)
         self.sweep_scheduled = bool(self.planner.active)
         if self.sweep_scheduled:
-            self.loop.deadlines.add(clock() + self.planner.every, self.sweep)
+            self.loop.timers.add(clock() + self.planner.every, self.sweep)
 
     def figures(self) -> list[tuple[str, int, str, list[tuple[str, str]]]]:
         """Counter increments since the last call, and the numbers of open connections."""
@@ -168,7 +168,7 @@
             try:
                 report[REPORT_FIELDS[name]] = float(value)
             except ValueError:
-                say(
+                log_event(
                     log,
                     logging.WARNING,
                     "report_unreadable",
@@ -188,9 +188,9 @@
         self.planner = upstream.planner
         self.held: Held = self.planner.opening(member.line, self, clock(), ahead)
         self.attempt: Attempt | Probe | None = None
-        self.connect_timer: Entry | None = None
-        self.deadline_timer: Entry | None = None
-        self.stall_timer: Entry | None = None
+        self.connect_timer: Timer | None = None
+        self.deadline_timer: Timer | None = None
+        self.stall_timer: Timer | None = None
         self.written_at: float | None = None  # when the present request was written completely
         self.rechecked = False  # a last read was made after the deadline
         self.close_cause = Cause.FAULT
@@ -199,14 +199,14 @@
         self.result: AttemptResult | None = None
         if not connected:
             until = clock() + upstream.connect_timeout_ms
-            self.connect_timer = upstream.loop.deadlines.add(until, self.connect_timed_out)
+            self.connect_timer = upstream.loop.timers.add(until, self.connect_timed_out)
         self.task = upstream.loop.spawn(self.run(connected), sock)
 
     def assign(self, attempt: "Attempt | Probe") -> None:
         """Start an attempt on this connection."""
         self.attempt, self.written_at, self.rechecked, attempt.link = attempt, None, False, self
         if attempt.message.body_pipe is None:  # else its timeout starts with the last byte of its body
-            self.deadline_timer = self.upstream.loop.deadlines.add(attempt.deadline, self.deadline_reached)
+            self.deadline_timer = self.upstream.loop.timers.add(attempt.deadline, self.deadline_reached)
         self.task.wake()
 
     def run(self, connected: bool) -> Coroutine:
@@ -217,7 +217,7 @@
                 if self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
                     self.finish_attempt(Outcome.CONNECT_FAILED, cause=Cause.REFUSED)
                     return
-            self.upstream.loop.deadlines.remove(self.connect_timer)
+            self.upstream.loop.timers.remove(self.connect_timer)
             if not self.planner.up(self.held, clock()):
                 self.close_cause = Cause.LEFT
                 return
@@ -264,7 +264,7 @@
                 self.receive()
                 if self.stall_timer is None and self.codec.response_started and self.result is None:
                     attempt.response_started_at = clock()
-                    self.stall_timer = self.upstream.loop.deadlines.add(
+                    self.stall_timer = self.upstream.loop.timers.add(
                         attempt.response_started_at + STREAM_AFTER_MS, self.stream_or_wait
                     )
         except OSError:
@@ -302,7 +302,7 @@
                     message.partly_sent = True
                     unsent = memoryview(self.codec.encode_body(pipe.read()))
                 elif pipe.complete:  # its timeout has started
-                    self.deadline_timer = self.upstream.loop.deadlines.add(
+                    self.deadline_timer = self.upstream.loop.timers.add(
                         attempt.deadline, self.deadline_reached
                     )
                     unsent, pipe = memoryview(self.codec.encode_end()), None
@@ -367,7 +367,7 @@
 
     def schedule_stall_check(self, timeout_ms: float, on_stall: Callable[[], None]) -> None:
         check = partial(self.check_stall, timeout_ms, on_stall, self.progress_at)
-        self.stall_timer = self.upstream.loop.deadlines.add(self.progress_at + timeout_ms, check)
+        self.stall_timer = self.upstream.loop.timers.add(self.progress_at + timeout_ms, check)
 
     def check_stall(self, timeout_ms: float, on_stall: Callable[[], None], since: float) -> None:
         self.stall_timer = None
@@ -377,7 +377,7 @@
             on_stall()
 
     def stop_stall_timer(self) -> None:
-        self.upstream.loop.deadlines.remove(self.stall_timer)
+        self.upstream.loop.timers.remove(self.stall_timer)
         self.stall_timer = None
 
     def retry_on_another(self, cause: Cause) -> bool:
@@ -410,7 +410,7 @@
 
     def detach_attempt(self) -> "Attempt | Probe | None":
         """Detach the attempt from this connection, and cancel its timers."""
-        deadlines, attempt, self.attempt = self.upstream.loop.deadlines, self.attempt, None
+        deadlines, attempt, self.attempt = self.upstream.loop.timers, self.attempt, None
         deadlines.remove(self.deadline_timer)
         self.stop_stall_timer()
         if attempt is not None and attempt.message.body_pipe is not None:
@@ -457,7 +457,7 @@
         if self.written_at is not None and not self.rechecked:
             self.rechecked, self.deadline_timer = (
                 True,
-                self.upstream.loop.deadlines.add(clock(), self.deadline_reached),
+                self.upstream.loop.timers.add(clock(), self.deadline_reached),
             )
             self.task.wake()
             return
@@ -506,7 +506,7 @@
         self.task.stop()
 
     def clean_up(self) -> None:
-        self.upstream.loop.deadlines.remove(self.connect_timer)
+        self.upstream.loop.timers.remove(self.connect_timer)
         self.planner.closed(self.held, clock(), self.close_cause)
         if self.attempt is not None:  # left here only by an unexpected failure
             self.finish_attempt(Outcome.CONNECT_FAILED if self.written_at is None else Outcome.RESET)
--- a/testbed/proxy.py
+++ b/testbed/proxy.py
@@ -16,7 +16,7 @@
 from brackenusher.core.deadlines import Deadlines
 from brackenusher.core.message import Content, Message
 from brackenusher.core.transaction import Attempt, Observers, Served, Transactions
-from brackenusher.runtime.timers import Entry
+from brackenusher.runtime.timers import Timer
 from brackenusher.upstream.listing import Listing
 from brackenusher.upstream.pool import Member, Pool
 from testbed.model.jobs import Job
@@ -78,7 +78,7 @@
         self.load: Carry | None = None
         self.up, self.closed, self.fresh = False, False, True
         self.idle_from = 0
-        self.limit: Entry | None = None
+        self.limit: Timer | None = None
         self.held = proxy.pool.planner.opening(member.line, self, proxy.now)
 
     def close(self, cause: Cause) -> None:
@@ -130,7 +130,7 @@
         self.host, self.link = host, link  # host: the one that was meant; the link's is the one that listens
         self.written, self.wrote, self.over = False, 0.0, False
         self.crowd = self.reached = 0  # held there when it came, and when; where reports tell of latency
-        self.expiry: Entry | None = None
+        self.expiry: Timer | None = None
         self.job: Job | None = None
 
     def end(self, outcome: Outcome, served: Served | None = None) -> None:
@@ -188,7 +188,7 @@
 
 
 class Proxy:
-    """One life of one proxy, with its own clock. It is the daemon's carrier as well."""
+    """One life of one proxy, with its own clock. It is the attempt transport of its transactions as well."""
 
     def __init__(
         self, world: Around, number: int, life: int, settings: dict[str, Any], policy: str, listing: Listing
@@ -235,7 +235,7 @@
 
     def rest(self) -> None:
         """See to it that it is woken for its next deadline."""
-        due = self.deadlines.next()
+        due = self.deadlines.next_due()
         if due is None:
             return
         world = self.world
@@ -253,7 +253,7 @@
             return  # another wake-up has come before
         self.wake_at = None
         self.enter()
-        self.deadlines.sweep(self.now)
+        self.deadlines.run_due(self.now)
         self.rest()
 
     # Requests
@@ -284,7 +284,7 @@
         self.told.times.append(now)
         self.transactions.post(self.pool.apply(listing))
 
-    # The carrier
+    # The attempt transport
 
     def start(self, attempt: Attempt) -> None:
         """Send an attempt on an idle connection, or on a new one."""
--- a/tests/fleet/test_fleet_log.py
+++ b/tests/fleet/test_fleet_log.py
@@ -121,7 +121,8 @@
 
     def test_lines_go_to_standard_error(self) -> None:
         code = (
-            "import logging; from brackenusher.runtime.fleet_log import set_up; set_up('proxy', 'info');"
+            "import logging; from brackenusher.runtime.fleet_log import configure_logging; "
+            "configure_logging('proxy', 'info');"
             "log = logging.getLogger('brackenusher.a'); log.debug('no'); log.info('up: port=%d', 80);"
             "logging.getLogger('other').error('from elsewhere')"
         )
--- a/tests/fleet/test_fleet_status.py
+++ b/tests/fleet/test_fleet_status.py
@@ -12,7 +12,7 @@
 from brackenusher.cluster.links import Links
 from brackenusher.cluster.status_calls import MAX_ANSWER_BYTES, StatusCaller, StatusResponder
 from brackenusher.control_plane.fleet_status import EXPLAIN_TIMEOUT_S, FleetStatus
-from brackenusher.runtime.request_journal import MAX_EVENTS, RequestJournal
+from brackenusher.runtime.request_journal import MAX_EVENTS_PER_REQUEST, RequestJournal
 from tests.fleet.virtual_time import play
 
 Handler = Callable[[str, betterproto.Message], None]
@@ -142,19 +142,19 @@
 
     def journal(self, address: str) -> RequestJournal:
         journal = RequestJournal(lambda: 1.0)
-        StatusResponder(as_links(self.network.processes[address]), journal.tell)
+        StatusResponder(as_links(self.network.processes[address]), journal.status_document)
         return journal
 
     def test_explain_asks_all_proxies(self) -> None:
         self.journal("p:1")
-        self.journal("p:2").note("r-1", "sent", "i-1")
+        self.journal("p:2").record("r-1", "sent", "i-1")
         self.journal("p:3")
         expected = [{"proxy": "p:2", "events": [{"after_ms": 0.0, "event": "sent", "details": "i-1"}]}]
         self.assertEqual(self.tell("explain:r-1"), expected)
         self.assertIsNone(self.tell("explain:r-2"))
 
     def test_explain_waits_for_who_is_cut_off_but_not_for_long(self) -> None:
-        self.journal("p:1").note("r-1", "arrived")
+        self.journal("p:1").record("r-1", "arrived")
         self.network.cut = {"p:2", "p:3"}
 
         async def story() -> tuple[object, float]:
@@ -245,27 +245,27 @@
         self.journal = RequestJournal(lambda: self.now, max_requests=3)
 
     def test_events_in_their_order(self) -> None:
-        self.journal.note("r", "arrived", "route", "r-1")
+        self.journal.record("r", "arrived", "route", "r-1")
         self.now += 0.0125
-        self.journal.note("r", "sent", "i-1", 2)
+        self.journal.record("r", "sent", "i-1", 2)
         expected = [
             {"after_ms": 0.0, "event": "arrived", "details": "route r-1"},
             {"after_ms": 12.5, "event": "sent", "details": "i-1 2"},
         ]
         self.assertEqual(self.journal.explain("r"), expected)
-        self.assertEqual(self.journal.tell("explain:r"), expected)
-        self.journal.note("summary", "arrived")
-        self.assertIsNone(self.journal.tell("summary"))
+        self.assertEqual(self.journal.status_document("explain:r"), expected)
+        self.journal.record("summary", "arrived")
+        self.assertIsNone(self.journal.status_document("summary"))
 
     def test_the_oldest_requests_give_way(self) -> None:
         for number in range(5):
-            self.journal.note(f"r-{number}", "arrived")
+            self.journal.record(f"r-{number}", "arrived")
         known = [self.journal.explain(f"r-{number}") is not None for number in range(5)]
         self.assertEqual(known, [False, False, True, True, True])
 
     def test_events_of_one_request_are_bounded(self) -> None:
-        for _ in range(MAX_EVENTS + 5):
-            self.journal.note("r", "sent")
+        for _ in range(MAX_EVENTS_PER_REQUEST + 5):
+            self.journal.record("r", "sent")
         rows = self.journal.explain("r")
         assert rows is not None
-        self.assertEqual((len(rows), rows[-1]["details"]), (MAX_EVENTS + 1, "5"))
+        self.assertEqual((len(rows), rows[-1]["details"]), (MAX_EVENTS_PER_REQUEST + 1, "5"))
--- a/tests/fleet/test_metrics.py
+++ b/tests/fleet/test_metrics.py
@@ -80,7 +80,7 @@
 
     def test_readings_are_taken_when_asked_for(self) -> None:
         counts = {"sent": 1.0}
-        self.metrics.readings("counter", "decisions_total", "Decisions.", "decision", lambda: counts)
+        self.metrics.sampled("counter", "decisions_total", "Decisions.", "decision", lambda: counts)
         counts["refused"] = 2.5
         expected = [
             'brackenusher_decisions_total{decision="refused"} 2.5',
@@ -94,7 +94,7 @@
         self.assertEqual(len(self.lines()), MAX_SERIES + 1)
         self.assertEqual(self.lines()[-1], 'brackenusher_decisions_total{decision="other"} 3.5')
         with self.assertRaises(ValueError):
-            self.metrics.readings("counter", "decisions_total", "Decisions.", "decision", dict)
+            self.metrics.sampled("counter", "decisions_total", "Decisions.", "decision", dict)
         for make in (self.metrics.counter, self.metrics.gauge):
             with self.assertRaises(ValueError):
                 make("decisions_total", "Decisions.", "decision")
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -13,8 +13,8 @@
 from barleybarrow import interface as face
 from barleybarrow.brain import Balancer
 from barleybarrow.interface import Effect, Group, ListScope, Outcome, State
-from brackenusher.config.operators import Operator
-from brackenusher.config.platform import load, load_again
+from brackenusher.config.operators import OperatorSettings
+from brackenusher.config.platform import load, reload_config
 from brackenusher.daemon import Daemon
 from brackenusher.runtime.loop import clock
 from testbed.sockets.ports import free_port
@@ -293,7 +293,7 @@
             settings=SETTINGS | (settings or {}),
         )
         self.environ = {"GW_CONFIG": path}
-        self.daemon = Daemon(load(self.environ), partial(load_again, self.environ), Operator())
+        self.daemon = Daemon(load(self.environ), partial(reload_config, self.environ), OperatorSettings())
         self.loop = self.daemon.loop
 
     def __enter__(self):
@@ -313,8 +313,8 @@
 
         def turned():
             if not (value := condition()):
-                self.loop.deadlines.add(clock() + 20.0, lambda: None)
-                self.loop.turn()
+                self.loop.timers.add(clock() + 20.0, lambda: None)
+                self.loop.run_once()
             return value
 
         return until(turned, what)
--- a/tests/rpc_world.py
+++ b/tests/rpc_world.py
@@ -175,10 +175,10 @@
 
     def run(self):
         while self.heap:
-            due = self.deadlines.next()
+            due = self.deadlines.next_due()
             if due is not None and due / 1000.0 + TIMER_MARGIN_S <= self.heap[0][0]:
                 self.now = due / 1000.0 + TIMER_MARGIN_S
-                self.deadlines.sweep(self.clock_ms())
+                self.deadlines.run_due(self.clock_ms())
             else:
                 self.now, _, action = heapq.heappop(self.heap)
                 action()
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -17,8 +17,8 @@
 from brackenusher.group import streams
 from brackenusher.group.streams import Streams
 from brackenusher.membership.frames import Open
-from brackenusher.runtime.buffers import Buffers
-from brackenusher.runtime.loop import Loop
+from brackenusher.runtime.buffers import BufferPool
+from brackenusher.runtime.loop import EventLoop
 
 THREE = ["n0", "n1", "n2"]
 
@@ -124,7 +124,7 @@
     monkeypatch.setattr(streams, "MOST_WAITING", 10_000)
     monkeypatch.setattr(streams, "MOST_STREAMS", 0)
     peers = PeersSettings(keys={"k1": b"x" * 16}, sign="k1")
-    made = Streams(Loop(Deadlines()), Buffers(), peers, "n0", lambda name: None)
+    made = Streams(EventLoop(Deadlines()), BufferPool(), peers, "n0", lambda name: None)
     for _ in range(100):
         made.send("n1", b"x" * 1000)
     out = made.out["n1"]
--- a/tests/test_capture.py
+++ b/tests/test_capture.py
@@ -25,7 +25,7 @@
 from barleybarrow import interface as face
 from barleybarrow.interface import ListScope, Outcome, State
 from barleybarrow.settings import read_settings
-from brackenusher.config.operators import CaptureSettings, read_operator
+from brackenusher.config.operators import CaptureSettings, parse_operator_settings
 from brackenusher.config.platform import PlatformConfig
 from brackenusher.core.admission import Request
 from brackenusher.core.deadlines import Deadlines
@@ -33,7 +33,7 @@
 from brackenusher.core.transaction import Refused, Served, Transaction
 from brackenusher.records.capture import Capture, FileRing
 from brackenusher.records.replay import LINE_PATTERN
-from brackenusher.runtime.outlet import Outlet
+from brackenusher.runtime.outlet import LineWriter
 
 CONFIG = PlatformConfig("n0", ("", 0), ("", 0), 255, 256, {}, read_settings(SETTINGS), SETTINGS)
 ENABLED = "capture.enabled = true\n"
@@ -44,7 +44,7 @@
 
     def __init__(self, **settings):
         self.now, self.deadlines = 1000.0, Deadlines()
-        self.outlet = Outlet(self.deadlines, lambda: self.now)
+        self.outlet = LineWriter(self.deadlines, lambda: self.now)
         self.open = {}
         self.capture = Capture(CaptureSettings(**settings), self.outlet, self.open, CONFIG, 1000.0)
 
@@ -205,11 +205,16 @@
 
 
 def test_invalid_capture_settings_are_rejected():
-    capture = read_operator("f", ENABLED + "capture.dir = a\ncapture.files = 2\ncapture.file_kb = 16").capture
-    assert capture == CaptureSettings("a", 2, 16) and read_operator("f", ENABLED).capture == CaptureSettings()
+    capture = parse_operator_settings(
+        "f", ENABLED + "capture.dir = a\ncapture.files = 2\ncapture.file_kb = 16"
+    ).capture
+    assert (
+        capture == CaptureSettings("a", 2, 16)
+        and parse_operator_settings("f", ENABLED).capture == CaptureSettings()
+    )
     for bad in ("capture.files = 0", "capture.file_kb = 1", "capture.dir ="):
         with pytest.raises(ValueError, match=re.escape(bad.partition(" ")[0])):
-            read_operator("f", bad)
+            parse_operator_settings("f", bad)
 
 
 def test_unusable_folder_ends_the_start_with_exit_code_2(tmp_path):
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -31,8 +31,8 @@
 from barleybarrow.subsets import Subset
 from brackenusher.core.deadlines import Deadlines
 from brackenusher.membership.discovery import read_listing
-from brackenusher.runtime.buffers import Buffers
-from brackenusher.runtime.loop import Loop, clock
+from brackenusher.runtime.buffers import BufferPool
+from brackenusher.runtime.loop import EventLoop, clock
 from brackenusher.upstream import connections
 from brackenusher.upstream.flow import Message
 from brackenusher.upstream.pool import Pool
@@ -542,9 +542,9 @@
 
     def __init__(self, *servers, room=50):
         settings = read_settings(SETTINGS)
-        self.loop = Loop(Deadlines())
+        self.loop = EventLoop(Deadlines())
         self.pool = Pool(settings, clock, 0.0)
-        self.upstream = connections.Upstream(self.loop, self.pool, settings, room, Buffers())
+        self.upstream = connections.Upstream(self.loop, self.pool, settings, room, BufferPool())
         hosts = [host(f"s{n}", server) for n, server in enumerate(servers)]
         self.pool.apply(read_listing({"seq": 1, "whole": True, "hosts": hosts}))
 
@@ -560,7 +560,7 @@
         return ends[0]
 
     def turn_until(self, condition):
-        until(lambda: condition() or self.loop.turn(), "the event")
+        until(lambda: condition() or self.loop.run_once(), "the event")
 
 
 def test_unsent_request_moves_to_another_connection_without_a_failure(monkeypatch):
--- a/tests/test_crossings.py
+++ b/tests/test_crossings.py
@@ -33,7 +33,7 @@
 from brackenusher.membership import agent as agent_driver
 from brackenusher.membership.discovery import Discovery, DiscoveryError
 from brackenusher.runtime import loop as runtime
-from brackenusher.runtime.loop import READ, Loop
+from brackenusher.runtime.loop import READ, EventLoop
 from testbed.sockets.ports import free_port
 from testbed.standins import read_message
 
@@ -142,7 +142,7 @@
         poll.register(link.sock, select.POLLHUP)
         reset.set()
         until(lambda: poll.poll(0), "the reset")
-        link.upstream.loop.deadlines.remove(link.stall_timer)
+        link.upstream.loop.timers.remove(link.stall_timer)
         getattr(link, moment)()
         assert (link.codec.body_pipe is not None) == (moment == "stream_or_wait")
         assert stepped.hear(sock)[::2] == (200, b"board")
@@ -389,7 +389,7 @@
 
 def test_events_of_a_closed_socket_do_not_reach_a_new_one_with_its_descriptor():
     # a connect would seem complete, or a client gone, because of another socket's events
-    loop, got = Loop(Deadlines()), []
+    loop, got = EventLoop(Deadlines()), []
     ours, theirs = zip(*(socket.socketpair() for _ in range(3)), strict=True)
 
     def first():
@@ -411,10 +411,10 @@
     second_task = loop.spawn(second(), ours[1])
     theirs[0].send(b"x")
     theirs[1].send(b"x")
-    loop.turn()
+    loop.run_once()
     assert not got
     theirs[2].send(b"x")
-    loop.turn()
+    loop.run_once()
     assert got == [READ]
 
 
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -9,7 +9,7 @@
 from helpers import ROOT, Program, TurnServer, command, read_request, write_config
 
 from barleybarrow.rate_limiter import CLOSED_WAIT, Limit, RateLimiter, RateLimiterSettings
-from brackenusher.config.operators import Operator, load_operator, read_operator
+from brackenusher.config.operators import OperatorSettings, load_operator_settings, parse_operator_settings
 from brackenusher.config.platform import ConfigError
 from brackenusher.core.admission import rate_limit_key
 
@@ -69,16 +69,20 @@
 @pytest.mark.parametrize(("text", "named"), INVALID_ENTRIES)
 def test_invalid_entry_of_the_operators_file_is_named(text, named):
     with pytest.raises(ConfigError) as caught:
-        read_operator("f", text)
+        parse_operator_settings("f", text)
     assert named in str(caught.value)
 
 
 def test_operators_file_is_read_and_the_shipped_one_enables_no_secrets():
     text = "door.enabled: true\ndoor.rate.address=2.5\ndoor.rate.a 7\n! note\ndoor.burst.b = 9\n"
-    door = read_operator("f", text).door
+    door = parse_operator_settings("f", text).door
     assert (door.address, door.tenants) == (Limit(2.5, 40), {"a": Limit(7.0, 400), "b": Limit(200.0, 9)})
-    assert read_operator("f", text.replace("true", "false")) == load_operator(None) == Operator()
-    shipped = load_operator(str(ROOT / "deploy/operator.properties"))
+    assert (
+        parse_operator_settings("f", text.replace("true", "false"))
+        == load_operator_settings(None)
+        == OperatorSettings()
+    )
+    shipped = load_operator_settings(str(ROOT / "deploy/operator.properties"))
     assert shipped.features == ["capture", "figures"]
 
 
--- a/tests/test_examples.py
+++ b/tests/test_examples.py
@@ -8,7 +8,7 @@
 
 from helpers import ROOT, command, read_message, read_request, until
 
-from brackenusher.config.operators import load_operator
+from brackenusher.config.operators import load_operator_settings
 from testbed.sockets.ports import free_port
 
 EXAMPLES = ROOT / "examples"
@@ -23,7 +23,7 @@
         entry["dial"] = f"127.0.0.1:{free_port()}"
     path, operator = tmp_path / "config.json", str(EXAMPLES / "operator.properties")
     path.write_text(json.dumps(config), encoding="utf-8")
-    assert load_operator(operator).features == ["door", "figures"]
+    assert load_operator_settings(operator).features == ["door", "figures"]
     for given in (path, EXAMPLES / "config.json"):
         done = command("check-config", "--operator", operator, GW_CONFIG=str(given))
         assert done.returncode == 0 and "2 classes, 3 known" in done.stdout
--- a/tests/test_figures.py
+++ b/tests/test_figures.py
@@ -11,7 +11,7 @@
 
 from barleybarrow import interface as face
 from barleybarrow.settings import read_settings
-from brackenusher.config.operators import FiguresSettings, read_operator
+from brackenusher.config.operators import FiguresSettings, parse_operator_settings
 from brackenusher.config.platform import ConfigError
 from brackenusher.core.admission import Request
 from brackenusher.core.deadlines import Deadlines
@@ -19,7 +19,7 @@
 from brackenusher.core.transaction import Refused, Served, Transaction
 from brackenusher.records.figures import FileSink, MetricsReporter
 from brackenusher.records.insight import BalancerGauges
-from brackenusher.runtime.outlet import Outlet
+from brackenusher.runtime.outlet import LineWriter
 
 POLICY_SETTINGS = read_settings(
     SETTINGS | {"tenants": [{"name": name} for name in ("kente-wars", "harmattan", "a b,c=d|e\\")]}
@@ -30,7 +30,7 @@
 class ReporterHarness:
     def __init__(self, **settings):
         self.now, self.deadlines, self.open, self.batches = 1000.0, Deadlines(), {}, []
-        self.outlet = Outlet(self.deadlines, lambda: self.now)
+        self.outlet = LineWriter(self.deadlines, lambda: self.now)
         settings = FiguresSettings(**settings)
         self.figures = MetricsReporter(
             settings, self.outlet, self.deadlines, lambda: self.now, self.open, POLICY_SETTINGS
@@ -55,7 +55,7 @@
         self.figures.on_answer(transaction, answer)
 
     def lines(self):
-        self.deadlines.sweep(self.now + 10_000.0)
+        self.deadlines.run_due(self.now + 10_000.0)
         return "".join(self.batches).splitlines()
 
 
@@ -169,15 +169,15 @@
 @pytest.mark.parametrize("bad", [*INVALID, "figures.batch_bytes = 100000"])
 def test_invalid_metrics_settings_are_rejected(bad):
     with pytest.raises(ConfigError) as caught:
-        read_operator("f", ENABLED + bad)
+        parse_operator_settings("f", ENABLED + bad)
     assert bad.partition(" ")[0] in str(caught.value)
 
 
 def test_metrics_settings_are_parsed():
     text = ENABLED + "figures.format = influx\nfigures.target = udp:[::1]:8125\nfigures.flush_ms = 50\n"
-    assert read_operator("f", text).figures == FiguresSettings(True, ("::1", 8125), 50, 1400)
-    assert read_operator("f", ENABLED).figures == FiguresSettings()
-    assert read_operator("f", ENABLED + "figures.target = file:/a:b").figures.target == "/a:b"
+    assert parse_operator_settings("f", text).figures == FiguresSettings(True, ("::1", 8125), 50, 1400)
+    assert parse_operator_settings("f", ENABLED).figures == FiguresSettings()
+    assert parse_operator_settings("f", ENABLED + "figures.target = file:/a:b").figures.target == "/a:b"
 
 
 class Collector:
--- a/tests/test_http2_program.py
+++ b/tests/test_http2_program.py
@@ -323,10 +323,10 @@
 def test_disabled_http2_imports_nothing_and_does_not_listen(tmp_path):
     code = """
 import sys
-from brackenusher.cli import Daemon, load, load_operator
+from brackenusher.cli import Daemon, load, load_operator_settings
 import os
-daemon = Daemon(load(os.environ), None, load_operator(sys.argv[1]))
-print(len(daemon.fronts), sorted({"h2", "hpack", "hyperframe"} & set(sys.modules)))
+daemon = Daemon(load(os.environ), None, load_operator_settings(sys.argv[1]))
+print(len(daemon.listeners), sorted({"h2", "hpack", "hyperframe"} & set(sys.modules)))
 """
     on = f"http2.enabled = true\nhttp2.listen = 127.0.0.1:{free_port()}\n"
     for text, expected in ((on.replace("true", "false"), "1 []"), (on, "2 ['h2', 'hpack', 'hyperframe']")):
--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -16,7 +16,7 @@
 from barleybarrow import knowledge as known
 from barleybarrow.interface import Outcome, State
 from barleybarrow.knowledge import Book, Evidence, Sightings, Teller, first_hand, lowering
-from brackenusher.config.operators import read_operator
+from brackenusher.config.operators import parse_operator_settings
 from brackenusher.config.platform import ConfigError
 from brackenusher.membership import frames, snapshot
 from brackenusher.membership.frames import (
@@ -353,11 +353,11 @@
 )
 def test_invalid_setting_is_named(text, names):
     with pytest.raises(ConfigError, match=names.replace(".", r"\.")):
-        read_operator("f", text)
+        parse_operator_settings("f", text)
 
 
 def test_peer_keys_rotate_and_are_not_printed():
-    found = read_operator("f", PEERS + "peers.key.b = 11\npeers.sign = b\n").peers
+    found = parse_operator_settings("f", PEERS + "peers.key.b = 11\npeers.sign = b\n").peers
     assert found is not None and found.sign == "b" and set(found.keys) == {"a", "b"}
     assert "\\xff" not in repr(found)
 
--- a/tests/test_layers.py
+++ b/tests/test_layers.py
@@ -177,7 +177,7 @@
         ("brackenusher.cli", "from brackenusher.commands import roles"),
         ("brackenusher.assembly.x", "from brackenusher.data_plane.headers import Header"),
         ("brackenusher.data_plane.x", "from brackenusher.cluster.links import Links"),
-        ("brackenusher.data_plane.x", "from brackenusher.runtime.log import say"),
+        ("brackenusher.data_plane.x", "from brackenusher.runtime.log import log_event"),
         ("brackenusher.storage.x", "from barleybarrow.consensus import configuration_state"),
     ],
 )
--- a/tests/test_log.py
+++ b/tests/test_log.py
@@ -14,7 +14,7 @@
 
 from brackenusher.runtime import log as logs
 
-EVENT_ARGUMENT = {"say": 2, "fault": 1}  # position of the event among the arguments
+EVENT_ARGUMENT = {"log_event": 2, "log_exception": 1}  # position of the event among the arguments
 
 
 def logging_calls():
@@ -98,13 +98,13 @@
     handler.emit = lambda record: stream.append(handler.format(record))
     old, root.handlers = root.handlers, [handler]
     try:
-        logs.take_form(form)
+        logs.set_format(form)
         log = logging.getLogger("a")
-        logs.say(log, logging.WARNING, "odd", "%(why)s", why='x"\nevent=ended ' + "y" * 5000)
+        logs.log_event(log, logging.WARNING, "odd", "%(why)s", why='x"\nevent=ended ' + "y" * 5000)
         try:
             raise ValueError("two\nlines")
         except ValueError:
-            logs.fault(log, "failed", "it failed")
+            logs.log_exception(log, "failed", "it failed")
         log.warning("in %s own words", "its")
     finally:
         root.handlers = old
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -15,7 +15,7 @@
 from brackenusher.fronts.http import RequestClassifier
 from brackenusher.fronts.http1.virtual_server import Http1Protocol
 from brackenusher.membership.discovery import Discovery, DiscoveryError, read_listing
-from brackenusher.runtime.buffers import Buffers
+from brackenusher.runtime.buffers import BufferPool
 from brackenusher.upstream.flow import UpstreamCodec
 from brackenusher.upstream.pool import Pool
 
@@ -318,8 +318,8 @@
     removed = deadlines.add(1.5, lambda: called.append(1.5))
     deadlines.add(3.0, lambda: called.append(3))
     deadlines.remove(removed)
-    deadlines.sweep(2.5)
-    assert called == [2] and deadlines.next() == 3.0
+    deadlines.run_due(2.5)
+    assert called == [2] and deadlines.next_due() == 3.0
 
 
 def test_deadline_added_during_sweep_waits_for_next_sweep():
@@ -331,7 +331,7 @@
         deadlines.add(0.0, again)
 
     again()
-    deadlines.sweep(5.0)
+    deadlines.run_due(5.0)
     assert called == [1, 1]
 
 
@@ -339,7 +339,7 @@
     ours, theirs = socket.socketpair()
     with ours, theirs:
         ours.setblocking(False)
-        buffers, got = Buffers(4), []
+        buffers, got = BufferPool(4), []
         with pytest.raises(BlockingIOError):
             buffers.receive(ours, got.append)
         lent = buffers.free[0]
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -48,8 +48,8 @@
 from brackenusher.group.database import DatabaseDamagedError
 from brackenusher.group.store import Store
 from brackenusher.group.streams import Streams
-from brackenusher.runtime.buffers import Buffers
-from brackenusher.runtime.loop import Loop
+from brackenusher.runtime.buffers import BufferPool
+from brackenusher.runtime.loop import EventLoop
 from testbed import consensus, linearizability, oracle_policy, steps
 from testbed.consensus import Disk, Table, search, storm
 from testbed.policy_group import PolicyGroup
@@ -704,15 +704,15 @@
 def test_sending_while_a_stream_is_opening_does_not_break_it():
     peers = PeersSettings(listen=("127.0.0.1", 0), keys={"k": b"k" * 16}, sign="k")
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        loop = Loop(Deadlines())
-        streams = Streams(loop, Buffers(), peers, "n0", lambda name: listener.getsockname())
+        loop = EventLoop(Deadlines())
+        streams = Streams(loop, BufferPool(), peers, "n0", lambda name: listener.getsockname())
         streams.send("n1", b"one")
         connection, _ = listener.accept()
         with connection:
             while not select.select([connection], [], [], 0)[0]:
-                loop.turn()
+                loop.run_once()
             streams.send("n1", b"two")  # wakes its coroutine while no reply can be read
-            loop.turn()
+            loop.run_once()
             assert streams.out["n1"].task is not None and not streams.counts["connect"]
             streams.out["n1"].task.stop()
 
--- a/tests/test_tokens.py
+++ b/tests/test_tokens.py
@@ -6,7 +6,7 @@
 from helpers import Program, TurnServer, command, read_request, submit_request, write_config
 
 from barleybarrow.tokens import TokenError, TokenSettings, issue, sign, verdict
-from brackenusher.config.operators import load_operator, read_operator
+from brackenusher.config.operators import load_operator_settings, parse_operator_settings
 from brackenusher.config.platform import ConfigError
 
 KEYS = TokenSettings({"k1": b"old" * 8, "k2": b"new" * 8}, 30.0)
@@ -86,11 +86,11 @@
     ]
     for text, named in zip(bad, ["token.key", "token.key.k2", "token.key.a.b", "token.skew"], strict=True):
         with pytest.raises(ConfigError) as caught:
-            read_operator("f", text)
+            parse_operator_settings("f", text)
         assert named in str(caught.value) and "1f2" not in str(caught.value)
-    operator = read_operator("f", on + "token.key.k2 = 6b6579\n")
+    operator = parse_operator_settings("f", on + "token.key.k2 = 6b6579\n")
     assert operator.token.keys == {"k2": b"key"} and "key'" not in repr(operator)
-    assert load_operator("deploy/operator.properties").token is None
+    assert load_operator_settings("deploy/operator.properties").token is None
 
 
 def run_issue(properties, kid="k2", rights="read", ttl="3600"):
--- a/tests/test_transaction.py
+++ b/tests/test_transaction.py
@@ -24,7 +24,7 @@
     Served,
     Transactions,
 )
-from brackenusher.records.tally import Tally
+from brackenusher.records.tally import RequestCounts
 
 
 class FakeTransport:
@@ -71,7 +71,7 @@
         end = self.now + duration_ms
         while self.now < end:
             self.now += 1.0
-            self.deadlines.sweep(self.now)
+            self.deadlines.run_due(self.now)
 
 
 SEND_ON_ARRIVAL = {"Arrived": lambda e: [face.Send(e.request, "a")]}
@@ -110,7 +110,7 @@
     harness.accept()
     assert [type(e) for e in harness.owner.balancer.events[1:]] == [face.Arrived, face.Finished]
     harness.now += 800
-    harness.deadlines.sweep(harness.now)
+    harness.deadlines.run_due(harness.now)
     assert harness.answers == [Failed()]
 
 
@@ -185,7 +185,7 @@
     assert "ZeroDivisionError" in caplog.text
     if where == "carrier":  # the policy learns that nothing was sent, and decides
         assert script.events[-1].outcome is Outcome.NOT_SENT
-        harness.deadlines.sweep(harness.now + 800.0)
+        harness.deadlines.run_due(harness.now + 800.0)
     assert harness.answers[0] == Failed()
     assert first.closed is (where == "carrier")
 
@@ -228,7 +228,7 @@
     # guards against a request counted twice or never: arrived = ended + in flight
     harness = Harness()
     harness.owner.balancer.conf.classes[0].name = "c"
-    tally = Tally(
+    tally = RequestCounts(
         settings(), lambda: harness.now, lambda now: (1, 0), lambda: harness.owner.accepted_count, lambda: 0
     )
     harness.owner.observers = Observers(on_answer=(tally.on_answer,), on_denial=(tally.on_denial,))
