--- a/benchmarks/policy.py
+++ b/benchmarks/policy.py
@@ -42,8 +42,8 @@
 # Run by each daemon before its own code: notes turns of the loop of over a millisecond, and when they ended.
 TURNS = """
 import time
-from brackenusher.runtime.loop import Loop
-right = Loop.__init__
+from brackenusher.runtime.loop import EventLoop
+right = EventLoop.__init__
 class Timed:
     def __init__(self, epoll):
         self.epoll, self.since, self.file = epoll, None, None
@@ -57,10 +57,10 @@
         found = self.epoll.poll(*how)
         self.since, self.cpu = time.monotonic(), time.thread_time()
         return found
-def init(self, deadlines):
-    right(self, deadlines)
+def init(self, timers):
+    right(self, timers)
     self.epoll = Timed(self.epoll)
-Loop.__init__ = init
+EventLoop.__init__ = init
 """
 AIM_MS = {3: 300.0, 9: 300.0, 200: 2000.0}
 LEADER_MS, PAID_US = 3000.0, 1.0
--- a/benchmarks/warm_start.py
+++ b/benchmarks/warm_start.py
@@ -83,10 +83,10 @@
         self.arrived, self.sent, self.slow = 0, 0, 0
         self.asked, self.good = [0, 0], [0, 0]  # in the first second, in the four after it
         proxy.transactions.observers = Observers(
-            on_event=(proxy.note, keeper.on_event, self.handled), on_answer=(self.answered,)
+            on_event=(proxy.note, keeper.on_event, self.on_event), on_answer=(self.on_answer,)
         )
 
-    def handled(self, now: float, event: Any, actions: Sequence[Any]) -> None:
+    def on_event(self, now: float, event: Any, actions: Sequence[Any]) -> None:
         if isinstance(event, face.Arrived):
             self.arrived += 1
             if now - self.began < 5000.0:
@@ -96,7 +96,7 @@
                 self.sent += 1
                 self.slow += action.backend in SLOW_NAMES
 
-    def answered(self, transaction: Any, answer: Any) -> None:
+    def on_answer(self, transaction: Any, answer: Any) -> None:
         span, since = self.proxy.now - transaction.arrived, transaction.arrived - self.began
         aim = self.proxy.settings.classes[transaction.class_index].aim
         if isinstance(answer, Served) and span <= aim and since < 5000.0:
--- a/brackenusher/runtime/loop.py
+++ b/brackenusher/runtime/loop.py
@@ -86,7 +86,7 @@
     def spawn(self, coroutine: Coroutine, sock: socket.socket, priority: bool = False) -> Task:
         """Start a coroutine that owns a socket, and run it to its first yield.
 
-        With `first`, its events are handled before all others of an iteration.
+        With `priority`, its events are handled before all others of an iteration.
         """
         epoll = self.epoll
         if priority:
--- a/tests/rpc_world.py
+++ b/tests/rpc_world.py
@@ -137,13 +137,13 @@
         self.entries = []
 
     def watch(self, transactions):
-        transactions.observers = Observers(on_event=(self.handled,), on_answer=(self.answered,))
+        transactions.observers = Observers(on_event=(self.on_event,), on_answer=(self.on_answer,))
 
-    def handled(self, now, event, actions):
+    def on_event(self, now, event, actions):
         if not isinstance(event, face.ListChanged):
             self.entries.append((round(now, 4), repr_rounded(event), [repr_rounded(a) for a in actions]))
 
-    def answered(self, transaction, answer):
+    def on_answer(self, transaction, answer):
         self.entries.append((transaction.id, type(answer).__name__))
 
 
