--- a/brackenusher/daemon.py
+++ b/brackenusher/daemon.py
@@ -15,17 +15,17 @@
 from barleybarrow.graceful_shutdown import GracefulShutdown, Phase
 from barleybarrow.lifecycle import Lifecycle, Stage
 from barleybarrow.rate_limiter import RateLimiter
-from brackenusher.config.operators import Operator, doubts, read_subset
+from brackenusher.config.operators import OperatorSettings, find_warnings, read_subset
 from brackenusher.config.platform import ConfigError, PlatformConfig
-from brackenusher.core.admission import Admission, Bar
+from brackenusher.core.admission import Admission, DenialReason
 from brackenusher.core.deadlines import Deadlines
-from brackenusher.core.pipe import Budget
-from brackenusher.core.transaction import RESERVE, Observers, Transactions
+from brackenusher.core.pipe import PipeBudget
+from brackenusher.core.transaction import RESPONSE_RESERVE_MS, Observers, Transactions
 from brackenusher.fronts.control import driver as control
-from brackenusher.fronts.control.machine import Reply
-from brackenusher.fronts.http import Front
-from brackenusher.fronts.http1.clients import Clients
-from brackenusher.fronts.listener import OVERFLOW, Listener, Room
+from brackenusher.fronts.control.machine import Response
+from brackenusher.fronts.http import RequestClassifier
+from brackenusher.fronts.http1.clients import Http1Listener
+from brackenusher.fronts.listener import MAX_REFUSED_CONNECTIONS, ConnectionLimit, Listener
 from brackenusher.handover.new import Taken
 from brackenusher.handover.replacement import Replacement
 from brackenusher.membership.agent import Agent
@@ -33,12 +33,12 @@
 from brackenusher.records.capture import Capture
 from brackenusher.records.figures import MetricsReporter
 from brackenusher.records.insight import BalancerGauges
-from brackenusher.records.tally import Tally
-from brackenusher.runtime.buffers import Buffers
+from brackenusher.records.tally import RequestCounts
+from brackenusher.runtime.buffers import BufferPool
 from brackenusher.runtime.driver import Address
-from brackenusher.runtime.log import say
-from brackenusher.runtime.loop import READ, Coroutine, Loop, clock
-from brackenusher.runtime.outlet import Outlet
+from brackenusher.runtime.log import log_event
+from brackenusher.runtime.loop import READ, Coroutine, EventLoop, clock
+from brackenusher.runtime.outlet import LineWriter
 from brackenusher.upstream.connections import Upstream
 from brackenusher.upstream.pool import Pool
 
@@ -72,38 +72,46 @@
     """One proxy."""
 
     def __init__(
-        self, config: PlatformConfig, load_config: Callable[[], PlatformConfig], operator: Operator
+        self, config: PlatformConfig, load_config: Callable[[], PlatformConfig], operator: OperatorSettings
     ) -> None:
         self.load_config = load_config  # reads the configuration again, for a reload
         self.stop_requested_at: float | None = None  # time of the first stop signal
         self.shutdown: GracefulShutdown | None = None
         self.lifecycle = Lifecycle()
         settings = config.settings
-        deadlines, buffers = Deadlines(), Buffers()
-        self.config, self.operator, self.loop = config, operator, Loop(deadlines)
+        deadlines, buffers = Deadlines(), BufferPool()
+        self.config, self.operator, self.loop = config, operator, EventLoop(deadlines)
         available_sockets = (
-            config.sockets - RESERVED_SOCKETS - OVERFLOW - (PEER_SOCKETS if operator.peers else 0)
+            config.sockets
+            - RESERVED_SOCKETS
+            - MAX_REFUSED_CONNECTIONS
+            - (PEER_SOCKETS if operator.peers else 0)
         )
-        available_sockets -= control.SOCKETS if config.control else 0
+        available_sockets -= control.MAX_DESCRIPTORS if config.control else 0
         client_sockets = int(available_sockets * CLIENT_SOCKET_SHARE)
         offset = time.time() * 1000.0 - clock()
         self.pool = Pool(
-            settings, clock, offset, operator.connections, config.seed, read_subset(operator, config.worded)
+            settings,
+            clock,
+            offset,
+            operator.connections,
+            config.seed,
+            read_subset(operator, config.raw_settings),
         )
-        budget = Budget(buffer_budget_bytes(config.memory_mb))
+        budget = PipeBudget(buffer_budget_bytes(config.memory_mb))
         self.upstream = Upstream(
             self.loop, self.pool, settings, available_sockets - client_sockets, buffers, budget
         )
         started_at = clock()
         balancer = Balancer(settings, config.seed, started_at)
         self.transactions = Transactions(balancer, clock, deadlines, self.upstream)
-        self.upstream.owner = self.transactions
+        self.upstream.transactions = self.transactions
         max_idle_clients = int(config.sockets * IDLE_CLIENT_SHARE)
         rate_limiter = RateLimiter(operator.door) if operator.door else None
         self.admission = Admission(self.transactions, settings, rate_limiter, operator.token)
-        front = Front(settings, with_tokens=operator.token is not None)
-        client_slots = Room(client_sockets)
-        self.http1 = Clients(
+        front = RequestClassifier(settings, with_tokens=operator.token is not None)
+        client_slots = ConnectionLimit(client_sockets)
+        self.http1 = Http1Listener(
             self.loop,
             front,
             self.admission,
@@ -114,37 +122,37 @@
             self.lifecycle,
             budget,
         )
-        self.fronts: list[tuple[Listener, Address]] = [(self.http1, config.listen)]
+        self.listeners: list[tuple[Listener, Address]] = [(self.http1, config.listen)]
         self.http2 = None
         if operator.http2:  # imported only if enabled: h2 and its dependencies take memory
             try:
-                from brackenusher.fronts.http2.clients import Http2Clients
+                from brackenusher.fronts.http2.clients import Http2Listener
             except ImportError as error:
                 raise ConfigError(f"http2.enabled: {error}; install brackenusher[http2]") from error
-            self.http2 = Http2Clients(
-                self.loop, operator.http2, front, self.admission, self.http1.ready, client_slots, buffers
+            self.http2 = Http2Listener(
+                self.loop, operator.http2, front, self.admission, self.http1.is_ready, client_slots, buffers
             )
-            self.fronts.append((self.http2, operator.http2.listen))
+            self.listeners.append((self.http2, operator.http2.listen))
         self.discovery_agent = Agent(
             self.loop, config.discovery, self.pool, self.transactions, buffers, random.Random(config.seed)
         )
         self.upstream.watch = self.discovery_agent.connect
-        self.outlet = Outlet(deadlines, clock)
+        self.outlet = LineWriter(deadlines, clock)
         self.node: Node | None = None
         self.replicator: Replicator | None = None
         self.peers: Peers | None = None
         if operator.peers or operator.snapshot:
             self.set_up_peers(buffers)
-        self.request_counts: Tally | None = None
-        self.control: control.Control | None = None
+        self.request_counts: RequestCounts | None = None
+        self.control: control.ControlServer | None = None
         if config.control:
             gauges = BalancerGauges(balancer, clock)
-            self.request_counts = Tally(
+            self.request_counts = RequestCounts(
                 settings,
                 clock,
                 lambda now: gauges.count_servers(self.pool.size, now),
-                lambda: self.transactions.taken,
-                lambda: self.upstream.written,
+                lambda: self.transactions.accepted_count,
+                lambda: self.upstream.written_attempts,
             )
             handlers = {
                 b"/-/ready": (b"GET", self.report_readiness),
@@ -152,19 +160,19 @@
                 b"/-/drain": (b"POST", self.drain),
                 b"/-/resume": (b"POST", self.resume),
             }
-            self.control = control.Control(self.loop, handlers, buffers)
+            self.control = control.ControlServer(self.loop, handlers, buffers)
         self.replacement: Replacement | None = None
         if config.control:
             self.replacement = Replacement(
                 self.loop,
                 config.name,
-                self.fronts,
+                self.listeners,
                 client_slots,
                 self.pool,
                 self.discovery_agent,
                 self.transactions,
                 available_sockets - client_sockets,
-                RESERVED_SOCKETS + OVERFLOW + control.SOCKETS,
+                RESERVED_SOCKETS + MAX_REFUSED_CONNECTIONS + control.MAX_DESCRIPTORS,
             )
         self.set_up_observers(started_at)
 
@@ -172,12 +180,12 @@
         """Once this process is ready, tell its predecessor in a handover."""
         if self.replacement is None:
             return
-        if not self.http1.ready() and self.lifecycle.stage is Stage.READY:
+        if not self.http1.is_ready() and self.lifecycle.stage is Stage.READY:
             self.schedule(STEP_INTERVAL_MS, self.notify_predecessor)
         else:
             self.replacement.serves()
 
-    def set_up_peers(self, buffers: Buffers) -> None:
+    def set_up_peers(self, buffers: BufferPool) -> None:
         """Set up sharing of knowledge with peers, or with the next start through a snapshot file."""
         try:
             from brackenusher.membership.peers import Peers  # imported only if needed, as it imports msgspec
@@ -193,7 +201,7 @@
         except (OSError, ValueError) as error:
             raise ConfigError(str(error)) from error
 
-    def set_up_group(self, buffers: Buffers) -> None:
+    def set_up_group(self, buffers: BufferPool) -> None:
         """Set up the group's policy and replicated state."""
         from brackenusher.group.group_parts import GroupParts
         from brackenusher.group.streams import Streams
@@ -207,23 +215,23 @@
             from brackenusher.group.node import Node  # imported only if needed, as it imports sqlite3
 
             self.node = Node(*components, operator.policy, group_parts)
-            self.admission.gates.append((Bar.POLICY, self.node))
-            self.http1.gates.append(self.node.ready)
+            self.admission.gates.append((DenialReason.POLICY, self.node))
+            self.http1.readiness_checks.append(self.node.ready)
         if operator.replica is not None:
             from barleybarrow.shares import SharedRateLimiter
             from brackenusher.group.replicator import Replicator
 
             rate_limiter = None
             if operator.door is not None and operator.replica.limits and not operator.door.by_address:
-                rate_limiter = self.admission.door = SharedRateLimiter(operator.door)
+                rate_limiter = self.admission.rate_limiter = SharedRateLimiter(operator.door)
             settings, platform_settings = operator.replica, self.config.settings
             self.replicator = Replicator(
                 *components, settings, group_parts, peers, rate_limiter, platform_settings
             )
-            self.admission.past = self.replicator.past
-            self.pool.bars.append(self.replicator.bars)
-            self.admission.gates.append((Bar.MARK, self.replicator))
-            self.http1.gates.append(self.replicator.ready)
+            self.admission.idempotency = self.replicator.past
+            self.pool.exclusions.append(self.replicator.bars)
+            self.admission.gates.append((DenialReason.OVERRIDE, self.replicator))
+            self.http1.readiness_checks.append(self.replicator.ready)
 
     def set_up_observers(self, started_at: float) -> None:
         """Set up the observers of transactions that the operators enabled."""
@@ -241,13 +249,13 @@
             self.metrics = MetricsReporter(
                 operator.figures,
                 self.outlet,
-                self.loop.deadlines,
+                self.loop.timers,
                 clock,
                 self.transactions.open,
                 config.settings,
             )
             self.metrics.sources.append(self.upstream.figures)
-            self.metrics.sources.append(self.http1.figures)
+            self.metrics.sources.append(self.http1.metrics)
             self.metrics.sources.append(BalancerGauges(self.transactions.balancer, clock).samples)
             if self.peers:
                 self.metrics.sources.append(self.peers.figures)
@@ -259,14 +267,14 @@
         answer_observers = [
             each for each in (self.capture, self.metrics, self.request_counts, idempotency) if each
         ]
-        event_observers = [each.handled for each in (self.capture, self.peers) if each]
+        event_observers = [each.on_event for each in (self.capture, self.peers) if each]
         if self.replicator and idempotency:
             event_observers.append(self.replicator.hurry)
         self.transactions.observers = Observers(
-            handled=tuple(event_observers),
-            answered=tuple(each.answered for each in answer_observers),
-            turned_away=tuple(
-                each.turned_away for each in (self.capture, self.metrics, self.request_counts) if each
+            on_event=tuple(event_observers),
+            on_answer=tuple(each.on_answer for each in answer_observers),
+            on_denial=tuple(
+                each.on_denial for each in (self.capture, self.metrics, self.request_counts) if each
             ),
         )
         self.outlet.redirect_log()
@@ -282,13 +290,13 @@
         """Load the known server list, listen, and connect to discovery; the event loop does the rest."""
         handover = self.replacement.take() if self.replacement else None
         self.load_known_servers(handover)
-        self.transactions.begin()
+        self.transactions.start()
         if self.replacement and handover is not None:
             self.replacement.succeed(handover)
         if self.control and self.config.control:
             self.control.listen(self.config.control)
         inherited = handover.listeners if handover is not None else {}
-        for front, address in self.fronts:
+        for front, address in self.listeners:
             front.listen(
                 address, bool(self.config.control), inherited.pop(f"{address[0]}:{address[1]}", None)
             )
@@ -296,7 +304,7 @@
             sock.close()
         self.lifecycle.serves()
         if self.peers:
-            self.http1.warming = True
+            self.http1.awaiting_warm_state = True
             self.peers.start(self.end_warming)
         if self.node:
             self.node.start()
@@ -306,10 +314,10 @@
         self.discovery_agent.connect()
         gc.collect()
         gc.freeze()  # objects created so far stay; later collections skip them
-        for warning in doubts(self.operator, self.config.settings):
-            say(log, logging.WARNING, "operators_file_doubt", "operators' file: %(what)s", what=warning)
-        for _, (host, port) in self.fronts:
-            say(
+        for warning in find_warnings(self.operator, self.config.settings):
+            log_event(log, logging.WARNING, "operators_file_doubt", "operators' file: %(what)s", what=warning)
+        for _, (host, port) in self.listeners:
+            log_event(
                 log,
                 logging.INFO,
                 "serving",
@@ -321,15 +329,15 @@
 
     def finish(self) -> int:
         """Log a summary and release resources."""
-        say(
+        log_event(
             log,
             logging.INFO,
             "ended",
             "ended: %(taken)d taken, %(unanswered)d stood unanswered, %(refused)d refused at the end, "
             "%(left)d connections left",
-            taken=self.transactions.taken,
-            unanswered=self.transactions.unanswered,
-            refused=self.admission.at_the_end,
+            taken=self.transactions.accepted_count,
+            unanswered=self.transactions.unanswered_count,
+            refused=self.admission.refused_at_shutdown,
             left=self.connection_count,
         )
         if self.node:
@@ -339,10 +347,12 @@
         if self.peers:
             self.peers.close()
         summary = self.pool.planner.summary()
-        say(log, logging.INFO, "connections_ended", "connections to members: %(summary)s", summary=summary)
+        log_event(
+            log, logging.INFO, "connections_ended", "connections to members: %(summary)s", summary=summary
+        )
         if self.http2:
-            counts = self.http2.counts
-            say(
+            counts = self.http2.counters
+            log_event(
                 log,
                 logging.INFO,
                 "streams_ended",
@@ -351,14 +361,14 @@
                 streams=counts.streams,
                 refused=counts.refused,
                 reset=counts.reset,
-                stuck=counts.stuck,
-                late=counts.late,
+                stuck=counts.stalled,
+                late=counts.timed_out,
                 floods=counts.floods,
-                faults=counts.faults,
+                faults=counts.errors,
             )
         if self.capture:
             self.capture.close()
-            say(
+            log_event(
                 log,
                 logging.INFO,
                 "capture_ended",
@@ -369,11 +379,13 @@
         if self.metrics:
             self.metrics.close()
             dropped = self.metrics.sink.dropped
-            say(log, logging.INFO, "figures_ended", "figures: %(dropped)d batches dropped", dropped=dropped)
+            log_event(
+                log, logging.INFO, "figures_ended", "figures: %(dropped)d batches dropped", dropped=dropped
+            )
         evicted = ", ".join(f"{state.value} {count}" for state, count in self.http1.evicted.items())
         if evicted:
             text = "clients' connections evicted: %(evicted)s"
-            say(log, logging.INFO, "evicted", text, evicted=evicted)
+            log_event(log, logging.INFO, "evicted", text, evicted=evicted)
         if self.replacement:
             self.replacement.close()
         self.outlet.close()
@@ -381,7 +393,7 @@
 
     def load_known_servers(self, handover: Taken | None = None) -> None:
         """Load the last known server list, so that discovery is asked only for changes since then."""
-        known = self.config.known
+        known = self.config.known_servers
         if handover is not None and handover.hosts:
             known = {"seq": handover.state["seq"], "whole": True, "hosts": handover.hosts}
         if not known.get("hosts"):
@@ -390,20 +402,20 @@
             listing = read_listing(known)
         except DiscoveryError as error:
             text = "ignoring the known server list: %(why)s"
-            say(log, logging.WARNING, "known_list_unusable", text, why=error)
+            log_event(log, logging.WARNING, "known_list_unusable", text, why=error)
             return
         if listing.whole and len(listing.hosts) == len(known["hosts"]):
             self.discovery_agent.seq = listing.seq
-        self.transactions.post(self.pool.take(listing))
+        self.transactions.post(self.pool.apply(listing))
 
     def end_warming(self) -> None:
         """Knowledge of peers has been loaded, or the wait for it is over."""
-        self.http1.warming = False
+        self.http1.awaiting_warm_state = False
 
     @property
     def connection_count(self) -> int:
         """The number of client connections of all listeners."""
-        return sum(len(front.links) for front, _ in self.fronts)
+        return sum(len(front.connections) for front, _ in self.listeners)
 
     def catch_signals(self) -> None:
         """Deliver signals to the loop through a socket pair."""
@@ -439,7 +451,7 @@
         try:
             config = self.load_config()
         except ConfigError as error:
-            say(
+            log_event(
                 log,
                 logging.ERROR,
                 "reload_unusable",
@@ -449,7 +461,7 @@
             return
         for name in ("listen", "sockets", "settings", "control"):
             if getattr(config, name) != getattr(self.config, name):
-                say(
+                log_event(
                     log,
                     logging.WARNING,
                     "reload_waits",
@@ -457,26 +469,28 @@
                     entry=name,
                 )
         host, port = config.discovery
-        say(log, logging.INFO, "reloaded", "reload: discovery is at %(host)s:%(port)d", host=host, port=port)
+        log_event(
+            log, logging.INFO, "reloaded", "reload: discovery is at %(host)s:%(port)d", host=host, port=port
+        )
         if config.discovery != self.discovery_agent.address:
             self.discovery_agent.move(config.discovery)
 
-    def report_readiness(self) -> Reply:
-        if self.http1.ready() and not (self.replacement and self.replacement.awaited):
+    def report_readiness(self) -> Response:
+        if self.http1.is_ready() and not (self.replacement and self.replacement.awaited):
             return 200, b"ready\n"
         return 503, self.lifecycle.stage.value.encode() + b"\n"
 
-    def report_metrics(self) -> Reply:
+    def report_metrics(self) -> Response:
         assert self.request_counts is not None
         return 200, self.request_counts.to_json()
 
-    def drain(self) -> Reply:
+    def drain(self) -> Response:
         """Direct clients to other proxies; can be undone by resume."""
         before = self.lifecycle.stage
         if not self.lifecycle.drain(clock()):
             return 409, b"the process ends\n"
         if not before.away:
-            say(
+            log_event(
                 log,
                 logging.INFO,
                 "draining",
@@ -487,13 +501,13 @@
             self.step_drain(self.lifecycle.drains)
         return 200, b"draining\n"
 
-    def resume(self) -> Reply:
+    def resume(self) -> Response:
         before = self.lifecycle.stage
         if not self.lifecycle.resume():
             return 409, b"the process ends\n"
         if before.away:
-            say(log, logging.INFO, "resumed", "resumed: serving normally")
-            for front, _ in self.fronts:
+            log_event(log, logging.INFO, "resumed", "resumed: serving normally")
+            for front, _ in self.listeners:
                 front.resume()
         return 200, b"ready\n"
 
@@ -506,9 +520,9 @@
         if lifecycle.step(now, self.connection_count) is Stage.DRAINED and before is not Stage.DRAINED:
             text = "drained after %(span_ms).0f ms: %(connections)d connections"
             elapsed = now - lifecycle.drained_from
-            say(log, logging.INFO, "drained", text, span_ms=elapsed, connections=self.connection_count)
+            log_event(log, logging.INFO, "drained", text, span_ms=elapsed, connections=self.connection_count)
         if lifecycle.answers_end(now):
-            for front, _ in self.fronts:
+            for front, _ in self.listeners:
                 front.drain(idle=lifecycle.idle_end(now))
         wait = STEP_INTERVAL_MS if lifecycle.stage is Stage.DRAINING else DRAINED_STEP_INTERVAL_MS
         self.schedule(wait, partial(self.step_drain, number))
@@ -516,7 +530,7 @@
     def stop(self) -> None:
         """Begin a graceful shutdown, serving as long as the deployment allows; further calls do nothing."""
         if self.shutdown is not None:
-            say(log, logging.INFO, "stopping_already", "stopping already")
+            log_event(log, logging.INFO, "stopping_already", "stopping already")
             return
         settings = self.config.settings
         handed_over = self.replacement is not None and self.replacement.handed
@@ -525,13 +539,13 @@
             settings.proxies <= 1 and not handed_over,
         )
         # the balancer refuses requests with less time at once
-        min_time_ms = self.transactions.balancer.margin + RESERVE
+        min_time_ms = self.transactions.balancer.margin + RESPONSE_RESERVE_MS
         plan = GracefulShutdown(
             self.stop_requested_at or clock(), longest_deadline, self.config.cores, min_time_ms, alone
         )
         self.shutdown = self.admission.shutdown = plan
         self.lifecycle.end()
-        say(
+        log_event(
             log,
             logging.INFO,
             "stopping",
@@ -540,8 +554,8 @@
             kill_ms=plan.limit - plan.told_at,
             answered_ms=plan.answered_by - plan.told_at,
         )
-        for front, _ in self.fronts:
-            front.told()
+        for front, _ in self.listeners:
+            front.announce_shutdown()
         if self.replacement:
             self.replacement.stop()
         self.schedule(STEP_INTERVAL_MS, partial(self.step_shutdown, plan, clock() + STEP_INTERVAL_MS))
@@ -549,9 +563,11 @@
     def step_shutdown(self, plan: GracefulShutdown, due: float) -> None:
         """Advance the graceful shutdown."""
         now, before = clock(), plan.phase
-        phase = plan.step(now, now - due, self.connection_count, all(front.shut for front, _ in self.fronts))
+        phase = plan.step(
+            now, now - due, self.connection_count, all(front.closed for front, _ in self.listeners)
+        )
         if phase != before:
-            say(
+            log_event(
                 log,
                 logging.INFO,
                 "stop_phase",
@@ -559,7 +575,7 @@
                 "%(connections)d connections, stalled %(stall_ms).0f ms at most",
                 phase=phase.name.lower().replace("_", " "),
                 after_ms=now - plan.told_at,
-                taken=self.transactions.taken,
+                taken=self.transactions.accepted_count,
                 in_hand=len(self.transactions.open),
                 connections=self.connection_count,
                 stall_ms=plan.stall,
@@ -567,25 +583,25 @@
         if phase is Phase.ENDED:
             self.loop.running = False
             return
-        for front, _ in self.fronts:
-            front.pass_idle()
+        for front, _ in self.listeners:
+            front.transfer_idle()
         if phase >= Phase.DRAINING:
-            for front, _ in self.fronts:
+            for front, _ in self.listeners:
                 front.drain(idle=True)
         if phase is Phase.CLOSING:
-            given_up = self.transactions.answer_all()
+            given_up = self.transactions.fail_open()
             if given_up:
-                say(
+                log_event(
                     log,
                     logging.WARNING,
                     "given_up",
                     "%(count)d transactions were given up at the end",
                     count=given_up,
                 )
-            for front, _ in self.fronts:
-                front.hurry()
+            for front, _ in self.listeners:
+                front.reject_incomplete()
                 front.stop_accepting()
         self.schedule(STEP_INTERVAL_MS, partial(self.step_shutdown, plan, clock() + STEP_INTERVAL_MS))
 
     def schedule(self, delay_ms: float, action: Callable[[], None]) -> None:
-        self.loop.deadlines.add(clock() + delay_ms, action)
+        self.loop.timers.add(clock() + delay_ms, action)
--- a/brackenusher/fronts/control/driver.py
+++ b/brackenusher/fronts/control/driver.py
@@ -7,26 +7,26 @@
 import socket
 from collections.abc import Generator
 
-from brackenusher.fronts.control.machine import Call, Handlers
-from brackenusher.runtime.buffers import Buffers
-from brackenusher.runtime.driver import SHORTAGE, Address, open_listener, write
-from brackenusher.runtime.log import say
-from brackenusher.runtime.loop import READ, WRITE, Coroutine, Loop, clock
-from brackenusher.runtime.timers import Entry
+from brackenusher.fronts.control.machine import ControlProtocol, Handlers
+from brackenusher.runtime.buffers import BufferPool
+from brackenusher.runtime.driver import RESOURCE_ERRNOS, Address, open_listener, write
+from brackenusher.runtime.log import log_event
+from brackenusher.runtime.loop import READ, WRITE, Coroutine, EventLoop, clock
+from brackenusher.runtime.timers import Timer
 
 log = logging.getLogger(__name__)
 
-MOST_CALLERS = 12  # above this, the oldest without a complete request is closed
-SOCKETS = MOST_CALLERS + 2  # with the listener, and one accepted before another is closed
+MAX_CONNECTIONS = 12  # above this, the oldest without a complete request is closed
+MAX_DESCRIPTORS = MAX_CONNECTIONS + 2  # with the listener, and one accepted before another is closed
 REQUEST_TIMEOUT_MS = 5000.0  # to receive a complete request
 RESPONSE_WRITE_TIMEOUT_MS = 2000.0  # for the client to read the response
 LINGER_MS = 300.0  # input is discarded before the close, so that no TCP reset destroys the response
 
 
-class Control:
+class ControlServer:
     """Accepts control connections."""
 
-    def __init__(self, loop: Loop, handlers: Handlers, buffers: Buffers) -> None:
+    def __init__(self, loop: EventLoop, handlers: Handlers, buffers: BufferPool) -> None:
         self.loop, self.handlers, self.buffers = loop, handlers, buffers
         self.connections: dict[ControlConnection, None] = {}  # oldest first
         self.answered = self.dropped = 0  # requests answered; connections closed to make room
@@ -34,7 +34,7 @@
     def listen(self, address: Address) -> None:
         """Listen on an address. Raises OSError if that fails."""
         sock = open_listener(address, backlog=128)
-        self.task = self.loop.spawn(self.accept(sock), sock, first=True)
+        self.task = self.loop.spawn(self.accept(sock), sock, priority=True)
 
     def accept(self, sock: socket.socket) -> Coroutine:
         while True:
@@ -44,16 +44,16 @@
                     client, _ = sock.accept()
                     client.setblocking(False)
                     ControlConnection(self, client)
-                    if len(self.connections) > MOST_CALLERS:
+                    if len(self.connections) > MAX_CONNECTIONS:
                         self.evict_oldest()
             except BlockingIOError:
                 continue
             except ConnectionError:
                 continue
             except OSError as error:
-                if error.errno not in SHORTAGE:
+                if error.errno not in RESOURCE_ERRNOS:
                     raise
-                say(
+                log_event(
                     log,
                     logging.WARNING,
                     "control_accept_failed",
@@ -75,12 +75,12 @@
 class ControlConnection:
     """One connection, which carries one request."""
 
-    def __init__(self, server: Control, sock: socket.socket) -> None:
-        self.server, self.sock, self.protocol = server, sock, Call(server.handlers)
-        self.timer: Entry | None = None
+    def __init__(self, server: ControlServer, sock: socket.socket) -> None:
+        self.server, self.sock, self.protocol = server, sock, ControlProtocol(server.handlers)
+        self.timer: Timer | None = None
         self.timed_out = False
         server.connections[self] = None
-        self.task = server.loop.spawn(self.run(), sock, first=True)
+        self.task = server.loop.spawn(self.run(), sock, priority=True)
 
     def run(self) -> Coroutine:
         try:
@@ -90,7 +90,7 @@
                 answer = self.protocol.time_out() if self.timed_out else self.read()
                 if not (yield from self.write(answer)):
                     return
-            if self.protocol.ended:
+            if self.protocol.input_ended:
                 return
             self.server.answered += 1
             self.sock.shutdown(socket.SHUT_WR)
@@ -105,7 +105,7 @@
         except OSError:
             pass  # the client broke the connection
         finally:
-            self.server.loop.deadlines.remove(self.timer)
+            self.server.loop.timers.remove(self.timer)
             self.server.connections.pop(self, None)
 
     def read(self) -> bytes:
@@ -129,10 +129,10 @@
         return True
 
     def set_timer(self, timeout_ms: float) -> None:
-        self.server.loop.deadlines.remove(self.timer)
+        self.server.loop.timers.remove(self.timer)
         self.timed_out, self.timer = (
             False,
-            self.server.loop.deadlines.add(clock() + timeout_ms, self.on_timer),
+            self.server.loop.timers.add(clock() + timeout_ms, self.on_timer),
         )
 
     def on_timer(self) -> None:
--- a/brackenusher/fronts/http1/virtual_server.py
+++ b/brackenusher/fronts/http1/virtual_server.py
@@ -8,19 +8,25 @@
 from httptools import HttpParserError, HttpParserUpgrade, HttpRequestParser
 
 from brackenusher.core.admission import Request
-from brackenusher.core.message import LONGEST_BODY, LONGEST_PASSED, Content, Message
-from brackenusher.core.pipe import Budget, Pipe
+from brackenusher.core.message import MAX_BUFFERED_BODY_BYTES, MAX_STREAMED_BODY_BYTES, Content, Message
+from brackenusher.core.pipe import Pipe, PipeBudget
 from brackenusher.core.transaction import Answer, Served
 from brackenusher.fronts.http import (
     AUTHORITY_PATTERN,
     REASON_PHRASES,
-    Front,
     HeaderMap,
     Headers,
     Rejection,
+    RequestClassifier,
     final_response,
 )
-from brackenusher.upstream.flow import FRAMING, LONGEST_HEAD, LONGEST_STREAM, SLACK, UnreadableAnswerError
+from brackenusher.upstream.flow import (
+    CHUNK_OVERHEAD_BYTES,
+    HEAD_SLACK_BYTES,
+    MAX_HEAD_BYTES,
+    MAX_MESSAGE_BYTES,
+    InvalidResponseError,
+)
 
 MAX_PIPELINED_REQUESTS = 16  # pipelined requests that are parsed ahead
 # Connection options that are not header names
@@ -38,7 +44,9 @@
     return {option.strip(b" \t").lower() for value in values for option in value.split(b",")}
 
 
-def check_head(header_map: HeaderMap, version: str, max_body_bytes: int = LONGEST_BODY) -> Rejection | None:
+def check_head(
+    header_map: HeaderMap, version: str, max_body_bytes: int = MAX_BUFFERED_BODY_BYTES
+) -> Rejection | None:
     """Check a request head for faults after which the rest of the stream cannot be trusted."""
     if version not in ("1.0", "1.1"):
         return Rejection(505, "HTTP/1.1 is spoken here", fatal=True)
@@ -76,13 +84,15 @@
     return path if path[:1] == b"/" else b"/" + path, [(b"host", authority), *others]
 
 
-class VirtualServer:
+class Http1Protocol:
     """Protocol state of one client connection; it is fed bytes and does no I/O."""
 
-    def __init__(self, classifier: Front, is_ready: Callable[[], bool], budget: Budget | None = None) -> None:
+    def __init__(
+        self, classifier: RequestClassifier, is_ready: Callable[[], bool], budget: PipeBudget | None = None
+    ) -> None:
         self.classifier, self.is_ready = classifier, is_ready
         self.budget = budget  # for streamed bodies; None disables streaming
-        self.max_body_bytes = LONGEST_BODY if budget is None else LONGEST_PASSED
+        self.max_body_bytes = MAX_BUFFERED_BODY_BYTES if budget is None else MAX_STREAMED_BODY_BYTES
         # receives the rest of a body whose request is already being forwarded
         self.upload: Pipe | None = None
         # bytes charged to the budget; bytes received of the current body
@@ -101,15 +111,16 @@
         self.request_count, self.request_bytes = 0, 0
         self.rejection: Rejection | None = None  # why the stream cannot be parsed any further
         self.keep_alive = True  # whether the connection stays open after the current response
-        self.ended = self.last = False  # end of input; the current response closes the connection
+        # end of input; the current response closes the connection
+        self.input_ended = self.closes_connection = False
 
     def receive(self, data: bytes | memoryview) -> None:
         """Feed bytes, b"" at the end of the stream."""
         if not data:
-            self.ended = True  # recorded even after a fatal parse error
+            self.input_ended = True  # recorded even after a fatal parse error
             if self.receiving:
                 self.reject_stream(Rejection(400, "the stream ends inside a request", fatal=True))
-        if self.ended or self.rejection is not None:
+        if self.input_ended or self.rejection is not None:
             return
         count_before, size = self.request_count + (not self.receiving), len(data)
         try:
@@ -117,7 +128,7 @@
                 data = self.feed_parser(data)
             if self.receiving:  # after an earlier request in the same data, its own share is unknown
                 self.check_request_size(size if self.request_count <= count_before else 0)
-        except (HttpParserError, UnreadableAnswerError) as error:
+        except (HttpParserError, InvalidResponseError) as error:
             self.reject_stream(self.rejection or Rejection(400, str(error), fatal=True))
 
     def feed_parser(self, data: bytes | memoryview) -> bytes | memoryview:
@@ -146,21 +157,21 @@
     def count_head_bytes(self, size: int) -> None:
         """Count the bytes of a head as parsed; the parser reports a header only once it is complete."""
         self.head_size += size
-        if self.head_size > LONGEST_HEAD:
+        if self.head_size > MAX_HEAD_BYTES:
             self.abort_parsing(Rejection(431, "the head is too large", fatal=True))
 
     def check_request_size(self, size: int) -> None:
         """Count bytes as received, so that data which the parser buffers unreported is bounded."""
         self.request_bytes += size
-        if not self.in_body and self.request_bytes > LONGEST_HEAD + SLACK:
+        if not self.in_body and self.request_bytes > MAX_HEAD_BYTES + HEAD_SLACK_BYTES:
             self.abort_parsing(Rejection(431, "the head is too large", fatal=True))
-        if self.request_bytes > LONGEST_STREAM + FRAMING * self.body_received:
+        if self.request_bytes > MAX_MESSAGE_BYTES + CHUNK_OVERHEAD_BYTES * self.body_received:
             self.abort_parsing(Rejection(413, "the body's framing is too large", fatal=True))
 
     def abort_parsing(self, rejection: Rejection) -> NoReturn:
         """Abort parsing from within a parser callback."""
         self.rejection = rejection
-        raise UnreadableAnswerError
+        raise InvalidResponseError
 
     # callbacks of the parser
 
@@ -203,12 +214,12 @@
         if self.body_received > self.max_body_bytes:
             self.abort_parsing(Rejection(413, "the body is too large", fatal=True))
         if self.upload is not None:
-            self.upload.put(part)
+            self.upload.write(part)
             return
         self.body += part
         if (
             self.budget is not None
-            and self.body_received > LONGEST_BODY
+            and self.body_received > MAX_BUFFERED_BODY_BYTES
             and not self.charge_budget(len(part))
         ):
             self.begin_upload(self.budget)
@@ -216,24 +227,24 @@
     def charge_budget(self, size: int) -> bool:
         """Charge received body bytes to the budget; False if no more may be buffered."""
         assert self.budget is not None
-        if not self.budget.may_keep(self.body_received):
+        if not self.budget.may_buffer(self.body_received):
             return False
         self.budgeted_bytes += size
-        self.budget.kept += size
+        self.budget.buffered_body_bytes += size
         return True
 
     def release_budget(self) -> None:
         """Return the charged bytes to the budget."""
         if self.budget is not None:
-            self.budget.kept -= self.budgeted_bytes
+            self.budget.buffered_body_bytes -= self.budgeted_bytes
             self.budgeted_bytes = 0
 
-    def begin_upload(self, budget: Budget) -> None:
+    def begin_upload(self, budget: PipeBudget) -> None:
         """Forward the request now and stream the rest of its body, which is too long to buffer."""
         item = self.complete_request()
         if isinstance(item, Rejection):
             self.abort_parsing(replace(item, fatal=True))
-        self.upload = item.message.rest = Pipe(budget)
+        self.upload = item.message.body_pipe = Pipe(budget)
         length = self.header_map.get(b"content-length")
         item.message.length = int(length) if length is not None else None
         self.body = bytearray()
@@ -258,30 +269,30 @@
         origin = origin_form(self.target, self.headers)
         if isinstance(origin, Rejection):
             return origin
-        message = Message(self.method, *origin, bytes(self.body), streams=self.budget is not None)
+        message = Message(self.method, *origin, bytes(self.body), accepts_stream=self.budget is not None)
         return self.classifier.classify(message, self.header_map, self.is_ready)
 
     # called by the connection driver
 
     @property
-    def between(self) -> bool:
+    def is_idle(self) -> bool:
         """Whether no request is being received or pending."""
         return not self.receiving and not self.pending
 
     @property
-    def full(self) -> bool:
+    def read_paused(self) -> bool:
         """Whether reading is paused, as enough pipelined requests or body bytes are buffered."""
         return len(self.pending) >= MAX_PIPELINED_REQUESTS or self.upload is not None and self.upload.full
 
-    def next(self) -> Request | Rejection | None:
+    def next_request(self) -> Request | Rejection | None:
         """The next request, or the rejection to send in its place; None until more bytes arrive."""
         if self.pending:
             item, self.keep_alive, self.response_version = self.pending.popleft()
             return item
-        self.last = self.last or self.ended
+        self.closes_connection = self.closes_connection or self.input_ended
         return None
 
-    def go_on(self) -> bytes:
+    def continue_response(self) -> bytes:
         """The interim response for a client that expects 100 Continue."""
         if not self.receiving or not self.in_body or self.version != "1.1":
             return b""
@@ -291,11 +302,11 @@
             return b""
         return b"HTTP/1.1 100 Continue\r\n\r\n"
 
-    def answer(self, answer: Answer, close: bool) -> bytes:
+    def encode_answer(self, answer: Answer, close: bool) -> bytes:
         """Encode a final answer; `close` announces the end of the connection."""
         return self.encode_response(*final_response(answer), close)
 
-    def reject(self, rejection: Rejection, close: bool) -> bytes:
+    def encode_rejection(self, rejection: Rejection, close: bool) -> bytes:
         """Encode a rejection."""
         body = rejection.text.encode() + b"\n" if rejection.text else b""
         return self.encode_response(rejection.status, body, rejection.headers, close or rejection.fatal)
@@ -327,9 +338,9 @@
 
     def encode_head(self, status: int, headers: Sequence[tuple[bytes, bytes]], close: bool) -> bytes:
         upload_unfinished = self.upload is not None  # the response precedes the end of the request body
-        self.last = close or self.ended or not self.keep_alive or upload_unfinished
+        self.closes_connection = close or self.input_ended or not self.keep_alive or upload_unfinished
         lines = [b"HTTP/1.1 %d %s" % (status, REASON_PHRASES[status])]
         lines += [b"%s: %s" % header for header in headers]
-        if self.last:
+        if self.closes_connection:
             lines.append(b"connection: close")
         return b"\r\n".join(lines) + b"\r\n\r\n"
--- a/brackenusher/fronts/http2/clients.py
+++ b/brackenusher/fronts/http2/clients.py
@@ -5,33 +5,33 @@
 from functools import partial
 
 from brackenusher.config.operators import Http2Settings
-from brackenusher.core.admission import Admission, Bar, Verdict
+from brackenusher.core.admission import Admission, Denial, DenialReason
 from brackenusher.core.transaction import Answer, Transaction
-from brackenusher.fronts.http import Front, final_response, worded
+from brackenusher.fronts.http import RequestClassifier, final_response, rejection_for
 from brackenusher.fronts.http2.connection import Event, Http2Protocol
 from brackenusher.fronts.http2.streams import Counters, MemoryBudget, RequestReady
-from brackenusher.fronts.listener import Listener, Room
-from brackenusher.runtime.buffers import Buffers
+from brackenusher.fronts.listener import ConnectionLimit, Listener
+from brackenusher.runtime.buffers import BufferPool
 from brackenusher.runtime.driver import write
-from brackenusher.runtime.loop import READ, WRITE, Coroutine, Loop, clock
-from brackenusher.runtime.timers import Entry
+from brackenusher.runtime.loop import READ, WRITE, Coroutine, EventLoop, clock
+from brackenusher.runtime.timers import Timer
 
 MAX_UNSENT_BYTES = 64 * 1024  # bytes waiting for the socket's send buffer; input is not read above this
 LINGER_MS = 500.0  # input is discarded before the close, so that no TCP reset destroys the responses
 
 
-class Http2Clients(Listener):
+class Http2Listener(Listener):
     """Accepts HTTP/2 connections and tracks their states for eviction and shutdown."""
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         settings: Http2Settings,
-        classifier: Front,
+        classifier: RequestClassifier,
         admission: Admission,
         is_ready: Callable[[], bool],
-        connection_limit: Room,
-        buffers: Buffers,
+        connection_limit: ConnectionLimit,
+        buffers: BufferPool,
     ) -> None:
         super().__init__(loop, connection_limit)
         self.settings, self.classifier, self.admission, self.is_ready = (
@@ -40,8 +40,8 @@
             admission,
             is_ready,
         )
-        self.buffers, self.counts, self.memory = buffers, Counters(), MemoryBudget(settings.held_kb * 1024)
-        self.links: set[Http2Connection] = set()
+        self.buffers, self.counters, self.memory = buffers, Counters(), MemoryBudget(settings.held_kb * 1024)
+        self.connections: set[Http2Connection] = set()
         self.idle: dict[Http2Connection, None] = {}  # without open streams; longest idle first
         self.lingering: dict[Http2Connection, None] = {}  # closed for writing, remaining input is discarded
 
@@ -59,14 +59,14 @@
             connection.close_now()
         return connection is not None
 
-    def told(self) -> None:
+    def announce_shutdown(self) -> None:
         """Send a first GOAWAY; streams that clients open all the same are served."""
-        for connection in self.links:
+        for connection in self.connections:
             connection.protocol.announce_shutdown(clock())
             connection.task.wake()
 
     def drain(self, idle: bool) -> None:
-        for connection in self.links:
+        for connection in self.connections:
             if not connection.protocol.closing:
                 # final GOAWAY: open streams are answered, clients reconnect for others
                 connection.protocol.close(clock())
@@ -75,8 +75,8 @@
     def resume(self) -> None:
         pass  # a GOAWAY cannot be taken back; new connections are served as usual
 
-    def hurry(self) -> None:
-        for connection in self.links:
+    def reject_incomplete(self) -> None:
+        for connection in self.connections:
             if connection.protocol.receiving:
                 connection.protocol.refuse_incomplete(clock())
                 connection.task.wake()
@@ -85,14 +85,14 @@
 class Http2Connection:
     """One client connection."""
 
-    def __init__(self, listener: Http2Clients, sock: socket.socket, address: str) -> None:
+    def __init__(self, listener: Http2Listener, sock: socket.socket, address: str) -> None:
         self.listener, self.sock, self.address = listener, sock, address
         self.protocol = Http2Protocol(
             listener.classifier,
             listener.is_ready,
             listener.settings,
             listener.memory,
-            listener.counts,
+            listener.counters,
             clock(),
         )
         self.transactions: dict[int, Transaction] = {}  # by stream id
@@ -100,9 +100,9 @@
         self.pending_answers: list[tuple[int, Answer]] = []
         # encoded and not written yet; when the socket last accepted data
         self.unsent, self.written_at = b"", clock()
-        self.timer: Entry | None = None
+        self.timer: Timer | None = None
         self.peer_closed = False
-        listener.links.add(self)
+        listener.connections.add(self)
         self.over_limit = listener.register_connection()  # accepted only to be refused
         self.task = listener.loop.spawn(self.run(), sock)
 
@@ -135,7 +135,7 @@
                 events = yield (WRITE if self.unsent else 0) | (0 if blocked else READ)
                 now = clock()
                 if self.unsent and now >= self.written_at + self.listener.settings.answer_ms:
-                    self.listener.counts.stuck += len(protocol.sending)
+                    self.listener.counters.stalled += len(protocol.sending)
                     return
                 if events & ~WRITE:
                     self.read()
@@ -146,14 +146,14 @@
         except OSError:
             pass  # the client broke the connection
         finally:
-            self.listener.loop.deadlines.remove(self.timer)
+            self.listener.loop.timers.remove(self.timer)
             self.listener.idle.pop(self, None)
             self.listener.lingering.pop(self, None)
-            self.listener.links.discard(self)
+            self.listener.connections.discard(self)
             self.listener.unregister_connection()
             protocol.remove_all_streams()
             for transaction in self.transactions.values():
-                self.listener.admission.left(transaction)
+                self.listener.admission.client_left(transaction)
 
     def read(self) -> None:
         try:
@@ -170,20 +170,20 @@
             if isinstance(event, RequestReady):
                 self.serve(event)
             elif event.stream_id in self.transactions:
-                self.listener.admission.left(self.transactions.pop(event.stream_id))
+                self.listener.admission.client_left(self.transactions.pop(event.stream_id))
 
     def serve(self, ready: RequestReady) -> None:
         """Pass a request to admission control; answer it at once if it is rejected."""
         stream_id, request = ready.stream_id, ready.request
-        request.address, request.beyond = self.address, self.over_limit
+        request.address, request.over_connection_limit = self.address, self.over_limit
         admitted = self.listener.admission.admit(request, partial(self.on_answer, stream_id))
-        if not isinstance(admitted, Verdict):
+        if not isinstance(admitted, Denial):
             self.transactions[stream_id] = admitted
             return
-        rejection, now = worded(admitted), clock()
+        rejection, now = rejection_for(admitted), clock()
         body = rejection.text.encode() + b"\n"
         self.protocol.answer(stream_id, rejection.status, body, rejection.headers, now)
-        if admitted.bar is Bar.ROOM:  # descriptors are short
+        if admitted.reason is DenialReason.CONNECTION_LIMIT:  # descriptors are short
             self.protocol.close(now)
 
     def on_answer(self, stream_id: int, answer: Answer) -> None:
@@ -197,7 +197,7 @@
         for stream_id, answer in answers:
             transaction = self.transactions.pop(stream_id, None)
             if transaction is not None:  # else the stream ended while the answer was queued
-                self.listener.admission.answered(transaction, answer)
+                self.listener.admission.answer_sent(transaction, answer)
                 self.protocol.answer(stream_id, *final_response(answer), clock())
 
     def flush(self) -> bool:
@@ -225,9 +225,9 @@
         if self.unsent:
             deadline = min(deadline, self.written_at + self.listener.settings.answer_ms)
         if self.timer is None or self.timer[0] > deadline:
-            deadlines = self.listener.loop.deadlines
-            deadlines.remove(self.timer)
-            self.timer = deadlines.add(deadline, self.on_timer) if deadline < float("inf") else None
+            timers = self.listener.loop.timers
+            timers.remove(self.timer)
+            self.timer = timers.add(deadline, self.on_timer) if deadline < float("inf") else None
 
     def on_timer(self) -> None:
         self.timer = None
@@ -239,8 +239,8 @@
         self.listener.idle.pop(self, None)
         self.listener.lingering[self] = None
         end = clock() + LINGER_MS
-        self.listener.loop.deadlines.remove(self.timer)
-        self.timer = self.listener.loop.deadlines.add(end, self.on_timer)
+        self.listener.loop.timers.remove(self.timer)
+        self.timer = self.listener.loop.timers.add(end, self.on_timer)
         while clock() < end:
             yield READ
             try:
--- a/brackenusher/fronts/http2/connection.py
+++ b/brackenusher/fronts/http2/connection.py
@@ -31,8 +31,8 @@
 from hyperframe.frame import GoAwayFrame, SettingsFrame
 
 from brackenusher.config.operators import Http2Settings
-from brackenusher.core.message import LONGEST_BODY
-from brackenusher.fronts.http import Front, Headers, Rejection
+from brackenusher.core.message import MAX_BUFFERED_BODY_BYTES
+from brackenusher.fronts.http import Headers, Rejection, RequestClassifier
 from brackenusher.fronts.http2.frames import END_STREAM, PREFACE, Frame, FrameParser, FrameType, Http2Error
 from brackenusher.fronts.http2.heads import (
     DEFAULT_URGENCY,
@@ -80,7 +80,7 @@
 
     def __init__(
         self,
-        classifier: Front,
+        classifier: RequestClassifier,
         is_ready: Callable[[], bool],
         settings: Http2Settings,
         memory: MemoryBudget,
@@ -93,7 +93,7 @@
         self.charge_limit = settings.connection_kb * 1024
         self.reserved, self.reservation_limit = (
             0,
-            max(self.charge_limit - settings.streams * STREAM_OVERHEAD_BYTES, LONGEST_BODY),
+            max(self.charge_limit - settings.streams * STREAM_OVERHEAD_BYTES, MAX_BUFFERED_BODY_BYTES),
         )
         self.frame_parser = FrameParser(settings.frames, ENCODED_BLOCK_FACTOR * settings.head_bytes, now)
         self.out = bytearray()
@@ -286,7 +286,7 @@
         stream.input_ended = event.stream_ended is not None
         stream.body += data
         size, length = len(stream.body), stream.head.content_length if stream.head else None
-        if size > LONGEST_BODY:
+        if size > MAX_BUFFERED_BODY_BYTES:
             self.reject(stream, Rejection(413, "the body is too large"), now)
         elif length is not None and size > length:
             stream.malformed = True
@@ -357,7 +357,9 @@
     def reserve_body(self, stream: Stream) -> bool:
         """Reserve memory for a whole body, if available. All or nothing, so that streams cannot deadlock."""
         if not stream.body_reserved and stream.head is not None:
-            size = LONGEST_BODY if stream.head.content_length is None else stream.head.content_length
+            size = (
+                MAX_BUFFERED_BODY_BYTES if stream.head.content_length is None else stream.head.content_length
+            )
             size = len(stream.body) if stream.input_ended else size
             needed = max(size - INITIAL_WINDOW_BYTES, 0)
             available = min(
@@ -368,7 +370,7 @@
             self.charge(stream, needed)
             self.reserve(stream, needed)
             stream.body_reserved = True
-            stream.unreturned_window += LONGEST_BODY
+            stream.unreturned_window += MAX_BUFFERED_BODY_BYTES
         return True
 
     def reserve(self, stream: Stream, size: int) -> None:
@@ -434,7 +436,7 @@
             stream = next(iter(self.sending.values()))
             if stream.phase_started_at + STALLED_RESPONSE_MS > now:
                 return
-            self.counters.stuck += 1
+            self.counters.stalled += 1
             self.reset_stream(stream.id, ErrorCodes.ENHANCE_YOUR_CALM)
 
     def enqueue(self, stream: Stream) -> None:
@@ -551,12 +553,12 @@
         """Close the connection for an error."""
         if code == ErrorCodes.ENHANCE_YOUR_CALM:
             self.counters.floods += 1
-            self.counters.faults -= 1
+            self.counters.errors -= 1
         self.send_goaway(self.h2.highest_inbound_stream_id, code, reason)
         self.terminate(code)
 
     def terminate(self, code: int) -> None:
-        self.counters.faults += 1
+        self.counters.errors += 1
         self.finished, self.frame_parser.buffer = True, bytearray()
         self.remove_all_streams()
 
@@ -601,11 +603,11 @@
             self.receiving
             and (stream := next(iter(self.receiving.values()))).phase_started_at + REQUEST_TIMEOUT_MS <= now
         ):
-            self.counters.late += 1
+            self.counters.timed_out += 1
             self.reject(stream, Rejection(408, "the request took too long"), now)
         limit = now - self.settings.answer_ms
         while self.sending and (stream := next(iter(self.sending.values()))).phase_started_at <= limit:
-            self.counters.stuck += 1
+            self.counters.stalled += 1
             self.reset_stream(stream.id, ErrorCodes.CANCEL)
         self.drop_stalled_responses(now)
         self.update_windows()
--- a/brackenusher/fronts/http2/streams.py
+++ b/brackenusher/fronts/http2/streams.py
@@ -8,7 +8,7 @@
 from hpack import Decoder, HeaderTuple
 
 from brackenusher.core.admission import Request
-from brackenusher.core.message import LONGEST_BODY
+from brackenusher.core.message import MAX_BUFFERED_BODY_BYTES
 from brackenusher.fronts.http import Headers
 from brackenusher.fronts.http2.heads import (
     RequestHead,
@@ -45,10 +45,10 @@
     streams: int = 0
     refused: int = 0  # streams reset as not processed: stream limit, memory limit, shutdown
     reset: int = 0  # reset by clients before the response was sent
-    stuck: int = 0  # responses dropped as the client did not read them in time, or for memory
-    late: int = 0  # requests that were not complete in time
+    stalled: int = 0  # responses dropped as the client did not read them in time, or for memory
+    timed_out: int = 0  # requests that were not complete in time
     floods: int = 0  # connections closed for too many frames that request nothing
-    faults: int = 0  # connections closed for other errors
+    errors: int = 0  # connections closed for other errors
 
 
 class MemoryBudget:
@@ -57,7 +57,7 @@
     def __init__(self, limit: int) -> None:
         self.limit, self.used, self.peak = limit, 0, 0
         # reserved for bodies; the rest is left to new streams
-        self.reserved, self.reservation_limit = 0, max(limit * 3 // 4, LONGEST_BODY)
+        self.reserved, self.reservation_limit = 0, max(limit * 3 // 4, MAX_BUFFERED_BODY_BYTES)
 
     def add(self, size: int) -> None:
         self.used += size
--- a/brackenusher/fronts/rpc/host.py
+++ b/brackenusher/fronts/rpc/host.py
@@ -13,21 +13,21 @@
 from barleybarrow import interface as face
 from barleybarrow.brain import Balancer
 from barleybarrow.interface import Outcome
-from brackenusher.core.admission import Admission, Request, Verdict
+from brackenusher.core.admission import Admission, Denial, Request
 from brackenusher.core.deadlines import Deadlines
 from brackenusher.core.transaction import (
-    RESERVE,
+    RESPONSE_RESERVE_MS,
     Answer,
     Attempt,
-    Carrier,
+    AttemptTransport,
     Failed,
     Refused,
     Served,
     Transaction,
     Transactions,
 )
-from brackenusher.runtime.log import fault
-from brackenusher.runtime.timers import Entry
+from brackenusher.runtime.log import log_exception
+from brackenusher.runtime.timers import Timer
 
 log = logging.getLogger("brackenusher.rpc")
 
@@ -57,7 +57,7 @@
         """The loop's time in milliseconds."""
         return self.loop.time() * 1000.0
 
-    def add(self, when: float, action: Callable[[], None]) -> Entry:
+    def add(self, when: float, action: Callable[[], None]) -> Timer:
         entry = super().add(when, action)
         if when < self.armed_for:
             self.arm()
@@ -67,7 +67,7 @@
         """Set the timer to the earliest deadline."""
         if self.timer is not None:
             self.timer.cancel()
-        earliest = None if self.closed else self.next()
+        earliest = None if self.closed else self.next_due()
         self.armed_for = inf if earliest is None else earliest
         self.timer = (
             None if earliest is None else self.loop.call_at(earliest / 1000.0 + TIMER_MARGIN_S, self.on_timer)
@@ -91,7 +91,7 @@
             self.run_sweep()
 
     def run_sweep(self) -> None:
-        self.sweep(self.clock())
+        self.run_due(self.clock())
         self.late_ms = 0.0
         if not self.closed:
             self.arm()
@@ -114,7 +114,7 @@
     is_retry: bool
     deadline: float  # clock time in milliseconds
     transaction: Transaction | None = None
-    wait_timer: Entry | None = None
+    wait_timer: Timer | None = None
 
 
 class TransactionRunner:
@@ -125,19 +125,19 @@
         settings: face.Settings,
         seed: int,
         loop: asyncio.AbstractEventLoop,
-        carrier: Carrier,
+        attempt_transport: AttemptTransport,
         max_open_calls: int,
     ) -> None:
         self.settings, self.loop, self.max_open_calls = settings, loop, max_open_calls
         self.deadlines = LoopDeadlines(loop)
         self.clock = self.deadlines.clock
         balancer = Balancer(settings, seed, self.clock())
-        self.transactions = Transactions(balancer, self.clock, self.deadlines, carrier)
+        self.transactions = Transactions(balancer, self.clock, self.deadlines, attempt_transport)
         self.admission = Admission(self.transactions, settings)
         self.waiting_for_list: dict[int, PendingCall] = {}  # waiting for the first list, in order of arrival
         self.has_list = self.closed = False
         self.last_number = self.in_flight = self.refused_count = 0
-        self.pulse_timer: Entry | None = None
+        self.pulse_timer: Timer | None = None
         self.on_attempt_ended: Callable[[Attempt, Outcome], None] | None = None  # metrics callback
 
     # called by channels and transports
@@ -162,14 +162,14 @@
             self.admit(pending, over_limit=True)
         elif self.has_list:
             self.admit(pending)
-        elif timeout_ms <= RESERVE:
+        elif timeout_ms <= RESPONSE_RESERVE_MS:
             self.refuse_without_list(pending)
         else:
             self.last_number += 1
             number = self.last_number
             self.waiting_for_list[number] = pending
             pending.wait_timer = self.deadlines.add(
-                pending.deadline - RESERVE, lambda: self.on_list_timeout(number)
+                pending.deadline - RESPONSE_RESERVE_MS, lambda: self.on_list_timeout(number)
             )
         return pending
 
@@ -177,16 +177,16 @@
         """Pass a call to admission control; answer it at once if it is rejected."""
         self.last_number += 1
         request = Request(
-            name=b"%d" % self.last_number,
-            klass=pending.klass,
-            span=pending.deadline - self.clock(),
+            request_id=b"%d" % self.last_number,
+            class_index=pending.klass,
+            timeout_ms=pending.deadline - self.clock(),
             tenant=pending.tenant,
-            repeated=pending.is_retry,
+            is_retry=pending.is_retry,
             message=pending.message,
-            beyond=over_limit,
+            over_connection_limit=over_limit,
         )
         admitted = self.admission.admit(request, lambda answer: self.deliver(pending, answer))
-        if isinstance(admitted, Verdict):
+        if isinstance(admitted, Denial):
             self.deliver(pending, Refused(admitted.retry_after))
         else:
             pending.transaction = admitted
@@ -202,7 +202,7 @@
             self.refuse_without_list(pending)
 
     def refuse_without_list(self, pending: PendingCall) -> None:
-        self.transactions.turn_away(pending.message, f"list {self.settings.max_retry_after:.0f} refused")
+        self.transactions.record_denial(pending.message, f"list {self.settings.max_retry_after:.0f} refused")
         self.deliver(pending, Refused(self.settings.max_retry_after))
 
     def cancel_call(self, pending: PendingCall) -> None:
@@ -211,7 +211,7 @@
             return
         pending.reply = None
         if pending.transaction is not None:
-            self.admission.left(pending.transaction)
+            self.admission.client_left(pending.transaction)
             return
         self.deadlines.remove(pending.wait_timer)
         for number, waiting in self.waiting_for_list.items():
@@ -231,7 +231,7 @@
                 self.deadlines.remove(pending.wait_timer)
                 self.admit(pending)
 
-    # called by the carrier
+    # called by the attempt transport
 
     def stream_began(self, attempt: Attempt, stream: Any) -> bool:
         """A streamed response has begun and is handed to the caller; it is not retried after this.
@@ -239,7 +239,7 @@
         False if the caller has cancelled, so that nobody will read it.
         """
         transaction = attempt.transaction
-        if transaction.over:
+        if transaction.closed:
             return False
         self.transactions.post(face.Began(transaction.id, attempt.number))
         self.transactions.answer(transaction.id, Served(stream))
@@ -269,7 +269,7 @@
     def attempt_not_started(self, attempt: Attempt, outcome: Outcome) -> None:
         """An attempt failed before it was started."""
         self.report_attempt(attempt, outcome)
-        attempt.ended(attempt, outcome, None)
+        attempt.on_end(attempt, outcome, None)
 
     def attempt_cancelled(self, attempt: Attempt) -> None:
         """The policy has cancelled an attempt."""
@@ -281,7 +281,7 @@
             try:
                 self.on_attempt_ended(attempt, outcome)
             except Exception:
-                fault(log, "metrics_failed", "metrics collector raised an exception")
+                log_exception(log, "metrics_failed", "metrics collector raised an exception")
 
     def close(self) -> None:
         """Answer all open calls and reject new ones."""
@@ -290,7 +290,7 @@
             self.deliver(pending, Refused(self.settings.max_retry_after))
         self.waiting_for_list.clear()
         for transaction in list(self.transactions.open.values()):
-            if not transaction.over:
+            if not transaction.closed:
                 transaction.reply(Failed())
-                self.transactions.left(transaction)
+                self.transactions.client_left(transaction)
         self.deadlines.close()
--- a/brackenusher/fronts/rpc/lines.py
+++ b/brackenusher/fronts/rpc/lines.py
@@ -13,8 +13,8 @@
 from barleybarrow.interface import Outcome
 from brackenusher.core.transaction import Attempt, Served
 from brackenusher.fronts.rpc.host import TransactionRunner
-from brackenusher.runtime.log import fault
-from brackenusher.runtime.timers import Entry
+from brackenusher.runtime.log import log_exception
+from brackenusher.runtime.timers import Timer
 from brackenusher.upstream.pool import Member, Pool
 
 log = logging.getLogger("brackenusher.rpc")
@@ -29,7 +29,7 @@
 
     connection: "ServerConnection"
     task: "asyncio.Task[None] | None" = None
-    expiry: Entry | None = None
+    expiry: Timer | None = None
     written: bool = False  # from here on it may have been executed
     finished: bool = False
 
@@ -66,7 +66,7 @@
 
 
 class ConnectionManager:
-    """Executes the policy's actions: the carrier of `Transactions`."""
+    """Executes the policy's actions: the attempt transport of `Transactions`."""
 
     def __init__(
         self,
@@ -85,7 +85,7 @@
         # called when the policy requests the list of servers
         self.on_list_requested: Callable[[], None] = lambda: None
 
-    # carrier interface
+    # attempt transport interface
 
     def start(self, attempt: Attempt) -> None:
         """Start an attempt; one that cannot finish before its deadline is not sent."""
@@ -93,7 +93,7 @@
         if member is None or remaining_ms <= 0 or self.closed:
             self.runner.attempt_not_started(attempt, Outcome.NOT_SENT)
             return
-        if not self.pool.may_begin(member):
+        if not self.pool.may_send(member):
             self.runner.attempt_not_started(attempt, Outcome.CONNECT_FAILED)
             return
         managed = self.connection_to(member)
@@ -102,7 +102,7 @@
             if remaining_ms <= self.handshake_ms:
                 self.runner.attempt_not_started(attempt, Outcome.NOT_SENT)
                 return
-        flight = attempt.carriage = InFlightAttempt(managed.connection)
+        flight = attempt.link = InFlightAttempt(managed.connection)
         managed.user_count += 1
         self.runner.attempt_started()
         flight.expiry = self.runner.deadlines.add(
@@ -113,7 +113,7 @@
         flight.task.add_done_callback(lambda _: self.release(managed))
 
     def cancel(self, attempt: Attempt) -> None:
-        flight: InFlightAttempt | None = attempt.carriage
+        flight: InFlightAttempt | None = attempt.link
         if flight is not None and not flight.finished:
             self.mark_finished(flight, attempt)
             self.runner.attempt_cancelled(attempt)
@@ -179,7 +179,7 @@
         except TimeoutError:
             connected = False
         except Exception:
-            fault(log, "connect_failed", "unexpected error while connecting")
+            log_exception(log, "connect_failed", "unexpected error while connecting")
             connected = False
         if connected:
             duration_ms = self.runner.clock() - started_at
@@ -202,7 +202,7 @@
                 outcome = Outcome.CONNECT_FAILED
             elif (remaining_ms := attempt.deadline - self.runner.clock()) <= 0:
                 outcome = Outcome.NOT_SENT
-            elif not self.pool.may_begin(member):
+            elif not self.pool.may_send(member):
                 outcome = Outcome.CONNECT_FAILED
             else:
                 outcome, served = await managed.connection.execute(attempt, flight, remaining_ms)
@@ -212,7 +212,7 @@
             if not flight.finished:  # not cancelled here: the library closed it
                 outcome = Outcome.RESET if flight.written else Outcome.CONNECT_FAILED
         except Exception:
-            fault(log, "attempt_failed", "unexpected error in an attempt")
+            log_exception(log, "attempt_failed", "unexpected error in an attempt")
             outcome = Outcome.RESET if flight.written else Outcome.NOT_SENT
         self.finish(attempt, flight, managed, outcome, served)
 
@@ -240,7 +240,7 @@
 
     def on_deadline(self, attempt: Attempt, managed: ManagedConnection) -> None:
         """The attempt's deadline has passed; it was executed only if it was written."""
-        flight: InFlightAttempt = attempt.carriage
+        flight: InFlightAttempt = attempt.link
         self.finish(attempt, flight, managed, Outcome.TIMEOUT if flight.written else Outcome.NOT_SENT)
         self.cancel_task(flight)
 
--- a/brackenusher/fronts/rpc/transport.py
+++ b/brackenusher/fronts/rpc/transport.py
@@ -19,9 +19,9 @@
 from barleybarrow import interface as face
 from barleybarrow.interface import Outcome
 from brackenusher.core.admission import Request
-from brackenusher.core.message import LONGEST_BODY, Content, Message
+from brackenusher.core.message import MAX_BUFFERED_BODY_BYTES, Content, Message
 from brackenusher.core.transaction import Answer, Attempt, Served
-from brackenusher.fronts.http import Front, Rejection, final_response
+from brackenusher.fronts.http import Rejection, RequestClassifier, final_response
 from brackenusher.fronts.rpc import picture as target_states
 from brackenusher.fronts.rpc.config import RpcConfig, read_config
 from brackenusher.fronts.rpc.host import TransactionRunner
@@ -119,7 +119,7 @@
         body = bytearray()
         async for chunk in response.aiter_raw():
             body += chunk
-            if len(body) > LONGEST_BODY:
+            if len(body) > MAX_BUFFERED_BODY_BYTES:
                 return Outcome.ERROR, None
         if response.status_code == 200:
             kind, coding = (response.headers.get(name) for name in ("content-type", "content-encoding"))
@@ -158,7 +158,7 @@
     """Interprets requests as the proxy does, for the classes and tenants of the settings."""
 
     def __init__(self, settings: face.Settings) -> None:
-        self.classifier = Front(settings)
+        self.classifier = RequestClassifier(settings)
         self.ids = (f"{secrets.token_hex(6)}{n:04x}".encode() for n in itertools.count())
 
     def read(self, request: httpx.Request, body: bytes) -> tuple[ForwardedRequest, Request] | Rejection:
@@ -171,14 +171,14 @@
         header_map = self.classifier.index_headers(headers)
         if isinstance(header_map, Rejection):
             return header_map
-        if len(body) > LONGEST_BODY:
+        if len(body) > MAX_BUFFERED_BODY_BYTES:
             return Rejection(413, "the body is too large")
         item = self.classifier.parse(forwarded, header_map)
         if isinstance(item, Rejection):
             return item
         read_timeout_s = (request.extensions.get("timeout") or {}).get("read")
         if read_timeout_s is not None:
-            item.span = min(item.span, read_timeout_s * 1000.0)
+            item.timeout_ms = min(item.timeout_ms, read_timeout_s * 1000.0)
         return forwarded, item
 
 
@@ -266,7 +266,12 @@
                 answered.set_result(answer)
 
         pending = runner.start_call(
-            classified.klass, classified.span, forwarded, reply, classified.tenant, classified.repeated
+            classified.class_index,
+            classified.timeout_ms,
+            forwarded,
+            reply,
+            classified.tenant,
+            classified.is_retry,
         )
         try:
             return build_response(await answered)
--- a/brackenusher/group/acting.py
+++ b/brackenusher/group/acting.py
@@ -8,7 +8,7 @@
 from barleybarrow.budget import ClientRetryBudget
 from barleybarrow.policy import Rules, stricter_bound
 from barleybarrow.rate_limiter import CLOSED_WAIT, RateLimiter, RateLimiterSettings
-from brackenusher.core.admission import Request, name_of
+from brackenusher.core.admission import Request, rate_limit_key
 from brackenusher.core.transaction import Transactions
 from brackenusher.upstream.listing import Host
 from brackenusher.upstream.pool import Pool
@@ -28,7 +28,7 @@
             pool.planner.settings
         )  # the operators' file applies where it is stricter
         self.counts = {"door": 0, "shares": 0, "repeats": 0}
-        pool.bars.append(self.excludes)
+        pool.exclusions.append(self.excludes)
 
     def excludes(self, host: Host) -> bool:
         return host.name in self.rules.servers or host.cell in self.rules.blocks
@@ -41,17 +41,19 @@
         rules = self.rules
         if key in rules.shares and self.open_requests(key) >= rules.shares[key]:
             return self.deny("shares", FULL_WAIT if rules.shares[key] else CLOSED_WAIT)
-        if self.budget is not None and request.repeated and self.budget.exhausted:
+        if self.budget is not None and request.is_retry and self.budget.exhausted:
             return self.deny("repeats", REPEAT_WAIT if self.budget.limit.ratio else CLOSED_WAIT)
         if key in rules.tenants and (wait := self.rate_limiter.ask(key, now)):
             return self.deny("door", wait)
         if self.budget is not None:
-            self.budget.record(request.repeated)
+            self.budget.record(request.is_retry)
         return 0.0
 
     def open_requests(self, key: str) -> int:
         """Counts a tenant's unanswered requests; not kept as a counter, as few tenants have a share."""
-        return sum(not t.over and name_of(t.message.owner) == key for t in self.transactions.open.values())
+        return sum(
+            not t.closed and rate_limit_key(t.message.owner) == key for t in self.transactions.open.values()
+        )
 
     def deny(self, cause: str, wait: float) -> float:
         self.counts[cause] += 1
@@ -81,4 +83,4 @@
             requests=int(stricter_bound(base.requests, rules.requests)),
         )
         if (rules.servers, rules.blocks) != (before.servers, before.blocks):
-            self.transactions.post(self.pool.look_again())
+            self.transactions.post(self.pool.reevaluate())
--- a/brackenusher/group/database.py
+++ b/brackenusher/group/database.py
@@ -17,8 +17,8 @@
 
 from msgspec import DecodeError, msgpack
 
-from brackenusher.runtime.log import say
-from brackenusher.runtime.points import disk
+from brackenusher.runtime.log import log_event
+from brackenusher.runtime.points import disk_failpoint
 
 log = logging.getLogger(__name__)
 
@@ -85,7 +85,7 @@
     @contextlib.contextmanager
     def transaction(self) -> Iterator[None]:
         """Makes the statements of the block durable atomically. Raises OSError, sqlite3.Error."""
-        disk()
+        disk_failpoint()
         self.db.execute("BEGIN IMMEDIATE")
         try:
             yield
@@ -134,7 +134,9 @@
     except (OSError, sqlite3.Error) as error:
         raise ValueError(f"{section}.folder: {folder}: {error}") from error
     text = "%(what)s: %(file)s does not hold together (%(why)s): set aside as %(aside)s"
-    say(log, logging.ERROR, "store_damaged", text, what=section, file=file.path, why=why, aside=damaged_path)
+    log_event(
+        log, logging.ERROR, "store_damaged", text, what=section, file=file.path, why=why, aside=damaged_path
+    )
     return file, None
 
 
--- a/brackenusher/group/keyed_requests.py
+++ b/brackenusher/group/keyed_requests.py
@@ -9,7 +9,7 @@
 from barleybarrow.idempotency_records import MAX_BODY_BYTES, IdempotencyRecords, SavedResponse
 from barleybarrow.interface import Effect, Group
 from brackenusher.core import transaction as core
-from brackenusher.core.admission import Before, Request
+from brackenusher.core.admission import RecordedOutcome, Request
 from brackenusher.core.message import Content, Message
 from brackenusher.runtime.loop import clock
 
@@ -39,8 +39,8 @@
         self.records, self.transactions, self.classes = records, transactions, settings.classes
         self.answered_count = self.pinned_count = 0
 
-    def ask(self, request: Request) -> Before | None:
-        conf = self.classes[request.klass]
+    def ask(self, request: Request) -> RecordedOutcome | None:
+        conf = self.classes[request.class_index]
         if conf.effect is not Effect.KEYED:
             return None
         key = record_key(request.message)
@@ -50,11 +50,11 @@
         if record.response is not None:
             self.answered_count += 1
             response = record.response
-            return Before(Content(response.body, response.content_type, response.content_encoding))
+            return RecordedOutcome(Content(response.body, response.content_type, response.content_encoding))
         self.pinned_count += 1
-        return Before(None, record.server, record.until)
+        return RecordedOutcome(None, record.server, record.until)
 
-    def handled(self, now: float, event: face.Event, actions: Sequence[Any]) -> None:
+    def on_event(self, now: float, event: face.Event, actions: Sequence[Any]) -> None:
         records = self.records
         if isinstance(event, face.Arrived):
             conf = self.classes[event.klass]
@@ -68,10 +68,12 @@
             if isinstance(action, face.Send):
                 records.on_attempt_sent(now, action.request, action.backend)
 
-    def answered(self, transaction: "core.Transaction", answer: "core.Answer | None") -> None:
+    def on_answer(self, transaction: "core.Transaction", answer: "core.Answer | None") -> None:
         saved_response = None
         if isinstance(answer, core.Served):
             content = answer.content
-            if content.rest is None and len(content.body) <= MAX_BODY_BYTES:
-                saved_response = SavedResponse(bytes(content.body), content.kind, content.coding)
+            if content.body_pipe is None and len(content.body) <= MAX_BODY_BYTES:
+                saved_response = SavedResponse(
+                    bytes(content.body), content.content_type, content.content_encoding
+                )
         self.records.on_request_done(clock(), transaction.id, saved_response)
--- a/brackenusher/group/node.py
+++ b/brackenusher/group/node.py
@@ -28,10 +28,10 @@
 from brackenusher.group.ordered_output import OrderedOutput
 from brackenusher.group.store import Store, StoredState
 from brackenusher.membership.frames import Wish
-from brackenusher.runtime.log import say
-from brackenusher.runtime.loop import READ, Coroutine, Loop, clock
-from brackenusher.runtime.points import reach
-from brackenusher.runtime.timers import Entry as Limit
+from brackenusher.runtime.log import log_event
+from brackenusher.runtime.loop import READ, Coroutine, EventLoop, clock
+from brackenusher.runtime.points import failpoint
+from brackenusher.runtime.timers import Timer as Limit
 from brackenusher.upstream.pool import Pool
 
 log = logging.getLogger(__name__)
@@ -48,7 +48,7 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         transactions: Transactions,
         pool: Pool,
         name: str,
@@ -162,12 +162,12 @@
             self.streams.probe(name)
 
     def schedule_wakeup(self) -> None:
-        self.loop.deadlines.remove(self.wakeup_timer)
+        self.loop.timers.remove(self.wakeup_timer)
         now = clock()
         when = min(
             max(self.policy_gate.next_wakeup(), now + MIN_WAKEUP_INTERVAL_MS), now + MAX_WAKEUP_INTERVAL_MS
         )
-        self.wakeup_timer = self.loop.deadlines.add(when, self.on_wakeup)
+        self.wakeup_timer = self.loop.timers.add(when, self.on_wakeup)
 
     # Store, send, apply
 
@@ -187,13 +187,13 @@
 
     def on_stored(self, ready: Ready) -> None:
         """Called once the output is durable: sends, applies, and continues."""
-        reach("before-send")
+        failpoint("before-send")
         for to, message in ready.messages:
             self.streams.send(to, msgpack.encode(message))
-        reach("after-send")
+        failpoint("after-send")
         snapshot = self.policy_gate.on_stored(clock(), ready)
         if ready.committed_entries:
-            reach("after-apply")
+            failpoint("after-apply")
         if snapshot is not None and self.store is not None and self.worker is not None:
             store = self.store
             self.worker.submit(lambda: store.compact(snapshot), lambda why: None)
@@ -219,8 +219,8 @@
         def on_created(why: str) -> None:
             self.creating_store = False
             if why:
-                say(log, logging.ERROR, "store_failed", "policy: no store to vote by: %(why)s", why=why)
-                self.loop.deadlines.add(clock() + STORE_RETRY_INTERVAL_MS, self.create_store)
+                log_event(log, logging.ERROR, "store_failed", "policy: no store to vote by: %(why)s", why=why)
+                self.loop.timers.add(clock() + STORE_RETRY_INTERVAL_MS, self.create_store)
                 worker.close()
                 task.stop()
                 return
@@ -238,10 +238,10 @@
 
         def on_result(why: str) -> None:
             if why:
-                self.loop.deadlines.add(clock() + STORE_RETRY_INTERVAL_MS, self.store_full_state)
+                self.loop.timers.add(clock() + STORE_RETRY_INTERVAL_MS, self.store_full_state)
             else:
                 self.policy_gate.on_store_ready(clock())
-                say(log, logging.INFO, "store_made", "policy: keeps what it says on disk, and may vote")
+                log_event(log, logging.INFO, "store_made", "policy: keeps what it says on disk, and may vote")
 
         worker.submit(lambda: store.keep(full_state), on_result)
 
@@ -283,7 +283,7 @@
             return
         if recorded_opens >= self.store_opens and recorded_opens > 0:
             text = "policy: %(peer)s knows this proxy's store to be later than it is: no vote until caught up"
-            say(log, logging.ERROR, "store_old", text, peer=name)
+            log_event(log, logging.ERROR, "store_old", text, peer=name)
             self.store_opens = recorded_opens + 1
             self.streams.store_opens = self.store_opens
             self.confirmed_by, self.quarantine_ends_at, self.store_outdated = {self.name}, inf, True
@@ -325,7 +325,7 @@
             self.logged_denial = why
             level = logging.WARNING if why else logging.INFO
             text = "policy: admits nothing: %(why)s" if why else "policy: admits"
-            say(log, level, "policy_gate", text, **({"why": why} if why else {}))
+            log_event(log, level, "policy_gate", text, **({"why": why} if why else {}))
         rollout_state = policy_gate.rollout_state
         v = rollout_state.versions.get(rollout_state.pending)
         phase = (rollout_state.force, rollout_state.pending, v.phase if v is not None else "")
@@ -338,12 +338,12 @@
                 "pending": rollout_state.pending,
                 "phase": phase[2] or "none",
             }
-            say(log, logging.INFO, "policy_version", text, **facts)
+            log_event(log, logging.INFO, "policy_version", text, **facts)
         role = policy_gate.raft.role.value
         if role != self.logged_role:
             self.logged_role = role
             text, term = "policy: is %(role)s in term %(term)d", policy_gate.raft.term
-            say(log, logging.INFO, "policy_role", text, role=role, term=term)
+            log_event(log, logging.INFO, "policy_role", text, role=role, term=term)
 
     def ready(self) -> bool:
         return not self.policy_gate.admission_refusal(clock())
--- a/brackenusher/group/ordered_output.py
+++ b/brackenusher/group/ordered_output.py
@@ -9,8 +9,8 @@
 from typing import Generic, TypeVar
 
 from brackenusher.group.database import Worker
-from brackenusher.runtime.log import say
-from brackenusher.runtime.loop import Loop, clock
+from brackenusher.runtime.log import log_event
+from brackenusher.runtime.loop import EventLoop, clock
 
 log = logging.getLogger(__name__)
 
@@ -27,7 +27,7 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         worker: Worker | None,
         needs_storing: Callable[[ReadyT], bool],
         store: Callable[[ReadyT], None],
@@ -66,14 +66,14 @@
             if self.disk_failing:
                 self.disk_failing = False
                 text = "%(what)s: the disk takes what is stored again"
-                say(log, logging.INFO, "store_back", text, what=self.subsystem)
+                log_event(log, logging.INFO, "store_back", text, what=self.subsystem)
             self.complete()
             return
         if not self.disk_failing:
             self.disk_failing = True
             text = "%(what)s: the disk fails (%(why)s): no promise through this proxy; it goes on serving"
-            say(log, logging.ERROR, "store_failed", text, what=self.subsystem, why=why)
-        self.loop.deadlines.add(clock() + STORE_RETRY_INTERVAL_MS, self.start)
+            log_event(log, logging.ERROR, "store_failed", text, what=self.subsystem, why=why)
+        self.loop.timers.add(clock() + STORE_RETRY_INTERVAL_MS, self.start)
 
     def complete(self) -> None:
         ready, self.in_progress = self.in_progress, None
--- a/brackenusher/group/recovery.py
+++ b/brackenusher/group/recovery.py
@@ -18,7 +18,7 @@
 
 from barleybarrow.recovery import Objection, StoreContents, missing_versions, objections, recovered_state
 from barleybarrow.replica import Ready
-from brackenusher.config.operators import Operator, PeersSettings, load_operator
+from brackenusher.config.operators import OperatorSettings, PeersSettings, load_operator_settings
 from brackenusher.config.platform import ConfigError
 from brackenusher.group.database import ContentsT, DatabaseDamagedError, FileT
 from brackenusher.group.policies import wish
@@ -83,20 +83,20 @@
     return StoreContents(name, stored.term, stored.snapshot, stored.entries, configured_voters)
 
 
-def store_folders(operator: Operator) -> dict[str, Path]:
+def store_folders(operator: OperatorSettings) -> dict[str, Path]:
     """Folders of a proxy's stores by file name."""
     parts = ((operator.policy, Store), (operator.replica, ReplicaStore))
     return {kind.NAME: Path(part.folder) for part, kind in parts if part is not None and part.folder}
 
 
-def existing_stores(operator: Operator) -> dict[str, Path]:
+def existing_stores(operator: OperatorSettings) -> dict[str, Path]:
     """The store files that exist, by file name."""
     found = {file: folder / file for file, folder in store_folders(operator).items()}
     return {file: path for file, path in found.items() if path.exists()}
 
 
-def load_group_settings(name: str) -> tuple[Operator, PeersSettings]:
-    operator = load_operator(name)
+def load_group_settings(name: str) -> tuple[OperatorSettings, PeersSettings]:
+    operator = load_operator_settings(name)
     if operator.peers is None:
         raise ConfigError(f"{name}: peers.enabled: a group needs peers")
     return operator, operator.peers
@@ -121,11 +121,11 @@
 # Reachable proxies
 
 
-def query_seeds(operator: Operator, peers: PeersSettings) -> dict[str, dict[str, Any]]:
+def query_seeds(operator: OperatorSettings, peers: PeersSettings) -> dict[str, dict[str, Any]]:
     """Status, history and overrides of the seeds that answer, by name; empty for features that are off."""
     found = {}
     for seed in peers.seeds:
-        if seed in (peers.listen, peers.known_as):
+        if seed in (peers.listen, peers.advertised_address):
             continue
         at = format_address(seed)
         status, shown = query_proxy(at, peers, "status"), query_proxy(at, peers, "replica show")
--- a/brackenusher/group/replica_store.py
+++ b/brackenusher/group/replica_store.py
@@ -7,7 +7,7 @@
 from barleybarrow.replica import Ready, StoredReplica
 from barleybarrow.version_vectors import Entry
 from brackenusher.group.database import DatabaseDamagedError, DatabaseFile
-from brackenusher.runtime.points import reach
+from brackenusher.runtime.points import failpoint
 
 ENTRIES_DECODER = msgpack.Decoder(list[Entry])
 
@@ -38,7 +38,7 @@
 
     def keep(self, ready: Ready) -> None:
         """Stores the output of the state machine atomically. Raises OSError, sqlite3.Error."""
-        reach("before-keep")
+        failpoint("before-keep")
         with self.transaction():
             deleted = [(key,) for key, slot in ready.entries_by_key.items() if not slot]
             rows = [(key, msgpack.encode(slot)) for key, slot in ready.entries_by_key.items() if slot]
@@ -50,4 +50,4 @@
             if ready.metadata is not None:
                 self.put_fact("kept", msgpack.encode(ready.metadata))
                 self.put_fact("form", self.FORMAT_VERSION)
-        reach("after-keep")
+        failpoint("after-keep")
--- a/brackenusher/group/replicator.py
+++ b/brackenusher/group/replicator.py
@@ -40,10 +40,10 @@
 from brackenusher.group.replica_store import ReplicaStore
 from brackenusher.membership.frames import Wish
 from brackenusher.membership.peers import Peers
-from brackenusher.runtime.log import say
-from brackenusher.runtime.loop import READ, Coroutine, Loop, clock
-from brackenusher.runtime.points import reach
-from brackenusher.runtime.timers import Entry as Limit
+from brackenusher.runtime.log import log_event
+from brackenusher.runtime.loop import READ, Coroutine, EventLoop, clock
+from brackenusher.runtime.points import failpoint
+from brackenusher.runtime.timers import Timer as Limit
 from brackenusher.upstream.listing import Host
 from brackenusher.upstream.pool import Pool
 
@@ -62,7 +62,7 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         transactions: Transactions,
         pool: Pool,
         name: str,
@@ -81,7 +81,7 @@
             stored = stored or StoredReplica()
             if settings.from_empty and stored.origin:
                 stored, aside = StoredReplica(), store.set_aside()
-                say(log, logging.WARNING, "store_left", "replica: left aside as %(aside)s", aside=aside)
+                log_event(log, logging.WARNING, "store_left", "replica: left aside as %(aside)s", aside=aside)
             self.worker = Worker()
         self.store: ReplicaStore | None = store
         rng = random.Random(random.SystemRandom().getrandbits(64))
@@ -174,14 +174,14 @@
             self.schedule_wakeup()
 
     def schedule_wakeup(self) -> None:
-        self.loop.deadlines.remove(self.wakeup_timer)
+        self.loop.timers.remove(self.wakeup_timer)
         now, when = clock(), self.replica.next_wakeup()
         if self.shares is not None:
             when = min(when, self.shares.next_wakeup())
         if self.idempotency_records is not None:
             when = min(when, self.idempotency_records.next_wakeup())
         when = min(max(when, now + MIN_WAKEUP_INTERVAL_MS), now + MAX_WAKEUP_INTERVAL_MS)
-        self.wakeup_timer = self.loop.deadlines.add(when, self.on_wakeup)
+        self.wakeup_timer = self.loop.timers.add(when, self.on_wakeup)
 
     def admit_if_overdue(self, now: float) -> None:
         """Admits by the local replica if it did not catch up in time, unless the settings refuse that."""
@@ -189,7 +189,7 @@
             return
         self.admits_while_behind = True
         text = "replica: not caught up after %(after_s)d s: serves by what its own copy holds"
-        say(log, logging.WARNING, "replica_behind", text, after_s=self.settings.within_s)
+        log_event(log, logging.WARNING, "replica_behind", text, after_s=self.settings.within_s)
 
     def clear_expired_overrides(self, now: float) -> None:
         """Clears overrides that have expired, as the first acceptor that notices."""
@@ -229,7 +229,7 @@
     def on_stored(self, ready: Ready) -> None:
         for to, message in ready.messages:
             self.streams.send(to, msgpack.encode(message), REPLICA_CHANNEL)
-        reach("after-tell")
+        failpoint("after-tell")
         for token, good in ready.write_results:
             self.write_outcomes[token] = "acknowledged" if good else "unknown"
             while len(self.write_outcomes) > MAX_WRITE_OUTCOMES:
@@ -254,7 +254,7 @@
         """Observes transactions; idempotency records are sent without waiting for the next wakeup."""
         assert self.past is not None and self.idempotency_records is not None
         before = self.idempotency_records.flush_at
-        self.past.handled(now, event, actions)
+        self.past.on_event(now, event, actions)
         if self.idempotency_records.flush_at < before:
             self.schedule_wakeup()
 
@@ -268,7 +268,7 @@
         if blocks:
             names += [m.name for m in self.pool.members.values() if m.host.cell in blocks]
         if names:
-            self.transactions.post(self.pool.look_again(names))
+            self.transactions.post(self.pool.reevaluate(names))
 
     def bars(self, host: Host) -> bool:
         return host.name in self.overrides.servers or host.cell in self.overrides.blocks
@@ -300,23 +300,23 @@
         before, self.logged_state = self.logged_state, now
         if now[0] != before[0]:
             text = "replica: %(stage)s, %(entries)d entries"
-            say(log, logging.INFO, "replica_stage", text, stage=now[0], entries=replica.state.size)
+            log_event(log, logging.INFO, "replica_stage", text, stage=now[0], entries=replica.state.size)
         if now[1] != before[1]:
             text, listed = (
                 "replica: %(count)d in conflict: %(keys)s",
                 " ".join(sorted(overrides.conflicts)[:10]),
             )
-            say(log, logging.WARNING, "replica_conflicts", text, count=now[1], keys=listed or "-")
+            log_event(log, logging.WARNING, "replica_conflicts", text, count=now[1], keys=listed or "-")
         if now[2] and not before[2]:
             text = "replica: a copy that has heard the same as this one holds something else"
-            say(log, logging.ERROR, "replica_differs", text)
+            log_event(log, logging.ERROR, "replica_differs", text)
         if now[3] != before[3]:
             text = "replica: others know of more than its store holds: it counts as an empty one"
-            say(log, logging.ERROR, "replica_store_old", text)
+            log_event(log, logging.ERROR, "replica_store_old", text)
         replaced, replica.replaced_entries = replica.replaced_entries, []
         for entry in replaced:
             text = "replica: set aside, as a majority holds something else: %(key)s by %(origin)s"
-            say(log, logging.ERROR, "replica_set_aside", text, key=entry.key, origin=entry.origin)
+            log_event(log, logging.ERROR, "replica_set_aside", text, key=entry.key, origin=entry.origin)
 
     def figures(self) -> list[tuple[str, int, str, list[tuple[str, str]]]]:
         """Gauges for the metrics collector."""
--- a/brackenusher/group/store.py
+++ b/brackenusher/group/store.py
@@ -8,7 +8,7 @@
 from barleybarrow.agreement_messages import Entry, Ready, Snapshot
 from barleybarrow.incarnations import Incarnation
 from brackenusher.group.database import DatabaseDamagedError, DatabaseFile, checksum
-from brackenusher.runtime.points import reach
+from brackenusher.runtime.points import failpoint
 
 
 @dataclass
@@ -60,7 +60,7 @@
 
     def keep(self, ready: Ready) -> None:
         """Stores the output of the state machine atomically. Raises OSError, sqlite3.Error."""
-        reach("before-store")
+        failpoint("before-store")
         with self.transaction():
             if ready.hard_state is not None:
                 self.put_fact("term", ready.hard_state[0])
@@ -75,7 +75,7 @@
                     for at, e in enumerate(ready.entries, ready.first_index)
                 ]
                 self.db.executemany("INSERT INTO log VALUES (?, ?, ?, ?, ?)", rows)
-        reach("after-store")
+        failpoint("after-store")
 
     def compact(self, snapshot: Snapshot) -> None:
         """Replaces the log up to a snapshot with it. Raises OSError, sqlite3.Error."""
--- a/brackenusher/group/streams.py
+++ b/brackenusher/group/streams.py
@@ -19,10 +19,10 @@
 from brackenusher.config.operators import PeersSettings
 from brackenusher.membership.frames import MOST_FRAME, FrameError, Open, Opened, pack, unpack
 from brackenusher.membership.seal import SealError, seal, unseal
-from brackenusher.runtime.buffers import Buffers
+from brackenusher.runtime.buffers import BufferPool
 from brackenusher.runtime.driver import Address, write
-from brackenusher.runtime.log import say
-from brackenusher.runtime.loop import READ, WRITE, Coroutine, Loop, Task, clock
+from brackenusher.runtime.log import log_event
+from brackenusher.runtime.loop import READ, WRITE, Coroutine, EventLoop, Task, clock
 
 log = logging.getLogger(__name__)
 
@@ -88,8 +88,8 @@
 
     def __init__(
         self,
-        loop: Loop,
-        buffers: Buffers,
+        loop: EventLoop,
+        buffers: BufferPool,
         settings: PeersSettings,
         name: str,
         address_of: Callable[[str], Address | None],
@@ -167,7 +167,7 @@
 
     def run_outgoing(self, sock: socket.socket, out: OutgoingStream) -> Coroutine:
         settings, decoder = self.settings, FrameDecoder()
-        handshake_timer = self.loop.deadlines.add(
+        handshake_timer = self.loop.timers.add(
             clock() + HANDSHAKE_TIMEOUT_MS, lambda: self.on_handshake_timeout(out)
         )
         try:
@@ -189,7 +189,7 @@
             reply = unpack(settings.keys, bodies[0])
             if not isinstance(reply, Opened):
                 raise FrameError("unexpected reply to the handshake")
-            self.loop.deadlines.remove(handshake_timer)
+            self.loop.timers.remove(handshake_timer)
             self.on_recorded_opens(out.name, reply.lives)
             sequence, unsent = 0, b""
             key = settings.keys[settings.sign]
@@ -210,7 +210,7 @@
                     raise FrameError("connection closed by the peer")
         except (OSError, FrameError) as error:
             code = error.errno or 0 if isinstance(error, OSError) else 0
-            say(
+            log_event(
                 log,
                 logging.DEBUG,
                 "stream_ended",
@@ -220,7 +220,7 @@
             )
             self.on_connect_failed(out, code)
         finally:
-            self.loop.deadlines.remove(handshake_timer)
+            self.loop.timers.remove(handshake_timer)
             out.task = None
 
     # Incoming
@@ -277,7 +277,7 @@
                     if body.data:
                         self.dispatch(hello.name, body.data)
         except (OSError, FrameError, SealError, DecodeError, ValidationError, BlockingIOError) as error:
-            say(
+            log_event(
                 log,
                 logging.DEBUG,
                 "stream_ended",
--- a/brackenusher/handover/new.py
+++ b/brackenusher/handover/new.py
@@ -19,8 +19,8 @@
     encode,
 )
 from brackenusher.handover.old import is_same_user
-from brackenusher.runtime.log import say
-from brackenusher.runtime.loop import READ, Coroutine, Loop, clock
+from brackenusher.runtime.log import log_event
+from brackenusher.runtime.loop import READ, Coroutine, EventLoop, clock
 
 log = logging.getLogger(__name__)
 
@@ -65,7 +65,7 @@
                 return inherited
     except (OSError, HandoverMessageError, ValueError, TypeError, KeyError) as error:
         inherited.close()
-        say(log, logging.WARNING, "no_handover", "no handover, an ordinary start: %(why)s", why=error)
+        log_event(log, logging.WARNING, "no_handover", "no handover, an ordinary start: %(why)s", why=error)
         return None
 
 
@@ -103,7 +103,7 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         connection: socket.socket,
         on_usage: Callable[[dict[str, Any]], None],
         on_client: Callable[[socket.socket], None],
@@ -111,14 +111,14 @@
     ) -> None:
         self.connection, self.on_usage, self.on_client, self.on_end = connection, on_usage, on_client, on_end
         self.received = 0  # connections received
-        self.task = loop.spawn(self.run(), connection, first=True)
+        self.task = loop.spawn(self.run(), connection, priority=True)
 
     def notify_serving(self) -> None:
         """Notify the old process that this one serves."""
         try:
             self.connection.send(encode(PacketKind.SERVING))
         except OSError as error:
-            say(log, logging.WARNING, "handover_broken", "handover: %(why)s", why=error)
+            log_event(log, logging.WARNING, "handover_broken", "handover: %(why)s", why=error)
 
     def run(self) -> Coroutine:
         try:
@@ -128,7 +128,7 @@
                     self.connection, MAX_PACKET_BYTES, MAX_DESCRIPTORS_PER_PACKET
                 )
                 if flags & socket.MSG_CTRUNC:
-                    say(log, logging.WARNING, "clients_lost", "handover: descriptors run short")
+                    log_event(log, logging.WARNING, "clients_lost", "handover: descriptors run short")
                 for fd in fds:
                     self.received += 1
                     self.on_client(socket.socket(fileno=fd))
@@ -140,6 +140,6 @@
                 elif kind is not PacketKind.CLIENT_CONNECTIONS:
                     raise HandoverMessageError(f"unexpected packet: {kind.value}")
         except (OSError, HandoverMessageError) as error:
-            say(log, logging.WARNING, "handover_broken", "handover: %(why)s", why=error)
+            log_event(log, logging.WARNING, "handover_broken", "handover: %(why)s", why=error)
         finally:
             self.on_end()
--- a/brackenusher/handover/old.py
+++ b/brackenusher/handover/old.py
@@ -18,8 +18,8 @@
     decode,
     encode,
 )
-from brackenusher.runtime.log import say
-from brackenusher.runtime.loop import READ, WRITE, Coroutine, Loop
+from brackenusher.runtime.log import log_event
+from brackenusher.runtime.loop import READ, WRITE, Coroutine, EventLoop
 
 log = logging.getLogger(__name__)
 
@@ -48,7 +48,7 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         path: Path,
         collect_state: Callable[[], tuple[list[str], list[int], Iterable[bytes]]],
     ):
@@ -76,9 +76,11 @@
             temporary.rename(self.path)
         except OSError as error:
             sock.close()
-            say(log, logging.WARNING, "handover_off", "no handover to a new process: %(why)s", why=error)
+            log_event(
+                log, logging.WARNING, "handover_off", "no handover to a new process: %(why)s", why=error
+            )
             return
-        self.task = self.loop.spawn(self.accept(sock), sock, first=True)
+        self.task = self.loop.spawn(self.accept(sock), sock, priority=True)
 
     def accept(self, sock: socket.socket) -> Coroutine:
         while True:
@@ -92,7 +94,7 @@
                 connection.close()  # one successor at a time, and only of the same user
                 continue
             self.successor = connection
-            self.loop.spawn(self.serve_successor(connection), connection, first=True)
+            self.loop.spawn(self.serve_successor(connection), connection, priority=True)
 
     def serve_successor(self, connection: socket.socket) -> Coroutine:
         try:
@@ -106,16 +108,16 @@
                     yield from self.send_state(connection)
                 elif kind is PacketKind.SERVING and self.listeners_sent:
                     self.successor_serving = True
-                    say(log, logging.INFO, "successor_serves", "a new process serves beside this one")
+                    log_event(log, logging.INFO, "successor_serves", "a new process serves beside this one")
                     self.on_successor_serving()
                 else:
                     raise HandoverMessageError(f"unexpected packet: {kind.value}")
         except (OSError, HandoverMessageError) as error:
-            say(log, logging.WARNING, "handover_broken", "handover: %(why)s", why=error)
+            log_event(log, logging.WARNING, "handover_broken", "handover: %(why)s", why=error)
         finally:
             self.successor, self.listeners_sent, self.successor_serving = None, False, False
             if self.loop.running:
-                say(log, logging.INFO, "successor_gone", "the new process is gone from the handover")
+                log_event(log, logging.INFO, "successor_gone", "the new process is gone from the handover")
                 self.on_successor_gone()
 
     def send_state(self, connection: socket.socket) -> Generator[int, int, None]:
--- a/brackenusher/handover/replacement.py
+++ b/brackenusher/handover/replacement.py
@@ -11,16 +11,16 @@
 from barleybarrow import warm_state
 from barleybarrow.descriptor_split import parts
 from brackenusher.core.transaction import Transactions
-from brackenusher.fronts.listener import Listener, Room
+from brackenusher.fronts.listener import ConnectionLimit, Listener
 from brackenusher.handover.messages import PacketKind, encode, encode_list
 from brackenusher.handover.new import PredecessorConnection, Taken, request_state
 from brackenusher.handover.old import HandoverServer, socket_path
 from brackenusher.membership.agent import Agent
 from brackenusher.membership.discovery import word_host
 from brackenusher.runtime.driver import Address
-from brackenusher.runtime.log import say
-from brackenusher.runtime.loop import Loop, clock
-from brackenusher.runtime.timers import Entry
+from brackenusher.runtime.log import log_event
+from brackenusher.runtime.loop import EventLoop, clock
+from brackenusher.runtime.timers import Timer
 from brackenusher.upstream.pool import Pool
 
 log = logging.getLogger(__name__)
@@ -37,10 +37,10 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         name: str,
         listeners: Sequence[tuple[Listener, Address]],
-        connection_limit: Room,
+        connection_limit: ConnectionLimit,
         pool: Pool,
         agent: Agent,
         transactions: Transactions,
@@ -56,14 +56,14 @@
         )
         self.transactions, self.client_limit, self.upstream_limit, self.reserved = (
             transactions,
-            connection_limit.most,
+            connection_limit.limit,
             upstream_limit,
             reserved,
         )
         # what the predecessor leaves for client and for upstream connections
         self.limits = self.client_limit, self.upstream_limit
         self.stopping = False  # the stop signal has been received
-        self.split_timer: Entry | None = None  # timer of the next descriptor split
+        self.split_timer: Timer | None = None  # timer of the next descriptor split
         self.reported_usage: dict[str, Any] = {}  # usage last reported to the successor
         self.predecessor: PredecessorConnection | None = None  # connection to the predecessor
         self.handover_server: HandoverServer | None = None  # accepts a successor
@@ -71,7 +71,7 @@
         self.path = socket_path(name, os.environ)
         if self.path is None:
             text = "no handover to a new process: no $TMPDIR of a usable length"
-            say(log, logging.INFO, "handover_off", text)
+            log_event(log, logging.INFO, "handover_off", text)
             return
         self.handover_server = HandoverServer(loop, self.path, self.collect_state)
         self.handover_server.on_successor_serving, self.handover_server.on_successor_gone = (
@@ -96,10 +96,10 @@
             self.loop,
             inherited.connection,
             self.on_predecessor_usage,
-            first_listener.take_over,
+            first_listener.adopt_connection,
             self.on_predecessor_ended,
         )
-        say(
+        log_event(
             log,
             logging.INFO,
             "handover",
@@ -132,7 +132,7 @@
         self.limits = self.client_limit, self.upstream_limit
         self.apply_limits()
         text = "the old process has ended; %(passed)d clients' connections came"
-        say(log, logging.INFO, "old_ended", text, passed=self.predecessor.received)
+        log_event(log, logging.INFO, "old_ended", text, passed=self.predecessor.received)
         self.predecessor, self.awaited = None, False
 
     # successor
@@ -176,7 +176,7 @@
 
     def descriptor_usage(self) -> dict[str, Any]:
         return {
-            "clients": self.connection_limit.held,
+            "clients": self.connection_limit.open_count,
             "flows": self.pool.planner.total,
             "stopping": self.stopping,
         }
@@ -190,8 +190,8 @@
         if usage != self.reported_usage:
             self.reported_usage = usage
             self.handover_server.notify(PacketKind.DESCRIPTOR_USAGE, usage)
-        self.loop.deadlines.remove(self.split_timer)
-        self.split_timer = self.loop.deadlines.add(
+        self.loop.timers.remove(self.split_timer)
+        self.split_timer = self.loop.timers.add(
             clock() + DESCRIPTOR_SPLIT_INTERVAL_MS, self.split_descriptors
         )
 
@@ -199,9 +199,9 @@
         """Set the limits to what the predecessor leaves, less the share of a connected successor."""
         clients, upstream = self.limits
         if self.handover_server is not None and self.handover_server.successor is not None:
-            clients = parts(self.shared_limit(clients), self.connection_limit.held, self.stopping)[0]
+            clients = parts(self.shared_limit(clients), self.connection_limit.open_count, self.stopping)[0]
             upstream = parts(self.shared_limit(upstream), self.pool.planner.total, False)[0]
-        self.connection_limit.most, self.pool.planner.room = clients, max(1, upstream)
+        self.connection_limit.limit, self.pool.planner.room = clients, max(1, upstream)
 
     def shared_limit(self, single_limit: int) -> int:
         """Shared limit of two processes for one purpose, given that of a single one.
@@ -214,10 +214,10 @@
     def on_successor_gone(self) -> None:
         """The successor has gone: serve without it again, also during shutdown."""
         assert self.handover_server is not None
-        self.loop.deadlines.remove(self.split_timer)
+        self.loop.timers.remove(self.split_timer)
         self.apply_limits()
         for listener, _ in self.listeners:
-            listener.take_back()
+            listener.resume_accepting()
         if not self.stopping:
             self.handover_server.listen()
 
@@ -225,5 +225,5 @@
         """Log the transferred connections and remove the handover socket on shutdown."""
         if self.handover_server is not None:
             text = "%(passed)d connections passed on"
-            say(log, logging.INFO, "passed_on", text, passed=self.handover_server.transferred)
+            log_event(log, logging.INFO, "passed_on", text, passed=self.handover_server.transferred)
             self.handover_server.close()
--- a/brackenusher/membership/agent.py
+++ b/brackenusher/membership/agent.py
@@ -9,11 +9,11 @@
 from barleybarrow import interface as face
 from brackenusher.core.transaction import Transactions
 from brackenusher.membership.discovery import Discovery, DiscoveryError
-from brackenusher.runtime.buffers import Buffers
-from brackenusher.runtime.driver import Address, open_socket, write
-from brackenusher.runtime.log import say
-from brackenusher.runtime.loop import READ, WRITE, Coroutine, Loop, Task, clock
-from brackenusher.runtime.timers import Entry
+from brackenusher.runtime.buffers import BufferPool
+from brackenusher.runtime.driver import Address, start_connect, write
+from brackenusher.runtime.log import log_event
+from brackenusher.runtime.loop import READ, WRITE, Coroutine, EventLoop, Task, clock
+from brackenusher.runtime.timers import Timer
 from brackenusher.upstream.listing import Listing
 from brackenusher.upstream.pool import Pool
 
@@ -34,11 +34,11 @@
 
     def __init__(
         self,
-        loop: Loop,
+        loop: EventLoop,
         address: Address,
         pool: Pool,
         owner: Transactions,
-        buffers: Buffers,
+        buffers: BufferPool,
         rng: random.Random,
     ) -> None:
         self.loop, self.address, self.pool, self.owner, self.buffers = loop, address, pool, owner, buffers
@@ -51,9 +51,9 @@
         )
         self.failures = 0  # consecutive failed calls
         self.responded = False  # data has arrived on the current connection
-        self.response_timer: Entry | None = None
+        self.response_timer: Timer | None = None
         self.timed_out = False  # the timer has expired; buffered input is still read once
-        self.retry_timer: Entry | None = None
+        self.retry_timer: Timer | None = None
         self.protocol: Discovery | None = None  # of the current connection
         self.task: Task  # coroutine of the current connection
 
@@ -69,9 +69,9 @@
         """Open a connection unless one is already open."""
         if self.protocol is not None and not self.task.ended:
             return
-        self.loop.deadlines.remove(self.retry_timer)
+        self.loop.timers.remove(self.retry_timer)
         try:
-            sock, _ = open_socket(self.address)
+            sock, _ = start_connect(self.address)
         except OSError as error:
             self.schedule_retry(str(error))
             return
@@ -81,10 +81,10 @@
 
     def set_timeout(self, duration_ms: float) -> None:
         """Restart the timer for the next message of the agent."""
-        self.loop.deadlines.remove(self.response_timer)
+        self.loop.timers.remove(self.response_timer)
         self.timed_out, self.response_timer = (
             False,
-            self.loop.deadlines.add(clock() + duration_ms, self.silent),
+            self.loop.timers.add(clock() + duration_ms, self.silent),
         )
 
     def first_response_timeout(self) -> float:
@@ -121,7 +121,7 @@
         except (OSError, DiscoveryError) as error:
             reason = str(error)
         finally:
-            self.loop.deadlines.remove(self.response_timer)
+            self.loop.timers.remove(self.response_timer)
             if self.loop.running and protocol is self.protocol:
                 if protocol.watching and not self.on_demand:
                     self.seq = None  # request the full list, see `schedule_retry`
@@ -140,7 +140,7 @@
         finally:
             for listing in listings:
                 self.seq = listing.seq
-                self.owner.post(self.pool.take(listing))
+                self.owner.post(self.pool.apply(listing))
         self.responded, self.failures = True, 0
         if protocol.messages_received > received_before:
             self.set_timeout(SILENCE)
@@ -159,10 +159,10 @@
         """
         self.failures += 1
         if self.on_demand or self.failures & (self.failures - 1) == 0:  # the first, second, fourth, ...
-            say(log, logging.WARNING, "discovery_lost", "discovery: %(why)s", why=reason)
+            log_event(log, logging.WARNING, "discovery_lost", "discovery: %(why)s", why=reason)
         if self.on_demand:
             self.owner.post(face.ListChanged(face.ListScope.LOST, []))
             return
         delay_ms = BACK_OFF * (0.5 + self.rng.random())
-        self.loop.deadlines.remove(self.retry_timer)
-        self.retry_timer = self.loop.deadlines.add(clock() + delay_ms, self.connect)
+        self.loop.timers.remove(self.retry_timer)
+        self.retry_timer = self.loop.timers.add(clock() + delay_ms, self.connect)
--- a/brackenusher/membership/keeper.py
+++ b/brackenusher/membership/keeper.py
@@ -43,7 +43,7 @@
         self.dump_encoded_at, self.encoded_dump, self.next_cleanup_at = -inf, list[bytes](), -inf
         self.estimates_posted = self.invalid_records = 0
 
-    def handled(self, now: float, event: face.Event, actions: Sequence[Any]) -> None:
+    def on_event(self, now: float, event: face.Event, actions: Sequence[Any]) -> None:
         """Observe a transaction: record the outcomes of attempts."""
         if isinstance(event, face.Finished):
             sent = self.attempts.get(event.request, ())
@@ -119,7 +119,7 @@
         estimates_by_backend = self.store.hearsay(now, births, (self.name, self.epoch))
         estimates = []
         for name, (slower, weight) in estimates_by_backend.items():
-            started = self.pool.module_time(births[name])
+            started = self.pool.policy_time(births[name])
             estimated_start, when, before = self.last_estimates.get(name, (started, now, 0.0))
             remaining = before * (1 - FADE) ** ((now - when) / 1000.0) if estimated_start == started else 0.0
             log_cost = max(0.0, slower) * weight
--- a/brackenusher/membership/peers.py
+++ b/brackenusher/membership/peers.py
@@ -39,12 +39,12 @@
 from brackenusher.membership.swim import Swim
 from brackenusher.membership.swim_members import MAX_DATAGRAM_BYTES
 from brackenusher.membership.swim_messages import MAX_NAME_LENGTH, STATES
-from brackenusher.runtime.buffers import Buffers
+from brackenusher.runtime.buffers import BufferPool
 from brackenusher.runtime.driver import Address, write
-from brackenusher.runtime.log import say
-from brackenusher.runtime.loop import READ, WRITE, Coroutine, Loop, Task, clock
-from brackenusher.runtime.outlet import Outlet
-from brackenusher.runtime.timers import Entry
+from brackenusher.runtime.log import log_event
+from brackenusher.runtime.loop import READ, WRITE, Coroutine, EventLoop, Task, clock
+from brackenusher.runtime.outlet import LineWriter
+from brackenusher.runtime.timers import Timer
 from brackenusher.upstream.pool import Pool
 
 log = logging.getLogger(__name__)
@@ -78,9 +78,9 @@
 
     def __init__(
         self,
-        loop: Loop,
-        buffers: Buffers,
-        outlet: Outlet,
+        loop: EventLoop,
+        buffers: BufferPool,
+        outlet: LineWriter,
         transactions: Transactions,
         pool: Pool,
         name: str,
@@ -98,16 +98,18 @@
         self.epoch = int(time.time() * 1000.0)
         self.exchange = Keeper(name, self.epoch, transactions, pool)
         self.exchange.on_list_changed = self.on_list_changed
-        self.handled = self.exchange.handled
+        self.on_event = self.exchange.on_event
         self.swim: Swim | None = None
         if peers is not None:
-            ask = (name, peers.known_as, self.epoch, peers.keys, peers.sign, peers.seeds)
+            ask = (name, peers.advertised_address, self.epoch, peers.keys, peers.sign, peers.seeds)
             self.swim = Swim(*ask, float(peers.period_ms), self.rng, clock())
         self.channel = (
-            outlet.channel(self.write_snapshot, SNAPSHOT_QUEUE_BYTES, SNAPSHOT_QUEUE_BYTES) if saved else None
+            outlet.open_channel(self.write_snapshot, SNAPSHOT_QUEUE_BYTES, SNAPSHOT_QUEUE_BYTES)
+            if saved
+            else None
         )
-        self.estimates_timer: Entry | None = None
-        self.tick_timer: Entry | None = None
+        self.estimates_timer: Timer | None = None
+        self.tick_timer: Timer | None = None
         self.query_connections = self.queries_refused = self.datagrams_unsent = self.snapshots_written = 0
         self.name_conflicts = self.stalls = 0
         self.view_names: frozenset[str] = frozenset()
@@ -115,7 +117,7 @@
         self.queries: dict[Address, Task] = {}
         self.on_ready: Callable[[], None] | None = None
         self.datagram_socket: socket.socket | None = None
-        self.query_timers: dict[socket.socket, Entry] = {}
+        self.query_timers: dict[socket.socket, Timer] = {}
         self.group: PolicyGroup | None = None  # None unless the group's policy is enabled
 
     # Start
@@ -133,7 +135,7 @@
             asked = self.rng.sample(settings.seeds, min(settings.ask, len(settings.seeds)))
             if settings.warm_ms:
                 for address in asked:
-                    if address not in (settings.listen, settings.known_as):
+                    if address not in (settings.listen, settings.advertised_address):
                         self.query_peer(address, settings)
             self.schedule(settings.warm_ms, self.on_warm_up_timeout)
             self.tick()
@@ -153,12 +155,12 @@
         then, self.on_ready = self.on_ready, None
         if then is not None:
             text = "knowledge: %(pieces)d pieces held at the start"
-            say(log, logging.INFO, "knowledge_ready", text, pieces=self.exchange.store.size)
+            log_event(log, logging.INFO, "knowledge_ready", text, pieces=self.exchange.store.size)
             self.post_estimates()
             then()
 
-    def schedule(self, delay_ms: float, action: Callable[[], None]) -> Entry:
-        return self.loop.deadlines.add(clock() + delay_ms, action)
+    def schedule(self, delay_ms: float, action: Callable[[], None]) -> Timer:
+        return self.loop.timers.add(clock() + delay_ms, action)
 
     # Timers
 
@@ -170,10 +172,10 @@
     def post_estimates(self) -> None:
         """Pass peers' estimates to the policy in batches; after a stall, wait until a peer has answered."""
         if self.swim is not None and self.swim.dazed:
-            self.loop.deadlines.remove(self.estimates_timer)
+            self.loop.timers.remove(self.estimates_timer)
             self.estimates_timer = self.schedule(STALLED_RECHECK_INTERVAL_MS, self.post_estimates)
             return
-        self.loop.deadlines.remove(self.estimates_timer)
+        self.loop.timers.remove(self.estimates_timer)
         self.estimates_timer = (
             self.schedule(BATCH_INTERVAL_MS, self.post_estimates) if self.exchange.advise(clock()) else None
         )
@@ -204,8 +206,8 @@
     def schedule_tick(self) -> None:
         """Schedule `tick` for the membership protocol's next deadline."""
         assert self.swim is not None
-        self.loop.deadlines.remove(self.tick_timer)
-        self.tick_timer = self.loop.deadlines.add(
+        self.loop.timers.remove(self.tick_timer)
+        self.tick_timer = self.loop.timers.add(
             max(self.swim.next(), clock() + MIN_TICK_INTERVAL_MS), self.tick
         )
 
@@ -255,11 +257,13 @@
         changes, swim.changes = swim.changes, []
         for name, state in changes:
             text, members = "peers: %(peer)s is %(state)s, %(members)d members", len(swim.alive()) + 1
-            say(log, logging.INFO, "peer_changed", text, peer=name, state=STATES[state], members=members)
+            log_event(
+                log, logging.INFO, "peer_changed", text, peer=name, state=STATES[state], members=members
+            )
         self.log_view_changes(now)
         if swim.counts["name"] and not self.name_conflicts:
             text = "peers: a name is used by two, or a peer has moved: its datagrams are left aside"
-            say(log, logging.WARNING, "peer_name_taken", text)
+            log_event(log, logging.WARNING, "peer_name_taken", text)
         self.name_conflicts = swim.counts["name"]
 
     def log_view_changes(self, now: float) -> None:
@@ -273,7 +277,7 @@
         for epoch, view in views:
             if view is None:
                 text = "peers: taken out of the group: life %(life)d is over, and it joins anew"
-                say(log, logging.WARNING, "view_lost", text, life=epoch)
+                log_event(log, logging.WARNING, "view_lost", text, life=epoch)
                 continue
             names = frozenset(view.by_name)
             joined, left = sorted(names - self.view_names), sorted(self.view_names - names)
@@ -282,11 +286,11 @@
                 "peers: view %(number)d of group %(group)s, %(members)d members; came %(came)s; left %(gone)s"
             )
             names_shown = {"came": " ".join(joined[:20]) or "-", "gone": " ".join(left[:20]) or "-"}
-            say(log, logging.INFO, "view_changed", text, **facts, **names_shown)
+            log_event(log, logging.INFO, "view_changed", text, **facts, **names_shown)
             epochs = " ".join(f"{m.name}@{m.epoch}" for m in view.members)
             text = "peers: at %(at).3f life %(life)d holds view %(number)d of %(group)s: %(lives)s"
             fields = {"at": now, "life": epoch, "lives": epochs, "number": view.number, "group": view.group}
-            say(log, logging.DEBUG, "view_held", text, **fields)
+            log_event(log, logging.DEBUG, "view_held", text, **fields)
             self.view_names = names
         if agreement.disconnected != self.disconnected:
             self.disconnected = agreement.disconnected
@@ -294,13 +298,13 @@
                 heard_count = sum(now - link.heard_at < swim.period * 5 for link in agreement.links.values())
                 text = "peers: cut off: no majority of the %(members)d answers; %(heard)d are heard"
                 size = len(agreement.view.members) if agreement.view else 0
-                say(log, logging.WARNING, "cut_off", text, members=size, heard=heard_count)
+                log_event(log, logging.WARNING, "cut_off", text, members=size, heard=heard_count)
             else:
-                say(log, logging.INFO, "in_touch", "peers: in touch with a majority")
+                log_event(log, logging.INFO, "in_touch", "peers: in touch with a majority")
         if swim.counts["slept"] != self.stalls:
             self.stalls = swim.counts["slept"]
             text = "peers: stood still for over a period: what it knew counts once the group is heard again"
-            say(log, logging.WARNING, "stood_still", text)
+            log_event(log, logging.WARNING, "stood_still", text)
 
     def where(self, name: str) -> Address | None:
         """Return the address of a peer, whether it is reachable or not."""
@@ -400,7 +404,7 @@
             elif isinstance(request, Wish) and self.group is not None:
                 reply = self.group.wish(request)
             elif isinstance(request, Open) and self.group is not None:
-                self.loop.deadlines.remove(self.query_timers.pop(sock, None))
+                self.loop.timers.remove(self.query_timers.pop(sock, None))
                 self.query_connections -= 1
                 streaming = True
                 yield from self.group.streams.serve(sock, request)
@@ -411,9 +415,11 @@
                     if unsent:
                         yield WRITE
         except (OSError, FrameError) as error:
-            say(log, logging.DEBUG, "knowledge_not_told", "peers: query failed: %(why)s", why=str(error))
+            log_event(
+                log, logging.DEBUG, "knowledge_not_told", "peers: query failed: %(why)s", why=str(error)
+            )
         finally:
-            self.loop.deadlines.remove(self.query_timers.pop(sock, None))
+            self.loop.timers.remove(self.query_timers.pop(sock, None))
             self.query_connections -= not streaming
 
     def read_frame(self, sock: socket.socket, reader: Reader) -> bytes | None:
@@ -473,7 +479,7 @@
 
     def log_query(self, address: Address, outcome: str) -> None:
         text = "knowledge: %(address)s was asked: %(what)s"
-        say(log, logging.INFO, "knowledge_asked", text, address="{}:{}".format(*address), what=outcome)
+        log_event(log, logging.INFO, "knowledge_asked", text, address="{}:{}".format(*address), what=outcome)
 
     # Snapshots
 
@@ -492,7 +498,9 @@
             except OSError as rename_error:
                 disposition = f"left where it is: {rename_error}"
             text = "snapshot: %(file)s is %(what)s: %(why)s"
-            say(log, logging.WARNING, "snapshot_unusable", text, file=path, what=disposition, why=str(error))
+            log_event(
+                log, logging.WARNING, "snapshot_unusable", text, file=path, what=disposition, why=str(error)
+            )
             return
         age_ms = max(0.0, now - loaded.saved_at_ms)
         if loaded.epoch >= self.epoch:  # the clock was set back: the epoch must still increase
@@ -502,7 +510,7 @@
         updates = self.exchange.take(clock() - age_ms, loaded.records)
         facts = {"file": path, "age_s": age_ms / 1000.0, "news": len(updates), "pieces": len(loaded.records)}
         text = "snapshot: %(file)s is %(age_s).1f s old, %(news)d pieces of %(pieces)d count"
-        say(log, logging.INFO, "snapshot_loaded", text, **facts)
+        log_event(log, logging.INFO, "snapshot_loaded", text, **facts)
 
     def save_snapshot(self, repeat: bool = True) -> None:
         """Queue a snapshot for the writer thread; it is dropped if the queue is full."""
@@ -542,7 +550,7 @@
             self.send(self.swim.leave())
             dropped = ", ".join(f"{why} {count}" for why, count in sorted(self.swim.counts.items()))
             text = "peers: left; dropped: %(dropped)s"
-            say(log, logging.INFO, "peers_left", text, dropped=dropped or "nothing")
+            log_event(log, logging.INFO, "peers_left", text, dropped=dropped or "nothing")
         exchange, book = self.exchange, self.exchange.store
         text = (
             "knowledge: %(pieces)d pieces held, %(words)d words told to the module; %(absurd)d absurd, "
@@ -554,4 +562,4 @@
             "words": exchange.estimates_posted,
             "absurd": book.absurd + exchange.invalid_records,
         }
-        say(log, logging.INFO, "knowledge_end", text, **facts, dropped=book.dropped, unsaved=unsaved)
+        log_event(log, logging.INFO, "knowledge_end", text, **facts, dropped=book.dropped, unsaved=unsaved)
--- a/brackenusher/records/capture.py
+++ b/brackenusher/records/capture.py
@@ -23,7 +23,7 @@
 from brackenusher.core.admission import Request
 from brackenusher.core.message import Message
 from brackenusher.core.transaction import Answer, Failed, Refused, Served, Transaction
-from brackenusher.runtime.outlet import Outlet, write_all, write_stderr
+from brackenusher.runtime.outlet import LineWriter, write_all, write_stderr
 
 QUEUE_BYTES = 256 * 1024  # waiting to be written
 MAX_OPEN_REQUESTS = 1000  # requests whose line is not written yet
@@ -77,9 +77,9 @@
 
 def charge_pair(message: Message) -> str:
     """The rate limiter's pair on a request's line: when and under which key it was charged."""
-    if message.charged is None:
+    if message.rate_limit_charge is None:
         return ""
-    return f" door={message.charged[1]!r},{quote(message.charged[0], safe='')}"
+    return f" door={message.rate_limit_charge[1]!r},{quote(message.rate_limit_charge[0], safe='')}"
 
 
 class FileRing:
@@ -186,7 +186,7 @@
     def __init__(
         self,
         settings: CaptureSettings,
-        writer: Outlet,
+        writer: LineWriter,
         transactions: Mapping[int, Transaction],
         config: PlatformConfig,
         started_at: float,
@@ -196,10 +196,14 @@
             [quote(c.name, safe="") for c in config.settings.classes],
         )
         self.ring = FileRing(settings) if settings.folder else None
-        self.channel = writer.channel(self.ring.write if self.ring else write_stderr, QUEUE_BYTES)
+        self.channel = writer.open_channel(self.ring.write if self.ring else write_stderr, QUEUE_BYTES)
         self.file_bytes = settings.file_kb * 1024 if self.ring else 0
         self.static_header = {"capture": FORMAT_VERSION, "version": __version__, "module": source_digest()}
-        self.run_header = {"seed": f"{config.seed:x}", "began": repr(started_at), "settings": config.worded}
+        self.run_header = {
+            "seed": f"{config.seed:x}",
+            "began": repr(started_at),
+            "settings": config.raw_settings,
+        }
         self.open_records: dict[int, RequestRecord] = {}
         self.escaped_hosts: dict[str, str] = {}  # escaped names, by name
         self.server_lines: dict[str, str] = {}  # the current server list: each host's line without its number
@@ -258,19 +262,19 @@
 
     # observer interface
 
-    def answered(self, transaction: Transaction, answer: Answer | None) -> None:
+    def on_answer(self, transaction: Transaction, answer: Answer | None) -> None:
         record = self.open_records.get(transaction.id)
         if record is not None:
             record.result = RESULT_NAMES[type(answer)]
             if record.closed and not record.in_flight:
                 self.finish(record)
 
-    def turned_away(self, request: Request, verdict: str) -> None:
+    def on_denial(self, request: Request, verdict: str) -> None:
         self.event_count += 1
-        columns = request_columns(request.name, self.class_names[request.klass], request.message)
+        columns = request_columns(request.request_id, self.class_names[request.class_index], request.message)
         self.write(f"{columns} {verdict}{charge_pair(request.message)} event={self.event_count}")
 
-    def handled(self, now: float, event: face.Event, actions: Sequence[face.Action]) -> None:
+    def on_event(self, now: float, event: face.Event, actions: Sequence[face.Action]) -> None:
         self.event_count += 1
         number = self.event_count
         if isinstance(event, face.TimerDue):
@@ -360,7 +364,7 @@
     def write_record(self, record: RequestRecord) -> None:
         """Write a request's line, with timers and probes since the last one."""
         event, transaction = record.arrival, record.transaction
-        columns = request_columns(transaction.name, self.class_names[event.klass], transaction.message)
+        columns = request_columns(transaction.request_id, self.class_names[event.klass], transaction.message)
         fields = f"{event.request},{event.klass},{event.tenant},{event.repeated:d},{event.deadline!r}"
         line = (
             f"{columns} {record.decision()} {record.result or 'open'} "
--- a/brackenusher/records/figures.py
+++ b/brackenusher/records/figures.py
@@ -15,7 +15,7 @@
 from brackenusher.core.admission import Request
 from brackenusher.core.transaction import Answer, Refused, Served, Transaction
 from brackenusher.runtime.driver import Address, open_udp_socket
-from brackenusher.runtime.outlet import Channel, Outlet, write_all, write_stderr
+from brackenusher.runtime.outlet import Channel, LineWriter, write_all, write_stderr
 from brackenusher.runtime.timers import Timers
 
 QUEUE_BYTES = 96 * 1024  # waiting to be written
@@ -113,7 +113,7 @@
     def __init__(
         self,
         settings: FiguresSettings,
-        writer: Outlet,
+        writer: LineWriter,
         timers: Timers,
         clock: Callable[[], float],
         transactions: Mapping[int, Transaction],
@@ -127,7 +127,7 @@
         else:
             write = write_stderr if settings.target is None else FileSink(settings.target).write
             # chunks are not merged: a batch is the unit of drops
-            self.sink = writer.channel(write, QUEUE_BYTES, chunk_bytes=0)
+            self.sink = writer.open_channel(write, QUEUE_BYTES, chunk_bytes=0)
         self.requests: Counter[TagKey] = Counter()
         self.refused: Counter[TagKey] = Counter()
         self.formatted_tags: dict[TagKey, str] = {}
@@ -140,8 +140,8 @@
 
     # observer interface
 
-    def answered(self, transaction: Transaction, answer: Answer | None) -> None:
-        key = transaction.klass, transaction.tenant if transaction.message.owner else NO_TENANT
+    def on_answer(self, transaction: Transaction, answer: Answer | None) -> None:
+        key = transaction.class_index, transaction.tenant if transaction.message.owner else NO_TENANT
         self.requests[key] += 1
         kind = type(answer)
         if kind is Served:
@@ -150,8 +150,8 @@
         elif kind is Refused:
             self.refused[key] += 1
 
-    def turned_away(self, request: Request, verdict: str) -> None:
-        key = request.klass, request.tenant if request.message.owner else NO_TENANT
+    def on_denial(self, request: Request, verdict: str) -> None:
+        key = request.class_index, request.tenant if request.message.owner else NO_TENANT
         self.requests[key] += 1
         if verdict.endswith(" refused"):
             self.refused[key] += 1
@@ -187,9 +187,9 @@
     def flush(self) -> None:
         """Send counters, gauges and the remaining timers."""
         inflight = Counter(
-            (t.klass, t.tenant if t.message.owner else NO_TENANT)
+            (t.class_index, t.tenant if t.message.owner else NO_TENANT)
             for t in self.transactions.values()
-            if not t.over
+            if not t.closed
         )
         for name, sums in (("requests", self.requests), ("refused", self.refused)):
             for key, count in sums.items():
--- a/testbed/proxy.py
+++ b/testbed/proxy.py
@@ -16,7 +16,7 @@
 from brackenusher.core.deadlines import Deadlines
 from brackenusher.core.message import Content, Message
 from brackenusher.core.transaction import Attempt, Observers, Served, Transactions
-from brackenusher.runtime.timers import Entry
+from brackenusher.runtime.timers import Timer
 from brackenusher.upstream.listing import Listing
 from brackenusher.upstream.pool import Member, Pool
 from testbed.model.jobs import Job
@@ -78,7 +78,7 @@
         self.load: Carry | None = None
         self.up, self.closed, self.fresh = False, False, True
         self.idle_from = 0
-        self.limit: Entry | None = None
+        self.limit: Timer | None = None
         self.held = proxy.pool.planner.opening(member.line, self, proxy.now)
 
     def close(self, cause: Cause) -> None:
@@ -89,7 +89,7 @@
             proxy.pool.planner.closed(self.held, proxy.local(proxy.world.now), cause)
             proxy.forget(self)
 
-    def carry(self, load: "Carry") -> None:
+    def assign(self, load: "Carry") -> None:
         """Take on an attempt."""
         self.load = load
 
@@ -130,7 +130,7 @@
         self.host, self.link = host, link  # host: the one that was meant; the link's is the one that listens
         self.written, self.wrote, self.over = False, 0.0, False
         self.crowd = self.reached = 0  # held there when it came, and when; where reports tell of latency
-        self.expiry: Entry | None = None
+        self.expiry: Timer | None = None
         self.job: Job | None = None
 
     def end(self, outcome: Outcome, served: Served | None = None) -> None:
@@ -138,7 +138,7 @@
         if self.over:
             return
         self.let_go()
-        self.attempt.ended(self.attempt, outcome, served)
+        self.attempt.on_end(self.attempt, outcome, served)
 
     def let_go(self) -> None:
         self.over = True
@@ -188,7 +188,7 @@
 
 
 class Proxy:
-    """One life of one proxy, with its own clock. It is the daemon's carrier as well."""
+    """One life of one proxy, with its own clock. It is the attempt transport of its transactions as well."""
 
     def __init__(
         self, world: Around, number: int, life: int, settings: dict[str, Any], policy: str, listing: Listing
@@ -208,7 +208,7 @@
         self.told = Told()
         self.balancer = POLICIES[policy](self.settings, seed, self.now, world.sight(self))
         self.transactions = Transactions(self.balancer, self.clock, self.deadlines, self)  # type: ignore[arg-type]
-        self.transactions.observers = Observers(handled=(self.note,))
+        self.transactions.observers = Observers(on_event=(self.note,))
         self.connect_time = self.settings.connect_timeout or 1000.0
         self.ticking = False  # the planner's sweep is due at some time
         self.links: dict[Link, None] = {}
@@ -216,7 +216,7 @@
         self.idle_since: int | None = None  # since when servers stood idle for it, for the oracle
         self.wake_at: int | None = None
         self.enter()
-        self.transactions.begin()
+        self.transactions.start()
         self.tell(listing)
         self.rest()
 
@@ -235,7 +235,7 @@
 
     def rest(self) -> None:
         """See to it that it is woken for its next deadline."""
-        due = self.deadlines.next()
+        due = self.deadlines.next_due()
         if due is None:
             return
         world = self.world
@@ -253,7 +253,7 @@
             return  # another wake-up has come before
         self.wake_at = None
         self.enter()
-        self.deadlines.sweep(self.now)
+        self.deadlines.run_due(self.now)
         self.rest()
 
     # Requests
@@ -265,7 +265,7 @@
         conf = self.world.scenario
         span = (t.due - t.sent) / 1000.0
         repeated = t.number_of_op > 0 and conf.clients.marks_retry
-        t.transaction = self.transactions.arrive(
+        t.transaction = self.transactions.accept(
             t.name, t.op.klass, span, Wanted(t), t.reply, t.op.tenant, repeated
         )
         self.rest()
@@ -274,7 +274,7 @@
         """The client has closed its connection."""
         if self.alive and t.transaction is not None:
             self.enter()
-            self.transactions.left(t.transaction)
+            self.transactions.client_left(t.transaction)
             self.rest()
 
     def tell(self, listing: Listing) -> None:
@@ -282,9 +282,9 @@
         now = self.world.now
         self.told.seqs.append(listing.seq)
         self.told.times.append(now)
-        self.transactions.post(self.pool.take(listing))
+        self.transactions.post(self.pool.apply(listing))
 
-    # The carrier
+    # The attempt transport
 
     def start(self, attempt: Attempt) -> None:
         """Send an attempt on an idle connection, or on a new one."""
@@ -293,14 +293,14 @@
         t = wanted.t
         member = self.pool.members[attempt.backend]
         safe = self.settings.classes[t.op.klass].effect is face.Effect.SAFE
-        lent = self.pool.lend(member, safe)
+        lent = self.pool.take_idle(member, safe)
         link = lent if isinstance(lent, Link) else self.connect(member)
         if link is None:
-            attempt.ended(attempt, Outcome.NOT_SENT, None)
+            attempt.on_end(attempt, Outcome.NOT_SENT, None)
             return
         carry = Carry(self, attempt, t, world.names.get(attempt.backend), link, world.now)
-        attempt.carriage = carry
-        link.carry(carry)
+        attempt.link = carry
+        link.assign(carry)
         t.carries.append(carry)
         t.out += 1
         world.count_attempt(t)
@@ -363,7 +363,7 @@
     def write(self, carry: Carry) -> None:
         """The connection stands: write the request, unless its member has left meanwhile."""
         link = carry.link
-        if not self.pool.may_begin(link.member):
+        if not self.pool.may_send(link.member):
             carry.end(Outcome.CONNECT_FAILED)
             link.load = None
             link.close(Cause.LEFT)
@@ -425,7 +425,7 @@
         self.rest()
 
     def cancel(self, attempt: Attempt) -> None:
-        carry = attempt.carriage
+        carry = attempt.link
         if carry is not None and not carry.over:
             carry.let_go()
             carry.give_up()
@@ -433,7 +433,7 @@
     def disconnect(self, backend: str) -> None:
         member = self.pool.members.get(backend)
         if member is not None:
-            member.hang_up()
+            member.close_idle()
 
     def watch(self) -> None:
         self.world.watch(self)
--- a/tests/test_bounds.py
+++ b/tests/test_bounds.py
@@ -17,8 +17,8 @@
 from brackenusher.group import streams
 from brackenusher.group.streams import Streams
 from brackenusher.membership.frames import Open
-from brackenusher.runtime.buffers import Buffers
-from brackenusher.runtime.loop import Loop
+from brackenusher.runtime.buffers import BufferPool
+from brackenusher.runtime.loop import EventLoop
 
 THREE = ["n0", "n1", "n2"]
 
@@ -126,7 +126,7 @@
     monkeypatch.setattr(streams, "MAX_QUEUED_BYTES", 10_000)
     monkeypatch.setattr(streams, "MAX_INCOMING_STREAMS", 0)
     peers = PeersSettings(keys={"k1": b"x" * 16}, sign="k1")
-    made = Streams(Loop(Deadlines()), Buffers(), peers, "n0", lambda name: None)
+    made = Streams(EventLoop(Deadlines()), BufferPool(), peers, "n0", lambda name: None)
     for _ in range(100):
         made.send("n1", b"x" * 1000)
     out = made.out["n1"]
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -48,8 +48,8 @@
 from brackenusher.group.database import DatabaseDamagedError
 from brackenusher.group.store import Store
 from brackenusher.group.streams import Streams
-from brackenusher.runtime.buffers import Buffers
-from brackenusher.runtime.loop import Loop
+from brackenusher.runtime.buffers import BufferPool
+from brackenusher.runtime.loop import EventLoop
 from testbed import consensus, linearizability, oracle_policy, steps
 from testbed.consensus import Disk, Table, search, storm
 from testbed.policy_group import PolicyGroup
@@ -153,19 +153,19 @@
 
 def test_rejected_requests_are_not_charged_and_a_share_counts_open_requests():
     opened = {}
-    fleet = SimpleNamespace(bars=[], planner=SimpleNamespace(settings=ConnectionSettings(age=9000.0)))
+    fleet = SimpleNamespace(exclusions=[], planner=SimpleNamespace(settings=ConnectionSettings(age=9000.0)))
     acting = Acting(SimpleNamespace(open=opened), fleet)
     text = "[shares.tenants.a]\nopen = 1\n[repeats]\npart = 0.5\nburst = 1\n[connections]\n"
     acting.act(parse_policy(text + "age_s = 3\nrequests = 7\n[door.tenants.a]\nrate = 1\nburst = 2\n"))
     assert (fleet.planner.settings.age, fleet.planner.settings.requests) == (3000.0, 7)
 
     def ask(tenant="a", repeated=False):
-        return acting.ask(tenant, SimpleNamespace(repeated=repeated), 0.0)
+        return acting.ask(tenant, SimpleNamespace(is_retry=repeated), 0.0)
 
     assert ask() == 0.0
-    opened[1] = SimpleNamespace(over=False, message=SimpleNamespace(owner=b"a"))
+    opened[1] = SimpleNamespace(closed=False, message=SimpleNamespace(owner=b"a"))
     assert ask() == ask() == FULL_WAIT and ask("b") == 0.0
-    opened[1].over = True
+    opened[1].closed = True
     assert ask() == 0.0 and ask() > 0.0 and ask() > 0.0  # two tokens in the bucket: none was lost
     assert ask("b", True) == 0.0 and ask("b", True) == REPEAT_WAIT == ask("b", True)
     assert ask("b") == ask("b") == 0.0 and ask("b", True) == 0.0  # two first attempts earned one
@@ -704,15 +704,15 @@
 def test_sending_while_a_stream_is_opening_does_not_break_it():
     peers = PeersSettings(listen=("127.0.0.1", 0), keys={"k": b"k" * 16}, sign="k")
     with socket.create_server(("127.0.0.1", 0)) as listener:
-        loop = Loop(Deadlines())
-        streams = Streams(loop, Buffers(), peers, "n0", lambda name: listener.getsockname())
+        loop = EventLoop(Deadlines())
+        streams = Streams(loop, BufferPool(), peers, "n0", lambda name: listener.getsockname())
         streams.send("n1", b"one")
         connection, _ = listener.accept()
         with connection:
             while not select.select([connection], [], [], 0)[0]:
-                loop.turn()
+                loop.run_once()
             streams.send("n1", b"two")  # wakes its coroutine while no reply can be read
-            loop.turn()
+            loop.run_once()
             assert streams.out["n1"].task is not None and not streams.counts["connect"]
             streams.out["n1"].task.stop()
 
