--- a/benchmarks/fleet.py
+++ b/benchmarks/fleet.py
@@ -4,11 +4,12 @@
 
 Six scenarios (most proxies restarted at once with discovery overbooked; a zone lost and back cold; six in
 ten servers replaced within seconds; no fault; planned restarts during a release; a zone out of reach and
-answers lost), paired by seed. `before` is the module of REV, whose files are taken out
-of git and played by the testbed as it is. Prints goodput, p99, attempts and connects a request, the greatest
-peak of what a cold server was sent (as a multiple of what it could do then; the rule's is 3), and the seconds
-until goodput is back at nine tenths of what it was before. Exit 1 where the module loses to random choice
-beyond the 95% interval, or a promise was broken by it; 2 where something cannot be used.
+answers lost), paired by seed. `before` is the module of REV: it is taken out of git together with
+`brackenusher` and the testbed of that revision, which play it. Prints goodput, p99, attempts and connects a
+request, the greatest peak of what a cold server was sent (as a multiple of what it could do then; the rule's
+is 3), and the seconds until goodput is back at nine tenths of what it was before. Exit 1 where the module
+loses to random choice beyond the 95% interval, or a promise was broken by it; 2 where something cannot be
+used.
 """
 
 import argparse
@@ -76,14 +77,13 @@
 
 
 def extract(revision: str, folder: Path) -> Path:
-    """A tree with the module of a revision, and everything else as it is here."""
-    done = subprocess.run(["git", "archive", revision, "barleybarrow"], cwd=ROOT, capture_output=True)
+    """A tree with the packages of a revision: the module, and those that play it."""
+    packages = ["barleybarrow", "brackenusher", "testbed"]
+    done = subprocess.run(["git", "archive", revision, *packages], cwd=ROOT, capture_output=True)
     if done.returncode:
         raise ScenarioError(f"base `{revision}`: {done.stderr.decode().strip()}")
     with tarfile.open(fileobj=io.BytesIO(done.stdout)) as archive:
         archive.extractall(folder, filter="data")
-    for name in ("brackenusher", "testbed"):
-        (folder / name).symlink_to(ROOT / name)
     return folder
 
 
