--- a/benchmarks/capacity_control.py
+++ b/benchmarks/capacity_control.py
@@ -19,7 +19,7 @@
 from returns.result import Success
 
 from benchmarks.capacity_fit import processor_seconds, resident_bytes, show
-from brackenusher.cluster.links import KEEP_ALIVE_FRAME, KEEP_ALIVE_S
+from brackenusher.cluster.links import KEEP_ALIVE_FRAME, KEEP_ALIVE_INTERVAL_S
 from testbed.fleet import watch
 from testbed.fleet.layout import CONTROL, PROXY, FleetLayout, plan_fleet, settings_text
 from testbed.fleet.operator import Operator, document, route
@@ -59,7 +59,7 @@
 async def run_hollow(texts: list[str], pipe: Connection) -> None:
     """Start proxies as the parent asks, and tell what they use."""
     from brackenusher.assembly.proxy import ProxyProcess
-    from brackenusher.settings.reading import read_settings
+    from brackenusher.settings.reading import parse_settings
 
     loop = asyncio.get_running_loop()
     proxies: list[ProxyProcess] = []
@@ -69,7 +69,7 @@
             return
         if isinstance(order, int):
             for text in texts[len(proxies) : order]:
-                match read_settings(text):
+                match parse_settings(text):
                     case Success(settings):
                         proxies.append(ProxyProcess(settings))
                         await proxies[-1].start()
@@ -224,7 +224,7 @@
         for name, value in sorted(after.control_bytes.items()):
             rate = (value - before.control_bytes.get(name, 0.0)) / SPAN_S
             print(f"  with {HOLLOW[-1]} proxies {name.removeprefix(SENT_BYTES)}: {rate:.0f} B/s")
-        keep_alive = 2 * CONTROLS * len(KEEP_ALIVE_FRAME) / KEEP_ALIVE_S
+        keep_alive = 2 * CONTROLS * len(KEEP_ALIVE_FRAME) / KEEP_ALIVE_INTERVAL_S
         print(f"keep-alive frames, not in the counters: {keep_alive:.0f} B/s a proxy, both ways together")
 
     async def by_heartbeat(self) -> None:
--- a/brackenusher/assembly/control.py
+++ b/brackenusher/assembly/control.py
@@ -75,7 +75,7 @@
             self.limits, self.links, lambda: loop.time() * 1000.0, limits_store, self.storage_writer
         )
         self.config_shard.on_committed.append(self._configure_limits)
-        self.config_shard.on_voters.append(self.limits_driver.voters_changed)
+        self.config_shard.on_voters.append(self.limits_driver.set_voters)
         self.monitor = Monitor(settings, self.links, rng)
         self._tick_task: asyncio.Task[None] | None = None
         fleet_status = FleetStatus(self.links, self.config_shard, self.registry, self.feeds, self.monitor)
--- a/brackenusher/assembly/proxy.py
+++ b/brackenusher/assembly/proxy.py
@@ -78,11 +78,11 @@
             settings.limits.memory_mb,
             ask_quota=self.limits_driver.admit,
             may_deny=lambda: self.feed.current,
-            keys_hold=lambda: self.key_lease.holds,
+            keys_hold=lambda: self.key_lease.is_valid,
             journal=self.journal,
         )
         self.feed = FeedClient(settings, self.links, self._apply_configuration, self._set_servers)
-        self.feed.on_voters.append(self.limits_driver.voters_changed)
+        self.feed.on_voters.append(self.limits_driver.set_voters)
         self.announcer = Announcer(loop, self.dispatcher, settings.ip, settings.internal_port_range[0])
         self.monitor = Monitor(settings, self.links, rng)
         self.monitor.on_control_addresses.append(self.feed.learn)
@@ -111,11 +111,11 @@
         self._next_status_at = 0.0
 
     def _is_ready(self) -> bool:
-        return self.feed.ready and self.key_lease.holds
+        return self.feed.ready and self.key_lease.is_valid
 
     def _apply_configuration(self, configuration: Configuration) -> None:
         self.proxy.configure(configuration)
-        self.key_lease.took(configuration.generation)
+        self.key_lease.on_applied(configuration.generation)
 
     def _update_peers(self) -> None:
         proxy_count = self.monitor.count_proxies()
--- a/brackenusher/cluster/frames.py
+++ b/brackenusher/cluster/frames.py
@@ -63,7 +63,7 @@
         raise FrameError(f"{MESSAGE_KINDS[kind_number].__name__} can't be read: {error}") from error
 
 
-class FrameReader:
+class FrameDecoder:
     """Incremental decoder: buffers bytes and yields complete messages."""
 
     def __init__(self) -> None:
--- a/brackenusher/cluster/key_leases.py
+++ b/brackenusher/cluster/key_leases.py
@@ -14,7 +14,7 @@
 from barleybarrow.replication.revocation_lease import Confirmation, RevocationLease
 from brackenusher.cluster import messages
 from brackenusher.cluster.links import Links
-from brackenusher.cluster.lives import first_number
+from brackenusher.cluster.lives import first_request_number
 from brackenusher.settings.local import Bounds
 
 log = logging.getLogger(__name__)
@@ -36,7 +36,7 @@
         self._lease = RevocationLease(bounds.revoke_ms)
         self._links = links
         self._now = now
-        self._request_numbers = count(first_number(links.own))
+        self._request_numbers = count(first_request_number(links.own))
         self._pending_requests: dict[int, float] = {}  # send times, by number
         self._last_source = ""  # control process that was asked last
         self._next_request_at = float("-inf")
@@ -45,15 +45,15 @@
             links.on_message(messages.VersionAnswer, self._handle_version_answer)
 
     @property
-    def holds(self) -> bool:
+    def is_valid(self) -> bool:
         """Whether a request received now may use its key. Reads the clock: a timer lags a freeze."""
         return not self._strict or self._lease.is_valid(self._now())
 
-    def left_s(self) -> float:
+    def remaining_s(self) -> float:
         """Returns the seconds until the lease expires unless renewed; also 0 with `StrictRevocation` off."""
         return max(0.0, self._lease.duration_ms - self._lease.current.age(self._now())) / 1000.0
 
-    def took(self, version: int) -> None:
+    def on_applied(self, version: int) -> None:
         """Records that a configuration version has been applied here."""
         self._lease.on_applied(version)
 
@@ -89,20 +89,20 @@
 
     # Between peers, carried by the membership pings
 
-    def fill_answer(self, ack: messages.PingAck) -> None:
+    def fill_ping_ack(self, ack: messages.PingAck) -> None:
         """Adds the current confirmation to the answer to a peer's ping."""
         confirmation = self._lease.shareable_confirmation(self._now()) if self._strict else None
         if confirmation is not None:
             fields = confirmation_fields(confirmation, self._now())
             ack.confirmed_version, ack.confirmed_age_ms = fields
 
-    def peer_answered(self, ack: messages.PingAck, sent_at: float) -> None:
+    def on_ping_ack(self, ack: messages.PingAck, sent_at: float) -> None:
         """Handles a peer's answer to a ping that was sent at `sent_at`."""
         if self._strict and ack.confirmed_age_ms:
             self._lease.on_confirmation(ack.confirmed_version, sent_at, float(ack.confirmed_age_ms))
 
     def _log_change(self) -> None:
-        valid = self.holds
+        valid = self.is_valid
         if valid != self._was_valid:
             self._was_valid = valid
             log.info("API keys valid: %s version=%d", "yes" if valid else "no", self._lease.current.version)
--- a/brackenusher/cluster/limits_driver.py
+++ b/brackenusher/cluster/limits_driver.py
@@ -16,7 +16,7 @@
 
 log = logging.getLogger(__name__)
 
-MACHINE = "shares"  # name of the state machine in MachineMessage
+LIMITS_MACHINE = "shares"  # name of the state machine in MachineMessage
 MIN_WAKEUP_DELAY_S = 0.001
 
 
@@ -28,7 +28,7 @@
         self._timer: asyncio.TimerHandle | None = None
         self._running = False
         self._last_ticket = 0
-        self._waiting: dict[int, asyncio.Future[bool]] = {}
+        self._pending: dict[int, asyncio.Future[bool]] = {}
         self._credit_server = ""
 
     def start(self) -> None:
@@ -46,15 +46,15 @@
         if not self._running:
             return
         self.limits.resign(self.now(), released)
-        self._run()
+        self._process_output()
         self._running = False
         if self._timer is not None:
             self._timer.cancel()
-        for future in list(self._waiting.values()):
+        for future in list(self._pending.values()):
             if not future.done():
                 future.set_result(False)
 
-    def voters_changed(self, voters: list[str], index: int = 0) -> None:
+    def set_voters(self, voters: list[str], index: int = 0) -> None:
         """Uses the voters of the configuration shard as acceptors of the limits."""
         self.limits.set_acceptors(self.now(), voters)
         self._update_reachable()
@@ -73,13 +73,13 @@
         if verdict is not Verdict.PENDING:
             self._schedule_wakeup()
             return verdict is Verdict.ADMITTED
-        future = self._waiting[ticket] = asyncio.get_running_loop().create_future()
+        future = self._pending[ticket] = asyncio.get_running_loop().create_future()
         future.add_done_callback(lambda done: self._forget(ticket, done))
         self._tick()
         return future
 
     def _forget(self, ticket: int, future: asyncio.Future[bool]) -> None:
-        self._waiting.pop(ticket, None)
+        self._pending.pop(ticket, None)
         if future.cancelled():
             self.limits.cancel(ticket)
 
@@ -87,26 +87,26 @@
 
     def _update_reachable(self) -> None:
         self.limits.set_reachable(self.now(), list(self.links.connected()))
-        self._run()
+        self._process_output()
 
     def _handle_message(self, sender: str, message: betterproto.Message) -> None:
-        if isinstance(message, messages.MachineMessage) and message.machine == MACHINE:
+        if isinstance(message, messages.MachineMessage) and message.machine == LIMITS_MACHINE:
             self.limits.receive(self.now(), sender, message.payload)
-            self._run()
+            self._process_output()
 
     def _tick(self) -> None:
         self.limits.tick(self.now())
-        self._run()
+        self._process_output()
 
-    def _run(self) -> None:
+    def _process_output(self) -> None:
         """Sends the outgoing messages, completes decided requests and resets the timer."""
         if self.limits.credit_machine.credit_server != self._credit_server:
             self._credit_server = self.limits.credit_machine.credit_server
             log.info("limits: credit_server=%s term=%d", self._credit_server, self.limits.credit_machine.term)
         for address, payload in self.limits.outbox():
-            self.links.send(address, messages.MachineMessage(machine=MACHINE, payload=payload))
+            self.links.send(address, messages.MachineMessage(machine=LIMITS_MACHINE, payload=payload))
         for ticket, admitted in self.limits.take_decisions():
-            future = self._waiting.get(ticket)
+            future = self._pending.get(ticket)
             if future is not None and not future.done():
                 future.set_result(admitted)
         self._schedule_wakeup()
--- a/brackenusher/cluster/links.py
+++ b/brackenusher/cluster/links.py
@@ -17,7 +17,7 @@
 import betterproto
 
 from brackenusher.cluster import messages
-from brackenusher.cluster.frames import FrameError, FrameReader, encode_frame
+from brackenusher.cluster.frames import FrameDecoder, FrameError, encode_frame
 
 log = logging.getLogger(__name__)
 
@@ -27,7 +27,7 @@
 INITIAL_RECONNECT_DELAY_S = 0.05  # peers that start together take some hundred milliseconds to listen
 RECONNECT_DELAY_FACTOR = 1.15  # a returning peer is reached within about 1/7 of its downtime
 MAX_RECONNECT_DELAY_S = 0.8  # a healed partition must be noticed well within ContactMs
-KEEP_ALIVE_S = 0.5
+KEEP_ALIVE_INTERVAL_S = 0.5
 PEER_TIMEOUT_S = 1.6  # three missed keep-alives
 MAX_SEND_BUFFER_BYTES = 24 * 1024 * 1024  # holds a snapshot for a slow link; a slower peer is dropped
 TCP_USER_TIMEOUT_MS = 2000  # a partition sends no RST: unacknowledged data ends the connection
@@ -52,7 +52,7 @@
         self.peer_address = expected_address  # internal address of the peer; empty until its Hello arrives
         self.hello: messages.Hello | None = None
         self.transport: asyncio.Transport | None = None
-        self.decoder = FrameReader()
+        self.decoder = FrameDecoder()
         self.last_received_at = links.loop.time()
         self.aborted = False  # messages that still arrive are dropped
         self.closed = links.loop.create_future()
@@ -287,7 +287,7 @@
 
     async def _run_keep_alive(self) -> None:
         while True:
-            await asyncio.sleep(KEEP_ALIVE_S)
+            await asyncio.sleep(KEEP_ALIVE_INTERVAL_S)
             now = self.loop.time()
             for connection in list(self.connections):
                 if now - connection.last_received_at > PEER_TIMEOUT_S:
--- a/brackenusher/cluster/lives.py
+++ b/brackenusher/cluster/lives.py
@@ -9,6 +9,6 @@
 REQUEST_NUMBER_BITS = 11  # below the incarnation (53 bits) in an unsigned 64-bit number
 
 
-def first_number(own: messages.Hello) -> int:
+def first_request_number(own: messages.Hello) -> int:
     """Returns the first request number of this incarnation; later requests count up from it."""
     return (own.incarnation << REQUEST_NUMBER_BITS) + 1
--- a/brackenusher/cluster/monitor.py
+++ b/brackenusher/cluster/monitor.py
@@ -27,10 +27,10 @@
 from barleybarrow.replication.rendezvous import ranked
 from brackenusher.cluster import messages
 from brackenusher.cluster.base_exchange import FallbackShareExchange
-from brackenusher.cluster.frames import FrameError, FrameReader, encode_frame
+from brackenusher.cluster.frames import FrameDecoder, FrameError, encode_frame
 from brackenusher.cluster.key_leases import KeyLease
 from brackenusher.cluster.links import Links, split_address
-from brackenusher.cluster.lives import first_number
+from brackenusher.cluster.lives import first_request_number
 from brackenusher.settings.local import LocalSettings
 
 log = logging.getLogger(__name__)
@@ -57,13 +57,13 @@
         self.applied_version: Callable[[], int] = lambda: 0  # version of the configuration applied here
         self.share_exchange: FallbackShareExchange | None = None  # proxies only
         self.key_lease: KeyLease | None = None  # proxies only
-        self._extra_ping_numbers = count(first_number(links.own) + EXTRA_PING_NUMBER_OFFSET)
+        self._extra_ping_numbers = count(first_request_number(links.own) + EXTRA_PING_NUMBER_OFFSET)
         self._pending_pings: dict[int, float] = {}  # send times of unanswered pings, by number
         self._links = links
         self._own_address = links.own.address
         self._is_control = links.own.role == CONTROL_ROLE
         self._loop = asyncio.get_running_loop()
-        self._peer_monitor = PeerMonitor(self._own_address, first_number(links.own))
+        self._peer_monitor = PeerMonitor(self._own_address, first_request_number(links.own))
         self._member_table = MemberTable()
         self._merged_lists = MergedMemberLists()
         if self._is_control:
@@ -124,7 +124,7 @@
         if len(data) > MAX_DATAGRAM_BYTES:
             return
         try:
-            for message in FrameReader().feed(data):
+            for message in FrameDecoder().feed(data):
                 self._handle_datagram(message)
         except FrameError as error:
             log.warning("datagram ignored: sender=%s error=%s", addr, error)
@@ -145,7 +145,7 @@
             if self.share_exchange is not None and sent_at is not None:
                 self.share_exchange.on_ping_ack(message, sent_at, now)
             if self.key_lease is not None and sent_at is not None:
-                self.key_lease.peer_answered(message, sent_at)
+                self.key_lease.on_ping_ack(message, sent_at)
 
     def _answer_ping(self, ping: messages.Ping) -> None:
         now = self._now()
@@ -153,7 +153,7 @@
         if self.share_exchange is not None:
             self.share_exchange.fill_ping_ack(ack, ping, now)
         if self.key_lease is not None:
-            self.key_lease.fill_answer(ack)
+            self.key_lease.fill_ping_ack(ack)
         self._send_datagram(ping.sender, ack)
         if self.share_exchange is not None and self.share_exchange.should_ping_back(ping, now):
             self._send_ping(ping.sender, next(self._extra_ping_numbers), now)
--- a/brackenusher/cluster/status_calls.py
+++ b/brackenusher/cluster/status_calls.py
@@ -13,11 +13,11 @@
 
 from brackenusher.cluster import messages
 from brackenusher.cluster.links import Links
-from brackenusher.cluster.lives import first_number
+from brackenusher.cluster.lives import first_request_number
 
 log = logging.getLogger(__name__)
 
-MAX_ANSWER_BYTES = 1024 * 1024  # read by a person; a larger reply would delay other messages of the link
+MAX_REPLY_BYTES = 1024 * 1024  # read by a person; a larger reply would delay other messages of the link
 
 
 class StatusResponder:
@@ -32,7 +32,7 @@
         assert isinstance(request, messages.StatusRequest)
         document = self._get_status(request.topic)
         data = b"" if document is None else json.dumps(document, separators=(",", ":")).encode()
-        if len(data) > MAX_ANSWER_BYTES:
+        if len(data) > MAX_REPLY_BYTES:
             log.warning("status reply too large: topic=%s bytes=%d", request.topic, len(data))
             data = b""
         self._links.send(sender, messages.StatusReply(id=request.id, document=data))
@@ -47,17 +47,17 @@
     replies: dict[str, object] = field(default_factory=dict)
 
 
-class StatusCaller:
+class StatusClient:
     """Queries processes that this one has links to."""
 
     def __init__(self, links: Links) -> None:
         self._links = links
         self._pending_queries: dict[int, _PendingQuery] = {}
-        self._last_id = first_number(links.own)
+        self._last_id = first_request_number(links.own)
         links.on_message(messages.StatusReply, self._handle_reply)
         links.on_change(self._handle_link_change)
 
-    async def ask(self, addresses: Iterable[str], topic: str, timeout_s: float) -> dict[str, object]:
+    async def query(self, addresses: Iterable[str], topic: str, timeout_s: float) -> dict[str, object]:
         """Returns the documents of the processes that reply in time and have one, by address."""
         self._last_id += 1
         request = messages.StatusRequest(id=self._last_id, topic=topic)
--- a/brackenusher/control_plane/feed_source.py
+++ b/brackenusher/control_plane/feed_source.py
@@ -18,7 +18,7 @@
 from barleybarrow.replication.records import InstanceRecord
 from barleybarrow.replication.rendezvous import SHARD_COUNT
 from brackenusher.cluster import messages
-from brackenusher.cluster.config_pieces import ConfigPieces
+from brackenusher.cluster.config_pieces import ConfigUpdates
 from brackenusher.cluster.links import Links
 from brackenusher.cluster.records import to_messages
 from brackenusher.control_plane.config_shard import ConfigShard
@@ -64,7 +64,7 @@
         self._flushed = [Position(epoch, 0) for _ in range(SHARD_COUNT)]  # where all subscribers are
         self._dirty: set[int] = set()
         self._flush_due = False
-        self._pieces = ConfigPieces()
+        self._pieces = ConfigUpdates()
         self._confirming: asyncio.Task[None] | None = None
         self._fill_logs()
         registry.on_change.append(self._registry_changed)
@@ -164,14 +164,14 @@
     # The configuration
 
     def _committed(self, configuration: Configuration) -> None:
-        if not self._pieces.committed(configuration):
+        if not self._pieces.add(configuration):
             return
         offer = messages.ConfigOffer(version=self._pieces.version, confirmed=False)
         self._tell_all(offer)
 
     def _fetch(self, sender: str, message: betterproto.Message) -> None:
         assert isinstance(message, messages.ConfigFetch)
-        piece = self._pieces.piece(message.have_version)
+        piece = self._pieces.update_from(message.have_version)
         if piece is not None:
             self._links.send(sender, piece)
 
--- a/brackenusher/control_plane/fleet_status.py
+++ b/brackenusher/control_plane/fleet_status.py
@@ -5,7 +5,7 @@
 from barleybarrow.replication.rendezvous import SHARD_COUNT
 from brackenusher.cluster import messages
 from brackenusher.cluster.links import Links
-from brackenusher.cluster.status_calls import StatusCaller
+from brackenusher.cluster.status_calls import StatusClient
 
 EXPLAIN = "explain:"
 EXPLAIN_TIMEOUT_S = 0.8  # callers go elsewhere after a second of silence
@@ -52,7 +52,7 @@
     ) -> None:
         self.links, self.shard, self.registry = links, shard, registry
         self.feeds, self.monitor = feeds, monitor
-        self._caller = StatusCaller(links)
+        self._caller = StatusClient(links)
 
     async def tell(self, topic: str) -> object | None:
         """The document of a topic; None where nothing is known."""
@@ -121,7 +121,7 @@
     async def _explain(self, topic: str) -> object | None:
         """What the proxies know of a request: each that does, with the events in their order."""
         proxies = [address for address, hello in self.links.connected().items() if hello.role == "proxy"]
-        answers = await self._caller.ask(proxies, topic, EXPLAIN_TIMEOUT_S)
+        answers = await self._caller.query(proxies, topic, EXPLAIN_TIMEOUT_S)
         found = [
             {"proxy": address, "events": events} for address, events in sorted(answers.items()) if events
         ]
--- a/brackenusher/control_plane/registry_service.py
+++ b/brackenusher/control_plane/registry_service.py
@@ -18,7 +18,7 @@
 from barleybarrow.replication.silence import SilenceDetector
 from brackenusher.cluster import messages
 from brackenusher.cluster.links import Links
-from brackenusher.cluster.lives import first_number
+from brackenusher.cluster.lives import first_request_number
 from brackenusher.cluster.records import from_messages, from_renewals, to_message, to_messages, to_renewals
 from brackenusher.control_plane.confirmations import Confirmation, Confirmations
 from brackenusher.control_plane.final_records import FinalRecords
@@ -64,7 +64,7 @@
         self._now = now
         self._groups = ReplicaGroups(links, voters, settings.fault_tolerance)
         self._final = FinalRecords(store, writer, self._final_records)
-        self._confirmations = Confirmations(first_number(links.own))
+        self._confirmations = Confirmations(first_request_number(links.own))
         self._unconfirmed: set[str] = set()  # ids whose newest change came here and has no majority yet
         self._held: dict[str, int] = {}  # finality that a majority is known to hold, by id
         self._renewals: dict[str, int] = {}  # newest sequences that the replica groups have not been told
--- a/brackenusher/control_plane/shares_driver.py
+++ b/brackenusher/control_plane/shares_driver.py
@@ -63,8 +63,8 @@
         self.limits.restore(self.now(), loaded.snapshot)
         super().start()
 
-    def _run(self) -> None:
-        super()._run()
+    def _process_output(self) -> None:
+        super()._process_output()
         self._store()
 
     def _store(self) -> None:
@@ -85,7 +85,7 @@
         error = done.exception()
         if error is None:
             self.limits.on_stored(self.now(), revision)
-            self._run()
+            self._process_output()
         else:
             log.warning("roster of the limits not stored: error=%s", error)
             asyncio.get_running_loop().call_later(RETRY_PAUSE_S, self._store)
--- a/brackenusher/data_plane/peer_configuration.py
+++ b/brackenusher/data_plane/peer_configuration.py
@@ -9,7 +9,7 @@
 
 from barleybarrow.documents import Configuration
 from brackenusher.cluster import messages
-from brackenusher.cluster.config_pieces import encode_piece
+from brackenusher.cluster.config_pieces import encode_update
 from brackenusher.cluster.links import Links
 
 FETCH_RETRY_INTERVAL_MS = 500.0  # between requests to a peer
@@ -69,5 +69,5 @@
         if self._configuration is None or message.have_version >= self.version:
             return
         if self._piece is None:
-            self._piece = messages.ConfigPiece(0, self.version, encode_piece(self._configuration))
+            self._piece = messages.ConfigPiece(0, self.version, encode_update(self._configuration))
         self._links.send(sender, self._piece)
--- a/brackenusher/data_plane/proxy_metrics.py
+++ b/brackenusher/data_plane/proxy_metrics.py
@@ -28,7 +28,7 @@
     )
     metrics.gauge_function("ready", "1 while the proxy calls itself ready.", lambda: float(is_ready()))
     metrics.gauge_function(
-        "key_lease_seconds", "How much longer API keys hold with StrictRevocation.", key_lease.left_s
+        "key_lease_seconds", "How much longer API keys hold with StrictRevocation.", key_lease.remaining_s
     )
     metrics.gauge_function("requests_in_flight", "Requests under way.", lambda: float(proxy.in_flight()))
     metrics.gauge_function(
--- a/brackenusher/settings/reading.py
+++ b/brackenusher/settings/reading.py
@@ -56,10 +56,10 @@
         return Failure(SettingsError(path, "", "", remedy))
     except UnicodeDecodeError:
         return Failure(SettingsError(path, "", "", "is not UTF-8: write the file anew"))
-    return read_settings(text, path)
+    return parse_settings(text, path)
 
 
-def read_settings(text: str, path: str = "settings") -> Result[LocalSettings, SettingsError]:
+def parse_settings(text: str, path: str = "settings") -> Result[LocalSettings, SettingsError]:
     """Parses and validates the text of a settings file; the path is only used in messages."""
     try:
         table = tomllib.loads(text)
--- a/brackenusher/storage/slot_store.py
+++ b/brackenusher/storage/slot_store.py
@@ -32,7 +32,7 @@
 
 
 @dataclass(slots=True)
-class Loaded:
+class LoadedState:
     """The contents of a store when it was loaded."""
 
     snapshot: bytes | None = None
@@ -96,7 +96,7 @@
         self.current: int | None = None  # index of the active slot
         self.end = 0  # offset of the next record in the active slot
         self.checksum = 0
-        self.dirty = False  # a failed write may have left bytes after `end`
+        self.tail_dirty = False  # a failed write may have left bytes after `end`
         self.suspect_path = ""  # slot of a failed `replace`: may be intact and newer than the active one
 
     @property
@@ -104,7 +104,7 @@
         """The length of the active slot: header, snapshot and log."""
         return self.end
 
-    def load(self) -> Loaded:
+    def load(self) -> LoadedState:
         """Returns the stored state once it is durable. Raises StorageError.
 
         Writes nothing, so that it succeeds on a full disk. Syncs the active slot, because the caller relies
@@ -116,16 +116,16 @@
             slots = [read_slot(data) if data else None for data in contents]
             valid = [(slot.generation, i) for i, slot in enumerate(slots) if slot is not None]
             if not valid:
-                return Loaded(damaged=any(data for data in contents))
+                return LoadedState(damaged=any(data for data in contents))
             self.generation, self.current = max(valid)
             slot = slots[self.current]
             assert slot is not None
             self.end, self.checksum = slot.end, slot.checksum
-            self.dirty = slot.size > slot.end  # a torn tail: the first append truncates it
+            self.tail_dirty = slot.size > slot.end  # a torn tail: the first append truncates it
             self.files.sync(self.paths[self.current])
         except OSError as error:
             raise to_storage_error(error) from error
-        return Loaded(slot.snapshot, slot.records)
+        return LoadedState(slot.snapshot, slot.records)
 
     def append(self, records: list[bytes]) -> None:
         """Appends records and makes them durable. Raises StorageError.
@@ -143,14 +143,14 @@
         try:
             if self.suspect_path:
                 self._truncate_suspect()
-            if self.dirty:
-                self._cut()
-            self.dirty = True
+            if self.tail_dirty:
+                self._truncate_tail()
+            self.tail_dirty = True
             self.files.write(path, self.end, data)
             self.files.sync(path)
         except OSError as error:
             raise to_storage_error(error) from error
-        self.dirty = False
+        self.tail_dirty = False
         self.end += len(data)
         self.checksum = checksum
 
@@ -172,17 +172,17 @@
             self.generation += 1  # a failed write may still reach the disk: never reuse its generation
             raise to_storage_error(error) from error
         self.generation += 1
-        self.current, self.dirty, self.suspect_path = slot_index, False, ""
+        self.current, self.tail_dirty, self.suspect_path = slot_index, False, ""
         self.end = len(header) + len(snapshot)
         self.checksum = zlib.crc32(header[:-4])
 
-    def _cut(self) -> None:
+    def _truncate_tail(self) -> None:
         """Truncates the active slot after the last intact record."""
         assert self.current is not None
         path = self.paths[self.current]
         self.files.truncate(path, self.end)
         self.files.sync(path)
-        self.dirty = False
+        self.tail_dirty = False
 
     def _truncate_suspect(self) -> None:
         """Empties the slot of a failed `replace`, which could otherwise supersede records appended now."""
@@ -195,4 +195,4 @@
         self.files.close()
 
 
-__all__ = ["Loaded", "SlotStore", "StorageError", "StorageFullError"]
+__all__ = ["LoadedState", "SlotStore", "StorageError", "StorageFullError"]
--- a/tests/fleet/fake_links.py
+++ b/tests/fleet/fake_links.py
@@ -8,7 +8,7 @@
 import betterproto
 
 from brackenusher.cluster import messages
-from brackenusher.cluster.frames import FrameReader, encode_frame
+from brackenusher.cluster.frames import FrameDecoder, encode_frame
 
 PEER_TIMEOUT_S = 1.6  # a partition is noticed after this time, as with real links
 RECONNECT_INTERVAL_S = 0.3
@@ -18,7 +18,7 @@
 AddressPair = tuple[str, str]
 
 
-def pair(first: str, second: str) -> AddressPair:
+def address_pair(first: str, second: str) -> AddressPair:
     return (first, second) if first < second else (second, first)
 
 
@@ -37,8 +37,8 @@
     def __init__(self, network: "FakeNetwork", own: messages.Hello) -> None:
         self.own, self.network = own, network
         self.alive = True
-        self.frozen_until = 0.0
-        self.wanted_peers: set[str] = set()
+        self.stalled_until = 0.0
+        self.wanted_addresses: set[str] = set()
         self.sessions: dict[str, tuple[Session, messages.Hello]] = {}
         self.sent_bytes = 0
         self.message_handlers: dict[type, list[Callable[[str, betterproto.Message], None]]] = {}
@@ -46,10 +46,10 @@
 
     def connect(self, address: str) -> None:
         if address != self.own.address:
-            self.wanted_peers.add(address)
+            self.wanted_addresses.add(address)
 
     def disconnect(self, address: str) -> None:
-        self.wanted_peers.discard(address)
+        self.wanted_addresses.discard(address)
 
     def send(self, address: str, message: betterproto.Message) -> bool:
         if address not in self.sessions or not self.alive:
@@ -83,7 +83,7 @@
     def handle_frame(self, sender: str, session: Session, frame: bytes) -> None:
         if not self.alive or sender not in self.sessions or self.sessions[sender][0] is not session:
             return
-        for message in FrameReader().feed(frame):
+        for message in FrameDecoder().feed(frame):
             for handler in self.message_handlers.get(type(message), ()):
                 handler(sender, message)
 
@@ -95,17 +95,17 @@
         self.loop, self.rng = asyncio.get_running_loop(), rng
         self.processes: dict[str, FakeLinks] = {}
         self.sessions: dict[AddressPair, Session] = {}
-        self.cuts: set[AddressPair] = set()
+        self.partitions: set[AddressPair] = set()
         self.errors: list[BaseException] = []
         self.loop.set_exception_handler(self._record_error)
         self.connect_task = self.loop.create_task(self._run_connects())
 
-    def open(self, own: messages.Hello) -> FakeLinks:
+    def add_process(self, own: messages.Hello) -> FakeLinks:
         links = self.processes[own.address] = FakeLinks(self, own)
         return links
 
     def transmit(self, sender: str, receiver: str, session: Session, frame: bytes) -> None:
-        if pair(sender, receiver) in self.cuts:
+        if address_pair(sender, receiver) in self.partitions:
             session.lost_data = True
             return
         due = max(self._random_due(), session.last_due_at.get(receiver, 0.0) + MIN_TIMER_GAP_S)
@@ -113,28 +113,28 @@
         self.loop.call_at(due, self._deliver, sender, receiver, session, frame)
 
     def _deliver(self, sender: str, receiver: str, session: Session, frame: bytes) -> None:
-        if pair(sender, receiver) in self.cuts:
+        if address_pair(sender, receiver) in self.partitions:
             session.lost_data = True
         elif session.alive:
             links = self.processes[receiver]
-            if links.frozen_until > self.loop.time():
+            if links.stalled_until > self.loop.time():
                 due = session.last_due_at[receiver] = (
-                    max(links.frozen_until, session.last_due_at[receiver]) + MIN_TIMER_GAP_S
+                    max(links.stalled_until, session.last_due_at[receiver]) + MIN_TIMER_GAP_S
                 )
                 self.loop.call_at(due, self._deliver, sender, receiver, session, frame)
             else:
                 links.handle_frame(sender, session, frame)
 
-    def cut(self, one: str, other: str) -> None:
+    def partition(self, one: str, other: str) -> None:
         """Partitions two processes; both notice after the peer timeout."""
-        self.cuts.add(pair(one, other))
-        session = self.sessions.get(pair(one, other))
+        self.partitions.add(address_pair(one, other))
+        session = self.sessions.get(address_pair(one, other))
         if session is not None:
             self.loop.call_later(PEER_TIMEOUT_S, self._end_if_partitioned, one, other, session)
 
     def heal(self, one: str, other: str) -> None:
-        self.cuts.discard(pair(one, other))
-        session = self.sessions.get(pair(one, other))
+        self.partitions.discard(address_pair(one, other))
+        session = self.sessions.get(address_pair(one, other))
         if session is not None and session.lost_data:
             self._end(one, other)
 
@@ -142,10 +142,10 @@
         """Resets the connection; frames in flight are lost."""
         self._end(one, other)
 
-    def freeze(self, address: str, seconds: float) -> None:
+    def stall(self, address: str, seconds: float) -> None:
         """Stalls a process; peers end its links if it is silent for longer than the peer timeout."""
         links = self.processes[address]
-        links.frozen_until = self.loop.time() + seconds
+        links.stalled_until = self.loop.time() + seconds
         if seconds > PEER_TIMEOUT_S:
             for addresses, session in self.sessions.items():
                 if address in addresses:
@@ -169,11 +169,14 @@
                 )
 
     def _end_if_partitioned(self, one: str, other: str, session: Session) -> None:
-        if pair(one, other) in self.cuts and self.sessions.get(pair(one, other)) is session:
+        if (
+            address_pair(one, other) in self.partitions
+            and self.sessions.get(address_pair(one, other)) is session
+        ):
             self._end(one, other)
 
     def _end(self, one: str, other: str) -> None:
-        session = self.sessions.pop(pair(one, other), None)
+        session = self.sessions.pop(address_pair(one, other), None)
         if session is not None:
             session.alive = False
             self.processes[one].handle_disconnect(other, session)
@@ -186,16 +189,16 @@
         while True:
             await asyncio.sleep(RECONNECT_INTERVAL_S / 3)
             for one, links in list(self.processes.items()):
-                for other in sorted(links.wanted_peers):
+                for other in sorted(links.wanted_addresses):
                     self._connect(one, other)
 
     def _connect(self, one: str, other: str) -> None:
-        addresses, peer = pair(one, other), self.processes.get(other)
+        addresses, peer = address_pair(one, other), self.processes.get(other)
         if peer is None or not peer.alive or not self.processes[one].alive:
             return
-        if max(peer.frozen_until, self.processes[one].frozen_until) > self.loop.time():
+        if max(peer.stalled_until, self.processes[one].stalled_until) > self.loop.time():
             return
-        if addresses in self.sessions or addresses in self.cuts or self.rng.random() < 0.5:
+        if addresses in self.sessions or addresses in self.partitions or self.rng.random() < 0.5:
             return
         session = self.sessions[addresses] = Session()
         for local, remote in ((one, other), (other, one)):
--- a/tests/fleet/feed_schedules.py
+++ b/tests/fleet/feed_schedules.py
@@ -6,7 +6,7 @@
 
 from tests.fleet.feed_oracle import all_breaches
 from tests.fleet.feed_world import FeedSimulation, make_configuration
-from tests.fleet.virtual_time import play
+from tests.fleet.virtual_time import run_virtual
 
 SCHEDULE_S = 30.0
 FLEETS = ((3, 3), (5, 3), (5, 5))  # (control processes, voters among them)
@@ -125,7 +125,7 @@
     def _cut_controls(self) -> None:
         one, other = self.rng.sample(sorted(self.simulation.controls), 2)
         self.simulation.note_disruption("core")
-        self.simulation.network.cut(one, other)
+        self.simulation.network.partition(one, other)
         self._record_cuts()
 
     def _cut_proxy(self) -> None:
@@ -134,7 +134,7 @@
             self.rng.choice(self.simulation.voters),
         )
         self.simulation.note_disruption(proxy)
-        self.simulation.network.cut(proxy, control)
+        self.simulation.network.partition(proxy, control)
         self._record_cuts()
 
     def _reset_link(self) -> None:
@@ -167,15 +167,17 @@
 
     def _heal_cut(self) -> None:
         network = self.simulation.network
-        if network.cuts:
-            one, other = self.rng.choice(sorted(network.cuts))
+        if network.partitions:
+            one, other = self.rng.choice(sorted(network.partitions))
             for name in (one, other):
                 self.simulation.note_disruption(name if name in self.simulation.proxies else "core")
             network.heal(one, other)
             self._record_cuts()
 
     def _record_cuts(self) -> None:
-        self.simulation.cut_history.append((self.simulation.now(), frozenset(self.simulation.network.cuts)))
+        self.simulation.cut_history.append(
+            (self.simulation.now(), frozenset(self.simulation.network.partitions))
+        )
 
     def _toggle_disk_refusal(self) -> None:
         store = self.simulation.stores[self.rng.choice(self.simulation.voters)]
@@ -190,7 +192,7 @@
         if self.simulation.controls[address].links.alive:
             seconds = self.rng.uniform(0.3, 6.0)
             self.simulation.note_disruption("core")
-            self.simulation.network.freeze(address, seconds)
+            self.simulation.network.stall(address, seconds)
             asyncio.get_running_loop().call_later(seconds, self.simulation.note_disruption, "core")
 
     def _restart_proxy(self) -> None:
@@ -207,7 +209,7 @@
             control.writer.delay_s = 0.002
         while self.stopped_controls:
             self._restart_control()
-        for one, other in sorted(self.simulation.network.cuts):
+        for one, other in sorted(self.simulation.network.partitions):
             self.simulation.network.heal(one, other)
         self._record_cuts()
         for target in ("core", *self.simulation.proxies):
@@ -216,4 +218,4 @@
 
 def run_schedule(seed: int) -> list[str]:
     """Breaches of the schedule with this seed."""
-    return play(RandomSchedule(seed).run())
+    return run_virtual(RandomSchedule(seed).run())
--- a/tests/fleet/feed_world.py
+++ b/tests/fleet/feed_world.py
@@ -22,7 +22,7 @@
 from brackenusher.settings.local import FaultTolerance, LocalSettings
 from brackenusher.storage.slot_store import StorageError
 from tests.fleet.fake_links import FakeNetwork
-from tests.fleet.virtual_time import play
+from tests.fleet.virtual_time import run_virtual
 
 HEARTBEAT_MS = 1000.0
 DRAIN_S = 2.0  # DrainMs: so long after an acknowledged drain, no connected proxy may use the server
@@ -364,7 +364,7 @@
         )
 
     def start_control(self, address: str) -> Control:
-        links: Any = self.network.open(self.hello(address, "control"))
+        links: Any = self.network.add_process(self.hello(address, "control"))
         for peer in self.voters:
             links.connect(peer)
         store: Any = self.stores.setdefault(address, FakeStore())
@@ -380,7 +380,7 @@
         return control
 
     def start_proxy(self, address: str) -> ProxyProcess:
-        links = self.network.open(self.hello(address, "proxy"))
+        links = self.network.add_process(self.hello(address, "proxy"))
         seeds = [name.partition(":")[0] for name in self.voters]
         proxy = self.proxies[address] = ProxyProcess(self, address, links, seeds)
         self.spawn(proxy.run())
@@ -403,7 +403,7 @@
         """Call a control process from outside: with delay and timeout, and without an answer if it dies."""
         control = self.controls[address]
         called_at = self.now()
-        await asyncio.sleep(self.rng.uniform(0.001, 0.01) + max(0.0, control.links.frozen_until - called_at))
+        await asyncio.sleep(self.rng.uniform(0.001, 0.01) + max(0.0, control.links.stalled_until - called_at))
         if not control.links.alive:
             return False
         try:
@@ -455,7 +455,7 @@
 
     async def _run_ticks(self, registry: RegistryService, shard: FakeShard, links: Any) -> None:
         while True:
-            await asyncio.sleep(max(0.05, links.frozen_until - self.now()))
+            await asyncio.sleep(max(0.05, links.stalled_until - self.now()))
             registry.tick()
             if self.commits and shard.has_majority():
                 shard.commit(self.commits[-1])  # consensus brings a reconnected process up to date
@@ -471,6 +471,6 @@
             await test(self, simulation)
             self.assertEqual(simulation.network.errors, [])
 
-        play(run_test())
+        run_virtual(run_test())
 
     return run
--- a/tests/fleet/lease_world.py
+++ b/tests/fleet/lease_world.py
@@ -17,7 +17,7 @@
 from brackenusher.settings.local import Bounds
 from tests.fleet.feed_oracle import is_connected
 from tests.fleet.feed_world import Control, FeedSimulation, ProxyProcess, make_configuration
-from tests.fleet.virtual_time import play
+from tests.fleet.virtual_time import run_virtual
 
 REVOKE_MS = 3000.0
 PING_INTERVAL_S = 1.0
@@ -70,7 +70,7 @@
 
         def apply_configuration(value: Any) -> None:
             configured(value)
-            lease.took(value.generation)
+            lease.on_applied(value.generation)
 
         proxy.client._on_configuration = apply_configuration
         self.spawn(self._keep_lease(proxy, lease))
@@ -79,7 +79,7 @@
 
     def frozen_for_s(self, address: str) -> float:
         """Remaining time for which a process is paused."""
-        return max(0.0, self.network.processes[address].frozen_until - self.now())
+        return max(0.0, self.network.processes[address].stalled_until - self.now())
 
     async def _keep_lease(self, proxy: ProxyProcess, lease: KeyLease) -> None:
         while proxy.links.alive:
@@ -98,17 +98,17 @@
         if not await self._deliver_datagram(proxy.address, peer):
             return
         answer = messages.PingAck()
-        self.leases[peer].fill_answer(answer)
+        self.leases[peer].fill_ping_ack(answer)
         if await self._deliver_datagram(peer, proxy.address) and proxy.links.alive:
             proxy.client.hear_of_version(peer, self.proxies[peer].client.version)
-            lease.peer_answered(answer, sent_at)
+            lease.on_ping_ack(answer, sent_at)
 
     async def _deliver_datagram(self, sender: str, receiver: str) -> bool:
         """Delay a datagram; returns whether it arrives."""
         is_late = self.rng.random() < 0.2
         await asyncio.sleep(self.rng.uniform(0.001, MAX_PING_DELAY_S if is_late else 0.02))
         await asyncio.sleep(self.frozen_for_s(receiver))
-        cut = tuple(sorted((sender, receiver))) in self.network.cuts
+        cut = tuple(sorted((sender, receiver))) in self.network.partitions
         return not cut and self.network.processes[receiver].alive
 
     async def send_requests(self, ends_at: float) -> None:
@@ -124,7 +124,7 @@
         proxy, lease = self.proxies[address], self.leases[address]
         if not proxy.links.alive or not proxy.client.version:
             return
-        if lease.holds:
+        if lease.is_valid:
             self.forwarded.append(ForwardedRequest(address, sent_at, proxy.client.version))
         elif proxy.client.ready and is_connected(self, proxy, self.now()):
             self.refused_while_connected.append(f"REFUSED: at {address}, {self.now():.2f}")
@@ -172,7 +172,7 @@
         self._repair_all()
         await asyncio.sleep(QUIET_DURATION_S)
         sim.left_without_lease = [
-            f"ENDED: {address}" for address, lease in sim.leases.items() if not lease.holds
+            f"ENDED: {address}" for address, lease in sim.leases.items() if not lease.is_valid
         ]
         return sim
 
@@ -193,18 +193,18 @@
     def _cut_pair(self, a: str, b: str) -> None:
         for name in (a, b):
             self.sim.note_disruption(name if name in self.sim.proxies else "core")
-        self.sim.network.cut(a, b)
-        self.sim.cut_history.append((self.sim.now(), frozenset(self.sim.network.cuts)))
+        self.sim.network.partition(a, b)
+        self.sim.cut_history.append((self.sim.now(), frozenset(self.sim.network.partitions)))
 
     def _heal(self) -> None:
-        if self.sim.network.cuts:
-            self._heal_pair(*self.rng.choice(sorted(self.sim.network.cuts)))
+        if self.sim.network.partitions:
+            self._heal_pair(*self.rng.choice(sorted(self.sim.network.partitions)))
 
     def _heal_pair(self, a: str, b: str) -> None:
         for name in (a, b):
             self.sim.note_disruption(name if name in self.sim.proxies else "core")
         self.sim.network.heal(a, b)
-        self.sim.cut_history.append((self.sim.now(), frozenset(self.sim.network.cuts)))
+        self.sim.cut_history.append((self.sim.now(), frozenset(self.sim.network.partitions)))
 
     def _freeze(self) -> None:
         address = self.rng.choice(sorted([*self.sim.controls, *self.sim.proxies]))
@@ -212,7 +212,7 @@
             component = address if address in self.sim.proxies else "core"
             seconds = self.rng.uniform(0.3, 8.0)
             self.sim.note_disruption(component)
-            self.sim.network.freeze(address, seconds)
+            self.sim.network.stall(address, seconds)
             asyncio.get_running_loop().call_later(seconds, self.sim.note_disruption, component)
 
     def _kill_or_restart(self) -> None:
@@ -226,7 +226,7 @@
             self.stopped.append(address)
 
     def _repair_all(self) -> None:
-        for a, b in sorted(self.sim.network.cuts):
+        for a, b in sorted(self.sim.network.partitions):
             self._heal_pair(a, b)
         if self.stopped:
             self.sim.start_control(self.stopped.pop())
@@ -236,4 +236,4 @@
 
 def run_lease_faults(seed: int, strict: bool = True) -> LeaseSimulation:
     """Run one schedule of faults; returns the simulation."""
-    return play(LeaseFaultRun(seed, strict).run())
+    return run_virtual(LeaseFaultRun(seed, strict).run())
--- a/tests/fleet/limits_support.py
+++ b/tests/fleet/limits_support.py
@@ -9,7 +9,7 @@
 from barleybarrow.limits.bounds import LimitBounds
 from barleybarrow.limits.limits import Limits
 from brackenusher.cluster import messages as cluster_messages
-from brackenusher.cluster.limits_driver import MACHINE
+from brackenusher.cluster.limits_driver import LIMITS_MACHINE
 
 TOKEN_BOUNDS = LimitBounds(quota_slack=72_000.0)
 
@@ -47,7 +47,7 @@
         pass
 
     def send(self, address: str, message: Any) -> bool:
-        assert isinstance(message, cluster_messages.MachineMessage) and message.machine == MACHINE
+        assert isinstance(message, cluster_messages.MachineMessage) and message.machine == LIMITS_MACHINE
         loop = asyncio.get_running_loop()
         loop.call_soon(lambda: self.network[address].handler(self.address, message))
         return True
--- a/tests/fleet/shard_world.py
+++ b/tests/fleet/shard_world.py
@@ -29,10 +29,10 @@
         self.free_at = 0.0
         self.stalled_until = 0.0
 
-    def submit(self, work: Callable[[], Any]) -> "asyncio.Future[Any]":
+    def submit(self, operation: Callable[[], Any]) -> "asyncio.Future[Any]":
         future: asyncio.Future[Any] = self.loop.create_future()
         self.free_at = max(self.loop.time(), self.free_at, self.stalled_until) + DISK_LATENCY_S
-        self.loop.call_at(self.free_at, self.run, work, future)
+        self.loop.call_at(self.free_at, self.run, operation, future)
         return future
 
     def run(self, work: Callable[[], Any], future: "asyncio.Future[Any]") -> None:
@@ -101,7 +101,7 @@
             data_dir="data" if self.counts_for_quorum else "",
             fault_tolerance=FaultTolerance(machines=1),
         )
-        links: Any = self.simulation.network.open(hello)
+        links: Any = self.simulation.network.add_process(hello)
         rng = random.Random(self.simulation.rng.getrandbits(32))
         self.shard = ConfigShard(settings, links, validate, rng, self.make_writer, self.disk)
         self.shard.on_committed.append(lambda found: self.committed_generations.append(found.generation))
--- a/tests/fleet/test_api.py
+++ b/tests/fleet/test_api.py
@@ -11,7 +11,7 @@
 from brackenusher.control_plane import config_api, heartbeat_api
 from brackenusher.control_plane.api import Api
 from brackenusher.control_plane.http_server import HttpRequest, HttpResponse
-from tests.fleet.virtual_time import play
+from tests.fleet.virtual_time import run_virtual
 
 HEARTBEAT = {
     "Service": "oracle",
@@ -85,7 +85,7 @@
     def call(self, method: str, target: str, body: bytes = b"", **headers: str) -> HttpResponse:
         """The answer; header names with underscores for dashes."""
         named = {name.replace("_", "-").lower(): value for name, value in headers.items()}
-        return play(self.api.handle(HttpRequest(method, target, named, body)))
+        return run_virtual(self.api.handle(HttpRequest(method, target, named, body)))
 
     def error(self, response: HttpResponse) -> str:
         """The line of an answer that is no success."""
@@ -205,7 +205,7 @@
             self.assertEqual(response.status, 503)
             return loop.time()
 
-        self.assertEqual(play(story()), heartbeat_api.TIMEOUT_S)
+        self.assertEqual(run_virtual(story()), heartbeat_api.TIMEOUT_S)
         self.assertLess(heartbeat_api.TIMEOUT_S, 1.0)
 
 
--- a/tests/fleet/test_config_driver_histories.py
+++ b/tests/fleet/test_config_driver_histories.py
@@ -8,7 +8,7 @@
 
 from tests.fleet.config_oracle import ACCEPTED, Call, ConsistencyChecker, History, SentOrder
 from tests.fleet.shard_world import ControlHarness, ShardSimulation
-from tests.fleet.virtual_time import play
+from tests.fleet.virtual_time import run_virtual
 
 SEED_COUNT = 10
 FAULTS_S = 6.0
@@ -132,7 +132,7 @@
             if other is control or self.rng.random() < 0.4:
                 continue
             if kind == "cut":
-                self.simulation.network.cut(control.address, other.address)
+                self.simulation.network.partition(control.address, other.address)
                 self.loop.call_later(duration_s, self.simulation.network.heal, control.address, other.address)
             else:
                 self.simulation.network.reset(control.address, other.address)
@@ -178,4 +178,4 @@
         with self.assertLogs("brackenusher.control_plane.config_storage"):
             for seed in range(SEED_COUNT):
                 with self.subTest(seed=seed):
-                    self.assertEqual(play(run(seed)), [])
+                    self.assertEqual(run_virtual(run(seed)), [])
--- a/tests/fleet/test_config_planted.py
+++ b/tests/fleet/test_config_planted.py
@@ -19,7 +19,7 @@
 from barleybarrow.consensus.durable_state import StoredImage
 from barleybarrow.consensus.order_queue import OrderQueue, PendingOrder
 from barleybarrow.consensus.paced_agreement import PacedRaftNode
-from brackenusher.storage.slot_store import RECORD, Loaded, SlotStore, record_checksum
+from brackenusher.storage.slot_store import RECORD, LoadedState, SlotStore, record_checksum
 from tests.fleet.config_schedules import SimulationRun
 
 # Messages about safety violations; a mere loss of liveness does not count as having found the bug.
@@ -221,7 +221,7 @@
 class UnverifiedTailStore(SlotStore):
     """Accepts the tail of the log without verifying checksums."""
 
-    def load(self) -> Loaded:
+    def load(self) -> LoadedState:
         loaded = super().load()
         if self.current is not None:
             data = self.files.read(self.paths[self.current]) or b""
@@ -233,8 +233,8 @@
                 self.checksum = record_checksum(record, self.checksum)
         return loaded
 
-    def _cut(self) -> None:
-        self.dirty = False
+    def _truncate_tail(self) -> None:
+        self.tail_dirty = False
 
 
 class InjectedBugsTest(unittest.TestCase):
--- a/tests/fleet/test_config_shard.py
+++ b/tests/fleet/test_config_shard.py
@@ -11,7 +11,7 @@
 from brackenusher.control_plane.config_members import control_process, failure_domain, seed_names
 from brackenusher.settings.local import LocalSettings
 from tests.fleet.shard_world import ShardSimulation, document_body, wait_until
-from tests.fleet.virtual_time import play
+from tests.fleet.virtual_time import run_virtual
 
 STORAGE_LOG = "brackenusher.control_plane.config_storage"
 Story = Callable[[ShardSimulation], Awaitable[None]]
@@ -32,7 +32,7 @@
 
         for seed in range(5):
             with self.subTest(seed=seed):
-                play(whole(seed))
+                run_virtual(whole(seed))
 
 
 class OrdersTest(ShardTest):
--- a/tests/fleet/test_feed_client.py
+++ b/tests/fleet/test_feed_client.py
@@ -12,10 +12,10 @@
 
 from barleybarrow.replication.rendezvous import SHARD_COUNT
 from brackenusher.cluster import messages
-from brackenusher.cluster.config_pieces import encode_piece
+from brackenusher.cluster.config_pieces import encode_update
 from tests.fleet.fake_links import FakeNetwork
 from tests.fleet.feed_world import FeedSimulation, ProxyProcess, make_configuration
-from tests.fleet.virtual_time import play
+from tests.fleet.virtual_time import run_virtual
 
 NAMES = ("10.0.0.1:7000", "10.0.0.2:7000")
 
@@ -24,7 +24,7 @@
     """A control process scripted by the test."""
 
     def __init__(self, network: FakeNetwork, world: FeedSimulation, address: str) -> None:
-        self.links: Any = network.open(world.hello(address, "control"))
+        self.links: Any = network.add_process(world.hello(address, "control"))
         self.received: list[betterproto.Message] = []
         self.on_request: Callable[[str, betterproto.Message], None] = lambda peer, message: None
         for kind in (messages.FeedSubscribe, messages.ConfigFetch):
@@ -64,7 +64,7 @@
             await test(self, harness)
             self.assertEqual(harness.network.errors, [])
 
-        play(run_test())
+        run_virtual(run_test())
 
     return run
 
@@ -97,7 +97,7 @@
         await asyncio.sleep(4.0)
         self.assertEqual(harness.proxy.client.version, 0)
         self.assertLess(harness.sources[0].count(messages.ConfigFetch), 8)
-        piece = messages.ConfigPiece(0, 9, encode_piece(make_configuration(9)))
+        piece = messages.ConfigPiece(0, 9, encode_update(make_configuration(9)))
         harness.sources[1].on_request = lambda peer, message: harness.sources[1].links.send(peer, piece)
         harness.sources[1].links.send(harness.proxy.address, messages.ConfigOffer(9, False))
         await asyncio.sleep(4.0)
@@ -108,9 +108,9 @@
         source, proxy = harness.sources[0], harness.proxy
         await asyncio.sleep(1.0)
         send = source.links.send
-        send(proxy.address, messages.ConfigPiece(0, 9, encode_piece(make_configuration(9))))
+        send(proxy.address, messages.ConfigPiece(0, 9, encode_update(make_configuration(9))))
         await asyncio.sleep(0.1)
-        send(proxy.address, messages.ConfigPiece(0, 5, encode_piece(make_configuration(5))))
+        send(proxy.address, messages.ConfigPiece(0, 5, encode_update(make_configuration(5))))
         delta = zlib.compress(msgspec.json.encode({"base_generation": 4, "generation": 12}))
         send(proxy.address, messages.ConfigPiece(4, 12, delta))
         await asyncio.sleep(0.1)
@@ -130,7 +130,7 @@
     async def test_ready_without_control_after_timeout(self, harness: Harness) -> None:
         await asyncio.sleep(1.0)
         harness.sources[0].links.send(
-            harness.proxy.address, messages.ConfigPiece(0, 9, encode_piece(make_configuration(9)))
+            harness.proxy.address, messages.ConfigPiece(0, 9, encode_update(make_configuration(9)))
         )
         await asyncio.sleep(1.0)
         self.assertFalse(harness.proxy.client.ready)
--- a/tests/fleet/test_feed_parts.py
+++ b/tests/fleet/test_feed_parts.py
@@ -10,7 +10,7 @@
 from barleybarrow.replication.feed_view import CORRELATED_SILENCE_WINDOW_MS, FeedView
 from barleybarrow.replication.records import InstanceRecord, InstanceState
 from barleybarrow.replication.rendezvous import SHARD_COUNT, shard_of
-from brackenusher.cluster.config_pieces import KEPT_DELTAS, ConfigPieces
+from brackenusher.cluster.config_pieces import MAX_DELTAS, ConfigUpdates
 
 READY, DRAINING, GONE, SILENT = (
     InstanceState.READY,
@@ -97,18 +97,18 @@
             configuration_delta.compose(ConfigurationDelta(1, 2), ConfigurationDelta(3, 4))
 
     def test_recent_versions_get_a_delta_and_older_ones_a_snapshot(self) -> None:
-        pieces = ConfigPieces()
+        pieces = ConfigUpdates()
         routes = [Route(f"r{i}", "h", f"/{i}/", "safe", 1.0, 1.0) for i in range(50)]
-        for generation in range(1, KEPT_DELTAS + 5):
+        for generation in range(1, MAX_DELTAS + 5):
             routes[0] = Route("r0", "h", "/0/", "safe", float(generation), 1.0)
-            self.assertTrue(pieces.committed(Configuration(generation, list(routes))))
+            self.assertTrue(pieces.add(Configuration(generation, list(routes))))
         newest = pieces.version
-        self.assertFalse(pieces.committed(Configuration(newest - 1)))
-        recent, old = pieces.piece(newest - 3), pieces.piece(1)
+        self.assertFalse(pieces.add(Configuration(newest - 1)))
+        recent, old = pieces.update_from(newest - 3), pieces.update_from(1)
         assert recent is not None and old is not None
         self.assertEqual((recent.base_version, old.base_version), (newest - 3, 0))
         self.assertLess(len(recent.document) * 2, len(old.document))
-        self.assertIsNone(pieces.piece(newest))
+        self.assertIsNone(pieces.update_from(newest))
 
 
 class ConfigurationFetcherTest(unittest.TestCase):
--- a/tests/fleet/test_feed_paths.py
+++ b/tests/fleet/test_feed_paths.py
@@ -9,7 +9,7 @@
 from brackenusher.control_plane.confirmations import Confirmation
 from brackenusher.control_plane.final_records import FinalRecords
 from brackenusher.control_plane.registry_service import RegistryService
-from tests.fleet.fake_links import pair
+from tests.fleet.fake_links import address_pair
 from tests.fleet.feed_world import FeedSimulation, ProxyProcess, make_configuration, simulated
 
 
@@ -124,7 +124,7 @@
         await asyncio.sleep(1.0)
         one, others = simulation.voters[0], simulation.voters[1:]
         for other in others:
-            simulation.network.cut(one, other)
+            simulation.network.partition(one, other)
         server = simulation.start_server("s0")
         server.crash()
         self.assertFalse(await simulation.call(one, "heartbeat", server.record()))
@@ -169,8 +169,8 @@
     async def test_registries_are_exchanged_when_a_link_comes_up(self, simulation: FeedSimulation) -> None:
         await asyncio.sleep(1.0)
         one, two, three = simulation.voters
-        simulation.network.cut(one, three)
-        simulation.network.cut(two, three)
+        simulation.network.partition(one, three)
+        simulation.network.partition(two, three)
         server = simulation.start_server("s0")
         await asyncio.sleep(3.0)
         server.crash()
@@ -217,11 +217,11 @@
         simulation.start_control(old)  # a new link starts with the list of voters, which has changed
         for address in simulation.voters:
             for proxy in simulation.proxies.values():
-                simulation.network.reset(*pair(address, proxy.address))
+                simulation.network.reset(*address_pair(address, proxy.address))
         await asyncio.sleep(3.0)
         for proxy in simulation.proxies.values():
             self.assertEqual(sorted(proxy.client.voters), sorted(simulation.voters))
-            self.assertEqual(proxy.links.wanted_peers, set(simulation.voters))
+            self.assertEqual(proxy.links.wanted_addresses, set(simulation.voters))
             self.assertTrue(proxy.offers("i0"))
 
     @simulated
@@ -229,7 +229,7 @@
         self, simulation: FeedSimulation
     ) -> None:
         simulation.commit(make_configuration(3))
-        links = simulation.network.open(simulation.hello("10.1.0.9:7001", "proxy"))
+        links = simulation.network.add_process(simulation.hello("10.1.0.9:7001", "proxy"))
         proxy = ProxyProcess(simulation, "10.1.0.9:7001", links, ["10.0.0.77"])
         simulation.spawn(proxy.run())
         await asyncio.sleep(3.0)
@@ -237,7 +237,7 @@
         proxy.client.learn(simulation.voters[:1])
         await asyncio.sleep(3.0)
         self.assertTrue(proxy.client.ready)
-        self.assertEqual(links.wanted_peers, set(simulation.voters))
+        self.assertEqual(links.wanted_addresses, set(simulation.voters))
 
     @simulated
     async def test_a_new_server_replaces_the_previous_one_at_its_address(
--- a/tests/fleet/test_final_records.py
+++ b/tests/fleet/test_final_records.py
@@ -11,7 +11,7 @@
 from brackenusher.storage.slot_store import SlotStore, StorageError
 from tests.fleet.emulated_disk import EmulatedDisk
 from tests.fleet.feed_world import FakeWriter
-from tests.fleet.virtual_time import play
+from tests.fleet.virtual_time import run_virtual
 
 
 class UnreadableStore(SlotStore):
@@ -58,7 +58,7 @@
 
 class FinalRecordsTest(unittest.TestCase):
     def story(self, story: Callable[[Disk], Awaitable[None]]) -> None:
-        play(story(Disk()))  # type: ignore[arg-type]
+        run_virtual(story(Disk()))  # type: ignore[arg-type]
 
     def test_nothing_is_written_before_all_was_read(self) -> None:
         async def story(disk: Disk) -> None:
--- a/tests/fleet/test_fleet_demo.py
+++ b/tests/fleet/test_fleet_demo.py
@@ -14,7 +14,7 @@
 from returns.result import Success
 from rich.console import Console
 
-from brackenusher.settings.reading import read_settings
+from brackenusher.settings.reading import parse_settings
 from testbed.engines.engine import EngineFigures
 from testbed.fleet import commands, demo, display, processes, watch
 from testbed.fleet.clients import Clients, chat, client_call
@@ -40,7 +40,7 @@
     def test_each_settings_file_can_be_used(self) -> None:
         layout = plan_fleet(6, 5, {"GraceS": 1.5})
         for machine, role in layout.roles():
-            match read_settings(settings_text(machine, role, layout, Path("/disks"))):
+            match parse_settings(settings_text(machine, role, layout, Path("/disks"))):
                 case Success(settings):
                     self.assertEqual(settings.ip, machine.ip)
                     self.assertEqual(settings.bounds.grace_s, 1.5)
@@ -54,7 +54,7 @@
 
     def test_one_control_process_can_not_be_lost(self) -> None:
         layout = plan_fleet(1, 1)
-        match read_settings(settings_text(layout.machines[0], CONTROL, layout, Path("/disks"))):
+        match parse_settings(settings_text(layout.machines[0], CONTROL, layout, Path("/disks"))):
             case Success(settings):
                 self.assertEqual(settings.fault_tolerance.machines, 0)
             case failure:
--- a/tests/fleet/test_fleet_status.py
+++ b/tests/fleet/test_fleet_status.py
@@ -10,10 +10,10 @@
 from barleybarrow.replication.records import InstanceModel, InstanceRecord, InstanceState
 from brackenusher.cluster import messages
 from brackenusher.cluster.links import Links
-from brackenusher.cluster.status_calls import MAX_ANSWER_BYTES, StatusCaller, StatusResponder
+from brackenusher.cluster.status_calls import MAX_REPLY_BYTES, StatusClient, StatusResponder
 from brackenusher.control_plane.fleet_status import EXPLAIN_TIMEOUT_S, FleetStatus
 from brackenusher.runtime.request_journal import MAX_EVENTS, RequestJournal
-from tests.fleet.virtual_time import play
+from tests.fleet.virtual_time import run_virtual
 
 Handler = Callable[[str, betterproto.Message], None]
 
@@ -115,7 +115,7 @@
         )
 
     def tell(self, topic: str) -> Any:
-        return play(self.status.tell(topic))
+        return run_virtual(self.status.tell(topic))
 
     def test_summary(self) -> None:
         summary = self.tell("summary")
@@ -160,7 +160,7 @@
         async def story() -> tuple[object, float]:
             return await self.status.tell("explain:r-1"), asyncio.get_running_loop().time()
 
-        found, ended = play(story())
+        found, ended = run_virtual(story())
         self.assertEqual(ended, EXPLAIN_TIMEOUT_S)
         self.assertEqual([part["proxy"] for part in cast(list[dict[str, object]], found)], ["p:1"])
 
@@ -171,35 +171,35 @@
     def setUp(self) -> None:
         self.network = Network()
         self.asker, self.peer = self.network.add("c:1", "control"), self.network.add("p:1", "proxy")
-        self.caller = StatusCaller(as_links(self.asker))
+        self.caller = StatusClient(as_links(self.asker))
 
     def ask(self, topic: str = "t") -> dict[str, object]:
-        return play(self.caller.ask(["p:1", "p:9"], topic, 1.0))
+        return run_virtual(self.caller.query(["p:1", "p:9"], topic, 1.0))
 
     def test_nobody_can_be_asked(self) -> None:
         async def story() -> float:
-            self.assertEqual(await self.caller.ask(["p:9"], "t", 1.0), {})
+            self.assertEqual(await self.caller.query(["p:9"], "t", 1.0), {})
             return asyncio.get_running_loop().time()
 
-        self.assertEqual(play(story()), 0.0)
+        self.assertEqual(run_virtual(story()), 0.0)
 
     def test_who_knows_nothing_is_left_out_and_not_waited_for(self) -> None:
         StatusResponder(as_links(self.peer), lambda topic: None)
 
         async def story() -> float:
-            self.assertEqual(await self.caller.ask(["p:1"], "t", 1.0), {})
+            self.assertEqual(await self.caller.query(["p:1"], "t", 1.0), {})
             return asyncio.get_running_loop().time()
 
-        self.assertEqual(play(story()), 0.0)
+        self.assertEqual(run_virtual(story()), 0.0)
 
     def test_a_link_that_comes_up_anew_does_not_end_the_wait(self) -> None:
         async def story() -> float:
             loop = asyncio.get_running_loop()
             loop.call_later(0.25, self.asker.change_handlers[0], "p:1", self.peer.own)
-            await self.caller.ask(["p:1"], "t", 1.0)
+            await self.caller.query(["p:1"], "t", 1.0)
             return loop.time()
 
-        self.assertEqual(play(story()), 1.0)
+        self.assertEqual(run_virtual(story()), 1.0)
 
     def test_answers_of_any_kind(self) -> None:
         documents: dict[str, object] = {"t-1": {"a": [1]}, "t-2": [], "t-3": 0, "t-4": "text"}
@@ -209,7 +209,7 @@
                 self.assertEqual(self.ask(topic), {"p:1": document})
 
     def test_too_large_an_answer_is_left_out(self) -> None:
-        StatusResponder(as_links(self.peer), lambda topic: "x" * MAX_ANSWER_BYTES)
+        StatusResponder(as_links(self.peer), lambda topic: "x" * MAX_REPLY_BYTES)
         with self.assertLogs("brackenusher.cluster.status_calls", "WARNING"):
             self.assertEqual(self.ask(), {})
 
@@ -217,10 +217,10 @@
         async def story() -> float:
             loop = asyncio.get_running_loop()
             loop.call_later(0.25, self.asker.change_handlers[0], "p:1", None)
-            self.assertEqual(await self.caller.ask(["p:1"], "t", 1.0), {})
+            self.assertEqual(await self.caller.query(["p:1"], "t", 1.0), {})
             return loop.time()
 
-        self.assertEqual(play(story()), 0.25)
+        self.assertEqual(run_virtual(story()), 0.25)
 
     def test_late_and_foreign_replies_are_ignored(self) -> None:
         async def story() -> None:
@@ -228,13 +228,13 @@
             for sender in ("p:1", "x:1"):
                 for handler in self.asker.handlers[messages.StatusReply]:
                     handler(sender, reply)
-            asking = asyncio.get_running_loop().create_task(self.caller.ask(["p:1"], "t", 1.0))
+            asking = asyncio.get_running_loop().create_task(self.caller.query(["p:1"], "t", 1.0))
             await asyncio.sleep(0)
             for handler in self.asker.handlers[messages.StatusReply]:
                 handler("x:1", reply)
             self.assertEqual(await asking, {})
 
-        play(story())
+        run_virtual(story())
 
 
 class JournalTest(unittest.TestCase):
--- a/tests/fleet/test_http_server.py
+++ b/tests/fleet/test_http_server.py
@@ -9,7 +9,7 @@
 from typing import Any, cast
 
 from brackenusher.control_plane.http_server import TEXT, HttpBounds, HttpRequest, HttpResponse, HttpServer
-from tests.fleet.virtual_time import play
+from tests.fleet.virtual_time import run_virtual
 
 BOUNDS = HttpBounds(connections=2, head_bytes=1000, body_bytes=100)
 GET = b"GET /a?b=c HTTP/1.1\r\nHost: h\r\n\r\n"
@@ -112,7 +112,7 @@
         async def story() -> bytes:
             return await Caller(self.server).run(data, eof)
 
-        return play(story())
+        return run_virtual(story())
 
 
 class RequestsTest(ServerTest):
@@ -140,7 +140,7 @@
             self.assertEqual(caller.statuses(), [b"200"])
             self.assertEqual(await caller.run(POST), bytes(caller.writer.data))
 
-        play(story())
+        run_virtual(story())
         self.assertEqual([r.body for r in self.echo.requests], [b"hello", b"hello"])
 
     def test_chunked_body(self) -> None:
@@ -161,7 +161,7 @@
             await caller.run(b"hello")
             self.assertEqual(caller.statuses(), [b"100", b"200"])
 
-        play(story())
+        run_virtual(story())
 
     def test_a_caller_that_wants_the_end_gets_it(self) -> None:
         for data in (GET.replace(b"Host: h", b"Host: h\r\nConnection: close"), b"GET /a HTTP/1.0\r\n\r\n"):
@@ -187,7 +187,7 @@
             answer = await Caller(self.server).run(data, eof=False)
             return asyncio.get_running_loop().time(), answer
 
-        return play(story())
+        return run_virtual(story())
 
     def test_silence_from_the_start_or_between_requests_ends_the_connection(self) -> None:
         self.assertEqual(self.ended_after(b""), (BOUNDS.idle_timeout_s, b""))
@@ -208,7 +208,7 @@
                 await asyncio.sleep(1.0)
             return asyncio.get_running_loop().time()
 
-        self.assertLessEqual(play(story()), BOUNDS.head_timeout_s + BOUNDS.linger_s + 1.0)
+        self.assertLessEqual(run_virtual(story()), BOUNDS.head_timeout_s + BOUNDS.linger_s + 1.0)
 
     def test_half_a_body(self) -> None:
         ended, answer = self.ended_after(POST[:-1])
@@ -259,7 +259,7 @@
             self.assertEqual(asyncio.get_running_loop().time(), BOUNDS.write_timeout_s)
             self.assertEqual(caller.writer.ended, "aborted")
 
-        play(story())
+        run_virtual(story())
 
     def test_too_many_connections(self) -> None:
         async def story() -> None:
@@ -275,7 +275,7 @@
             await callers[0].settle()
             self.assertEqual([caller.statuses() for caller in callers], [[b"200"], [b"200"]])
 
-        play(story())
+        run_virtual(story())
 
     def test_a_new_connection_takes_the_place_of_the_one_that_rests_the_longest(self) -> None:
         async def story() -> None:
@@ -288,7 +288,7 @@
             self.assertEqual([caller.task.done() for caller in callers], [False, True])
             self.assertEqual(self.server.turned_away, 0)
 
-        play(story())
+        run_virtual(story())
 
 
 class OddBytesTest(ServerTest):
@@ -318,7 +318,7 @@
         self.addCleanup(logging.disable, logging.NOTSET)
         statuses: Counter[bytes] = Counter()
         for seed in range(500):
-            statuses.update(play(self.story(random.Random(seed), f"seed {seed}")))
+            statuses.update(run_virtual(self.story(random.Random(seed), f"seed {seed}")))
         self.assertLessEqual({b"200", b"400", b"408", b"413", b"431", b"500"}, set(statuses))
 
     async def story(self, rng: random.Random, seed: str) -> list[bytes]:
@@ -361,7 +361,7 @@
             await refused.task
             self.assertEqual(refused.writer.ended, "aborted")
 
-        play(story())
+        run_virtual(story())
 
     def test_how_connections_end(self) -> None:
         async def story() -> list[str]:
@@ -370,7 +370,7 @@
             await half.run(POST[:-1])
             return [whole.writer.ended, half.writer.ended]
 
-        self.assertEqual(play(story()), ["closed", "aborted"])
+        self.assertEqual(run_virtual(story()), ["closed", "aborted"])
 
     def test_stopping_while_an_answer_is_taken_slowly(self) -> None:
         async def story() -> float:
@@ -385,10 +385,10 @@
             self.assertEqual(slow.statuses(), [b"200"])
             return asyncio.get_running_loop().time()
 
-        self.assertEqual(play(story()), 0.0)
+        self.assertEqual(run_virtual(story()), 0.0)
 
     def test_stopping_what_never_started(self) -> None:
-        play(self.server.stop())
+        run_virtual(self.server.stop())
 
     def test_a_handler_that_never_ends_holds_it_up_for_a_while_only(self) -> None:
         async def story() -> float:
@@ -401,7 +401,7 @@
             self.assertEqual(busy.writer.ended, "aborted")
             return asyncio.get_running_loop().time()
 
-        self.assertEqual(play(story()), BOUNDS.drain_s)
+        self.assertEqual(run_virtual(story()), BOUNDS.drain_s)
 
 
 class SocketsTest(unittest.TestCase):
--- a/tests/fleet/test_key_leases.py
+++ b/tests/fleet/test_key_leases.py
@@ -15,7 +15,7 @@
 from brackenusher.control_plane.version_confirmations import VersionConfirmations
 from tests.fleet.feed_world import ProxyProcess, make_configuration
 from tests.fleet.lease_world import REVOKE_MS, LeaseSimulation, run_lease_faults
-from tests.fleet.virtual_time import play
+from tests.fleet.virtual_time import run_virtual
 
 SIMULATION_RUNS = 12
 MAX_SIMULATION_RUNS = 40  # until one reveals an injected bug
@@ -34,7 +34,7 @@
             await scenario(self, simulation)
             self.assertEqual(simulation.network.errors, [])
 
-        play(run_scenario())
+        run_virtual(run_scenario())
 
     return run
 
@@ -89,36 +89,36 @@
     async def isolate(self, simulation: LeaseSimulation, proxy: ProxyProcess) -> None:
         for address in [*simulation.voters, *simulation.proxies]:
             if address != proxy.address:
-                simulation.network.cut(proxy.address, address)
+                simulation.network.partition(proxy.address, address)
 
     @in_simulation
     async def test_isolated_proxy_stops_in_time_and_resumes(self, simulation: LeaseSimulation) -> None:
         proxy, other = simulation.proxies.values()
         lease = simulation.leases[proxy.address]
-        self.assertTrue(lease.holds)
+        self.assertTrue(lease.is_valid)
         await self.isolate(simulation, proxy)
         await asyncio.sleep(REVOKE_MS / 1000.0)
-        self.assertFalse(lease.holds)
-        self.assertTrue(simulation.leases[other.address].holds, "the other is connected")
-        for one, two in sorted(simulation.network.cuts):
+        self.assertFalse(lease.is_valid)
+        self.assertTrue(simulation.leases[other.address].is_valid, "the other is connected")
+        for one, two in sorted(simulation.network.partitions):
             simulation.network.heal(one, two)
         await asyncio.sleep(2.0)
-        self.assertTrue(lease.holds)
+        self.assertTrue(lease.is_valid)
 
     @in_simulation
     async def test_peer_shares_its_confirmation(self, simulation: LeaseSimulation) -> None:
         proxy = next(iter(simulation.proxies.values()))
         for voter in simulation.voters:
-            simulation.network.cut(proxy.address, voter)
+            simulation.network.partition(proxy.address, voter)
         await asyncio.sleep(3 * REVOKE_MS / 1000.0)
-        self.assertTrue(simulation.leases[proxy.address].holds)
+        self.assertTrue(simulation.leases[proxy.address].is_valid)
 
     @in_simulation
     async def test_leases_expire_without_a_majority(self, simulation: LeaseSimulation) -> None:
         for voter in simulation.voters[1:]:
             simulation.kill_control(voter)
         await asyncio.sleep(REVOKE_MS / 1000.0 + 1.0)
-        self.assertEqual([lease.holds for lease in simulation.leases.values()], [False, False])
+        self.assertEqual([lease.is_valid for lease in simulation.leases.values()], [False, False])
 
     @in_simulation
     async def test_many_requests_share_few_quorum_reads(self, simulation: LeaseSimulation) -> None:
@@ -200,7 +200,7 @@
             original(self, version, arrived_at[0], age_ms)
 
         original, arrived_at = RevocationLease.on_confirmation, [0.0]
-        handle_answer, peer_answered = KeyLease._handle_version_answer, KeyLease.peer_answered
+        handle_answer, on_ping_ack = KeyLease._handle_version_answer, KeyLease.on_ping_ack
 
         def noting_arrival(method: Any) -> Any:
             def wrapper(self: KeyLease, *arguments: Any) -> None:
@@ -210,7 +210,7 @@
             return wrapper
 
         with (
-            mock.patch.object(KeyLease, "peer_answered", noting_arrival(peer_answered)),
+            mock.patch.object(KeyLease, "on_ping_ack", noting_arrival(on_ping_ack)),
             mock.patch.object(KeyLease, "_handle_version_answer", noting_arrival(handle_answer)),
         ):
             self.assert_revealed(RevocationLease, "on_confirmation", on_confirmation)
@@ -228,16 +228,18 @@
 
     def test_validity_cached_by_a_timer_outlives_a_freeze(self) -> None:
         """The result is computed by the timer, so that requests after a freeze get an outdated one."""
-        original_tick, original_holds = KeyLease.tick, KeyLease.holds.fget
-        assert original_holds is not None
+        original_tick, original_is_valid = KeyLease.tick, KeyLease.is_valid.fget
+        assert original_is_valid is not None
         last_result: dict[int, bool] = {}
 
         def tick(self: KeyLease, sources: list[str]) -> None:
-            last_result[id(self)] = original_holds(self)
+            last_result[id(self)] = original_is_valid(self)
             original_tick(self, sources)
 
         with mock.patch.object(KeyLease, "tick", tick):
-            self.assert_revealed(KeyLease, "holds", property(lambda self: last_result.get(id(self), False)))
+            self.assert_revealed(
+                KeyLease, "is_valid", property(lambda self: last_result.get(id(self), False))
+            )
 
     def test_peer_omits_the_age_of_a_confirmation(self) -> None:
         def fields(confirmation: Any, now: float) -> tuple[int, int]:
--- a/tests/fleet/test_limits.py
+++ b/tests/fleet/test_limits.py
@@ -12,7 +12,7 @@
 from barleybarrow.limits.tenants import TenantTable, request_cost
 from brackenusher.cluster.limits_driver import LimitsDriver
 from tests.fleet.limits_support import TOKEN_BOUNDS, FakeLinks, make_tenant, single_node
-from tests.fleet.virtual_time import VirtualLoop
+from tests.fleet.virtual_time import VirtualTimeLoop
 
 
 class ApiKeyTests(unittest.TestCase):
@@ -246,13 +246,13 @@
 
 class LimitsDriverTests(unittest.TestCase):
     def test_driver_waits_for_the_credit_server(self) -> None:
-        loop = VirtualLoop()
+        loop = VirtualTimeLoop()
         try:
             loop.run_until_complete(self.run_proxy_and_credit_server(loop))
         finally:
             loop.close()
 
-    async def run_proxy_and_credit_server(self, loop: VirtualLoop) -> None:
+    async def run_proxy_and_credit_server(self, loop: VirtualTimeLoop) -> None:
         tenant = make_tenant("one", 20_000.0, unit=QuotaUnit.TOKENS)
         network: dict[str, FakeLinks] = {}
         drivers = {}
@@ -282,7 +282,7 @@
         assert isinstance(cancelled, asyncio.Future)
         cancelled.cancel()
         await asyncio.sleep(1.0)
-        self.assertEqual(proxy._waiting, {})
+        self.assertEqual(proxy._pending, {})
         for driver in drivers.values():
             driver.stop()
 
--- a/tests/fleet/test_limits_keepers.py
+++ b/tests/fleet/test_limits_keepers.py
@@ -11,9 +11,9 @@
 from barleybarrow.limits.limits import Limits
 from brackenusher.control_plane.shares_driver import SharesDriver
 from brackenusher.storage.files import StorageError
-from brackenusher.storage.slot_store import Loaded
+from brackenusher.storage.slot_store import LoadedState
 from tests.fleet.limits_support import TOKEN_BOUNDS, FakeLinks, make_tenant, single_node
-from tests.fleet.virtual_time import VirtualLoop
+from tests.fleet.virtual_time import VirtualTimeLoop
 
 
 class MemoryStore:
@@ -22,8 +22,8 @@
     def __init__(self, snapshot: bytes | None = None) -> None:
         self.snapshot, self.failures_left = snapshot, 0
 
-    def load(self) -> Loaded:
-        return Loaded(self.snapshot)
+    def load(self) -> LoadedState:
+        return LoadedState(self.snapshot)
 
     def replace(self, snapshot: bytes) -> None:
         if self.failures_left:
@@ -48,13 +48,13 @@
     """A control process with a disk, as an acceptor."""
 
     def run_acceptor(self, store: MemoryStore, bootstrap: bool) -> Limits:
-        loop = VirtualLoop()
+        loop = VirtualTimeLoop()
         try:
             return loop.run_until_complete(self.run_driver(loop, store, bootstrap))
         finally:
             loop.close()
 
-    async def run_driver(self, loop: VirtualLoop, store: MemoryStore, bootstrap: bool) -> Limits:
+    async def run_driver(self, loop: VirtualTimeLoop, store: MemoryStore, bootstrap: bool) -> Limits:
         limits = Limits("c", [], random.Random(1), 0.0, TOKEN_BOUNDS, is_proxy=False, bootstrap=bootstrap)
         driver = SharesDriver(
             limits,
@@ -64,7 +64,7 @@
             DirectWriter(),  # type: ignore[arg-type]
         )
         driver.start()
-        driver.voters_changed(["c"], 1)
+        driver.set_voters(["c"], 1)
         await asyncio.sleep(8.0)
         driver.stop()
         return limits
--- a/tests/fleet/test_links.py
+++ b/tests/fleet/test_links.py
@@ -9,9 +9,9 @@
 import betterproto
 
 from brackenusher.cluster import messages
-from brackenusher.cluster.frames import FrameError, FrameReader, decode_message, encode_frame
+from brackenusher.cluster.frames import FrameDecoder, FrameError, decode_message, encode_frame
 from brackenusher.cluster.links import MAX_CONNECT_TIMEOUT_S, LinkConnection, Links
-from tests.fleet.virtual_time import VirtualLoop
+from tests.fleet.virtual_time import VirtualTimeLoop
 
 
 def free_address() -> str:
@@ -161,13 +161,13 @@
     """How soon a peer that was down is reached, in virtual time."""
 
     def connect_delay(self, down_s: float) -> tuple[float, list[tuple[float, float]]]:
-        loop = VirtualLoop()
+        loop = VirtualTimeLoop()
         try:
             return loop.run_until_complete(self.measure(loop, down_s))
         finally:
             loop.close()
 
-    async def measure(self, loop: VirtualLoop, down_s: float) -> tuple[float, list[tuple[float, float]]]:
+    async def measure(self, loop: VirtualTimeLoop, down_s: float) -> tuple[float, list[tuple[float, float]]]:
         links = UnresponsivePeerLinks(messages.Hello(address="127.0.0.1:1", role="proxy"), random.Random(3))
         links.up_at, links.attempts = loop.time() + down_s, []
         links.connect("127.0.0.1:2")
@@ -193,7 +193,7 @@
         sent = [messages.ConfigOffer(version=5, confirmed=True), messages.Members(voters=["a:1", "b:2"])]
         data = b"".join(encode_frame(message) for message in sent)
         for split_at in range(len(data) + 1):
-            reader = FrameReader()
+            reader = FrameDecoder()
             self.assertEqual([*reader.feed(data[:split_at]), *reader.feed(data[split_at:])], sent)
 
     def test_unknown_kind_is_an_error_with_a_remedy(self) -> None:
@@ -206,4 +206,4 @@
 
     def test_oversized_length_is_rejected_before_the_body_is_buffered(self) -> None:
         with self.assertRaises(FrameError):
-            list(FrameReader().feed(b"\xff\xff\xff\xff\x00"))
+            list(FrameDecoder().feed(b"\xff\xff\xff\xff\x00"))
--- a/tests/fleet/test_monitor.py
+++ b/tests/fleet/test_monitor.py
@@ -25,7 +25,7 @@
 from brackenusher.cluster.monitor import Monitor
 from tests.fleet.fake_links import FakeNetwork
 from tests.fleet.feed_world import CONTROL_PORT, PROXY_PORT, make_settings
-from tests.fleet.virtual_time import play
+from tests.fleet.virtual_time import run_virtual
 
 DATAGRAM_LOSS_RATIO = 0.1  # of datagrams
 
@@ -202,7 +202,7 @@
 
     def start(self, address: str, role: str, linked: bool = True) -> Monitor:
         hello = messages.Hello(address=address, role=role, incarnation=self.rng.getrandbits(40) + 1)
-        links: Any = self.network.open(hello)
+        links: Any = self.network.add_process(hello)
         monitor = Monitor(make_settings(address.partition(":")[0], []), links, self.rng)
         monitor.connection_made(
             cast(asyncio.BaseTransport, FakeDatagramTransport(self.datagram_network, address))
@@ -243,7 +243,7 @@
             await scenario(self, fleet)
             self.assertEqual(fleet.network.errors, [])
 
-        play(run_scenario())
+        run_virtual(run_scenario())
 
     return run
 
--- a/tests/fleet/test_operations_page.py
+++ b/tests/fleet/test_operations_page.py
@@ -59,7 +59,7 @@
     add_control_metrics(metrics, stub, stub, stub, stub)
     names = set(metrics.names())
     proxy = Metrics(prefix="")
-    lease = cast(Any, SimpleNamespace(left_s=float))
+    lease = cast(Any, SimpleNamespace(remaining_s=float))
     announcer = cast(Any, SimpleNamespace(counts=dict))
     add_proxy_metrics(proxy, stub, stub, lambda: True, dict, lease, announcer)
     return names | set(proxy.names())
--- a/tests/fleet/test_process_lives.py
+++ b/tests/fleet/test_process_lives.py
@@ -25,12 +25,12 @@
 from barleybarrow.replication.monitoring import PeerMonitor
 from barleybarrow.replication.records import InstanceState
 from brackenusher.cluster import messages
-from brackenusher.cluster.frames import FrameReader, encode_frame
+from brackenusher.cluster.frames import FrameDecoder, encode_frame
 from brackenusher.cluster.links import Links
-from brackenusher.cluster.lives import first_number
+from brackenusher.cluster.lives import first_request_number
 from tests.fleet.feed_world import FeedSimulation, Server
 from tests.fleet.test_links import free_address
-from tests.fleet.virtual_time import play
+from tests.fleet.virtual_time import run_virtual
 
 VOTERS = ["10.0.0.1:7680", "10.0.0.2:7680", "10.0.0.3:7680"]
 
@@ -70,7 +70,7 @@
 
     def test_no_two_lives_give_away_the_same_numbers(self) -> None:
         rng = random.Random(1)
-        lives = [first_number(hello(rng.getrandbits(53))) for _ in range(200)]
+        lives = [first_request_number(hello(rng.getrandbits(53))) for _ in range(200)]
         lives.sort()
         self.assertTrue(all(later - one > 1000 for one, later in zip(lives, lives[1:], strict=False)))
         self.assertLess(lives[-1] + 1000, 2**64)
@@ -95,7 +95,7 @@
             held |= {v for v in world.voters if second.id in repr(world.stores[v].records)}
             self.assertTrue(not acknowledged or len(held) >= 2, f"acknowledged, and held by {held}")
 
-        play(story())
+        run_virtual(story())
 
     def test_a_read_of_an_earlier_life_is_no_answer_to_this_one(self) -> None:
         nodes = [started(1, seed) for seed in (1, 2)]
@@ -108,7 +108,7 @@
         self.assertEqual(answered, [])
 
     def test_pings_and_reports_are_numbered_anew(self) -> None:
-        one, other = (PeerMonitor("me", first_number(hello(n))) for n in (5, 6))
+        one, other = (PeerMonitor("me", first_request_number(hello(n))) for n in (5, 6))
         for monitor in (one, other):
             monitor.set_members(["peer"])
         self.assertNotEqual(one.tick(0.0)[0].number, other.tick(0.0)[0].number)
@@ -172,7 +172,7 @@
             await until(lambda: 2 in heard)
             self.assertEqual(heard, [2])
             links.send(peer, messages.ConfigFetch(have_version=9))
-            frames = FrameReader()
+            frames = FrameDecoder()
             received: list[object] = []
             while not any(isinstance(m, messages.ConfigFetch) for m in received):
                 received += frames.feed(await asyncio.wait_for(streams[1][0].read(4096), 5.0))
@@ -219,7 +219,7 @@
 
     def test_numbers_that_begin_anew_are_found(self) -> None:
         case = NumbersTest("test_a_confirmation_for_an_earlier_life_acknowledges_nothing")
-        with mock.patch("brackenusher.control_plane.registry_service.first_number", lambda own: 1):
+        with mock.patch("brackenusher.control_plane.registry_service.first_request_number", lambda own: 1):
             self.assertRaises(
                 AssertionError, case.test_a_confirmation_for_an_earlier_life_acknowledges_nothing
             )
--- a/tests/fleet/test_registry_views.py
+++ b/tests/fleet/test_registry_views.py
@@ -13,7 +13,7 @@
 from barleybarrow.replication.records import InstanceState
 from brackenusher.control_plane.final_records import FinalRecords
 from tests.fleet.feed_world import FeedSimulation
-from tests.fleet.virtual_time import play
+from tests.fleet.virtual_time import run_virtual
 
 CATCH_UP_S = 4.0  # CatchUpS: after it, a further disk may be lost
 
@@ -32,8 +32,8 @@
     server.state = InstanceState.DRAINING
     simulation.controls[first].shard.voters = lambda: [first, second, third]  # type: ignore[method-assign]
     simulation.voters, simulation.voters_index = [second, third, fourth], 2
-    simulation.network.cut(first, third)
-    simulation.network.cut(second, third)
+    simulation.network.partition(first, third)
+    simulation.network.partition(second, third)
     assert await simulation.call(first, "heartbeat", server.record())
     simulation.kill_control(first, silent=True)
     simulation.network.heal(second, third)
@@ -61,7 +61,7 @@
         simulation.start()
         return await drained_server_returns(simulation)
 
-    return play(play_case())
+    return run_virtual(play_case())
 
 
 class DivergingVotersTest(unittest.TestCase):
--- a/tests/fleet/test_settings.py
+++ b/tests/fleet/test_settings.py
@@ -6,7 +6,7 @@
 from returns.result import Failure, Success
 
 from brackenusher.settings.local import Bounds, LocalSettings
-from brackenusher.settings.reading import load_settings, read_settings, settings_key
+from brackenusher.settings.reading import load_settings, parse_settings, settings_key
 
 SETTINGS = """
 NodeName = "front-a-1"
@@ -56,7 +56,7 @@
 
 def settings_of(text: str) -> LocalSettings:
     """Returns the settings; fails the test if they are rejected."""
-    match read_settings(text):
+    match parse_settings(text):
         case Success(settings):
             return settings
         case Failure(error):
@@ -66,7 +66,7 @@
 
 def error_of(text: str) -> str:
     """Returns the error message; fails the test if the settings are accepted."""
-    match read_settings(text, "local.toml"):
+    match parse_settings(text, "local.toml"):
         case Failure(error):
             return str(error)
     raise AssertionError("accepted")
--- a/tests/fleet/test_stale_control.py
+++ b/tests/fleet/test_stale_control.py
@@ -31,7 +31,7 @@
     await asyncio.sleep(3.0)
     behind, *others = world.voters
     for other in others:
-        world.network.cut(behind, other)
+        world.network.partition(behind, other)
     await asyncio.sleep(2.0)
     world.commit(make_configuration(NEW))
     await asyncio.sleep(1.0)
@@ -104,7 +104,7 @@
         proxy = next(iter(world.proxies.values()))
         self.assertTrue(proxy.client.current)
         for voter in world.voters[:2]:
-            world.network.cut(proxy.address, voter)
+            world.network.partition(proxy.address, voter)
         await asyncio.sleep(6.0)
         self.assertFalse(proxy.client.current)
         for voter in world.voters[:2]:
@@ -119,7 +119,7 @@
             world.commit(make_configuration(version))
             await asyncio.sleep(3.0)
         for proxy in world.proxies.values():
-            self.assertFalse(set(world.proxies) & proxy.links.wanted_peers)
+            self.assertFalse(set(world.proxies) & proxy.links.wanted_addresses)
 
     @simulated
     async def test_peer_without_newer_version_does_not_reply(self, world: FeedSimulation) -> None:
--- a/tests/fleet/virtual_time.py
+++ b/tests/fleet/virtual_time.py
@@ -8,7 +8,7 @@
 T = TypeVar("T")
 
 
-class VirtualLoop(asyncio.SelectorEventLoop):
+class VirtualTimeLoop(asyncio.SelectorEventLoop):
     """Advances the clock only while everything waits for a timer."""
 
     def __init__(self) -> None:
@@ -31,9 +31,9 @@
         super()._run_once()  # type: ignore[misc]
 
 
-def play(main: Coroutine[Any, Any, T]) -> T:
+def run_virtual(main: Coroutine[Any, Any, T]) -> T:
     """Runs a coroutine on a new event loop with a virtual clock."""
-    loop = VirtualLoop()
+    loop = VirtualTimeLoop()
     try:
         return loop.run_until_complete(main)
     finally:
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -6,7 +6,7 @@
 import pytest
 from returns.result import Success
 
-from brackenusher.settings.reading import read_settings
+from brackenusher.settings.reading import parse_settings
 
 ROOT = Path(__file__).parent.parent
 README, PROXY_PAGE, INDEX = ROOT / "README.md", ROOT / "docs" / "proxy.md", ROOT / "docs" / "README.md"
@@ -31,7 +31,7 @@
 
 def test_the_settings_on_the_front_page_can_be_read():
     (settings,) = re.findall(r"```toml\n(.*?)```", text(README), re.DOTALL)
-    read = read_settings(settings, "README.md")
+    read = parse_settings(settings, "README.md")
     assert isinstance(read, Success), read
 
 
