--- a/barleybarrow/connections.py
+++ b/barleybarrow/connections.py
@@ -41,7 +41,8 @@
 RATE_SMOOTHING_MS = 1_000.0
 EWMA_WEIGHT = 1 / 16  # of a new sample in the mean time in use and the mean connect time
 DEMAND_STD_DEVS = 2.0  # standard deviations of a Poisson distribution that are held above its mean
-AHEAD_ROOM = 0.75  # share of the capacity beyond which nothing is preconnected: requests take precedence
+# Share of the capacity beyond which nothing is preconnected: requests take precedence.
+MAX_PRECONNECT_CAPACITY_SHARE = 0.75
 SWEEP_INTERVAL_MS, PRECONNECT_SWEEP_INTERVAL_MS = 250.0, 50.0
 MAX_PRECONNECTS_PER_SWEEP = 6  # each takes about 0.3 ms of CPU time while requests wait
 # Closes in one sweep, unless a quarter of those due is more. They can wait: a due connection is not reused.
@@ -50,7 +51,7 @@
 MIN_PROCESS_LOSS_BREAKS = 3  # simultaneous breaks that show that the member's process ended
 
 
-class Cause(Enum):
+class CloseReason(Enum):
     """Why a connection was closed; the values appear in the metrics."""
 
     IDLE = "idle"  # it reached its idle limit
@@ -73,20 +74,22 @@
     """Settings of the operators; times in milliseconds, 0 for never or off."""
 
     learn: bool = True  # learn the idle timeouts and connection caps of members
-    rescue: bool = True  # retry a request that provably never ran on another connection to the same member
-    rest: bool = False  # delay reuse after an answer where members close connections soon after answers
-    age: float = 0.0  # maximum age of a connection
-    requests: int = 0  # maximum number of requests on a connection
-    ahead: bool = False  # open connections ahead of demand
-    spare: int = 1  # idle connections kept beyond the forecast
-    hold: float = 60_000.0  # how long a peak is remembered
-    pace: float = 10.0  # connections opened ahead per second and member, by all proxies together
-    subset: int = 0  # minimum number of members that a proxy sees
+    # retry a request that provably never ran on another connection to the same member
+    retry_unsent: bool = True
+    # delay reuse after an answer where members close connections soon after answers
+    delay_reuse: bool = False
+    max_age_ms: float = 0.0  # maximum age of a connection
+    max_requests: int = 0  # maximum number of requests on a connection
+    preconnect: bool = False  # open connections ahead of demand
+    spare_connections: int = 1  # idle connections kept beyond the forecast
+    peak_window_ms: float = 60_000.0  # how long a peak is remembered
+    preconnects_per_s: float = 10.0  # connections opened ahead per second and member, by all proxies together
+    subset_size: int = 0  # minimum number of members that a proxy sees
     subset_index: int = -1  # of this proxy; -1: as the platform's settings say
     subset_proxies: int = 0  # number of proxies; 0: as the platform's settings say
 
 
-class State(Enum):
+class ConnectionState(Enum):
     OPENING = 0
     IDLE = 1
     BUSY = 2
@@ -94,37 +97,49 @@
     CLOSED = 4
 
 
-class Held:
+class PooledConnection:
     """The planner's record of one connection."""
 
     __slots__ = (
-        "line link state ahead opened_at state_since age request_count jitter on_trial lost_stale".split()
+        "server link state is_preconnect opened_at state_since idle_before_use request_count jitter on_trial "
+        "lost_stale".split()
     )
 
-    def __init__(self, server: "Line", link: Any, now: float, jitter: float, ahead: bool) -> None:
-        self.line, self.link, self.opened_at, self.jitter, self.ahead = server, link, now, jitter, ahead
-        self.state = State.OPENING
+    def __init__(
+        self, server: "ServerConnections", link: Any, now: float, jitter: float, ahead: bool
+    ) -> None:
+        self.server, self.link, self.opened_at, self.jitter, self.is_preconnect = (
+            server,
+            link,
+            now,
+            jitter,
+            ahead,
+        )
+        self.state = ConnectionState.OPENING
         self.state_since = now
-        self.age = -1.0  # how long it had been idle when it was last acquired; negative on its first request
+        # how long it had been idle when it was last acquired; negative on its first request
+        self.idle_before_use = -1.0
         self.request_count = 0
         self.on_trial = False  # it is kept beyond the learned limit, to try whether that has grown
         self.lost_stale = False  # it broke because it had been idle for too long
 
 
-class Line:
+class ServerConnections:
     """The connections to one incarnation of one member, and what was learned about it."""
 
     __slots__ = (
-        "name cold_until left idle held used opening idle_limit proven_idle before_stale_loss trial_at "
-        "trial_interval last_idle_close break_count last_break_at last_answer_at refused_at "
-        "consecutive_refusals connection_cap cap_retry_at cap_backoff in_use_peaks acquired acquire_rate "
-        "mean_use_time updated_at next_preconnect_at mean_connect_time"
+        "name cold_until removed idle connection_count in_use preconnecting idle_limit proven_idle "
+        "before_stale_loss trial_at trial_interval last_idle_close break_count last_break_at last_answer_at "
+        "refused_at consecutive_refusals connection_cap cap_retry_at cap_backoff in_use_peaks acquired "
+        "acquire_rate mean_use_time updated_at next_preconnect_at mean_connect_time"
     ).split()
 
     def __init__(self, name: str, now: float, cold_until: float) -> None:
-        self.name, self.cold_until, self.left = name, cold_until, False
-        self.idle: list[Held] = []  # least recently used first; an empty deque would take 760 bytes
-        self.held = self.used = self.opening = 0  # all; in use; still connecting and opened ahead
+        self.name, self.cold_until, self.removed = name, cold_until, False
+        # least recently used first; an empty deque would take 760 bytes
+        self.idle: list[PooledConnection] = []
+        # all; in use; still connecting and opened ahead
+        self.connection_count = self.in_use = self.preconnecting = 0
         # the idle time learned as too long, and the one after which reuse was proven to work
         self.idle_limit, self.proven_idle = math.inf, 0.0
         # when a stale connection was lost, and both limits before that
@@ -149,20 +164,21 @@
     def __init__(
         self,
         settings: ConnectionSettings,
-        room: int,
+        capacity: int,
         seed: int = 0,
         idle_timeout: float = 0.0,
-        cold: float = 0.0,
+        cold_start: float = 0.0,
         proxies: int = 1,
     ) -> None:
-        """`room`: maximum number of connections; `cold`: length of a cold start; times may be 0 for none."""
-        self.settings, self.room, self.cold_start = settings, room, cold
+        """`capacity`: maximum number of connections; `cold_start`: its length; times may be 0 for none."""
+        self.settings, self.capacity, self.cold_start = settings, capacity, cold_start
         self.base_idle_limit = idle_timeout * IDLE_TIMEOUT_SHARE if idle_timeout else math.inf
-        self.preconnect_interval = 1000.0 * max(proxies, 1) / settings.pace  # ms
+        self.preconnect_interval = 1000.0 * max(proxies, 1) / settings.preconnects_per_s  # ms
         self.rng = random.Random(seed)
-        self.total = 0
-        self.active: dict[Line, None] = {}  # those with connections or recent use, in insertion order
-        self.shared_limits: deque[tuple[float, float, Line]] = deque(
+        self.connection_count = 0
+        # those with connections or recent use, in insertion order
+        self.active_servers: dict[ServerConnections, None] = {}
+        self.shared_limits: deque[tuple[float, float, ServerConnections]] = deque(
             maxlen=MAX_SHARED_LIMITS
         )  # time, limit, server
         self.common_idle_limit = math.inf  # applies to members without a limit of their own
@@ -173,35 +189,35 @@
         self.max_idle_reused, self.previous_max_idle_reused = 0.0, 0.0
         self.reuse_window_start = -math.inf
         self.last_sweep_at = -math.inf
-        self.closes: Counter[Cause] = Counter()
-        self.opened = self.opened_ahead = self.reused = self.rescued = self.full = 0
+        self.closed_by_cause: Counter[CloseReason] = Counter()
+        self.opened = self.preconnected = self.reused = self.moved_requests = self.blocked_by_cap = 0
 
     # interface for the driver
 
-    def join(self, name: str, now: float, started: float = 0.0) -> Line:
+    def add_server(self, name: str, now: float, started: float = 0.0) -> ServerConnections:
         """Add a member, or a new incarnation of one; `started` is its start time, 0 for long ago."""
-        return Line(name, now, started + self.cold_start if started else -math.inf)
+        return ServerConnections(name, now, started + self.cold_start if started else -math.inf)
 
-    def leave(self, server: Line) -> list[Held]:
+    def remove_server(self, server: ServerConnections) -> list[PooledConnection]:
         """A member is draining, gone or restarted: no connection is kept. Returns those to close now."""
-        server.left = True
+        server.removed = True
         return list(server.idle)
 
-    def lend(self, server: Line, now: float, safe: bool) -> Held | None:
+    def acquire(self, server: ServerConnections, now: float, safe: bool) -> PooledConnection | None:
         """Take the idle connection to use next; None if a new one is to be opened.
 
         `safe`: the request is safe to retry, so it may try a connection beyond the learned idle limit.
         """
         idle = server.idle
-        if not idle or server.left:
+        if not idle or server.removed:
             return None
-        limit, delay = self.limit(server), self.reuse_delay_of(server)
+        limit, delay = self.idle_limit_of(server), self.reuse_delay_of(server)
         reusable_since = now - delay
         chosen = None
         if (
-            self.settings.ahead
+            self.settings.preconnect
             and now - idle[0].state_since > limit / 4
-            and server.held <= self.target_count(server)
+            and server.connection_count <= self.target_count(server)
         ):
             if self.is_usable(idle[0], now, limit, safe):
                 chosen = idle[0]  # use keeps alive the connections that the forecast calls for
@@ -219,123 +235,134 @@
             self.mark_in_use(chosen, now)
         return chosen
 
-    def may_open(self, server: Line, now: float) -> bool:
+    def may_open(self, server: ServerConnections, now: float) -> bool:
         """Whether a new connection may be opened now: not while the member is known to be at its cap."""
-        if not self.settings.learn or server.held < server.connection_cap or now >= server.cap_retry_at:
+        if (
+            not self.settings.learn
+            or server.connection_count < server.connection_cap
+            or now >= server.cap_retry_at
+        ):
             return True
-        self.full += 1
+        self.blocked_by_cap += 1
         return False
 
-    def spare(self) -> Held | None:
+    def eviction_candidate(self) -> PooledConnection | None:
         """The idle connection to close if room is needed, if there is one."""
-        server = max(self.active, key=lambda server: len(server.idle), default=None)
+        server = max(self.active_servers, key=lambda server: len(server.idle), default=None)
         return server.idle[0] if server is not None and server.idle else None
 
-    def opening(self, server: Line, link: Any, now: float, ahead: bool = False) -> Held:
+    def begin_connect(
+        self, server: ServerConnections, link: Any, now: float, preconnect: bool = False
+    ) -> PooledConnection:
         """A connect has begun; the caller has checked that there is room."""
-        assert self.total < self.room and not server.left
-        connection = Held(server, link, now, self.rng.random(), ahead)
-        self.total += 1
-        server.held += 1
+        assert self.connection_count < self.capacity and not server.removed
+        connection = PooledConnection(server, link, now, self.rng.random(), preconnect)
+        self.connection_count += 1
+        server.connection_count += 1
         self.opened += 1
-        self.active[server] = None
-        if ahead:
-            server.opening += 1
-            self.opened_ahead += 1
+        self.active_servers[server] = None
+        if preconnect:
+            server.preconnecting += 1
+            self.preconnected += 1
             server.next_preconnect_at = now + self.preconnect_interval * (0.5 + self.rng.random())
         else:
             self.record_use(server)
         return connection
 
-    def up(self, connection: Held, now: float) -> bool:
+    def on_connected(self, connection: PooledConnection, now: float) -> bool:
         """A connect has succeeded. Returns whether to keep the connection: its member may have left."""
-        server = connection.line
+        server = connection.server
         elapsed = now - connection.state_since
         server.mean_connect_time += (elapsed - server.mean_connect_time) * (
             EWMA_WEIGHT if server.mean_connect_time else 1.0
         )
         server.consecutive_refusals = 0
-        if server.held > server.connection_cap:
-            server.connection_cap, server.cap_backoff = server.held, MIN_CAP_BACKOFF_MS
+        if server.connection_count > server.connection_cap:
+            server.connection_cap, server.cap_backoff = server.connection_count, MIN_CAP_BACKOFF_MS
         if server.cold_until == math.inf:  # its process had ended: this is a new one
             server.cold_until = now + self.cold_start
-        if not connection.ahead:
-            connection.state, connection.state_since = State.BUSY, now
+        if not connection.is_preconnect:
+            connection.state, connection.state_since = ConnectionState.BUSY, now
             return True
-        server.opening -= 1
-        connection.state, connection.state_since, connection.ahead = State.DONE, now, False
-        if server.left:
+        server.preconnecting -= 1
+        connection.state, connection.state_since, connection.is_preconnect = ConnectionState.DONE, now, False
+        if server.removed:
             return False
-        connection.state = State.IDLE
+        connection.state = ConnectionState.IDLE
         server.idle.append(connection)
         return True
 
-    def not_opened(self, server: Line, now: float) -> None:
+    def on_connect_refused(self, server: ServerConnections, now: float) -> None:
         """A connect was refused immediately, before there was a connection to record."""
-        self.closes[Cause.REFUSED] += 1
+        self.closed_by_cause[CloseReason.REFUSED] += 1
         if self.settings.learn:
             self.on_refused(server, now)
-            self.on_break(server, now, gone=not server.held)
+            self.on_break(server, now, gone=not server.connection_count)
 
-    def answered(self, connection: Held, now: float) -> None:
+    def on_answer(self, connection: PooledConnection, now: float) -> None:
         """The first byte of an answer has arrived: the connection was alive."""
-        server = connection.line
+        server = connection.server
         server.last_answer_at, server.break_count = now, 0
         if server.refused_at is not None:
             self.on_answer_after_refusal(server, now, connection)
         self.answer_count += 1
-        if connection.age > server.proven_idle:
-            server.proven_idle = connection.age
-            if connection.age > server.idle_limit:  # a successful trial
-                self.set_limit(server, now, connection.age)
-        if connection.age > self.max_idle_reused:
-            self.max_idle_reused = connection.age
-
-    def done(self, connection: Held, now: float) -> Cause | None:
+        if connection.idle_before_use > server.proven_idle:
+            server.proven_idle = connection.idle_before_use
+            if connection.idle_before_use > server.idle_limit:  # a successful trial
+                self.set_limit(server, now, connection.idle_before_use)
+        if connection.idle_before_use > self.max_idle_reused:
+            self.max_idle_reused = connection.idle_before_use
+
+    def release(self, connection: PooledConnection, now: float) -> CloseReason | None:
         """An exchange has succeeded. Returns None if the connection is kept, else why it is to be closed."""
-        server, settings = connection.line, self.settings
+        server, settings = connection.server, self.settings
         self.record_use_end(connection, now)
-        connection.state = State.DONE
-        if server.left:
-            return Cause.LEFT
+        connection.state = ConnectionState.DONE
+        if server.removed:
+            return CloseReason.LEFT
         lifetime_share = 1 - LIFETIME_SPREAD * connection.jitter
-        if settings.requests and connection.request_count >= settings.requests * lifetime_share:
-            return Cause.REQUESTS
-        if settings.age and now - connection.opened_at >= settings.age * lifetime_share:
-            return Cause.AGE
-        connection.state, connection.state_since = State.IDLE, now
+        if settings.max_requests and connection.request_count >= settings.max_requests * lifetime_share:
+            return CloseReason.REQUESTS
+        if settings.max_age_ms and now - connection.opened_at >= settings.max_age_ms * lifetime_share:
+            return CloseReason.AGE
+        connection.state, connection.state_since = ConnectionState.IDLE, now
         server.idle.append(connection)
         return None
 
-    def closed(self, connection: Held, now: float, cause: Cause) -> None:
+    def on_closed(self, connection: PooledConnection, now: float, cause: CloseReason) -> None:
         """A connection was closed. Repeated calls are ignored."""
-        if connection.state is State.CLOSED:
+        if connection.state is ConnectionState.CLOSED:
             return
-        server, state = connection.line, connection.state
-        if connection.ahead:
-            server.opening -= 1
-        elif state is State.OPENING:
-            server.used -= 1
-        elif state is State.BUSY:
+        server, state = connection.server, connection.state
+        if connection.is_preconnect:
+            server.preconnecting -= 1
+        elif state is ConnectionState.OPENING:
+            server.in_use -= 1
+        elif state is ConnectionState.BUSY:
             self.record_use_end(connection, now)
-        elif state is State.IDLE:
+        elif state is ConnectionState.IDLE:
             server.idle.remove(connection)
-        connection.state = State.CLOSED
-        server.held -= 1
-        self.total -= 1
-        self.closes[cause] += 1
+        connection.state = ConnectionState.CLOSED
+        server.connection_count -= 1
+        self.connection_count -= 1
+        self.closed_by_cause[cause] += 1
         if not self.settings.learn:
             return
-        if cause is Cause.ENDED:
+        if cause is CloseReason.ENDED:
             self.on_idle_close(connection, now)
-        elif cause is Cause.REFUSED:
+        elif cause is CloseReason.REFUSED:
             self.on_refused(server, now)
-        if cause in (Cause.RESET, Cause.REFUSED, Cause.UNWRITTEN):
-            self.on_break(server, now, connection.lost_stale, cause is Cause.REFUSED and not server.held)
+        if cause in (CloseReason.RESET, CloseReason.REFUSED, CloseReason.UNWRITTEN):
+            self.on_break(
+                server,
+                now,
+                connection.lost_stale,
+                cause is CloseReason.REFUSED and not server.connection_count,
+            )
 
-    def lost(self, connection: Held, now: float, wrote: float, reset: bool) -> None:
+    def on_request_lost(self, connection: PooledConnection, now: float, wrote: float, reset: bool) -> None:
         """A request written completely at `wrote` got no byte of an answer, but a reset or a timeout."""
-        server, age = connection.line, connection.age
+        server, age = connection.server, connection.idle_before_use
         if age <= EARLY_CLOSE_MS or not self.settings.learn:
             return  # new, or idle only briefly: not stale
         if now - wrote > IMMEDIATE_RESET_MS if reset else server.last_answer_at <= wrote:
@@ -350,27 +377,34 @@
         else:
             self.shorten_limit(server, now, max(age / 2, server.proven_idle * IDLE_LIMIT_MARGIN))
 
-    def promised(self, connection: Held, limit: float) -> None:
+    def on_idle_timeout_announced(self, connection: PooledConnection, limit: float) -> None:
         """An answer stated the member's idle timeout."""
         if self.settings.learn:
-            connection.line.idle_limit = max(
-                MIN_IDLE_LIMIT_MS, min(connection.line.idle_limit, limit * IDLE_LIMIT_MARGIN)
+            connection.server.idle_limit = max(
+                MIN_IDLE_LIMIT_MS, min(connection.server.idle_limit, limit * IDLE_LIMIT_MARGIN)
             )
 
-    def sweep(self, now: float) -> tuple[list[tuple[Held, Cause]], list[Line]]:
+    def sweep(self, now: float) -> tuple[list[tuple[PooledConnection, CloseReason]], list[ServerConnections]]:
         """What to close, and the members to which one connection each is to be opened."""
-        due: list[tuple[Held, Cause]] = []
-        to_preconnect: list[Line] = []
+        due: list[tuple[PooledConnection, CloseReason]] = []
+        to_preconnect: list[ServerConnections] = []
         self.expire_samples(now)
-        overloaded, self.last_sweep_at = now - self.last_sweep_at > 1.5 * self.every, now
-        age_closes_left = max(1, int(MAX_AGE_CLOSE_SHARE * sum(len(server.idle) for server in self.active)))
-        for server in list(self.active):
+        overloaded, self.last_sweep_at = now - self.last_sweep_at > 1.5 * self.sweep_interval_ms, now
+        age_closes_left = max(
+            1, int(MAX_AGE_CLOSE_SHARE * sum(len(server.idle) for server in self.active_servers))
+        )
+        for server in list(self.active_servers):
             age_closes_left = self.update_server(server, now, due, age_closes_left)
-            if self.settings.ahead and self.should_preconnect(server, now):
+            if self.settings.preconnect and self.should_preconnect(server, now):
                 to_preconnect.append(server)
-            if not server.held and (server.left or not self.settings.ahead or not any(server.in_use_peaks)):
-                del self.active[server]
-        allowed = min(MAX_PRECONNECTS_PER_SWEEP, int(self.room * AHEAD_ROOM) - self.total)
+            if not server.connection_count and (
+                server.removed or not self.settings.preconnect or not any(server.in_use_peaks)
+            ):
+                del self.active_servers[server]
+        allowed = min(
+            MAX_PRECONNECTS_PER_SWEEP,
+            int(self.capacity * MAX_PRECONNECT_CAPACITY_SHARE) - self.connection_count,
+        )
         if overloaded or allowed <= 0:
             to_preconnect = []  # no work that is not needed yet
         elif len(to_preconnect) > allowed:
@@ -379,34 +413,37 @@
 
     def summary(self) -> str:
         """One line for the log: connections opened, and closed by cause."""
-        causes = ", ".join(f"{cause.value} {count}" for cause, count in sorted(self.closes.items(), key=str))
+        causes = ", ".join(
+            f"{cause.value} {count}" for cause, count in sorted(self.closed_by_cause.items(), key=str)
+        )
         return (
-            f"{self.opened} opened, {self.opened_ahead} of them ahead, {self.reused} times used again, "
-            f"{self.rescued} requests moved, {self.full} not opened; closed: {causes or 'none'}"
+            f"{self.opened} opened, {self.preconnected} of them ahead, {self.reused} times used again, "
+            f"{self.moved_requests} requests moved, {self.blocked_by_cap} not opened; "
+            f"closed: {causes or 'none'}"
         )
 
     @property
-    def every(self) -> float:
+    def sweep_interval_ms(self) -> float:
         """Milliseconds from one sweep to the next."""
-        return PRECONNECT_SWEEP_INTERVAL_MS if self.settings.ahead else SWEEP_INTERVAL_MS
+        return PRECONNECT_SWEEP_INTERVAL_MS if self.settings.preconnect else SWEEP_INTERVAL_MS
 
     # use of connections
 
-    def is_usable(self, connection: Held, now: float, limit: float, safe: bool) -> bool:
+    def is_usable(self, connection: PooledConnection, now: float, limit: float, safe: bool) -> bool:
         """Whether a request may be sent on an idle connection."""
         age = now - connection.state_since
         return age < self.own_idle_limit(limit, connection) or (
             safe and connection.on_trial and age < 2 * limit
         )
 
-    def mark_in_use(self, connection: Held, now: float) -> None:
-        server = connection.line
+    def mark_in_use(self, connection: PooledConnection, now: float) -> None:
+        server = connection.server
         if server.idle[-1] is connection:
             server.idle.pop()
         else:
             server.idle.remove(connection)
-        connection.state, connection.age, connection.state_since, connection.on_trial = (
-            State.BUSY,
+        connection.state, connection.idle_before_use, connection.state_since, connection.on_trial = (
+            ConnectionState.BUSY,
             now - connection.state_since,
             now,
             False,
@@ -414,15 +451,15 @@
         self.reused += 1
         self.record_use(server)
 
-    def record_use(self, server: Line) -> None:
-        server.used += 1
+    def record_use(self, server: ServerConnections) -> None:
+        server.in_use += 1
         server.acquired += 1
-        if server.used > server.in_use_peaks[-1]:
-            server.in_use_peaks[-1] = server.used
+        if server.in_use > server.in_use_peaks[-1]:
+            server.in_use_peaks[-1] = server.in_use
 
-    def record_use_end(self, connection: Held, now: float) -> None:
-        server = connection.line
-        server.used -= 1
+    def record_use_end(self, connection: PooledConnection, now: float) -> None:
+        server = connection.server
+        server.in_use -= 1
         connection.request_count += 1
         elapsed = now - connection.state_since
         server.mean_use_time += (elapsed - server.mean_use_time) * (
@@ -431,7 +468,7 @@
 
     # idle limits and caps
 
-    def limit(self, server: Line) -> float:
+    def idle_limit_of(self, server: ServerConnections) -> float:
         """The idle time beyond which no connection to a member is used, before jitter shortens it."""
         if server.idle_limit < math.inf:
             return min(server.idle_limit, self.base_idle_limit)
@@ -447,20 +484,20 @@
 
     def shortest_idle_limit(self, limit: float) -> float:
         """The shortest idle limit that jitter can give a connection."""
-        return limit * (1 - (PRECONNECT_IDLE_LIMIT_SPREAD if self.settings.ahead else IDLE_LIMIT_SPREAD))
+        return limit * (1 - (PRECONNECT_IDLE_LIMIT_SPREAD if self.settings.preconnect else IDLE_LIMIT_SPREAD))
 
-    def own_idle_limit(self, limit: float, connection: Held) -> float:
+    def own_idle_limit(self, limit: float, connection: PooledConnection) -> float:
         """The idle limit of one connection, with its jitter."""
         shortest = self.shortest_idle_limit(limit)
         return limit - (limit - shortest) * connection.jitter if limit < math.inf else limit
 
-    def shorten_limit(self, server: Line, now: float, limit: float) -> None:
+    def shorten_limit(self, server: ServerConnections, now: float, limit: float) -> None:
         """A connection was dead after an idle time thought safe: the interval to the next trial doubles."""
         if server.idle_limit < math.inf:
             server.trial_interval = min(2 * server.trial_interval, MAX_TRIAL_INTERVAL_MS)
-        self.set_limit(server, now, min(limit, self.limit(server)))
+        self.set_limit(server, now, min(limit, self.idle_limit_of(server)))
 
-    def set_limit(self, server: Line, now: float, limit: float) -> None:
+    def set_limit(self, server: ServerConnections, now: float, limit: float) -> None:
         server.idle_limit = max(MIN_IDLE_LIMIT_MS, min(limit, self.base_idle_limit))
         server.trial_at = now + server.trial_interval
         self.shared_limits.append((now, server.idle_limit, server))
@@ -487,9 +524,9 @@
                 now,
             )
 
-    def on_idle_close(self, connection: Held, now: float) -> None:
+    def on_idle_close(self, connection: PooledConnection, now: float) -> None:
         """A member has closed an idle connection: the idle time may indicate its idle timeout."""
-        server, age = connection.line, now - connection.state_since
+        server, age = connection.server, now - connection.state_since
         if connection.request_count and age <= EARLY_CLOSE_MS:
             self.record_early_close(server, now, age)
             return
@@ -507,7 +544,9 @@
             server.proven_idle = min(server.proven_idle, limit)
             self.set_limit(server, now, limit)
 
-    def on_break(self, server: Line, now: float, stale: bool = False, gone: bool = False) -> None:
+    def on_break(
+        self, server: ServerConnections, now: float, stale: bool = False, gone: bool = False
+    ) -> None:
         """Several simultaneous breaks mean that the process ended, not that limits were exceeded.
 
         A limit learned from the first of them is undone, and the member is taken to restart cold.
@@ -536,61 +575,67 @@
                 None,
             )
 
-    def on_refused(self, server: Line, now: float) -> None:
+    def on_refused(self, server: ServerConnections, now: float) -> None:
         """A refused connect indicates a cap only if the member keeps answering: an ending one refuses too."""
         if server.refused_at is None or now - server.refused_at > MIN_CAP_BACKOFF_MS:
-            server.refused_at = now if server.held else None
+            server.refused_at = now if server.connection_count else None
 
-    def on_answer_after_refusal(self, server: Line, now: float, connection: Held) -> None:
+    def on_answer_after_refusal(
+        self, server: ServerConnections, now: float, connection: PooledConnection
+    ) -> None:
         """An answer after a refused connect: decide whether the member has a connection cap."""
         if server.refused_at is None or now - server.refused_at < SIMULTANEOUS_CLOSE_MS:
             return  # an answer sent before the process ended may still arrive
         if connection.opened_at < server.refused_at and now - server.refused_at <= MIN_CAP_BACKOFF_MS:
             server.consecutive_refusals += 1
         if server.consecutive_refusals >= MIN_CAP_REFUSALS:
-            server.connection_cap = server.held
+            server.connection_cap = server.connection_count
             server.cap_retry_at = now + server.cap_backoff
             server.cap_backoff = min(2 * server.cap_backoff, MAX_CAP_BACKOFF_MS)
         server.refused_at = None
 
     # reuse delay, for members that close connections soon after an answer
 
-    def record_early_close(self, server: Line, now: float, age: float) -> None:
+    def record_early_close(self, server: ServerConnections, now: float, age: float) -> None:
         self.early_closes.append((now, age, self.answer_count, server.name))
         self.update_reuse_delay()
 
     def update_reuse_delay(self) -> None:
         """Set the delay of reuse after an answer: longer than the latest early close seen."""
         self.reuse_delay = 0.0
-        if not self.settings.rest or len(self.early_closes) < MIN_EARLY_CLOSES:
+        if not self.settings.delay_reuse or len(self.early_closes) < MIN_EARLY_CLOSES:
             return
         answers = self.answer_count - self.early_closes[0][2] + 1
         if len(self.early_closes) < MIN_EARLY_CLOSE_SHARE * answers or len(
             {member for *_, member in self.early_closes}
-        ) < min(3, len(self.active)):
+        ) < min(3, len(self.active_servers)):
             return
         self.reuse_delay = REUSE_DELAY_MARGIN * max(age for _, age, *_ in self.early_closes)
 
-    def reuse_delay_of(self, server: Line) -> float:
+    def reuse_delay_of(self, server: ServerConnections) -> float:
         """Milliseconds after an answer in which a connection is not reused; 0 if none outlives the delay."""
         return self.reuse_delay if self.reuse_delay and self.longest_idle_reused > self.reuse_delay else 0.0
 
-    def may_open_instead(self, server: Line, now: float) -> bool:
+    def may_open_instead(self, server: ServerConnections, now: float) -> bool:
         """Whether a new connection may be opened rather than reuse one before its delay is over."""
         return (
             now >= server.cold_until
-            and self.total < self.room * AHEAD_ROOM
-            and len(server.idle) <= server.used + 4
-            and (server.held < server.connection_cap or now >= server.cap_retry_at)
+            and self.connection_count < self.capacity * MAX_PRECONNECT_CAPACITY_SHARE
+            and len(server.idle) <= server.in_use + 4
+            and (server.connection_count < server.connection_cap or now >= server.cap_retry_at)
         )
 
     # sweeping
 
     def update_server(
-        self, server: Line, now: float, due: list[tuple[Held, Cause]], age_closes_left: int
+        self,
+        server: ServerConnections,
+        now: float,
+        due: list[tuple[PooledConnection, CloseReason]],
+        age_closes_left: int,
     ) -> int:
         """Append to `due` what is to be closed, and update the forecast; returns the age closes left."""
-        limit, age = self.limit(server), self.settings.age
+        limit, age = self.idle_limit_of(server), self.settings.max_age_ms
         trial_due, shortest = now >= server.trial_at, self.shortest_idle_limit(limit)
         for position, connection in enumerate(server.idle):
             idle_time = now - connection.state_since
@@ -600,40 +645,42 @@
                 if trial_due and not position and idle_time < min(2 * limit, self.base_idle_limit):
                     connection.on_trial = True
                     continue
-                due.append((connection, Cause.IDLE))
+                due.append((connection, CloseReason.IDLE))
             elif (
                 age
                 and age_closes_left > 0
                 and now - connection.opened_at >= age * (1 - LIFETIME_SPREAD * connection.jitter)
             ):
-                due.append((connection, Cause.AGE))
+                due.append((connection, CloseReason.AGE))
                 age_closes_left -= 1
         elapsed = now - server.updated_at
-        window = self.settings.hold / PEAK_WINDOWS
+        window = self.settings.peak_window_ms / PEAK_WINDOWS
         if elapsed > 0:
             weight = min(1.0, elapsed / RATE_SMOOTHING_MS)
             server.acquire_rate += (server.acquired / elapsed - server.acquire_rate) * weight
             server.acquired = 0
             if now // window != server.updated_at // window:
                 for _ in range(min(PEAK_WINDOWS, int(now // window - server.updated_at // window))):
-                    server.in_use_peaks.append(server.used)
+                    server.in_use_peaks.append(server.in_use)
                     del server.in_use_peaks[:-PEAK_WINDOWS]
             server.updated_at = now
         return age_closes_left
 
-    def target_count(self, server: Line) -> int:
+    def target_count(self, server: ServerConnections) -> int:
         """How many connections to a member the forecast calls for."""
         peak = max(server.in_use_peaks)
         if not peak:
             return 0
         mean = server.acquire_rate * server.mean_use_time
-        return max(peak, math.ceil(mean + DEMAND_STD_DEVS * math.sqrt(mean))) + self.settings.spare
+        return (
+            max(peak, math.ceil(mean + DEMAND_STD_DEVS * math.sqrt(mean))) + self.settings.spare_connections
+        )
 
-    def should_preconnect(self, server: Line, now: float) -> bool:
+    def should_preconnect(self, server: ServerConnections, now: float) -> bool:
         """Whether to open a connection ahead of demand: one at a time, none while the member may be cold."""
         return (
-            not server.left
-            and not server.opening
+            not server.removed
+            and not server.preconnecting
             and now >= max(server.next_preconnect_at, server.cold_until)
-            and server.held < min(self.target_count(server), server.connection_cap)
+            and server.connection_count < min(self.target_count(server), server.connection_cap)
         )
--- a/barleybarrow/descriptor_split.py
+++ b/barleybarrow/descriptor_split.py
@@ -5,7 +5,7 @@
 """
 
 
-def parts(total: int, held: int, stopping: bool) -> tuple[int, int]:
+def split_descriptors(total: int, held: int, stopping: bool) -> tuple[int, int]:
     """How many of `total` descriptors the old process, which holds `held`, and the new one may have."""
     old = min(total, held if stopping else max(total // 2, held))
     return old, total - old
--- a/barleybarrow/eviction.py
+++ b/barleybarrow/eviction.py
@@ -19,27 +19,27 @@
 from enum import Enum
 
 
-class Place(Enum):
+class ClientState(Enum):
     """The state of a client connection that is owed no answer."""
 
-    SPENT = "spent"
-    SILENT = "silent"
-    PARTIAL = "partial"
-    RESTING = "resting"
+    CLOSING = "spent"
+    NO_REQUEST = "silent"
+    PARTIAL_REQUEST = "partial"
+    KEEP_ALIVE = "resting"
 
 
 EVICTION_ORDER = (
-    (Place.SPENT, 0.0),
-    (Place.SILENT, 100.0),
-    (Place.PARTIAL, 700.0),
-    (Place.RESTING, 100.0),
-    (Place.SILENT, 0.0),
-    (Place.PARTIAL, 200.0),
-    (Place.RESTING, 0.0),
+    (ClientState.CLOSING, 0.0),
+    (ClientState.NO_REQUEST, 100.0),
+    (ClientState.PARTIAL_REQUEST, 700.0),
+    (ClientState.KEEP_ALIVE, 100.0),
+    (ClientState.NO_REQUEST, 0.0),
+    (ClientState.PARTIAL_REQUEST, 200.0),
+    (ClientState.KEEP_ALIVE, 0.0),
 )
 
 
-def choose(idle_ms: Mapping[Place, float]) -> Place | None:
+def choose_victim(idle_ms: Mapping[ClientState, float]) -> ClientState | None:
     """The state from which to evict a connection; `idle_ms` has no entry for states without connections."""
     return next(
         (state for state, min_idle_ms in EVICTION_ORDER if idle_ms.get(state, -1.0) >= min_idle_ms), None
--- a/barleybarrow/graceful_shutdown.py
+++ b/barleybarrow/graceful_shutdown.py
@@ -20,7 +20,7 @@
 MAX_ACCEPT_MS = 450.0
 CFS_PERIOD_MS = 100.0  # the kernel's default: a process that has used up its CPU share stalls until its end
 FINAL_WORK_MS = 50.0  # for the last turn of the event loop, the last answers, and 30 ms for the exit
-EACH = 0.5  # milliseconds of CPU time to abort one request, answer it and close its connection
+ANSWER_COST_MS = 0.5  # milliseconds of CPU time to abort one request, answer it and close its connection
 # Share of the connections, at least two, to keep free: so many requests may come in one turn of the loop.
 FREE_CONNECTION_SHARE = 1 / 8
 MIN_CONNECTIONS_TO_SPARE = 8  # with fewer, each connection may belong to a different client
@@ -55,43 +55,45 @@
         min_useful_time: float,
         only_proxy: bool,
     ) -> None:
-        self.told_at, self.min_useful_time, self.only_proxy, self.usual_duration = (
+        self.requested_at, self.min_useful_time, self.only_proxy, self.usual_duration = (
             requested_at,
             min_useful_time,
             only_proxy,
             0.0,
         )
-        self.limit = requested_at + min(max_deadline, MAX_DEADLINE_MS) + KILL_GRACE_MS  # the earliest SIGKILL
-        self.stall = CFS_PERIOD_MS * (1.0 - min(cpu_share, 1.0))  # the longest expected stall of the process
+        # the earliest SIGKILL
+        self.kill_at = requested_at + min(max_deadline, MAX_DEADLINE_MS) + KILL_GRACE_MS
+        # the longest expected stall of the process
+        self.max_stall = CFS_PERIOD_MS * (1.0 - min(cpu_share, 1.0))
         self.phase = Phase.SERVING
 
     @property
     def answered_by(self) -> float:
         """When all is answered: allows for a stall before the signal was noticed and one at the end."""
-        return self.limit - FINAL_WORK_MS - 2 * self.stall
+        return self.kill_at - FINAL_WORK_MS - 2 * self.max_stall
 
     @property
     def draining_from(self) -> float:
         """The time from which no request is worth starting."""
-        return max(self.answered_by - self.min_time_left, self.told_at + MAX_ACCEPT_MS)
+        return max(self.answered_by - self.min_time_left, self.requested_at + MAX_ACCEPT_MS)
 
     @property
     def ends_by(self) -> float:
         """When the process ends even if clients do not read their answers, with time left for its exit."""
-        return self.answered_by + (self.limit - self.answered_by) / 3
+        return self.answered_by + (self.kill_at - self.answered_by) / 3
 
     @property
     def min_time_left(self) -> float:
         """The least time left for starting a request: half of the usual duration suffices for some."""
         return max(self.min_useful_time, self.usual_duration / 2)
 
-    def answered(self, elapsed: float) -> None:
+    def record_duration(self, elapsed: float) -> None:
         """Record the duration of a served request."""
         self.usual_duration += (
             DURATION_EWMA_WEIGHT * (elapsed - self.usual_duration) if self.usual_duration else elapsed
         )
 
-    def crowded(self, now: float, free: int, in_flight: int) -> bool:
+    def is_short_of_connections(self, now: float, free: int, in_flight: int) -> bool:
         """Whether to refuse a new request so that clients keep free connections for the next ones.
 
         They can no longer open connections, and a front proxy that finds none free assumes that the process
@@ -101,38 +103,38 @@
         if (
             not self.only_proxy
             or connections < MIN_CONNECTIONS_TO_SPARE
-            or now < self.told_at + MIN_ACCEPT_MS
+            or now < self.requested_at + MIN_ACCEPT_MS
         ):
             return False
         return free < max(2.0, FREE_CONNECTION_SHARE * connections)
 
-    def cut(self, now: float, span: float, in_flight: int) -> float:
+    def time_allowed(self, now: float, span: float, in_flight: int) -> float:
         """The time that a request may take of its `span`, or 0 if it is to be refused at once.
 
         The more requests are in flight, the earlier the newest must end, as answering them takes CPU time.
         """
-        time_left = self.answered_by - EACH * in_flight - now
+        time_left = self.answered_by - ANSWER_COST_MS * in_flight - now
         if span <= time_left:
             return span
         return time_left if time_left >= self.min_time_left else 0.0
 
-    def come_back(self, now: float, max_wait: float) -> float:
+    def retry_after(self, now: float, max_wait: float) -> float:
         """After how long a refused client may find a new process, at most `max_wait`."""
-        return min(max(self.limit - now, 0.0) + RESTART_MS, max_wait)
+        return min(max(self.kill_at - now, 0.0) + RESTART_MS, max_wait)
 
-    def step(self, now: float, delay: float, clients: int, listeners_closed: bool) -> Phase:
+    def update(self, now: float, delay: float, clients: int, listeners_closed: bool) -> Phase:
         """Return the current phase.
 
         Called every few milliseconds. `delay`: how late the call was; `clients`: count of client connections;
         `listeners_closed`: whether all listeners are closed.
         """
-        self.stall = max(self.stall, delay)
+        self.max_stall = max(self.max_stall, delay)
         self.phase = max(self.phase, self.due_phase(now, clients, listeners_closed))
         return self.phase
 
     def due_phase(self, now: float, clients: int, listeners_closed: bool) -> Phase:
         if now >= self.ends_by or listeners_closed and not clients:
             return Phase.ENDED
-        if now >= self.answered_by or now >= self.told_at + MAX_ACCEPT_MS and not clients:
+        if now >= self.answered_by or now >= self.requested_at + MAX_ACCEPT_MS and not clients:
             return Phase.CLOSING
         return Phase.DRAINING if now >= self.draining_from else Phase.SERVING
--- a/barleybarrow/knowledge.py
+++ b/barleybarrow/knowledge.py
@@ -24,15 +24,15 @@
 
 from barleybarrow.interface import Outcome
 
-FADE = 0.08  # decay per second: four times the policy's MEAN_DECAY_PER_S, a half-life of 9 s
+DECAY_PER_S = 0.08  # decay per second: four times the policy's MEAN_DECAY_PER_S, a half-life of 9 s
 HALVING_ANSWERS = 2.0  # own answers of a proxy after which peer estimates count half
 MAX_BELIEVED_SLOWER = log(8.0)  # enough to rank a backend behind all others
-SOME = 256  # backends handled in one pass, which takes about 3 ms
+BACKENDS_PER_PASS = 256  # backends handled in one pass, which takes about 3 ms
 MIN_MEASURED_BACKENDS = 3  # with fewer there is no meaningful median
 FULL_WEIGHT_ANSWERS = 4  # with fewer, the mean still depends largely on that of the backend's kind
 MAX_FAILURE_SHARE = 0.9  # limits the cost factor of failures to ten
-OLDEST = 120_000.0  # milliseconds: older evidence is dropped, as it has decayed by e^-9.6
-MOST_HELD = 16_384  # evidence of eight origins on 2,000 backends, about 6 MB
+MAX_EVIDENCE_AGE_MS = 120_000.0  # milliseconds: older evidence is dropped, as it has decayed by e^-9.6
+MAX_EVIDENCE = 16_384  # evidence of eight origins on 2,000 backends, about 6 MB
 MAX_NAME_LENGTH = 128  # characters
 MAX_ABS_SLOWER = 10.0  # larger values are invalid: 22,000 times the median
 MAX_COUNT = 2**53  # larger integers are not exact in every decoder
@@ -92,9 +92,9 @@
             if not isfinite(value) or not low <= value <= high:
                 raise InvalidEvidenceError(name)
 
-    def worth(self, now: float) -> float:
+    def remaining_weight(self, now: float) -> float:
         """The weight left after decay."""
-        return self.weight * exp(-FADE * max(0.0, now - self.at) / 1000.0)
+        return self.weight * exp(-DECAY_PER_S * max(0.0, now - self.at) / 1000.0)
 
 
 def version_order(e: Evidence) -> tuple[float, ...]:
@@ -108,7 +108,7 @@
     return max(one, other, key=version_order)
 
 
-def lowering(slower: float, weight: float, own: float, seen: int) -> float:
+def latency_factor(slower: float, weight: float, own: float, seen: int) -> float:
     """The factor, from 1 to 8, by which a peer estimate multiplies an expected latency.
 
     `own` is this proxy's own estimate and `seen` the number of answers behind it. Both speeds are logs of
@@ -119,17 +119,18 @@
     return min(exp(max(0.0, trust * (min(slower, MAX_BELIEVED_SLOWER) - own))), exp(MAX_BELIEVED_SLOWER))
 
 
-class Book:
+class EvidenceStore:
     """Bounded store of evidence by backend, and for each by incarnation and origin."""
 
-    def __init__(self, capacity: int = MOST_HELD) -> None:
-        self.held: dict[str, dict[tuple[float, str], Evidence]] = {}
+    def __init__(self, capacity: int = MAX_EVIDENCE) -> None:
+        self.by_backend: dict[str, dict[tuple[float, str], Evidence]] = {}
         self.capacity, self.size = capacity, 0
-        self.absurd = self.dropped = 0  # rejected as invalid; not stored for lack of room
-        self.changed: dict[str, None] = {}  # backends with new evidence since they were last processed
+        self.invalid = self.dropped = 0  # rejected as invalid; not stored for lack of room
+        # backends with new evidence since they were last processed
+        self.changed_backends: dict[str, None] = {}
 
-    def all(self) -> Iterator[Evidence]:
-        for of_backend in self.held.values():
+    def all_evidence(self) -> Iterator[Evidence]:
+        for of_backend in self.by_backend.values():
             yield from of_backend.values()
 
     def merge(self, evidence: Evidence, now: float) -> bool:
@@ -137,11 +138,11 @@
         try:
             evidence.check(now)
         except InvalidEvidenceError:
-            self.absurd += 1
+            self.invalid += 1
             return False
-        if now - evidence.at > OLDEST:
+        if now - evidence.at > MAX_EVIDENCE_AGE_MS:
             return False
-        current = self.held.get(evidence.backend, {}).get(evidence.key)
+        current = self.by_backend.get(evidence.backend, {}).get(evidence.key)
         if current is None:
             if self.size >= self.capacity and not self.evict_oldest(evidence):
                 self.dropped += 1
@@ -150,22 +151,22 @@
             best = evidence
         else:
             best = newer_version(current, evidence)
-        self.held.setdefault(evidence.backend, {})[evidence.key] = best
+        self.by_backend.setdefault(evidence.backend, {})[evidence.key] = best
         is_new = current is None or (best.epoch, best.serial) > (current.epoch, current.serial)
         if is_new:
-            self.changed[evidence.backend] = None
+            self.changed_backends[evidence.backend] = None
         return is_new
 
     def remove(self, evidence: Evidence) -> None:
-        of_backend = self.held[evidence.backend]
+        of_backend = self.by_backend[evidence.backend]
         del of_backend[evidence.key]
         self.size -= 1
         if not of_backend:
-            del self.held[evidence.backend]
+            del self.by_backend[evidence.backend]
 
     def evict_oldest(self, evidence: Evidence) -> bool:
         """Evict the oldest eighth, unless `evidence` is older than all of it."""
-        oldest = nsmallest(max(1, self.size // 8), self.all(), key=lambda e: e.at)
+        oldest = nsmallest(max(1, self.size // 8), self.all_evidence(), key=lambda e: e.at)
         if evidence.at <= oldest[-1].at:
             return False
         for e in oldest:
@@ -175,10 +176,10 @@
 
     def prune(self, now: float) -> None:
         """Remove expired evidence."""
-        for e in [e for e in self.all() if now - e.at > OLDEST]:
+        for e in [e for e in self.all_evidence() if now - e.at > MAX_EVIDENCE_AGE_MS]:
             self.remove(e)
 
-    def hearsay(
+    def peer_estimates(
         self, now: float, born_at: Mapping[str, float], excluded_origin: tuple[str, int]
     ) -> dict[str, tuple[float, float]]:
         """Peer estimates for these incarnations (Unix start time by name): speed and weight by name.
@@ -187,9 +188,9 @@
         """
         result = {}
         for name, born in born_at.items():
-            of_backend = self.held.get(name, {}).values()
+            of_backend = self.by_backend.get(name, {}).values()
             estimates = [
-                (e.slower, e.worth(now))
+                (e.slower, e.remaining_weight(now))
                 for e in of_backend
                 if e.born == born and (e.origin, e.epoch) != excluded_origin
             ]
@@ -222,14 +223,14 @@
     lost: list[float]
 
 
-class Sightings:
+class AttemptOutcomes:
     """When each backend last answered, failed, or left an attempt unanswered, in milliseconds."""
 
     def __init__(self) -> None:
         self.last_seen: dict[str, list[float]] = {}
         self.changed: dict[str, None] = {}  # backends with outcomes since they were last processed
 
-    def ended(self, now: float, backend: str, outcome: Outcome) -> None:
+    def on_attempt_end(self, now: float, backend: str, outcome: Outcome) -> None:
         """Record the end of an attempt."""
         if outcome in (Outcome.NOT_SENT, Outcome.CANCELLED):
             return
@@ -262,9 +263,9 @@
     return b.mean - log(1 - min(failing, MAX_FAILURE_SHARE))
 
 
-def first_hand(
+def first_hand_evidence(
     backends: Mapping[str, BackendStats],
-    outcomes: Sightings,
+    outcomes: AttemptOutcomes,
     born_at: Mapping[str, float],
     origin: str,
     epoch: int,
@@ -276,12 +277,12 @@
     large fleet does not block the event loop.
     """
     outcomes.retain(backends)
-    step = len(outcomes.last_seen) // SOME + 1
+    step = len(outcomes.last_seen) // BACKENDS_PER_PASS + 1
     drawn = (backends[name] for name in islice(outcomes.last_seen, 0, None, step))
     costs = [log_cost(b, failure_share(b)) for b in drawn if b.seen]
     median_cost = median(costs) if len(costs) >= MIN_MEASURED_BACKENDS else None
     found = []
-    for name in outcomes.take_changed(SOME):
+    for name in outcomes.take_changed(BACKENDS_PER_PASS):
         b, times = backends[name], outcomes.last_seen[name]
         if name not in born_at:
             continue
@@ -309,14 +310,14 @@
     return found
 
 
-class Teller:
+class EvidencePublisher:
     """Decides which first-hand evidence is worth publishing as a new version, and numbers it."""
 
     def __init__(self) -> None:
         self.last_serial = 0
         self.published: dict[str, tuple[float, Evidence]] = {}
 
-    def news(self, evidence: Sequence[Evidence], now: float) -> list[Evidence]:
+    def take_updates(self, evidence: Sequence[Evidence], now: float) -> list[Evidence]:
         """The evidence worth publishing, with serials."""
         updates = []
         for e in evidence:
@@ -328,7 +329,7 @@
                 updates.append(e)
         return updates
 
-    def keep(self, names: Mapping[str, object]) -> None:
+    def retain(self, names: Mapping[str, object]) -> None:
         """Remove all other backends."""
         self.published = {name: last for name, last in self.published.items() if name in names}
 
--- a/barleybarrow/lifecycle.py
+++ b/barleybarrow/lifecycle.py
@@ -33,7 +33,7 @@
     SHUTTING_DOWN = "ending"
 
     @property
-    def away(self) -> bool:
+    def draining_or_drained(self) -> bool:
         """Whether a drain is under way or done."""
         return self in (Stage.DRAINING, Stage.DRAINED)
 
@@ -43,7 +43,7 @@
 
     def __init__(self) -> None:
         self.stage = Stage.STARTING
-        self.drained_from, self.drains = (
+        self.drain_started_at, self.drain_count = (
             0.0,
             0,
         )  # time of the last drain request; number of drains
@@ -53,7 +53,7 @@
         """Whether the process reports itself ready, so that clients choose it."""
         return self.stage is Stage.READY
 
-    def serves(self) -> None:
+    def on_serving(self) -> None:
         """The process has begun to serve; an earlier drain stays in force."""
         if self.stage is Stage.STARTING:
             self.stage = Stage.READY
@@ -61,7 +61,7 @@
     def drain(self, now: float) -> bool:
         """Request a drain; False if shutdown has begun. A drain already under way is not restarted."""
         if self.stage in (Stage.STARTING, Stage.READY):
-            self.stage, self.drained_from, self.drains = Stage.DRAINING, now, self.drains + 1
+            self.stage, self.drain_started_at, self.drain_count = Stage.DRAINING, now, self.drain_count + 1
         return self.stage is not Stage.SHUTTING_DOWN
 
     def resume(self) -> bool:
@@ -70,26 +70,26 @@
             self.stage = Stage.READY
         return self.stage is not Stage.SHUTTING_DOWN
 
-    def end(self) -> None:
+    def begin_shutdown(self) -> None:
         """The stop signal has arrived."""
         self.stage = Stage.SHUTTING_DOWN
 
-    def step(self, now: float, clients: int) -> Stage:
+    def update(self, now: float, clients: int) -> Stage:
         """Return the current stage, given the number of client connections left.
 
         A drain is complete once no client is connected, but not before idle connections are due to be closed,
         or `DRAIN_SETTLED_MS` after its request.
         """
         if self.stage is Stage.DRAINING:
-            elapsed = now - self.drained_from
+            elapsed = now - self.drain_started_at
             if elapsed >= DRAIN_SETTLED_MS or elapsed >= IDLE_CLOSE_DELAY_MS and not clients:
                 self.stage = Stage.DRAINED
         return self.stage
 
-    def answers_end(self, now: float) -> bool:
+    def closes_after_answer(self, now: float) -> bool:
         """Whether each answer is to close its client's connection."""
-        return self.stage.away and now >= self.drained_from + MAX_ACCEPT_MS
+        return self.stage.draining_or_drained and now >= self.drain_started_at + MAX_ACCEPT_MS
 
-    def idle_end(self, now: float) -> bool:
+    def closes_idle(self, now: float) -> bool:
         """Whether idle client connections are to be closed."""
-        return self.stage.away and now >= self.drained_from + IDLE_CLOSE_DELAY_MS
+        return self.stage.draining_or_drained and now >= self.drain_started_at + IDLE_CLOSE_DELAY_MS
--- a/barleybarrow/policy.py
+++ b/barleybarrow/policy.py
@@ -11,7 +11,7 @@
 from typing import Any
 
 from barleybarrow.budget import ClientRetryLimit
-from barleybarrow.rate_limiter import LONGEST_KEY, Limit
+from barleybarrow.rate_limiter import MAX_KEY_LENGTH, RateLimit
 
 MAX_DOCUMENT_BYTES = 64 * 1024
 MAX_TENANTS = 1000
@@ -28,7 +28,7 @@
     """The rules that a proxy enforces: the fields of all sections."""
 
     # [door] rate limits of tenants, in requests per second, besides those in the operators' file
-    tenants: Mapping[str, Limit] = field(default_factory=dict)
+    tenants: Mapping[str, RateLimit] = field(default_factory=dict)
     # [servers] disabled servers and blocks
     servers: frozenset[str] = frozenset()
     blocks: frozenset[int] = frozenset()
@@ -64,8 +64,8 @@
 
 
 def check_tenant_name(name: str, key: str) -> None:
-    if not NAME_PATTERN.match(name) or len(name) > LONGEST_KEY:
-        raise PolicyError(f"{key}: the name must be 1 to {LONGEST_KEY} letters, digits, . _ : @ or -")
+    if not NAME_PATTERN.match(name) or len(name) > MAX_KEY_LENGTH:
+        raise PolicyError(f"{key}: the name must be 1 to {MAX_KEY_LENGTH} letters, digits, . _ : @ or -")
 
 
 def check_rate_limits(value: Any) -> dict[str, Any]:
@@ -84,7 +84,7 @@
             raise PolicyError(f"{key}.rate: is missing")
         rate = parse_number(limit["rate"], f"{key}.rate", 0.0, 1e6)
         burst = parse_number(limit.get("burst", max(1, int(rate))), f"{key}.burst", 1, 1e6, integer=True)
-        limits[name] = Limit(rate, int(burst))
+        limits[name] = RateLimit(rate, int(burst))
     return {"tenants": limits}
 
 
@@ -153,8 +153,8 @@
     return {**one, **{k: combine(one[k], v) if k in one else v for k, v in other.items()}}
 
 
-def lower_limit(one: Limit, other: Limit) -> Limit:
-    return Limit(min(one.rate, other.rate), min(one.burst, other.burst))
+def lower_limit(one: RateLimit, other: RateLimit) -> RateLimit:
+    return RateLimit(min(one.rate, other.rate), min(one.burst, other.burst))
 
 
 def lower_repeats(one: ClientRetryLimit | None, other: ClientRetryLimit | None) -> ClientRetryLimit | None:
--- a/barleybarrow/shares.py
+++ b/barleybarrow/shares.py
@@ -29,7 +29,7 @@
     Role,
     UInt62,
 )
-from barleybarrow.rate_limiter import LONGEST_KEY, Bucket, Limit, RateLimiter, RateLimiterSettings
+from barleybarrow.rate_limiter import MAX_KEY_LENGTH, RateLimit, RateLimiter, RateLimiterSettings, TokenBucket
 
 __all__ = [
     "CreditServerHeartbeat",
@@ -410,21 +410,21 @@
         self.shares: LimitShares | None = None
         self.applied_shares: dict[str, float] = {}
 
-    def ask(self, key: str, now: float) -> float:
-        key = key[:LONGEST_KEY]
+    def acquire(self, key: str, now: float) -> float:
+        key = key[:MAX_KEY_LENGTH]
         shares, bucket = self.shares, self.buckets.get(key)
         if shares is not None and not self.settings.by_address:
             shares.request_counts[key] += 1
             share = shares.share_of(key, now)
             if bucket is None or self.applied_shares.get(key) != share:
-                total = self.limit(key)
-                limit = Limit(total.rate * share, max(1.0, total.burst * share))
+                total = self.limit_of(key)
+                limit = RateLimit(total.rate * share, max(1.0, total.burst * share))
                 self.applied_shares[key] = share
                 if bucket is None:
-                    if len(self.buckets) >= self.settings.table:
+                    if len(self.buckets) >= self.settings.max_buckets:
                         self.applied_shares.pop(self.buckets.popitem(last=False)[0], None)
-                    self.buckets[key] = Bucket(limit, now)
+                    self.buckets[key] = TokenBucket(limit, now)
                 else:
                     bucket.refill(now)
-                    bucket.limit, bucket.level = limit, min(bucket.level, limit.burst)
-        return super().ask(key, now)
+                    bucket.limit, bucket.tokens = limit, min(bucket.tokens, limit.burst)
+        return super().acquire(key, now)
--- a/barleybarrow/state.py
+++ b/barleybarrow/state.py
@@ -134,10 +134,10 @@
 
     def apply_estimate(self, estimate: Hearsay, fleet_mean: float) -> None:
         """Let other proxies' estimate lower its rank; `fleet_mean`: log of the fleet's usual latency."""
-        from barleybarrow.knowledge import lowering  # an optional feature
+        from barleybarrow.knowledge import latency_factor  # an optional feature
 
         own = self.mean if self.seen else self.kind.mean
-        self.peer_factor = lowering(estimate.slower, estimate.weight, own - fleet_mean, self.seen)
+        self.peer_factor = latency_factor(estimate.slower, estimate.weight, own - fleet_mean, self.seen)
 
     def add_attempt(self, request: int, attempt: int, sent_at: float) -> None:
         self.sent_alone = not self.inflight
--- a/barleybarrow/subsets.py
+++ b/barleybarrow/subsets.py
@@ -16,7 +16,7 @@
 ROUNDS_HYSTERESIS = 0.75  # in doublings of the number of rounds: rounding needs 0.5, more avoids flapping
 
 
-def jump(key: int, slot_count: int) -> int:
+def jump_hash(key: int, slot_count: int) -> int:
     """The slot, from 0 to `slot_count` - 1, of a 64-bit key: one slot more moves only its share."""
     slot, next_slot = -1, 0
     while next_slot < slot_count:
@@ -26,7 +26,7 @@
     return slot
 
 
-def digest(name: str, round_index: int) -> int:
+def member_hash(name: str, round_index: int) -> int:
     """A 64-bit hash of a member's name and a round; the same on every machine and in every run."""
     return int.from_bytes(blake2b(b"%d %s" % (round_index, name.encode()), digest_size=8).digest(), "big")
 
@@ -51,7 +51,7 @@
         self.membership: dict[str, bool] = {}  # by member of the last list, for `position`
         self.position = (0, 0, 0)
 
-    def settle(self, members: int) -> int:
+    def update_rounds(self, members: int) -> int:
         """The number of rounds for a list of `members` members: how many proxies see each of them."""
         log2_rounds = math.log2(max(1.0, self.proxies * self.size / max(1, members)))
         if not self.rounds or abs(log2_rounds - math.log2(self.rounds)) > ROUNDS_HYSTERESIS:
@@ -61,13 +61,15 @@
     def choose(self, names: Iterable[str]) -> set[str]:
         """The members of a list that this proxy sees."""
         names = set(names)
-        rounds = self.settle(len(names))
+        rounds = self.update_rounds(len(names))
         slot_count = math.ceil(self.proxies / rounds)
         slot, round_index = divmod(self.index, rounds)
         known = self.membership if self.position == (slot_count, slot, round_index) else {}
         self.position = slot_count, slot, round_index
         self.membership = {
-            name: known[name] if name in known else jump(digest(name, round_index), slot_count) == slot
+            name: known[name]
+            if name in known
+            else jump_hash(member_hash(name, round_index), slot_count) == slot
             for name in names
         }
         return {name for name, included in self.membership.items() if included}
--- a/barleybarrow/tokens.py
+++ b/barleybarrow/tokens.py
@@ -13,7 +13,7 @@
 
 READ, SUBMIT = "read", "submit"
 MISSING, EXPIRED, FORGED, INSUFFICIENT_RIGHTS = "missing", "expired", "forged", "rights"
-KID = re.compile(r"[A-Za-z0-9_-]{1,64}\Z")
+KEY_ID_PATTERN = re.compile(r"[A-Za-z0-9_-]{1,64}\Z")
 HOLDER_PATTERN = re.compile(r"[!-\-/-~]{1,256}\Z")  # printable ASCII without dots
 RIGHTS_PATTERN = re.compile(rf"({READ}|{SUBMIT})(\+({READ}|{SUBMIT}))*\Z")
 TOKEN_PATTERN = re.compile(rb"([!-\-/-~]+)\.[!-\-/-~]+\.([!-\-/-~]+)\.([0-9]{1,15})\.([A-Za-z0-9_-]{43})\Z")
@@ -28,7 +28,7 @@
     """The valid keys by id, and the tolerated clock skew in seconds."""
 
     keys: Mapping[str, bytes] = field(default_factory=dict, repr=False)
-    skew: float = 30.0
+    skew_s: float = 30.0
 
 
 def sign(key: bytes, fields: bytes) -> bytes:
@@ -50,7 +50,7 @@
     return f"{fields}.{sign(settings.keys[kid], fields.encode()).decode()}"
 
 
-def verdict(settings: TokenSettings, token: bytes | None, need: str, now: float) -> str:
+def rejection_reason(settings: TokenSettings, token: bytes | None, need: str, now: float) -> str:
     """Why a token does not grant the right `need` at `now` (Unix seconds); empty if it does."""
     if not token:
         return MISSING
@@ -60,6 +60,6 @@
     key = settings.keys.get(match[1].decode())
     if key is None or not hmac.compare_digest(sign(key, token[: match.start(4) - 1]), match[4]):
         return FORGED
-    if now > int(match[3]) + settings.skew:
+    if now > int(match[3]) + settings.skew_s:
         return EXPIRED
     return "" if need.encode() in match[2].split(b"+") else INSUFFICIENT_RIGHTS
--- a/barleybarrow/warm_state.py
+++ b/barleybarrow/warm_state.py
@@ -32,7 +32,7 @@
     return {name: clamp(getattr(item, name)) for name in names}
 
 
-def write(balancer: Balancer) -> list[Entry]:
+def export_entries(balancer: Balancer) -> list[Entry]:
     """Export what the new process can use."""
     entries: list[Entry] = [
         {
@@ -65,7 +65,7 @@
         setattr(item, name, value)
 
 
-def take(balancer: Balancer, entries: list[Entry], now: float) -> int:
+def import_entries(balancer: Balancer, entries: list[Entry], now: float) -> int:
     """Import the entries of another process; returns how many were usable. Others are skipped."""
     imported = 0
     for entry in entries:
--- a/benchmarks/connections.py
+++ b/benchmarks/connections.py
@@ -32,7 +32,7 @@
 ROOT = Path(__file__).parent.parent
 sys.path.insert(0, str(ROOT))
 
-from barleybarrow.subsets import Subset, digest, jump  # noqa: E402
+from barleybarrow.subsets import Subset, jump_hash, member_hash  # noqa: E402
 
 HANDSHAKE = 3.0  # milliseconds of a server's work: between the 0.9 and 4 of the platform
 SERVICE = 50.0  # milliseconds that a request takes
@@ -365,9 +365,13 @@
 
     def pairs(proxies: int, names: list[str]) -> set[tuple[int, str]]:
         """Who sees whom, worked out lot by lot, as each of the proxies would for itself."""
-        lots = Subset(size, 0, proxies).settle(len(names))
+        lots = Subset(size, 0, proxies).update_rounds(len(names))
         slots = math.ceil(proxies / lots)
-        found = {(jump(digest(name, lot), slots) * lots + lot, name) for lot in range(lots) for name in names}
+        found = {
+            (jump_hash(member_hash(name, lot), slots) * lots + lot, name)
+            for lot in range(lots)
+            for name in names
+        }
         return {pair for pair in found if pair[0] < proxies}
 
     all_pairs = pairs(proxies, names)
--- a/benchmarks/replica.py
+++ b/benchmarks/replica.py
@@ -27,7 +27,7 @@
 from msgspec import msgpack
 
 from barleybarrow.overrides import ActiveOverrides, Override
-from barleybarrow.rate_limiter import Limit, RateLimiter, RateLimiterSettings
+from barleybarrow.rate_limiter import RateLimit, RateLimiter, RateLimiterSettings
 from barleybarrow.replica import Message, Ready, Replica, StoredReplica
 from barleybarrow.shares import LimitShares, SharedRateLimiter
 from barleybarrow.version_vectors import Entry, VersionedState
@@ -250,7 +250,7 @@
     effect.update(state, list(state.slots))
     shares = LimitShares("n0", ["n0"], random.Random(1), 0.0, 9, lambda key: 1e6)
     shared, own = (
-        kind(RateLimiterSettings(tenant=Limit(1e9, 1e9))) for kind in (SharedRateLimiter, RateLimiter)
+        kind(RateLimiterSettings(tenant=RateLimit(1e9, 1e9))) for kind in (SharedRateLimiter, RateLimiter)
     )
     assert isinstance(shared, SharedRateLimiter)
     shared.shares = shares
@@ -261,7 +261,7 @@
 
     nothing = least(lambda: None)
     marks = least(lambda: "t" in effect.tenants) - nothing
-    return marks, least(lambda: shared.ask("t", 1.0)) - least(lambda: own.ask("t", 1.0))
+    return marks, least(lambda: shared.acquire("t", 1.0)) - least(lambda: own.acquire("t", 1.0))
 
 
 def storm(seed: int) -> tuple[int, list[str]]:
--- a/brackenusher/config/operators.py
+++ b/brackenusher/config/operators.py
@@ -9,9 +9,9 @@
 
 from barleybarrow import interface as face
 from barleybarrow.connections import ConnectionSettings
-from barleybarrow.rate_limiter import Limit, RateLimiterSettings
+from barleybarrow.rate_limiter import RateLimit, RateLimiterSettings
 from barleybarrow.subsets import Subset
-from barleybarrow.tokens import KID, TokenSettings
+from barleybarrow.tokens import KEY_ID_PATTERN, TokenSettings
 from brackenusher.config.platform import ConfigError, read_address
 from brackenusher.runtime.driver import Address
 from brackenusher.runtime.log import FORMATS
@@ -204,7 +204,7 @@
 
 def read_rate_limiter(properties: Properties) -> RateLimiterSettings:
     defaults = RateLimiterSettings()
-    address = Limit(
+    address = RateLimit(
         properties.get("door.rate.address", parse_rate, defaults.address.rate),
         properties.get("door.burst.address", parse_burst, defaults.address.burst),
     )
@@ -213,14 +213,14 @@
         properties.get_prefixed("door.burst.", parse_burst),
     )
     tenants = {
-        name: Limit(rates.get(name, defaults.tenant.rate), bursts.get(name, defaults.tenant.burst))
+        name: RateLimit(rates.get(name, defaults.tenant.rate), bursts.get(name, defaults.tenant.burst))
         for name in rates | bursts
     }
     return RateLimiterSettings(
         by_address=properties.get("door.key", one_of("tenant", "address"), "tenant") == "address",
         address=address,
         tenants=tenants,
-        table=properties.get("door.table", integer(1, 100_000), defaults.table),
+        max_buckets=properties.get("door.table", integer(1, 100_000), defaults.max_buckets),
     )
 
 
@@ -249,9 +249,9 @@
 def read_token(properties: Properties) -> TokenSettings:
     keys = properties.get_prefixed("token.key.", parse_key)
     for kid in keys:
-        if not KID.match(kid):
+        if not KEY_ID_PATTERN.match(kid):
             raise properties.error(f"token.key.{kid}", "must end in letters, digits, _ or -, 64 at most")
-    return TokenSettings(keys, properties.get("token.skew", integer(0, 86_400), TokenSettings().skew))
+    return TokenSettings(keys, properties.get("token.skew", integer(0, 86_400), TokenSettings().skew_s))
 
 
 def parse_target(text: str) -> Address | str | None:
@@ -296,7 +296,7 @@
 def read_peers(properties: Properties) -> PeersSettings:
     defaults, keys = PeersSettings(), properties.get_prefixed("peers.key.", parse_key)
     for kid in keys:
-        if not KID.match(kid):
+        if not KEY_ID_PATTERN.match(kid):
             raise properties.error(f"peers.key.{kid}", "must end in letters, digits, _ or -, 64 at most")
     sign = properties.get("peers.sign", str, next(iter(keys)) if len(keys) == 1 else "")
     if sign and sign not in keys:
@@ -372,15 +372,20 @@
     defaults = ConnectionSettings()
     return ConnectionSettings(
         learn=properties.get("connections.learn", parse_bool, defaults.learn),
-        rescue=properties.get("connections.rescue", parse_bool, defaults.rescue),
-        rest=properties.get("connections.rest", parse_bool, defaults.rest),
-        age=1000.0 * properties.get("connections.age_s", integer(0, 86_400), 0),
-        requests=properties.get("connections.requests", integer(0, 1_000_000_000), defaults.requests),
-        ahead=properties.get("connections.ahead", parse_bool, defaults.ahead),
-        spare=properties.get("connections.ahead.spare", integer(0, 1000), defaults.spare),
-        hold=1000.0 * properties.get("connections.ahead.hold_s", integer(1, 3600), int(defaults.hold / 1000)),
-        pace=float(properties.get("connections.ahead.pace", integer(1, 1000), int(defaults.pace))),
-        subset=properties.get("connections.subset", integer(0, 100_000), defaults.subset),
+        retry_unsent=properties.get("connections.rescue", parse_bool, defaults.retry_unsent),
+        delay_reuse=properties.get("connections.rest", parse_bool, defaults.delay_reuse),
+        max_age_ms=1000.0 * properties.get("connections.age_s", integer(0, 86_400), 0),
+        max_requests=properties.get("connections.requests", integer(0, 1_000_000_000), defaults.max_requests),
+        preconnect=properties.get("connections.ahead", parse_bool, defaults.preconnect),
+        spare_connections=properties.get(
+            "connections.ahead.spare", integer(0, 1000), defaults.spare_connections
+        ),
+        peak_window_ms=1000.0
+        * properties.get("connections.ahead.hold_s", integer(1, 3600), int(defaults.peak_window_ms / 1000)),
+        preconnects_per_s=float(
+            properties.get("connections.ahead.pace", integer(1, 1000), int(defaults.preconnects_per_s))
+        ),
+        subset_size=properties.get("connections.subset", integer(0, 100_000), defaults.subset_size),
         subset_index=properties.get("connections.subset.index", integer(0, 99_999), defaults.subset_index),
         subset_proxies=properties.get(
             "connections.subset.proxies", integer(1, 100_000), defaults.subset_proxies
@@ -435,7 +440,7 @@
 def read_subset(operator: Operator, platform_settings: Mapping[str, Any]) -> Subset | None:
     """The subset of servers that this proxy uses; index and number of proxies default to the platform's."""
     connections = operator.connections
-    if connections is None or not connections.subset:
+    if connections is None or not connections.subset_size:
         return None
     proxies = connections.subset_proxies or int(platform_settings.get("instances", 1))
     index = (
@@ -445,7 +450,7 @@
         raise ConfigError(
             f"connections.subset.index: {index} is no number below that of the proxies, {proxies}"
         )
-    return Subset(connections.subset, index, proxies)
+    return Subset(connections.subset_size, index, proxies)
 
 
 def doubts(operator: Operator, settings: face.Settings) -> list[str]:
--- a/brackenusher/core/admission.py
+++ b/brackenusher/core/admission.py
@@ -14,7 +14,7 @@
 from barleybarrow import tokens
 from barleybarrow.graceful_shutdown import GracefulShutdown
 from barleybarrow.interface import Effect
-from barleybarrow.rate_limiter import LONGEST_KEY, RateLimiter
+from barleybarrow.rate_limiter import MAX_KEY_LENGTH, RateLimiter
 from brackenusher.core.message import Content, Message
 from brackenusher.core.transaction import Answer, Served, Transaction, Transactions, never_gone
 
@@ -149,7 +149,7 @@
     def answered(self, transaction: Transaction, answer: Answer) -> None:
         """Handle that a front end has the final answer of a request; a shutdown plan records its latency."""
         if self.shutdown is not None and isinstance(answer, Served):
-            self.shutdown.answered(self.transactions.clock() - transaction.arrived)
+            self.shutdown.record_duration(self.transactions.clock() - transaction.arrived)
 
     def whole(self, transaction: Transaction) -> None:
         """Handle that the body of an accepted request is complete."""
@@ -168,10 +168,10 @@
             return Verdict(Bar.ROOM, retry_after=self.max_retry_after_ms)
         if self.shutdown is not None and not self.fits_shutdown_plan(request, self.shutdown):
             self.at_the_end += 1
-            wait_ms = self.shutdown.come_back(self.transactions.clock(), self.max_retry_after_ms)
+            wait_ms = self.shutdown.retry_after(self.transactions.clock(), self.max_retry_after_ms)
             return Verdict(Bar.SHUTDOWN, retry_after=wait_ms)
         if self.token_settings is not None:
-            token_fault = tokens.verdict(
+            token_fault = tokens.rejection_reason(
                 self.token_settings, request.token, self.required_rights[request.klass], self.wall_clock()
             )
             if token_fault:
@@ -184,7 +184,7 @@
             message = request.message
             key = request.address if self.door.settings.by_address else name_of(message.owner)
             message.charged = key, self.transactions.clock()
-            wait_ms = self.door.ask(*message.charged)
+            wait_ms = self.door.acquire(*message.charged)
             if wait_ms:
                 return Verdict(Bar.DOOR, retry_after=wait_ms)
         return None
@@ -192,10 +192,10 @@
     def fits_shutdown_plan(self, request: Request, plan: GracefulShutdown) -> bool:
         """Whether a request can still be accepted during shutdown; shorten its timeout to the time left."""
         now, open_count = self.transactions.clock(), len(self.transactions.open)
-        timeout_ms = plan.cut(now, request.span, open_count)
+        timeout_ms = plan.time_allowed(now, request.span, open_count)
         if request.span and not timeout_ms:
             return False
-        if request.free is not None and plan.crowded(now, request.free, open_count):
+        if request.free is not None and plan.is_short_of_connections(now, request.free, open_count):
             return False
         request.span = timeout_ms
         return True
@@ -203,4 +203,4 @@
 
 def name_of(owner: bytes | None) -> str:
     """A tenant's key in the rate limiter, truncated to its limit; requests without a tenant share one key."""
-    return "" if owner is None else owner[:LONGEST_KEY].decode("latin-1")
+    return "" if owner is None else owner[:MAX_KEY_LENGTH].decode("latin-1")
--- a/brackenusher/daemon.py
+++ b/brackenusher/daemon.py
@@ -294,7 +294,7 @@
             )
         for sock in inherited.values():
             sock.close()
-        self.lifecycle.serves()
+        self.lifecycle.on_serving()
         if self.peers:
             self.http1.warming = True
             self.peers.start(self.end_warming)
@@ -475,7 +475,7 @@
         before = self.lifecycle.stage
         if not self.lifecycle.drain(clock()):
             return 409, b"the process ends\n"
-        if not before.away:
+        if not before.draining_or_drained:
             say(
                 log,
                 logging.INFO,
@@ -484,14 +484,14 @@
                 connections=self.connection_count,
                 in_hand=len(self.transactions.open),
             )
-            self.step_drain(self.lifecycle.drains)
+            self.step_drain(self.lifecycle.drain_count)
         return 200, b"draining\n"
 
     def resume(self) -> Reply:
         before = self.lifecycle.stage
         if not self.lifecycle.resume():
             return 409, b"the process ends\n"
-        if before.away:
+        if before.draining_or_drained:
             say(log, logging.INFO, "resumed", "resumed: serving normally")
             for front, _ in self.fronts:
                 front.resume()
@@ -500,16 +500,16 @@
     def step_drain(self, number: int) -> None:
         """Advance a drain at intervals, until it or the process ends."""
         lifecycle, now = self.lifecycle, clock()
-        if not lifecycle.stage.away or number != lifecycle.drains:
+        if not lifecycle.stage.draining_or_drained or number != lifecycle.drain_count:
             return
         before = lifecycle.stage
-        if lifecycle.step(now, self.connection_count) is Stage.DRAINED and before is not Stage.DRAINED:
+        if lifecycle.update(now, self.connection_count) is Stage.DRAINED and before is not Stage.DRAINED:
             text = "drained after %(span_ms).0f ms: %(connections)d connections"
-            elapsed = now - lifecycle.drained_from
+            elapsed = now - lifecycle.drain_started_at
             say(log, logging.INFO, "drained", text, span_ms=elapsed, connections=self.connection_count)
-        if lifecycle.answers_end(now):
+        if lifecycle.closes_after_answer(now):
             for front, _ in self.fronts:
-                front.drain(idle=lifecycle.idle_end(now))
+                front.drain(idle=lifecycle.closes_idle(now))
         wait = STEP_INTERVAL_MS if lifecycle.stage is Stage.DRAINING else DRAINED_STEP_INTERVAL_MS
         self.schedule(wait, partial(self.step_drain, number))
 
@@ -530,15 +530,15 @@
             self.stop_requested_at or clock(), longest_deadline, self.config.cores, min_time_ms, alone
         )
         self.shutdown = self.admission.shutdown = plan
-        self.lifecycle.end()
+        self.lifecycle.begin_shutdown()
         say(
             log,
             logging.INFO,
             "stopping",
             "stopping: killed in %(kill_ms).0f ms at the soonest, "
             "all is to be answered in %(answered_ms).0f ms",
-            kill_ms=plan.limit - plan.told_at,
-            answered_ms=plan.answered_by - plan.told_at,
+            kill_ms=plan.kill_at - plan.requested_at,
+            answered_ms=plan.answered_by - plan.requested_at,
         )
         for front, _ in self.fronts:
             front.told()
@@ -549,7 +549,9 @@
     def step_shutdown(self, plan: GracefulShutdown, due: float) -> None:
         """Advance the graceful shutdown."""
         now, before = clock(), plan.phase
-        phase = plan.step(now, now - due, self.connection_count, all(front.shut for front, _ in self.fronts))
+        phase = plan.update(
+            now, now - due, self.connection_count, all(front.shut for front, _ in self.fronts)
+        )
         if phase != before:
             say(
                 log,
@@ -558,11 +560,11 @@
                 "%(phase)s %(after_ms).0f ms after the signal: %(taken)d taken, %(in_hand)d open, "
                 "%(connections)d connections, stalled %(stall_ms).0f ms at most",
                 phase=phase.name.lower().replace("_", " "),
-                after_ms=now - plan.told_at,
+                after_ms=now - plan.requested_at,
                 taken=self.transactions.taken,
                 in_hand=len(self.transactions.open),
                 connections=self.connection_count,
-                stall_ms=plan.stall,
+                stall_ms=plan.max_stall,
             )
         if phase is Phase.ENDED:
             self.loop.running = False
--- a/brackenusher/fronts/http1/clients.py
+++ b/brackenusher/fronts/http1/clients.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Generator
 from itertools import islice
 
-from barleybarrow.eviction import Place, choose
+from barleybarrow.eviction import ClientState, choose_victim
 from barleybarrow.lifecycle import Lifecycle
 from brackenusher.core.admission import Admission, Request, Verdict
 from brackenusher.core.message import Content
@@ -58,13 +58,13 @@
         self.partial: dict[Http1Connection, None] = {}  # receiving a request; most recently active last
         self.lingering: dict[Http1Connection, None] = {}  # final response sent, remaining input is discarded
         self.eviction_groups = {
-            Place.SPENT: self.lingering,
-            Place.SILENT: self.awaiting_first_request,
-            Place.PARTIAL: self.partial,
-            Place.RESTING: self.kept,
+            ClientState.CLOSING: self.lingering,
+            ClientState.NO_REQUEST: self.awaiting_first_request,
+            ClientState.PARTIAL_REQUEST: self.partial,
+            ClientState.KEEP_ALIVE: self.kept,
         }
-        self.evicted: Counter[Place] = Counter()
-        self.reported_evictions: Counter[Place] = Counter()  # as last reported
+        self.evicted: Counter[ClientState] = Counter()
+        self.reported_evictions: Counter[ClientState] = Counter()  # as last reported
         self.draining = False  # each response closes its connection
         # sends idle connections to the successor process during handover
         self.transfer: TransferConnections | None = None
@@ -85,10 +85,10 @@
         for place, connections in self.eviction_groups.items():
             for connection in islice(connections, EVICTION_SCAN_LIMIT):
                 # else it has sent data that was not read yet
-                if place is Place.SPENT or connection.no_unread_data():
+                if place is ClientState.CLOSING or connection.no_unread_data():
                     candidates[place] = connection
                     break
-        chosen = choose({place: now - link.active_at for place, link in candidates.items()})
+        chosen = choose_victim({place: now - link.active_at for place, link in candidates.items()})
         if chosen is None:
             return False
         self.evicted[chosen] += 1
--- a/brackenusher/group/acting.py
+++ b/brackenusher/group/acting.py
@@ -8,7 +8,7 @@
 
 from barleybarrow.budget import ClientRetryBudget
 from barleybarrow.policy import Rules, stricter_bound
-from barleybarrow.rate_limiter import CLOSED_WAIT, RateLimiter, RateLimiterSettings
+from barleybarrow.rate_limiter import ZERO_RATE_WAIT_MS, RateLimiter, RateLimiterSettings
 from brackenusher.core.admission import Request, name_of
 from brackenusher.core.transaction import Transactions
 from brackenusher.upstream.listing import Host
@@ -39,10 +39,10 @@
         """
         rules = self.rules
         if key in rules.shares and self.in_hand(key) >= rules.shares[key]:
-            return self.turned_away("shares", FULL_WAIT if rules.shares[key] else CLOSED_WAIT)
+            return self.turned_away("shares", FULL_WAIT if rules.shares[key] else ZERO_RATE_WAIT_MS)
         if self.budget is not None and request.repeated and self.budget.exhausted:
-            return self.turned_away("repeats", REPEAT_WAIT if self.budget.limit.ratio else CLOSED_WAIT)
-        if key in rules.tenants and (wait := self.door.ask(key, now)):
+            return self.turned_away("repeats", REPEAT_WAIT if self.budget.limit.ratio else ZERO_RATE_WAIT_MS)
+        if key in rules.tenants and (wait := self.door.acquire(key, now)):
             return self.turned_away("door", wait)
         if self.budget is not None:
             self.budget.record(request.repeated)
@@ -65,7 +65,7 @@
             for key, bucket in held.items():
                 if key in rules.tenants:
                     bucket.limit = rules.tenants[key]
-                    bucket.level = min(bucket.level, float(bucket.limit.burst))
+                    bucket.tokens = min(bucket.tokens, float(bucket.limit.burst))
                     self.door.buckets[key] = bucket
         if rules.repeats is None:
             self.budget = None
@@ -76,8 +76,8 @@
         base = self.connections
         self.pool.planner.settings = replace(
             base,
-            age=stricter_bound(base.age, rules.age),
-            requests=int(stricter_bound(base.requests, rules.requests)),
+            max_age_ms=stricter_bound(base.max_age_ms, rules.age),
+            max_requests=int(stricter_bound(base.max_requests, rules.requests)),
         )
         if (rules.servers, rules.blocks) != (before.servers, before.blocks):
             self.transactions.post(self.pool.look_again())
--- a/brackenusher/group/replicator.py
+++ b/brackenusher/group/replicator.py
@@ -25,7 +25,7 @@
     decode_override,
     key_of,
 )
-from barleybarrow.rate_limiter import CLOSED_WAIT, LONGEST_KEY
+from barleybarrow.rate_limiter import MAX_KEY_LENGTH, ZERO_RATE_WAIT_MS
 from barleybarrow.replica import Message as Copied
 from barleybarrow.replica import Ready, Replica, Stage, StoredReplica
 from barleybarrow.shares import LimitShares, SharedRateLimiter
@@ -95,7 +95,7 @@
         self.shares: LimitShares | None = None
         if door is not None and settings.limits:
             self.shares = LimitShares(
-                name, keepers, rng, clock(), wanted.proxies, lambda key: door.limit(key).rate
+                name, keepers, rng, clock(), wanted.proxies, lambda key: door.limit_of(key).rate
             )
             door.shares = self.shares
         self.fates = IdempotencyRecords(name, clock()) if settings.fates else None
@@ -269,9 +269,9 @@
         if self.settings.refuse and self.machine.stage is Stage.BEHIND:
             self.turned_away += 1
             return CLOSED
-        if key[:LONGEST_KEY] in self.effect.tenants:
+        if key[:MAX_KEY_LENGTH] in self.effect.tenants:
             self.turned_away += 1
-            return CLOSED_WAIT
+            return ZERO_RATE_WAIT_MS
         return 0.0
 
     def ready(self) -> bool:
--- a/brackenusher/handover/replacement.py
+++ b/brackenusher/handover/replacement.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from barleybarrow import warm_state
-from barleybarrow.descriptor_split import parts
+from barleybarrow.descriptor_split import split_descriptors
 from brackenusher.core.transaction import Transactions
 from brackenusher.fronts.listener import Listener, Room
 from brackenusher.handover.messages import Kind, word, worded
@@ -74,7 +74,7 @@
 
     def succeed(self, taken: Taken) -> None:
         """Go on where the old process stands; the list has been taken up."""
-        learned = warm_state.take(self.owner.balancer, taken.learned, clock())
+        learned = warm_state.import_entries(self.owner.balancer, taken.learned, clock())
         self.leave_to_old(taken.state)
         first = self.fronts[0][0]
         self.new = New(self.loop, taken.link, self.leave_to_old, first.take_over, self.old_ended)
@@ -101,8 +101,8 @@
         """Keep to what the old process leaves of the descriptors."""
         clients, flows, stopping = int(held["clients"]), int(held["flows"]), bool(held["stopping"])
         self.part = (
-            parts(self.both(self.for_clients), clients, stopping)[1],
-            max(1, parts(self.both(self.for_flows), flows, False)[1]),
+            split_descriptors(self.both(self.for_clients), clients, stopping)[1],
+            max(1, split_descriptors(self.both(self.for_flows), flows, False)[1]),
         )
         self.keep_to_part()
 
@@ -127,7 +127,7 @@
         fds = [front.task.fd for front, _ in self.fronts]
         packets = [
             *worded(Kind.LIST, [word_host(host) for host in self.pool.hosts]),
-            *worded(Kind.LEARNED, warm_state.write(self.owner.balancer)),
+            *worded(Kind.LEARNED, warm_state.export_entries(self.owner.balancer)),
             word(Kind.READY, {"seq": self.agent.seq or 0, **self.holding()}),
         ]
         for front, _ in self.fronts:
@@ -154,7 +154,11 @@
             front.hand_over(self.old.pass_on)
 
     def holding(self) -> dict[str, Any]:
-        return {"clients": self.room.held, "flows": self.pool.planner.total, "stopping": self.stopping}
+        return {
+            "clients": self.room.held,
+            "flows": self.pool.planner.connection_count,
+            "stopping": self.stopping,
+        }
 
     def divide(self) -> None:
         """Keep to this process's part of the descriptors while another has the rest, and tell it of that."""
@@ -172,9 +176,9 @@
         """Hold no more than the process before leaves, and leave the one after its own."""
         clients, flows = self.part
         if self.old is not None and self.old.link is not None:
-            clients = parts(self.both(clients), self.room.held, self.stopping)[0]
-            flows = parts(self.both(flows), self.pool.planner.total, False)[0]
-        self.room.most, self.pool.planner.room = clients, max(1, flows)
+            clients = split_descriptors(self.both(clients), self.room.held, self.stopping)[0]
+            flows = split_descriptors(self.both(flows), self.pool.planner.connection_count, False)[0]
+        self.room.most, self.pool.planner.capacity = clients, max(1, flows)
 
     def both(self, part: int) -> int:
         """What two processes have for a purpose that one has `part` for: each needs its own beside."""
--- a/brackenusher/membership/frames.py
+++ b/brackenusher/membership/frames.py
@@ -193,5 +193,7 @@
 
 def worth_most(held: Iterable[Evidence], now: float, most: int = MOST_TOLD) -> list[Evidence]:
     """Of all that is held, what tells a starting proxy most: what is far from usual, sure and new."""
-    ranked = sorted(held, key=lambda e: (abs(e.slower) + e.failing + 0.01) * e.worth(now), reverse=True)
+    ranked = sorted(
+        held, key=lambda e: (abs(e.slower) + e.failing + 0.01) * e.remaining_weight(now), reverse=True
+    )
     return ranked[:most]
--- a/brackenusher/membership/keeper.py
+++ b/brackenusher/membership/keeper.py
@@ -10,14 +10,14 @@
 
 from barleybarrow import interface as face
 from barleybarrow.knowledge import (
-    FADE,
-    SOME,
-    Book,
+    BACKENDS_PER_PASS,
+    DECAY_PER_S,
+    AttemptOutcomes,
     Evidence,
+    EvidencePublisher,
+    EvidenceStore,
     InvalidEvidenceError,
-    Sightings,
-    Teller,
-    first_hand,
+    first_hand_evidence,
 )
 from brackenusher.core.transaction import Transactions
 from brackenusher.membership.frames import MOST_TOLD, decode, encode, worth_most
@@ -35,7 +35,7 @@
 
     def __init__(self, name: str, epoch: int, transactions: Transactions, pool: Pool) -> None:
         self.name, self.epoch, self.transactions, self.pool = name, epoch, transactions, pool
-        self.book, self.sightings, self.teller = Book(), Sightings(), Teller()
+        self.book, self.sightings, self.teller = EvidenceStore(), AttemptOutcomes(), EvidencePublisher()
         self.sent: dict[int, list[str]] = {}  # where the attempts of requests that are not served yet went
         self.posted: dict[
             str, tuple[float, float, float]
@@ -49,15 +49,15 @@
         if isinstance(event, face.Finished):
             sent = self.sent.get(event.request, ())
             if event.attempt < len(sent):
-                self.sightings.ended(now, sent[event.attempt], event.outcome)
+                self.sightings.on_attempt_end(now, sent[event.attempt], event.outcome)
             if event.complete:
                 self.sent.pop(event.request, None)
         elif isinstance(event, face.ListChanged):
             for entry in event.entries:  # those that are new on it have to be told of
-                held = entry.state is face.State.LIVE and entry.backend in self.book.held
+                held = entry.state is face.State.LIVE and entry.backend in self.book.by_backend
                 if held and self.posted.get(entry.backend, (None,))[0] != entry.started:
-                    self.book.changed[entry.backend] = None
-            if self.book.changed:
+                    self.book.changed_backends[entry.backend] = None
+            if self.book.changed_backends:
                 self.listed()
         for action in actions:
             if isinstance(action, face.Send):
@@ -72,14 +72,14 @@
     def gather(self, now: float) -> list[Evidence]:
         """What this proxy saw at first hand since the last time and is worth telling."""
         backends = self.transactions.balancer.backends
-        seen = first_hand(backends, self.sightings, self.lives(), self.name, self.epoch)
-        news = self.teller.news(seen, now)
+        seen = first_hand_evidence(backends, self.sightings, self.lives(), self.name, self.epoch)
+        news = self.teller.take_updates(seen, now)
         for e in news:
             self.book.merge(e, now)
         if now >= self.tidy_at:
             self.tidy_at = now + TIDY
             self.book.prune(now)
-            self.teller.keep(backends)
+            self.teller.retain(backends)
             self.posted = {name: last for name, last in self.posted.items() if name in backends}
         return news
 
@@ -101,23 +101,26 @@
     def dump(self, now: float, most: int = MOST_TOLD) -> list[bytes]:
         """What of all that is held tells most, with ages; made once a second at most, as it takes long."""
         if now >= self.dumped_at + GATHER:
-            self.dumped_at, self.dumped = now, [encode(e, now) for e in worth_most(self.book.all(), now)]
+            self.dumped_at, self.dumped = (
+                now,
+                [encode(e, now) for e in worth_most(self.book.all_evidence(), now)],
+            )
         return self.dumped[:most]
 
     def advise(self, now: float) -> bool:
         """Tell the module what others say, where that differs from before; whether there is more to tell."""
-        changed, members = self.book.changed, self.pool.members
-        names = list(islice(changed, SOME))
+        changed, members = self.book.changed_backends, self.pool.members
+        names = list(islice(changed, BACKENDS_PER_PASS))
         for name in names:
             del changed[name]
         on_list = (members[name] for name in names if name in members)
         lives = {m.name: m.born_ms for m in on_list if m.left_at is None}
-        said = self.book.hearsay(now, lives, (self.name, self.epoch))
+        said = self.book.peer_estimates(now, lives, (self.name, self.epoch))
         words = []
         for name, (slower, weight) in said.items():
             started = self.pool.module_time(lives[name])
             of, when, before = self.posted.get(name, (started, now, 0.0))
-            left = before * (1 - FADE) ** ((now - when) / 1000.0) if of == started else 0.0
+            left = before * (1 - DECAY_PER_S) ** ((now - when) / 1000.0) if of == started else 0.0
             lowers = max(0.0, slower) * weight
             if abs(lowers - left) > SLIGHT:
                 words.append(face.Hearsay(name, started, slower, weight))
--- a/brackenusher/membership/peers.py
+++ b/brackenusher/membership/peers.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from barleybarrow.knowledge import OLDEST, SOME
+from barleybarrow.knowledge import BACKENDS_PER_PASS, MAX_EVIDENCE_AGE_MS
 from brackenusher.config.operators import PeersSettings, SnapshotSettings
 from brackenusher.core.transaction import Transactions
 from brackenusher.membership import snapshot
@@ -493,12 +493,12 @@
     def save(self, again: bool = True) -> None:
         """Hand a snapshot to the thread that writes; dropped where that is still busy with others."""
         keeper, now, saved = self.keeper, clock(), time.time() * 1000.0
-        held = [e for e in keeper.book.all() if now - e.at <= OLDEST]
+        held = [e for e in keeper.book.all_evidence() if now - e.at <= MAX_EVIDENCE_AGE_MS]
         records: list[bytes] = []
 
         def go_on() -> None:
             """Encode a part: all in one go would hold up the loop."""
-            part = held[len(records) : len(records) + SOME] if again else held
+            part = held[len(records) : len(records) + BACKENDS_PER_PASS] if again else held
             records.extend(encode(e, now) for e in part)
             if len(records) < len(held):
                 self.later(NEXT_PART, go_on)
@@ -535,5 +535,5 @@
             "%(dropped)d without room; %(unsaved)d snapshots not written"
         )
         unsaved = self.channel.dropped if self.channel is not None else 0
-        facts = {"pieces": book.size, "words": keeper.told, "absurd": book.absurd + keeper.rejected}
+        facts = {"pieces": book.size, "words": keeper.told, "absurd": book.invalid + keeper.rejected}
         say(log, logging.INFO, "knowledge_end", text, **facts, dropped=book.dropped, unsaved=unsaved)
--- a/brackenusher/membership/show.py
+++ b/brackenusher/membership/show.py
@@ -103,7 +103,7 @@
 def line(e: Evidence, now: float) -> str:
     born = f"{e.born:.0f}" if e.born else "-"
     return (
-        f"{e.backend:<20} {born:>14} {e.origin:<12} {exp(e.slower):>6.2f} {e.worth(now):>6.2f} "
+        f"{e.backend:<20} {born:>14} {e.origin:<12} {exp(e.slower):>6.2f} {e.remaining_weight(now):>6.2f} "
         f"{e.failing:>5.2f} {e.limit:>6.2f} {e.warm:>5.2f} {seconds(now - e.at):>7} "
         f"{ago(e.answered, e, now):>9} {ago(e.failed, e, now):>9} {ago(e.silent, e, now):>9}"
     )
--- a/brackenusher/membership/snapshot.py
+++ b/brackenusher/membership/snapshot.py
@@ -12,7 +12,7 @@
 import msgspec
 from msgspec import Meta, Struct
 
-from barleybarrow.knowledge import MOST_HELD
+from barleybarrow.knowledge import MAX_EVIDENCE
 from brackenusher.membership.frames import ENCODER, Record
 
 FORM = 1
@@ -32,7 +32,7 @@
     saved: Annotated[float, Meta(ge=0, le=1e15)]  # Unix milliseconds
     name: Annotated[str, Meta(max_length=128)]
     epoch: int
-    records: Annotated[list[Record], Meta(max_length=MOST_HELD)] = []
+    records: Annotated[list[Record], Meta(max_length=MAX_EVIDENCE)] = []
 
 
 DECODER = msgspec.msgpack.Decoder(Snapshot)
--- a/brackenusher/records/replay.py
+++ b/brackenusher/records/replay.py
@@ -272,7 +272,7 @@
         """Replay the rate limiter's decision, if there was one."""
         if self.rate_limiter is not None and "door" in line.pairs:
             clock, key = line.fields("door")
-            wait = self.rate_limiter.ask(unquote(key), float(clock))
+            wait = self.rate_limiter.acquire(unquote(key), float(clock))
             self.limiter_decisions[line.line_number] = f"door {wait:.0f}" if wait else "let in"
         return []
 
--- a/brackenusher/upstream/connections.py
+++ b/brackenusher/upstream/connections.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from barleybarrow import interface as face
-from barleybarrow.connections import Cause, Held
+from barleybarrow.connections import CloseReason, PooledConnection
 from barleybarrow.interface import Outcome
 from barleybarrow.settings import REPORT_FIELDS
 from brackenusher.core.message import Message
@@ -54,7 +54,7 @@
         self.budget = budget  # of streamed responses; None: responses are not streamed
         self.connect_timeout_ms = settings.connect_timeout or DEFAULT_CONNECT_TIMEOUT_MS
         self.planner = pool.planner
-        self.planner.room = max_connections
+        self.planner.capacity = max_connections
         self.written = 0  # attempts written completely, without probes
         self.sweep_scheduled = False  # a sweep of the planner is scheduled
         self.reported_counts: Counter[tuple[str, str]] = Counter()  # by name and cause
@@ -75,22 +75,22 @@
 
     def connect(self, member: Member, ahead: bool = False) -> "ServerLink | Outcome":
         planner, now = self.planner, clock()
-        if member.line.left or not planner.may_open(member.line, now):
+        if member.line.removed or not planner.may_open(member.line, now):
             return Outcome.NOT_SENT
-        if planner.total >= planner.room and (ahead or not self.pool.evict_idle()):
+        if planner.connection_count >= planner.capacity and (ahead or not self.pool.evict_idle()):
             return Outcome.NOT_SENT
         try:
             sock, done = open_socket(member.address)
         except OSError as error:
             if error.errno not in SHORTAGE:
-                planner.not_opened(member.line, now)
+                planner.on_connect_refused(member.line, now)
                 return Outcome.CONNECT_FAILED
             if not ahead:
                 self.pool.evict_idle()
             return Outcome.NOT_SENT
         if not self.sweep_scheduled:
             self.sweep_scheduled = True
-            self.loop.deadlines.add(now + planner.every, self.sweep)
+            self.loop.deadlines.add(now + planner.sweep_interval_ms, self.sweep)
         return ServerLink(self, member, sock, done, ahead)
 
     def sweep(self) -> None:
@@ -102,31 +102,37 @@
             member = self.pool.members.get(line.name)
             if member is not None and member.line is line:
                 self.connect(member, ahead=True)
-        self.sweep_scheduled = bool(self.planner.active)
+        self.sweep_scheduled = bool(self.planner.active_servers)
         if self.sweep_scheduled:
-            self.loop.deadlines.add(clock() + self.planner.every, self.sweep)
+            self.loop.deadlines.add(clock() + self.planner.sweep_interval_ms, self.sweep)
 
     def figures(self) -> list[tuple[str, int, str, list[tuple[str, str]]]]:
         """Counter increments since the last call, and the numbers of open connections."""
         planner = self.planner
-        counts = {("connections_closed", cause.value): count for cause, count in planner.closes.items()}
+        counts = {
+            ("connections_closed", cause.value): count for cause, count in planner.closed_by_cause.items()
+        }
         counts["connections_opened", ""] = planner.opened
-        counts["connections_opened_ahead", ""] = planner.opened_ahead
+        counts["connections_opened_ahead", ""] = planner.preconnected
         counts["connections_reused", ""] = planner.reused
-        counts["connections_not_opened", ""] = planner.full
-        counts["requests_moved", ""] = planner.rescued
+        counts["connections_not_opened", ""] = planner.blocked_by_cap
+        counts["requests_moved", ""] = planner.moved_requests
         changes = [
             (name, count - self.reported_counts[name, cause], "c", [("cause", cause)] if cause else [])
             for (name, cause), count in counts.items()
             if count > self.reported_counts[name, cause]
         ]
         self.reported_counts = Counter(counts)
-        idle = sum(len(line.idle) for line in planner.active)
-        return [*changes, ("connections_held", planner.total, "g", []), ("connections_idle", idle, "g", [])]
+        idle = sum(len(line.idle) for line in planner.active_servers)
+        return [
+            *changes,
+            ("connections_held", planner.connection_count, "g", []),
+            ("connections_idle", idle, "g", []),
+        ]
 
     def cancel(self, attempt: Attempt) -> None:
         if attempt.carriage is not None:
-            attempt.carriage.close(Cause.GIVEN_UP)
+            attempt.carriage.close(CloseReason.GIVEN_UP)
 
     def disconnect(self, backend: str) -> None:
         member = self.pool.members.get(backend)
@@ -185,14 +191,14 @@
     ) -> None:
         self.upstream, self.member, self.sock = upstream, member, sock
         self.planner = upstream.planner
-        self.held: Held = self.planner.opening(member.line, self, clock(), ahead)
+        self.held: PooledConnection = self.planner.begin_connect(member.line, self, clock(), ahead)
         self.attempt: Attempt | Probe | None = None
         self.connect_timer: Entry | None = None
         self.deadline_timer: Entry | None = None
         self.stall: Entry | None = None
         self.written_at: float | None = None  # when the present request was written completely
         self.rechecked = False  # a last read was made after the deadline
-        self.close_cause = Cause.FAULT
+        self.close_cause = CloseReason.FAULT
         self.flow = Flow(f"{member.address[0]}:{member.address[1]}".encode(), upstream.budget)
         self.progress_at = 0.0  # when the peer last accepted or sent bytes
         self.result: AttemptResult | None = None
@@ -214,11 +220,11 @@
                 while not (yield WRITE):
                     pass  # woken because an attempt was assigned
                 if self.sock.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR):
-                    self.finish_attempt(Outcome.CONNECT_FAILED, cause=Cause.REFUSED)
+                    self.finish_attempt(Outcome.CONNECT_FAILED, cause=CloseReason.REFUSED)
                     return
             self.upstream.loop.deadlines.remove(self.connect_timer)
-            if not self.planner.up(self.held, clock()):
-                self.close_cause = Cause.LEFT
+            if not self.planner.on_connected(self.held, clock()):
+                self.close_cause = CloseReason.LEFT
                 return
             while True:
                 while self.attempt is None:
@@ -233,7 +239,7 @@
         """Carry out one request; return whether the connection can be reused."""
         if not self.upstream.pool.may_begin(self.member):
             # it waited for the connect until after the drain limit
-            return self.finish_attempt(Outcome.CONNECT_FAILED, cause=Cause.LEFT)
+            return self.finish_attempt(Outcome.CONNECT_FAILED, cause=CloseReason.LEFT)
         if not self.healthy():
             return self.retry_on_another(self.close_cause)
         attempt, self.result = self.attempt, None
@@ -244,16 +250,16 @@
         try:
             written = yield from self.send_request(attempt)
         except OSError:
-            return self.retry_on_another(Cause.UNWRITTEN)
+            return self.retry_on_another(CloseReason.UNWRITTEN)
         if not written:  # the member responded or closed early, or the client is gone
             early_result: AttemptResult | None = self.result
             if early_result is None:
-                return self.finish_attempt(Outcome.NOT_SENT, cause=Cause.GIVEN_UP)
+                return self.finish_attempt(Outcome.NOT_SENT, cause=CloseReason.GIVEN_UP)
             if early_result.outcome is Outcome.RESET:
-                return self.retry_on_another(Cause.UNWRITTEN)
+                return self.retry_on_another(CloseReason.UNWRITTEN)
             if self.flow.rest is not None:
                 return (yield from self.stream_response())
-            return self.finish_attempt(early_result.outcome, early_result.served, cause=Cause.TOLD)
+            return self.finish_attempt(early_result.outcome, early_result.served, cause=CloseReason.TOLD)
         self.written_at = clock()
         if isinstance(attempt, Attempt):
             self.upstream.written += 1
@@ -273,14 +279,14 @@
         if self.flow.rest is not None:
             return (yield from self.stream_response())
         result, reusable = self.result, self.finish_response()
-        return self.finish_attempt(result.outcome, result.served, reusable, Cause.TOLD)
+        return self.finish_attempt(result.outcome, result.served, reusable, CloseReason.TOLD)
 
     def finish_response(self) -> bool:
         """Handle a complete response; return whether the connection can be reused."""
-        self.planner.answered(self.held, clock())
+        self.planner.on_answer(self.held, clock())
         reusable = self.flow.renew()
         if self.flow.keep_alive_s is not None:
-            self.planner.promised(self.held, self.flow.keep_alive_s * 1000.0)
+            self.planner.on_idle_timeout_announced(self.held, self.flow.keep_alive_s * 1000.0)
         return reusable
 
     def send_request(self, attempt: "Attempt | Probe") -> Generator[int, int, bool]:
@@ -344,7 +350,7 @@
             pipe.to_writer = nothing
             if not codec.ended:
                 codec.end_stream(complete=False)
-        return self.keep_or_close(pipe.whole and self.finish_response(), Cause.TOLD)
+        return self.keep_or_close(pipe.whole and self.finish_response(), CloseReason.TOLD)
 
     def receive(self) -> None:
         try:
@@ -377,7 +383,7 @@
         self.upstream.loop.deadlines.remove(self.stall)
         self.stall = None
 
-    def retry_on_another(self, cause: Cause) -> bool:
+    def retry_on_another(self, cause: CloseReason) -> bool:
         """Handle a request that cannot have been executed, as its last byte was not written.
 
         On a connection that was idle this says nothing about the member, and the request is retried at once
@@ -386,24 +392,29 @@
         planner, held, now, attempt = self.planner, self.held, clock(), self.attempt
         assert attempt is not None
         # Whether this is still the process that the policy chose.
-        same_process = held.line is self.member.line and not held.line.left
+        same_process = held.server is self.member.line and not held.server.removed
         same_process = same_process and not attempt.message.partly_sent
-        if held.age < 0 or not same_process or not planner.settings.rescue or now >= attempt.deadline:
+        if (
+            held.idle_before_use < 0
+            or not same_process
+            or not planner.settings.retry_unsent
+            or now >= attempt.deadline
+        ):
             return self.finish_attempt(Outcome.CONNECT_FAILED, cause=cause)
         self.detach_attempt()
         self.close_cause = cause
-        planner.rescued += 1
-        planner.closed(held, now, cause)  # first, as its replacement counts towards the limit
+        planner.moved_requests += 1
+        planner.on_closed(held, now, cause)  # first, as its replacement counts towards the limit
         self.upstream.assign(attempt, self.member)
         return False
 
     def connection_reset(self) -> bool:
         """Handle the loss of the connection after a request was written: it may have been executed."""
         if self.written_at is not None and not self.flow.begun:
-            self.planner.lost(self.held, clock(), self.written_at, reset=True)
+            self.planner.on_request_lost(self.held, clock(), self.written_at, reset=True)
         if self.flow.rest is not None:  # streaming had just started, and nobody reads the pipe yet
             self.flow.rest.stop()
-        return self.finish_attempt(Outcome.RESET, cause=Cause.RESET)
+        return self.finish_attempt(Outcome.RESET, cause=CloseReason.RESET)
 
     def detach_attempt(self) -> "Attempt | Probe | None":
         """Detach the attempt from this connection, and cancel its timers."""
@@ -421,7 +432,7 @@
         outcome: Outcome,
         served: Served | None = None,
         reusable: bool = False,
-        cause: Cause = Cause.FAULT,
+        cause: CloseReason = CloseReason.FAULT,
     ) -> bool:
         """Report the outcome of the attempt; return whether the connection is kept.
 
@@ -433,17 +444,17 @@
             attempt.ended(attempt, outcome, served)
         return kept
 
-    def keep_or_close(self, reusable: bool, cause: Cause) -> bool:
+    def keep_or_close(self, reusable: bool, cause: CloseReason) -> bool:
         """Offer the connection for reuse; return whether it was kept, or else closes for a cause."""
-        cause_to_close = self.planner.done(self.held, clock()) if reusable else cause
+        cause_to_close = self.planner.release(self.held, clock()) if reusable else cause
         if cause_to_close is not None:
             self.close_cause = cause_to_close
-            self.planner.closed(self.held, clock(), cause_to_close)
+            self.planner.on_closed(self.held, clock(), cause_to_close)
         return cause_to_close is None
 
     def connect_timed_out(self) -> None:
-        self.finish_attempt(Outcome.CONNECT_FAILED, cause=Cause.REFUSED)
-        self.close(Cause.REFUSED)
+        self.finish_attempt(Outcome.CONNECT_FAILED, cause=CloseReason.REFUSED)
+        self.close(CloseReason.REFUSED)
 
     def expired(self) -> None:
         """Handle the attempt's deadline; it cannot have been executed unless it was written completely.
@@ -459,11 +470,11 @@
             self.task.wake()
             return
         if self.written_at is not None and not self.flow.begun:
-            self.planner.lost(self.held, clock(), self.written_at, reset=False)
+            self.planner.on_request_lost(self.held, clock(), self.written_at, reset=False)
         self.finish_attempt(
-            Outcome.TIMEOUT if self.written_at is not None else Outcome.NOT_SENT, cause=Cause.GIVEN_UP
+            Outcome.TIMEOUT if self.written_at is not None else Outcome.NOT_SENT, cause=CloseReason.GIVEN_UP
         )
-        self.close(Cause.GIVEN_UP)
+        self.close(CloseReason.GIVEN_UP)
 
     def hurry(self) -> None:
         """Handle a slow response: stream it if possible, or else wait for it until it stalls."""
@@ -476,34 +487,34 @@
         """Handle a peer that makes no progress on a streamed body."""
         if self.attempt is not None:
             self.finish_attempt(
-                Outcome.NOT_SENT if self.written_at is None else Outcome.ERROR, cause=Cause.GIVEN_UP
+                Outcome.NOT_SENT if self.written_at is None else Outcome.ERROR, cause=CloseReason.GIVEN_UP
             )
-        self.close(Cause.GIVEN_UP)
+        self.close(CloseReason.GIVEN_UP)
 
     def response_stalled(self) -> None:
         """Handle a response that has stopped halfway: the request may have been executed."""
-        self.finish_attempt(Outcome.ERROR, cause=Cause.GIVEN_UP)
-        self.close(Cause.GIVEN_UP)
+        self.finish_attempt(Outcome.ERROR, cause=CloseReason.GIVEN_UP)
+        self.close(CloseReason.GIVEN_UP)
 
     def healthy(self) -> bool:
         """Whether an idle connection has neither data nor an end of stream pending; else set the cause."""
         try:
-            self.close_cause = Cause.STRAY if self.sock.recv(1, socket.MSG_PEEK) else Cause.ENDED
+            self.close_cause = CloseReason.STRAY if self.sock.recv(1, socket.MSG_PEEK) else CloseReason.ENDED
         except BlockingIOError:
             return True
         except OSError:
-            self.close_cause = Cause.ENDED
+            self.close_cause = CloseReason.ENDED
         return False
 
-    def close(self, cause: Cause) -> None:
+    def close(self, cause: CloseReason) -> None:
         """Close the connection; reports no outcome of its attempt."""
         self.close_cause = cause
         self.detach_attempt()
-        self.planner.closed(self.held, clock(), cause)  # its coroutine may be running and end later
+        self.planner.on_closed(self.held, clock(), cause)  # its coroutine may be running and end later
         self.task.stop()
 
     def clean_up(self) -> None:
         self.upstream.loop.deadlines.remove(self.connect_timer)
-        self.planner.closed(self.held, clock(), self.close_cause)
+        self.planner.on_closed(self.held, clock(), self.close_cause)
         if self.attempt is not None:  # left here only by an unexpected failure
             self.finish_attempt(Outcome.CONNECT_FAILED if self.written_at is None else Outcome.RESET)
--- a/brackenusher/upstream/pool.py
+++ b/brackenusher/upstream/pool.py
@@ -5,7 +5,13 @@
 from typing import Any, Protocol
 
 from barleybarrow import interface as face
-from barleybarrow.connections import Cause, ConnectionSettings, Held, Line, Planner
+from barleybarrow.connections import (
+    CloseReason,
+    ConnectionSettings,
+    Planner,
+    PooledConnection,
+    ServerConnections,
+)
 from barleybarrow.subsets import Subset
 from brackenusher.upstream.listing import Host, Listing
 
@@ -17,10 +23,10 @@
     """An open connection to a member."""
 
     member: "Member"
-    held: Held
+    held: PooledConnection
 
     def carry(self, attempt: Any) -> None: ...
-    def close(self, cause: Cause) -> None: ...
+    def close(self, cause: CloseReason) -> None: ...
 
 
 class Member:
@@ -28,7 +34,7 @@
 
     __slots__ = ("name", "address", "born_ms", "left_at", "line", "host")
 
-    def __init__(self, host: Host, line: Line) -> None:
+    def __init__(self, host: Host, line: ServerConnections) -> None:
         self.name, self.address, self.born_ms = host.name, host.address, host.born_ms
         self.host = host  # its latest entry
         self.left_at: float | None = None  # when this proxy learned that it drains or is gone
@@ -37,7 +43,7 @@
     def hang_up(self) -> None:
         """Close its idle connections."""
         for held in list(self.line.idle):
-            held.link.close(Cause.LEFT)
+            held.link.close(CloseReason.LEFT)
 
 
 class NamePositions:
@@ -143,7 +149,7 @@
             health = "draining"  # for the policy, until administrators put it back into use
         if health == "ready":
             member.left_at = None
-            if member.line.left:
+            if member.line.removed:
                 member.line = self.add_line(host)
         else:
             self.part(member)
@@ -170,13 +176,13 @@
             member.left_at = self.clock()
         self.drop_connections(member)
 
-    def add_line(self, host: Host) -> Line:
-        return self.planner.join(host.name, self.clock(), self.module_time(host.born_ms))
+    def add_line(self, host: Host) -> ServerConnections:
+        return self.planner.add_server(host.name, self.clock(), self.module_time(host.born_ms))
 
     def drop_connections(self, member: Member) -> None:
         """Close the connections to the member's present process; requests in flight finish first."""
-        for held in self.planner.leave(member.line):
-            held.link.close(Cause.LEFT)
+        for held in self.planner.remove_server(member.line):
+            held.link.close(CloseReason.LEFT)
 
     def module_time(self, born_ms: float) -> float:
         """Convert Unix time to the policy's clock; 0, for long ago, stays 0."""
@@ -188,13 +194,13 @@
 
     def lend(self, member: Member, safe: bool) -> Connection | None:
         """Take an idle connection; None if a new one is to be opened."""
-        held = self.planner.lend(member.line, self.clock(), safe)
+        held = self.planner.acquire(member.line, self.clock(), safe)
         return held.link if held is not None else None
 
     def evict_idle(self) -> bool:
         """Close an idle connection to stay within the limit; False if there is none."""
-        held = self.planner.spare()
+        held = self.planner.eviction_candidate()
         if held is None:
             return False
-        held.link.close(Cause.ROOM)
+        held.link.close(CloseReason.ROOM)
         return True
--- a/testbed/portions.py
+++ b/testbed/portions.py
@@ -6,7 +6,7 @@
 import random
 from typing import Any
 
-from barleybarrow.rate_limiter import Limit, RateLimiterSettings
+from barleybarrow.rate_limiter import RateLimit, RateLimiterSettings
 from barleybarrow.shares import LimitShares, SharedRateLimiter
 from testbed.cluster import PERIOD, Machines
 
@@ -38,7 +38,7 @@
 
     def begin(self, i: int) -> None:
         rng = random.Random(self.rng.random())
-        door = SharedRateLimiter(RateLimiterSettings(tenant=Limit(self.rate, self.burst)))
+        door = SharedRateLimiter(RateLimiterSettings(tenant=RateLimit(self.rate, self.burst)))
         shares = LimitShares(f"n{i}", self.keepers, rng, self.clock(i), self.proxies, lambda key: self.rate)
         door.shares = shares
         self.shares[i], self.doors[i] = shares, door
@@ -58,7 +58,7 @@
 
     def client(self, i: int) -> None:
         if self.demand[i] and self.runs(i):
-            if self.doors[i].ask("t", self.clock(i)) == 0.0:
+            if self.doors[i].acquire("t", self.clock(i)) == 0.0:
                 self.admitted.append((self.now, i))
             else:
                 self.refused += 1
--- a/testbed/proxy.py
+++ b/testbed/proxy.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from barleybarrow import interface as face
-from barleybarrow.connections import Cause
+from barleybarrow.connections import CloseReason
 from barleybarrow.interface import Outcome
 from barleybarrow.settings import read_settings
 from brackenusher.core.deadlines import Deadlines
@@ -79,14 +79,14 @@
         self.up, self.closed, self.fresh = False, False, True
         self.idle_from = 0
         self.limit: Entry | None = None
-        self.held = proxy.pool.planner.opening(member.line, self, proxy.now)
+        self.held = proxy.pool.planner.begin_connect(member.line, self, proxy.now)
 
-    def close(self, cause: Cause) -> None:
+    def close(self, cause: CloseReason) -> None:
         """Called by the pool too: what is idle is hung up."""
         if not self.closed:
             self.closed = True
             proxy = self.proxy
-            proxy.pool.planner.closed(self.held, proxy.local(proxy.world.now), cause)
+            proxy.pool.planner.on_closed(self.held, proxy.local(proxy.world.now), cause)
             proxy.forget(self)
 
     def carry(self, load: "Carry") -> None:
@@ -98,7 +98,7 @@
         self.limit = None
         if not self.up and not self.closed:
             carry = self.load
-            self.close(Cause.REFUSED)
+            self.close(CloseReason.REFUSED)
             if carry is not None:
                 self.proxy.failed(carry)
                 carry.end(Outcome.CONNECT_FAILED)
@@ -155,14 +155,14 @@
         self.expiry = None
         if self.written:
             self.proxy.failed(self)
-            self.proxy.pool.planner.lost(self.link.held, self.proxy.now, self.wrote, reset=False)
+            self.proxy.pool.planner.on_request_lost(self.link.held, self.proxy.now, self.wrote, reset=False)
         self.end(Outcome.TIMEOUT if self.written else Outcome.NOT_SENT)
         self.give_up()
 
     def give_up(self) -> None:
         """Close the connection under an attempt; the server hears of it one way later."""
         self.link.load = None
-        self.link.close(Cause.GIVEN_UP)
+        self.link.close(CloseReason.GIVEN_UP)
         if self.written:
             self.proxy.world.given_up(self)
 
@@ -204,7 +204,7 @@
         unix_offset = UNIX_START + world.now / 1000.0 - self.now
         seed = world.seed * 1_000_003 + number * 1009 + life  # of the module: another one in each life
         self.pool = Pool(self.settings, self.clock, unix_offset, seed=seed)
-        self.pool.planner.room = ROOM
+        self.pool.planner.capacity = ROOM
         self.told = Told()
         self.balancer = POLICIES[policy](self.settings, seed, self.now, world.sight(self))
         self.transactions = Transactions(self.balancer, self.clock, self.deadlines, self)  # type: ignore[arg-type]
@@ -315,11 +315,11 @@
         A partition is silent, a machine without a process refuses.
         """
         world, planner = self.world, self.pool.planner
-        if member.line.left or not planner.may_open(member.line, self.now):
+        if member.line.removed or not planner.may_open(member.line, self.now):
             return None
         if not self.ticking:
             self.ticking = True
-            self.deadlines.add(self.now + planner.every, self.tick)
+            self.deadlines.add(self.now + planner.sweep_interval_ms, self.tick)
         host = world.addresses.get(member.address)
         link = Link(self, member, host)
         self.links[link] = None
@@ -343,7 +343,7 @@
         link.up = True
         self.deadlines.remove(link.limit)
         link.limit = None
-        self.pool.planner.up(link.held, self.now)
+        self.pool.planner.on_connected(link.held, self.now)
         if link.load is not None:
             self.write(link.load)
         self.rest()
@@ -354,7 +354,7 @@
             return
         self.enter()
         carry = link.load
-        link.close(Cause.REFUSED)
+        link.close(CloseReason.REFUSED)
         if carry is not None:
             self.failed(carry)
             carry.end(Outcome.CONNECT_FAILED)
@@ -366,7 +366,7 @@
         if not self.pool.may_begin(link.member):
             carry.end(Outcome.CONNECT_FAILED)
             link.load = None
-            link.close(Cause.LEFT)
+            link.close(CloseReason.LEFT)
             return
         carry.written, carry.wrote = True, self.now
         world = self.world
@@ -386,8 +386,8 @@
         link.load = None
         if not link.closed:
             planner = self.pool.planner
-            planner.answered(link.held, self.now)
-            ends = planner.done(link.held, self.now)
+            planner.on_answer(link.held, self.now)
+            ends = planner.release(link.held, self.now)
             if ends is None:
                 link.idle_from, link.fresh = self.world.now, False
             else:
@@ -400,9 +400,9 @@
         planner = self.pool.planner
         for held, cause in planner.sweep(self.now)[0]:
             held.link.close(cause)
-        self.ticking = bool(planner.active)
+        self.ticking = bool(planner.active_servers)
         if self.ticking:
-            self.deadlines.add(self.now + planner.every, self.tick)
+            self.deadlines.add(self.now + planner.sweep_interval_ms, self.tick)
 
     def reset(self, link: Link) -> None:
         """The connection breaks."""
@@ -412,12 +412,12 @@
         carry = link.load
         link.load = None
         if carry is None:
-            cause = Cause.ENDED
+            cause = CloseReason.ENDED
         elif carry.written:
-            cause = Cause.RESET
-            self.pool.planner.lost(link.held, self.now, carry.wrote, reset=True)
+            cause = CloseReason.RESET
+            self.pool.planner.on_request_lost(link.held, self.now, carry.wrote, reset=True)
         else:
-            cause = Cause.REFUSED
+            cause = CloseReason.REFUSED
         link.close(cause)
         if carry is not None:
             self.failed(carry)
--- a/testbed/world_processes.py
+++ b/testbed/world_processes.py
@@ -3,7 +3,7 @@
 import numpy as np
 
 from barleybarrow import interface as face
-from barleybarrow.connections import Cause
+from barleybarrow.connections import CloseReason
 from brackenusher.upstream.listing import Host as Listed
 from testbed import scenario as config
 from testbed.counts import SECOND
@@ -155,7 +155,7 @@
         links, host.links = list(host.links), {}
         for link in links:
             if link.load is None and link.up:
-                link.close(Cause.ENDED)
+                link.close(CloseReason.ENDED)
             elif not self.cut(link.proxy, host):
                 self.at(self.now + self.network.delay(host.zone, link.proxy.zone), link.proxy.reset, link)
         host.wake = None
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -3,7 +3,7 @@
 import pytest
 from helpers import SETTINGS
 
-from barleybarrow.rate_limiter import Limit, RateLimiter, RateLimiterSettings
+from barleybarrow.rate_limiter import RateLimit, RateLimiter, RateLimiterSettings
 from barleybarrow.settings import read_settings
 from barleybarrow.tokens import TokenSettings, issue
 from brackenusher.core.admission import Admission, Bar, Request, Verdict
@@ -36,7 +36,7 @@
         self.transactions.observers = Observers(
             turned_away=(lambda request, words: self.denials.append(words),)
         )
-        self.rate_limiter = RateLimiter(RateLimiterSettings(tenants={"kente-wars": Limit(2.0, burst)}))
+        self.rate_limiter = RateLimiter(RateLimiterSettings(tenants={"kente-wars": RateLimit(2.0, burst)}))
         self.admission = Admission(self.transactions, CONF, self.rate_limiter, KEYS, lambda: 1_000.0)
 
     def admit(self, name=b"a", token=GOOD, beyond=False):
--- a/tests/test_connections.py
+++ b/tests/test_connections.py
@@ -25,7 +25,14 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from barleybarrow.connections import AHEAD_ROOM, LIFETIME_SPREAD, Cause, ConnectionSettings, Planner, State
+from barleybarrow.connections import (
+    LIFETIME_SPREAD,
+    MAX_PRECONNECT_CAPACITY_SHARE,
+    CloseReason,
+    ConnectionSettings,
+    ConnectionState,
+    Planner,
+)
 from barleybarrow.interface import ListScope, Outcome
 from barleybarrow.settings import read_settings
 from barleybarrow.subsets import Subset
@@ -38,7 +45,9 @@
 from brackenusher.upstream.pool import Pool
 
 IDLE = 15_000.0  # milliseconds, as in the platform's settings
-AHEAD = ConnectionSettings(ahead=True, spare=1, hold=6_000.0, pace=10.0)
+AHEAD = ConnectionSettings(
+    preconnect=True, spare_connections=1, peak_window_ms=6_000.0, preconnects_per_s=10.0
+)
 
 
 class Harness:
@@ -46,28 +55,28 @@
 
     def __init__(self, settings=None, room=1000, **more):
         self.now = 1_000_000.0
-        self.planner = Planner(settings or ConnectionSettings(), room, 7, IDLE, cold=8_800.0, **more)
-        self.server = self.planner.join("a", self.now)
+        self.planner = Planner(settings or ConnectionSettings(), room, 7, IDLE, cold_start=8_800.0, **more)
+        self.server = self.planner.add_server("a", self.now)
         self.opened, self.closed_by_cause = Counter(), Counter()
 
     def open(self, server=None, ahead=False, handshake=1.0):
-        connection = self.planner.opening(server or self.server, None, self.now, ahead)
+        connection = self.planner.begin_connect(server or self.server, None, self.now, ahead)
         self.now += handshake
-        assert self.planner.up(connection, self.now)
+        assert self.planner.on_connected(connection, self.now)
         return connection
 
     def acquire(self, server=None, safe=True):
-        return self.planner.lend(server or self.server, self.now, safe) or self.open(server)
+        return self.planner.acquire(server or self.server, self.now, safe) or self.open(server)
 
     def serve(self, connection, duration=20.0):
         self.now += duration
-        self.planner.answered(connection, self.now)
+        self.planner.on_answer(connection, self.now)
         return self.release(connection)
 
     def release(self, connection):
-        cause = self.planner.done(connection, self.now)
+        cause = self.planner.release(connection, self.now)
         if cause is not None:
-            self.planner.closed(connection, self.now, cause)
+            self.planner.on_closed(connection, self.now, cause)
         return cause
 
     def open_idle(self, count, server=None):
@@ -80,21 +89,23 @@
     def fail_request(self, connection, reset=True, after=0.1):
         """A request was written completely and met a reset or a timeout."""
         wrote, self.now = self.now, self.now + after
-        self.planner.lost(connection, self.now, wrote, reset)
-        self.planner.closed(connection, self.now, Cause.RESET if reset else Cause.GIVEN_UP)
+        self.planner.on_request_lost(connection, self.now, wrote, reset)
+        self.planner.on_closed(connection, self.now, CloseReason.RESET if reset else CloseReason.GIVEN_UP)
 
     def sweep(self):
         """Run one sweep; preconnects succeed before the next one."""
         due, to_preconnect = self.planner.sweep(self.now)
         for connection, cause in due:
-            self.planner.closed(connection, self.now, cause)
+            self.planner.on_closed(connection, self.now, cause)
             self.closed_by_cause[cause] += 1
-        connecting = [self.planner.opening(server, None, self.now, ahead=True) for server in to_preconnect]
+        connecting = [
+            self.planner.begin_connect(server, None, self.now, preconnect=True) for server in to_preconnect
+        ]
         self.opened.update(server.name for server in to_preconnect)
-        self.now += self.planner.every
+        self.now += self.planner.sweep_interval_ms
         for connection in connecting:
-            if connection.state is State.OPENING:
-                self.planner.up(connection, self.now)
+            if connection.state is ConnectionState.OPENING:
+                self.planner.on_connected(connection, self.now)
 
     def run_sweeps(self, span):
         end = self.now + span
@@ -109,7 +120,7 @@
         harness.serve(harness.acquire())
         harness.run_sweeps(span)
         connection = harness.acquire()
-        if connection.age > 2_000.0:
+        if connection.idle_before_use > 2_000.0:
             harness.fail_request(connection)
             lost += 1
         else:
@@ -119,22 +130,22 @@
 
 def test_limit_learned_from_two_members_applies_to_members_without_one():
     harness = Harness()
-    servers = [harness.planner.join(name, harness.now) for name in "bcd"]
+    servers = [harness.planner.add_server(name, harness.now) for name in "bcd"]
     for server in servers[:2]:
         harness.serve(harness.acquire(server), 0.0)
         harness.now += 6_000.0
         harness.fail_request(harness.acquire(server))
-    assert harness.planner.limit(servers[2]) == 3_000.0
+    assert harness.planner.idle_limit_of(servers[2]) == 3_000.0
     connection = harness.open_idle(1)[0]  # unless a longer idle time worked elsewhere
     harness.now += 5_000.0
     assert (
-        harness.planner.lend(harness.server, harness.now, True) is None
+        harness.planner.acquire(harness.server, harness.now, True) is None
     )  # the limit applies to this one as well
     harness.planner.mark_in_use(connection, harness.now)
     harness.serve(connection)
-    assert harness.planner.limit(servers[2]) > 3_900.0
+    assert harness.planner.idle_limit_of(servers[2]) > 3_900.0
     harness.planner.sweep(harness.now + 300_001.0)  # and it expires
-    assert harness.planner.limit(servers[2]) == 0.6 * IDLE
+    assert harness.planner.idle_limit_of(servers[2]) == 0.6 * IDLE
 
 
 def test_process_end_does_not_shorten_the_idle_limit_and_restarts_cold():
@@ -142,15 +153,17 @@
     harness = Harness(AHEAD)
     busy, old = harness.open_idle(3), harness.open_idle(1)[0]
     for _ in busy:
-        assert harness.planner.lend(harness.server, harness.now, True) is not None
+        assert harness.planner.acquire(harness.server, harness.now, True) is not None
     harness.now += 7_000.0
-    assert harness.planner.lend(harness.server, harness.now, True) is old or old.state is State.BUSY
-    connection = next(each for each in (*busy, old) if each.age > 100.0)
+    assert (
+        harness.planner.acquire(harness.server, harness.now, True) is old or old.state is ConnectionState.BUSY
+    )
+    connection = next(each for each in (*busy, old) if each.idle_before_use > 100.0)
     harness.fail_request(connection)
     for other in (*busy, old):
         if other is not connection:
-            harness.planner.closed(other, harness.now, Cause.RESET)
-    assert harness.planner.limit(harness.server) == 0.6 * IDLE
+            harness.planner.on_closed(other, harness.now, CloseReason.RESET)
+    assert harness.planner.idle_limit_of(harness.server) == 0.6 * IDLE
     back = harness.open()
     assert harness.now + 8_000.0 < harness.server.cold_until <= back.state_since + 8_800.0
 
@@ -162,13 +175,13 @@
     harness.now += 6_000.0
     connection = harness.acquire()
     harness.fail_request(connection, reset=False, after=600.0)
-    assert harness.planner.limit(harness.server) == 0.6 * IDLE
-    (connection,) = [each for each in (first, other) if each.state is State.IDLE]
+    assert harness.planner.idle_limit_of(harness.server) == 0.6 * IDLE
+    (connection,) = [each for each in (first, other) if each.state is ConnectionState.IDLE]
     assert harness.acquire() is connection
     wrote = harness.now
     harness.serve(harness.open(), 20.0)
-    harness.planner.lost(connection, harness.now + 500.0, wrote, False)
-    assert harness.planner.limit(harness.server) < 0.6 * IDLE
+    harness.planner.on_request_lost(connection, harness.now + 500.0, wrote, False)
+    assert harness.planner.idle_limit_of(harness.server) < 0.6 * IDLE
 
 
 def test_idle_timeout_is_learned_from_two_closes_but_not_from_a_process_end():
@@ -176,14 +189,14 @@
     for _ in range(2):
         connection = harness.open_idle(1)[0]
         harness.now += 4_000.0
-        harness.planner.closed(connection, harness.now, Cause.ENDED)
+        harness.planner.on_closed(connection, harness.now, CloseReason.ENDED)
         harness.now += 500.0
-    assert harness.planner.limit(harness.server) == pytest.approx(3_200.0)
-    other = harness.planner.join("b", harness.now)
+    assert harness.planner.idle_limit_of(harness.server) == pytest.approx(3_200.0)
+    other = harness.planner.add_server("b", harness.now)
     pair = harness.open_idle(2, other)
     harness.now += 4_000.0
     for connection in pair:
-        harness.planner.closed(connection, harness.now, Cause.ENDED)
+        harness.planner.on_closed(connection, harness.now, CloseReason.ENDED)
     assert other.idle_limit == math.inf
 
 
@@ -193,13 +206,13 @@
     connection = harness.open_idle(1)[0]
     harness.now += 2_000.0
     harness.fail_request(harness.acquire())
-    assert harness.server.idle_limit == 1_000.0 and connection.state is State.CLOSED
+    assert harness.server.idle_limit == 1_000.0 and connection.state is ConnectionState.CLOSED
     harness.now += 10_000.0
     kept = harness.open_idle(1)[0]
     harness.run_sweeps(1_500.0)
-    assert kept.state is State.IDLE
-    assert harness.planner.lend(harness.server, harness.now, False) is None
-    assert harness.planner.lend(harness.server, harness.now, True) is kept
+    assert kept.state is ConnectionState.IDLE
+    assert harness.planner.acquire(harness.server, harness.now, False) is None
+    assert harness.planner.acquire(harness.server, harness.now, True) is kept
     harness.serve(kept)
     assert harness.server.idle_limit > 1_400.0
 
@@ -207,15 +220,15 @@
 def test_announced_idle_timeout_is_respected():
     harness = Harness()
     connection = harness.open_idle(1)[0]
-    harness.planner.promised(connection, 5_000.0)
+    harness.planner.on_idle_timeout_announced(connection, 5_000.0)
     harness.now += 4_500.0
-    assert harness.planner.lend(harness.server, harness.now, True) is None
+    assert harness.planner.acquire(harness.server, harness.now, True) is None
 
 
 def test_connections_opened_together_are_not_closed_together():
     # guards against a fleet closing and reopening all its connections in the same second
-    harness = Harness(ConnectionSettings(age=60_000.0), room=400)
-    servers = [harness.planner.join(f"s{n}", harness.now) for n in range(20)]
+    harness = Harness(ConnectionSettings(max_age_ms=60_000.0), room=400)
+    servers = [harness.planner.add_server(f"s{n}", harness.now) for n in range(20)]
     for server in servers:
         harness.open_idle(10, server)
     fullest, last = 0, 0
@@ -223,26 +236,26 @@
         for server in servers:  # each is used, so none reaches its idle limit
             for connection in list(server.idle):
                 connection.state_since = harness.now
-        before = harness.planner.closes[Cause.AGE]
+        before = harness.planner.closed_by_cause[CloseReason.AGE]
         harness.sweep()
-        fullest = max(fullest, harness.planner.closes[Cause.AGE] - before)
-        last = harness.planner.closes[Cause.AGE]
+        fullest = max(fullest, harness.planner.closed_by_cause[CloseReason.AGE] - before)
+        last = harness.planner.closed_by_cause[CloseReason.AGE]
     assert last == 200 and fullest <= 200 / 16
     harness = Harness(room=400)
     harness.open_idle(200)
     start = harness.now
-    while harness.planner.total:
+    while harness.planner.connection_count:
         harness.sweep()
     assert start + 0.6 * IDLE <= harness.now + 500 and len(harness.closed_by_cause) == 1
 
 
 def test_request_limits_of_connections_are_jittered():
-    harness = Harness(ConnectionSettings(requests=100))
+    harness = Harness(ConnectionSettings(max_requests=100))
     counts = set()
     for _ in range(10):
         connection = harness.open()
         while harness.serve(connection, 1.0) is None:
-            assert harness.planner.lend(harness.server, harness.now, True) is connection
+            assert harness.planner.acquire(harness.server, harness.now, True) is connection
         counts.add(connection.request_count)
     assert max(counts) <= 100 and min(counts) >= 100 * (1 - LIFETIME_SPREAD) and len(counts) > 4
 
@@ -261,7 +274,7 @@
 @pytest.mark.parametrize("ahead", [True, False])
 def test_second_burst_finds_open_connections(ahead):
     # guards against handshakes in each burst because all connections went idle in between
-    harness = Harness(replace(AHEAD, ahead=ahead, hold=30_000.0))
+    harness = Harness(replace(AHEAD, preconnect=ahead, peak_window_ms=30_000.0))
     burst(harness, 20, 50.0)
     burst(harness, 60, 50.0)
     for _ in range(3):
@@ -269,21 +282,23 @@
         found = burst(harness, 60, 50.0)
         assert found >= 50 if ahead else not found
     harness.run_sweeps(90_000.0)  # connections no longer needed are closed in the end
-    assert harness.planner.total == 0 and not harness.planner.active
+    assert harness.planner.connection_count == 0 and not harness.planner.active_servers
 
 
 def test_preconnects_are_paced_and_avoid_cold_members():
     # guards against handshakes that use up the budget of a newly started server
-    harness = Harness(replace(AHEAD, hold=60_000.0), proxies=2)
-    cold = harness.server = harness.planner.join("cold", harness.now, started=harness.now - 1_000.0)
+    harness = Harness(replace(AHEAD, peak_window_ms=60_000.0), proxies=2)
+    cold = harness.server = harness.planner.add_server("cold", harness.now, started=harness.now - 1_000.0)
     burst(harness, 40, 50.0)
     for connection in list(cold.idle):
-        harness.planner.closed(connection, harness.now, Cause.ROOM)
+        harness.planner.on_closed(connection, harness.now, CloseReason.ROOM)
     harness.run_sweeps(7_000.0)
     assert harness.opened["cold"] == 0
     start = harness.now = max(harness.now, cold.cold_until)
     harness.run_sweeps(3_000.0)
-    assert 5 < harness.opened["cold"] <= AHEAD.pace / 2 * (harness.now - start) / 1000.0 / 0.5 + 1
+    assert (
+        5 < harness.opened["cold"] <= AHEAD.preconnects_per_s / 2 * (harness.now - start) / 1000.0 / 0.5 + 1
+    )
 
 
 def test_connection_cap_is_learned_from_refusals_and_retried_with_backoff():
@@ -298,11 +313,13 @@
             harness.serve(connection, 0.0)
         if harness.planner.may_open(harness.server, harness.now):
             if n < 500:
-                harness.planner.not_opened(harness.server, harness.now)
+                harness.planner.on_connect_refused(harness.server, harness.now)
                 refusals.append(n)
             else:
                 harness.serve(harness.open(), 0.0)
-    assert 4 <= len(refusals) <= 8 and harness.server.connection_cap > 5 and harness.planner.full > 400
+    assert (
+        4 <= len(refusals) <= 8 and harness.server.connection_cap > 5 and harness.planner.blocked_by_cap > 400
+    )
 
 
 def test_refusal_by_an_ending_process_is_not_a_connection_cap():
@@ -311,7 +328,7 @@
     busy = harness.acquire()
     harness.open_idle(3)
     harness.now += 10.0
-    harness.planner.not_opened(harness.server, harness.now)
+    harness.planner.on_connect_refused(harness.server, harness.now)
     harness.serve(busy, 5.0)  # an answer sent before its end
     assert harness.planner.may_open(harness.server, harness.now)
     harness.now += 200.0
@@ -323,16 +340,18 @@
     # guards against memory that grows with member names, and a handshake storm when members return
     harness = Harness(AHEAD, room=4_000)
     for _ in range(3):
-        servers = [harness.planner.join(f"s{n}", harness.now, started=harness.now) for n in range(1_000)]
+        servers = [
+            harness.planner.add_server(f"s{n}", harness.now, started=harness.now) for n in range(1_000)
+        ]
         for server in servers:
             harness.open_idle(2, server)
         harness.run_sweeps(1_000.0)
-        assert not harness.opened and harness.planner.total == 2_000
+        assert not harness.opened and harness.planner.connection_count == 2_000
         for server in servers:
-            for connection in harness.planner.leave(server):
-                harness.planner.closed(connection, harness.now, Cause.LEFT)
+            for connection in harness.planner.remove_server(server):
+                harness.planner.on_closed(connection, harness.now, CloseReason.LEFT)
         harness.sweep()
-        assert harness.planner.total == 0 and not harness.planner.active
+        assert harness.planner.connection_count == 0 and not harness.planner.active_servers
 
 
 def serve_with_early_closes(harness, closes, answers):
@@ -343,23 +362,23 @@
         harness.serve(connection, 10.0)
         if n < closes:
             harness.now += 5.0
-            harness.planner.closed(connection, harness.now, Cause.ENDED)
+            harness.planner.on_closed(connection, harness.now, CloseReason.ENDED)
         else:
             harness.now += 200.0
 
 
 @pytest.mark.parametrize(("closes", "answers", "rests"), [(6, 400, True), (1, 400, False), (0, 10, False)])
 def test_reuse_is_delayed_when_members_close_soon_after_answers(closes, answers, rests):
-    harness = Harness(ConnectionSettings(rest=True))
-    harness.servers = [harness.planner.join(name, harness.now) for name in "bcd"]
+    harness = Harness(ConnectionSettings(delay_reuse=True))
+    harness.servers = [harness.planner.add_server(name, harness.now) for name in "bcd"]
     serve_with_early_closes(harness, closes, answers)
     server = harness.servers[0]
     connection = harness.acquire(server)
     harness.serve(connection, 0.0)
     harness.now += 2.0
-    assert (harness.planner.lend(server, harness.now, True) is None) is rests
+    assert (harness.planner.acquire(server, harness.now, True) is None) is rests
     harness.now += 20.0
-    assert not rests or harness.planner.lend(server, harness.now, True) is connection
+    assert not rests or harness.planner.acquire(server, harness.now, True) is connection
 
 
 class Life(RuleBasedStateMachine):
@@ -370,9 +389,16 @@
     def __init__(self):
         super().__init__()
         self.now = 1_000.0
-        settings = ConnectionSettings(ahead=True, rest=True, age=3_000.0, requests=9, spare=2, hold=2_000.0)
-        self.planner = Planner(settings, self.ROOM, 3, IDLE, cold=1_000.0, proxies=2)
-        self.lines = [self.planner.join(name, self.now) for name in "abc"]
+        settings = ConnectionSettings(
+            preconnect=True,
+            delay_reuse=True,
+            max_age_ms=3_000.0,
+            max_requests=9,
+            spare_connections=2,
+            peak_window_ms=2_000.0,
+        )
+        self.planner = Planner(settings, self.ROOM, 3, IDLE, cold_start=1_000.0, proxies=2)
+        self.lines = [self.planner.add_server(name, self.now) for name in "abc"]
         self.held = []
 
     def some(self, number, state):
@@ -386,86 +412,98 @@
     @rule(n=st.integers(0, 2), safe=st.booleans())
     def request(self, n, safe):
         line, now = self.lines[n], self.now
-        held = self.planner.lend(line, now, safe)
+        held = self.planner.acquire(line, now, safe)
         if held is not None:
-            assert held.line is line and not line.left and held.state is State.BUSY and held.age >= 0
-            limit = self.planner.limit(line)
-            assert held.age < (2 * limit if safe else limit)
-        elif not line.left and self.planner.may_open(line, now):
-            if self.planner.total >= self.ROOM:
-                spare = self.planner.spare()
+            assert (
+                held.server is line
+                and not line.removed
+                and held.state is ConnectionState.BUSY
+                and held.idle_before_use >= 0
+            )
+            limit = self.planner.idle_limit_of(line)
+            assert held.idle_before_use < (2 * limit if safe else limit)
+        elif not line.removed and self.planner.may_open(line, now):
+            if self.planner.connection_count >= self.ROOM:
+                spare = self.planner.eviction_candidate()
                 if spare is None:
                     return
-                self.planner.closed(spare, now, Cause.ROOM)
-            self.held.append(self.planner.opening(line, None, now))
+                self.planner.on_closed(spare, now, CloseReason.ROOM)
+            self.held.append(self.planner.begin_connect(line, None, now))
 
     @rule(number=st.integers(0, 99), up=st.booleans())
     def connected(self, number, up):
-        held = self.some(number, State.OPENING)
-        if held is not None and not (up and self.planner.up(held, self.now)):
-            self.planner.closed(held, self.now, Cause.LEFT if up else Cause.REFUSED)
+        held = self.some(number, ConnectionState.OPENING)
+        if held is not None and not (up and self.planner.on_connected(held, self.now)):
+            self.planner.on_closed(held, self.now, CloseReason.LEFT if up else CloseReason.REFUSED)
 
     @rule(number=st.integers(0, 99))
     def served(self, number):
-        held = self.some(number, State.BUSY)
+        held = self.some(number, ConnectionState.BUSY)
         if held is not None:
-            self.planner.answered(held, self.now)
-            cause = self.planner.done(held, self.now)
-            assert (cause is None) is (held.state is State.IDLE) and (cause is None) <= (not held.line.left)
+            self.planner.on_answer(held, self.now)
+            cause = self.planner.release(held, self.now)
+            assert (cause is None) is (held.state is ConnectionState.IDLE) and (cause is None) <= (
+                not held.server.removed
+            )
             if cause is not None:
-                self.planner.closed(held, self.now, cause)
+                self.planner.on_closed(held, self.now, cause)
 
-    @rule(number=st.integers(0, 99), cause=st.sampled_from([Cause.RESET, Cause.GIVEN_UP, Cause.UNWRITTEN]))
+    @rule(
+        number=st.integers(0, 99),
+        cause=st.sampled_from([CloseReason.RESET, CloseReason.GIVEN_UP, CloseReason.UNWRITTEN]),
+    )
     def broke(self, number, cause):
-        held = self.some(number, State.BUSY)
+        held = self.some(number, ConnectionState.BUSY)
         if held is not None:
-            if cause is not Cause.UNWRITTEN:
-                self.planner.lost(held, self.now, self.now - 1.0, cause is Cause.RESET)
-            self.planner.closed(held, self.now, cause)
-            self.planner.closed(held, self.now, Cause.FAULT)
+            if cause is not CloseReason.UNWRITTEN:
+                self.planner.on_request_lost(held, self.now, self.now - 1.0, cause is CloseReason.RESET)
+            self.planner.on_closed(held, self.now, cause)
+            self.planner.on_closed(held, self.now, CloseReason.FAULT)
 
     @rule(number=st.integers(0, 99))
     def ended(self, number):
-        held = self.some(number, State.IDLE)
+        held = self.some(number, ConnectionState.IDLE)
         if held is not None:
-            self.planner.closed(held, self.now, Cause.ENDED)
+            self.planner.on_closed(held, self.now, CloseReason.ENDED)
 
     @rule(n=st.integers(0, 2))
     def leaves(self, n):
-        for held in self.planner.leave(self.lines[n]):
-            self.planner.closed(held, self.now, Cause.LEFT)
+        for held in self.planner.remove_server(self.lines[n]):
+            self.planner.on_closed(held, self.now, CloseReason.LEFT)
 
-    @precondition(lambda self: any(line.left for line in self.lines))
+    @precondition(lambda self: any(line.removed for line in self.lines))
     @rule()
     def comes_back(self):
         for n, line in enumerate(self.lines):
-            if line.left:
-                self.lines[n] = self.planner.join(line.name, self.now, self.now)
+            if line.removed:
+                self.lines[n] = self.planner.add_server(line.name, self.now, self.now)
 
     @rule()
     def sweep(self):
-        before = self.planner.total
+        before = self.planner.connection_count
         due, wanted = self.planner.sweep(self.now)
         for held, cause in due:
-            assert held.state is State.IDLE
-            self.planner.closed(held, self.now, cause)
-        assert len(set(wanted)) == len(wanted) <= max(0, self.ROOM * AHEAD_ROOM - before)
+            assert held.state is ConnectionState.IDLE
+            self.planner.on_closed(held, self.now, cause)
+        assert len(set(wanted)) == len(wanted) <= max(0, self.ROOM * MAX_PRECONNECT_CAPACITY_SHARE - before)
         for line in wanted:
-            assert not line.left and not line.opening and self.now >= line.cold_until
-            self.held.append(self.planner.opening(line, None, self.now, ahead=True))
+            assert not line.removed and not line.preconnecting and self.now >= line.cold_until
+            self.held.append(self.planner.begin_connect(line, None, self.now, preconnect=True))
 
     @invariant()
     def bounds(self):
-        self.held = [held for held in self.held if held.state is not State.CLOSED]
-        assert self.planner.total == len(self.held) <= self.ROOM
-        for line in {held.line for held in self.held} | set(self.lines):
-            mine = [held for held in self.held if held.line is line]
-            assert line.held == len(mine)
-            assert sorted(map(id, line.idle)) == sorted(id(h) for h in mine if h.state is State.IDLE)
-            assert line.opening == sum(held.ahead for held in mine) <= 1
-            assert line.used == line.held - line.opening - len(line.idle)
-            assert not mine or line in self.planner.active
-        assert len(self.planner.active) <= len(self.held) + len(self.lines) + 30
+        self.held = [held for held in self.held if held.state is not ConnectionState.CLOSED]
+        assert self.planner.connection_count == len(self.held) <= self.ROOM
+        for line in {held.server for held in self.held} | set(self.lines):
+            mine = [held for held in self.held if held.server is line]
+            assert line.connection_count == len(mine)
+            assert sorted(map(id, line.idle)) == sorted(
+                id(h) for h in mine if h.state is ConnectionState.IDLE
+            )
+            assert line.preconnecting == sum(held.is_preconnect for held in mine) <= 1
+            assert line.in_use == line.connection_count - line.preconnecting - len(line.idle)
+            assert not mine or line in self.planner.active_servers
+        assert len(self.planner.active_servers) <= len(self.held) + len(self.lines) + 30
 
 
 TestLife = Life.TestCase
@@ -579,13 +617,17 @@
         breaks.append(BrokenPipeError())
         assert driver.ask() is Outcome.SERVED
         planner = driver.upstream.planner
-        assert (planner.rescued, planner.closes[Cause.UNWRITTEN], len(server.requests)) == (1, 1, 2)
+        assert (
+            planner.moved_requests,
+            planner.closed_by_cause[CloseReason.UNWRITTEN],
+            len(server.requests),
+        ) == (1, 1, 2)
         breaks += [
             BrokenPipeError(),
             BrokenPipeError(),
         ]  # the new connection fails as well: the member's fault
         assert driver.ask() is Outcome.CONNECT_FAILED
-        assert planner.total == 0 and len(server.requests) == 2
+        assert planner.connection_count == 0 and len(server.requests) == 2
 
 
 def test_completely_written_request_is_never_resent():
@@ -601,7 +643,11 @@
         driver = Driver(server)
         assert [driver.ask(), driver.ask()] == [Outcome.SERVED, Outcome.RESET]
         planner = driver.upstream.planner
-        assert (planner.rescued, planner.closes[Cause.RESET], len(server.requests)) == (0, 1, 2)
+        assert (planner.moved_requests, planner.closed_by_cause[CloseReason.RESET], len(server.requests)) == (
+            0,
+            1,
+            2,
+        )
 
 
 def test_close_detected_before_the_write_does_not_fail_the_request():
@@ -615,7 +661,11 @@
         )  # the loop has not noticed it
         assert driver.ask() is Outcome.SERVED
         planner = driver.upstream.planner
-        assert (planner.rescued, planner.closes[Cause.ENDED], len(server.connections)) == (1, 1, 2)
+        assert (
+            planner.moved_requests,
+            planner.closed_by_cause[CloseReason.ENDED],
+            len(server.connections),
+        ) == (1, 1, 2)
 
 
 def test_connection_frees_its_slot_while_its_coroutine_runs():
@@ -624,8 +674,8 @@
         driver, ends = Driver(first, second, room=1), []
         driver.start("s0", lambda outcome: (ends.append(outcome), driver.start("s1", ends.append)))
         driver.turn_until(lambda: len(ends) == 2)
-        assert ends == [Outcome.SERVED, Outcome.SERVED] and driver.upstream.planner.total == 1
-        assert driver.upstream.planner.closes == {Cause.ROOM: 1}
+        assert ends == [Outcome.SERVED, Outcome.SERVED] and driver.upstream.planner.connection_count == 1
+        assert driver.upstream.planner.closed_by_cause == {CloseReason.ROOM: 1}
 
 
 class SilentTimeoutServer(TurnServer):
--- a/tests/test_control.py
+++ b/tests/test_control.py
@@ -64,15 +64,15 @@
     assert not lifecycle.ready and lifecycle.drain(0.0) and lifecycle.stage is Stage.DRAINING
     lifecycle.resume()
     assert lifecycle.ready and lifecycle.drain(1000.0) and lifecycle.drain(2000.0)
-    assert not lifecycle.answers_end(1000.0 + MAX_ACCEPT_MS - 1) and lifecycle.answers_end(
+    assert not lifecycle.closes_after_answer(1000.0 + MAX_ACCEPT_MS - 1) and lifecycle.closes_after_answer(
         1000.0 + MAX_ACCEPT_MS
     )
-    assert not lifecycle.idle_end(1000.0 + IDLE_CLOSE_DELAY_MS - 1) and lifecycle.idle_end(
+    assert not lifecycle.closes_idle(1000.0 + IDLE_CLOSE_DELAY_MS - 1) and lifecycle.closes_idle(
         1000.0 + IDLE_CLOSE_DELAY_MS
     )
-    assert lifecycle.step(1000.0 + IDLE_CLOSE_DELAY_MS, 1) is Stage.DRAINING
-    assert lifecycle.step(1000.0 + DRAIN_SETTLED_MS, 1) is Stage.DRAINED
-    lifecycle.end()
+    assert lifecycle.update(1000.0 + IDLE_CLOSE_DELAY_MS, 1) is Stage.DRAINING
+    assert lifecycle.update(1000.0 + DRAIN_SETTLED_MS, 1) is Stage.DRAINED
+    lifecycle.begin_shutdown()
     assert not lifecycle.drain(9000.0) and not lifecycle.resume() and lifecycle.stage is Stage.SHUTTING_DOWN
 
 
--- a/tests/test_crowds.py
+++ b/tests/test_crowds.py
@@ -8,30 +8,36 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from barleybarrow.eviction import EVICTION_ORDER, Place, choose
+from barleybarrow.eviction import EVICTION_ORDER, ClientState, choose_victim
 
 
 @pytest.mark.parametrize(
     ("still", "goes"),
     [
         ({}, None),
-        ({Place.RESTING: 0.0}, Place.RESTING),
-        ({Place.PARTIAL: 100.0}, None),
-        ({Place.PARTIAL: 300.0, Place.RESTING: 150.0}, Place.RESTING),  # slow, but the idle one goes first
-        ({Place.PARTIAL: 900.0, Place.RESTING: 150.0}, Place.PARTIAL),  # stalled within a request
-        ({Place.PARTIAL: 900.0, Place.SILENT: 150.0}, Place.SILENT),
-        ({Place.PARTIAL: 300.0, Place.SILENT: 10.0}, Place.SILENT),
-        ({Place.SPENT: 0.0, Place.SILENT: 500.0}, Place.SPENT),
+        ({ClientState.KEEP_ALIVE: 0.0}, ClientState.KEEP_ALIVE),
+        ({ClientState.PARTIAL_REQUEST: 100.0}, None),
+        (
+            {ClientState.PARTIAL_REQUEST: 300.0, ClientState.KEEP_ALIVE: 150.0},
+            ClientState.KEEP_ALIVE,
+        ),  # slow, but the idle one goes first
+        (
+            {ClientState.PARTIAL_REQUEST: 900.0, ClientState.KEEP_ALIVE: 150.0},
+            ClientState.PARTIAL_REQUEST,
+        ),  # stalled within a request
+        ({ClientState.PARTIAL_REQUEST: 900.0, ClientState.NO_REQUEST: 150.0}, ClientState.NO_REQUEST),
+        ({ClientState.PARTIAL_REQUEST: 300.0, ClientState.NO_REQUEST: 10.0}, ClientState.NO_REQUEST),
+        ({ClientState.CLOSING: 0.0, ClientState.NO_REQUEST: 500.0}, ClientState.CLOSING),
     ],
 )
 def test_state_chosen_for_eviction(still, goes):
-    assert choose(still) is goes
+    assert choose_victim(still) is goes
 
 
-@given(st.dictionaries(st.sampled_from(Place), st.floats(0, 5000)))
+@given(st.dictionaries(st.sampled_from(ClientState), st.floats(0, 5000)))
 def test_first_matching_entry_of_the_order_is_chosen(still):
     # guards against a later entry of the order being applied before an earlier one that matches
-    goes = choose(still)
+    goes = choose_victim(still)
     fits = [place for place, after in EVICTION_ORDER if still.get(place, -1.0) >= after]
     assert goes is (fits[0] if fits else None)
 
--- a/tests/test_door.py
+++ b/tests/test_door.py
@@ -8,7 +8,7 @@
 import pytest
 from helpers import ROOT, Program, TurnServer, command, read_request, write_config
 
-from barleybarrow.rate_limiter import CLOSED_WAIT, Limit, RateLimiter, RateLimiterSettings
+from barleybarrow.rate_limiter import ZERO_RATE_WAIT_MS, RateLimit, RateLimiter, RateLimiterSettings
 from brackenusher.config.operators import Operator, load_operator, read_operator
 from brackenusher.config.platform import ConfigError
 from brackenusher.core.admission import name_of
@@ -18,36 +18,36 @@
     # guards against a wait rounded down or off by clock rounding, after which the client is refused again
     for rate in (0.7, 3.0, 119.9, 500.0, 1000.0, 7001.0):
         limiter, now = (
-            RateLimiter(RateLimiterSettings(tenant=Limit(rate, 2))),
+            RateLimiter(RateLimiterSettings(tenant=RateLimit(rate, 2))),
             1e10 + 0.789,
         )  # uptime of four months
         for _ in range(200):
-            while not (wait := limiter.ask("a", now)):
+            while not (wait := limiter.acquire("a", now)):
                 now += 0.013
-            assert all(limiter.ask("a", now) == wait for _ in range(3))
+            assert all(limiter.acquire("a", now) == wait for _ in range(3))
             now += wait
-            assert limiter.ask("a", now) == 0.0
+            assert limiter.acquire("a", now) == 0.0
 
 
 def test_buckets_are_per_tenant_and_hold_one_burst():
-    limiter = RateLimiter(RateLimiterSettings(tenants={"a": Limit(10.0, 3)}))
-    assert [limiter.ask("a", 1e9) for _ in range(4)] == [0.0, 0.0, 0.0, 100.0]
-    assert sum(limiter.ask("oware-duel", 1e9) == 0.0 for _ in range(500)) == 400
+    limiter = RateLimiter(RateLimiterSettings(tenants={"a": RateLimit(10.0, 3)}))
+    assert [limiter.acquire("a", 1e9) for _ in range(4)] == [0.0, 0.0, 0.0, 100.0]
+    assert sum(limiter.acquire("oware-duel", 1e9) == 0.0 for _ in range(500)) == 400
 
 
 def test_rate_of_0_rejects_the_first_request_with_a_finite_wait():
     assert (
-        RateLimiter(RateLimiterSettings(tenants={"a": Limit(0.0, 3)})).ask("a", 0.0)
-        == CLOSED_WAIT
+        RateLimiter(RateLimiterSettings(tenants={"a": RateLimit(0.0, 3)})).acquire("a", 0.0)
+        == ZERO_RATE_WAIT_MS
         < float("inf")
     )
 
 
 def test_table_is_bounded_and_evicts_the_least_recently_used():
     # guards against evicting the bucket of a rejected flood, which would admit it again
-    limiter = RateLimiter(RateLimiterSettings(by_address=True, address=Limit(1.0, 1), table=3))
-    assert not any(limiter.ask(a, 0.0) for a in "abc")
-    assert limiter.ask("a", 0.0) > 0 and limiter.ask("d" * 99, 0.0) == 0
+    limiter = RateLimiter(RateLimiterSettings(by_address=True, address=RateLimit(1.0, 1), max_buckets=3))
+    assert not any(limiter.acquire(a, 0.0) for a in "abc")
+    assert limiter.acquire("a", 0.0) > 0 and limiter.acquire("d" * 99, 0.0) == 0
     assert list(limiter.buckets) == ["c", "a", "d" * 64]
 
 
@@ -76,7 +76,10 @@
 def test_operators_file_is_read_and_the_shipped_one_enables_no_secrets():
     text = "door.enabled: true\ndoor.rate.address=2.5\ndoor.rate.a 7\n! note\ndoor.burst.b = 9\n"
     door = read_operator("f", text).door
-    assert (door.address, door.tenants) == (Limit(2.5, 40), {"a": Limit(7.0, 400), "b": Limit(200.0, 9)})
+    assert (door.address, door.tenants) == (
+        RateLimit(2.5, 40),
+        {"a": RateLimit(7.0, 400), "b": RateLimit(200.0, 9)},
+    )
     assert read_operator("f", text.replace("true", "false")) == load_operator(None) == Operator()
     shipped = load_operator(str(ROOT / "deploy/operator.properties"))
     assert shipped.features == ["capture", "figures"]
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -24,7 +24,13 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from barleybarrow.graceful_shutdown import EACH, MAX_ACCEPT_MS, MIN_ACCEPT_MS, GracefulShutdown, Phase
+from barleybarrow.graceful_shutdown import (
+    ANSWER_COST_MS,
+    MAX_ACCEPT_MS,
+    MIN_ACCEPT_MS,
+    GracefulShutdown,
+    Phase,
+)
 
 SPAN = 400.0  # milliseconds, the longest deadline here: the kill comes 1,100 ms after SIGTERM
 QUICK = {
@@ -35,8 +41,8 @@
 
 
 def test_kill_time_follows_the_longest_deadline_capped_at_three_seconds():
-    assert GracefulShutdown(1000.0, 1900.0, 1.0, 50.0, True).limit == 3600.0
-    assert GracefulShutdown(1000.0, 60_000.0, 1.0, 50.0, True).limit == 4700.0
+    assert GracefulShutdown(1000.0, 1900.0, 1.0, 50.0, True).kill_at == 3600.0
+    assert GracefulShutdown(1000.0, 60_000.0, 1.0, 50.0, True).kill_at == 4700.0
 
 
 @settings(max_examples=300, deadline=None, derandomize=True)
@@ -59,46 +65,53 @@
     for gap in gaps:
         now += gap
         open_until = [end for end in open_until if end > now]
-        if span := plan.cut(now, longest, len(open_until)):
+        if span := plan.time_allowed(now, longest, len(open_until)):
             assert span == longest or span >= 50.0
             open_until.append(now + span)
     clock = 0.0
     for end in sorted(open_until):  # each is given up when its time is up, one after the other
-        clock = max(clock, end) + EACH
-    assert clock <= plan.answered_by + EACH
+        clock = max(clock, end) + ANSWER_COST_MS
+    assert clock <= plan.answered_by + ANSWER_COST_MS
     assert clock + last * stall < kill
 
 
 def test_observed_stall_advances_the_end_and_phases_never_go_back():
     plan = GracefulShutdown(0.0, 1900.0, 1.0, 50.0, True)
-    assert plan.cut(2400.0, 800.0, 0) == plan.answered_by - 2400.0 and plan.cut(10.0, 800.0, 0) == 800.0
+    assert (
+        plan.time_allowed(2400.0, 800.0, 0) == plan.answered_by - 2400.0
+        and plan.time_allowed(10.0, 800.0, 0) == 800.0
+    )
     before = plan.answered_by
-    assert plan.step(2300.0, 120.0, 9, False) is Phase.DRAINING
-    assert plan.answered_by == before - 240.0 and plan.cut(2300.0, 800.0, 0) == 0.0
-    assert plan.step(2000.0, 0.0, 9, False) is Phase.DRAINING
+    assert plan.update(2300.0, 120.0, 9, False) is Phase.DRAINING
+    assert plan.answered_by == before - 240.0 and plan.time_allowed(2300.0, 800.0, 0) == 0.0
+    assert plan.update(2000.0, 0.0, 9, False) is Phase.DRAINING
 
 
 def test_without_clients_it_ends_once_none_can_connect_and_listeners_are_closed():
     plan = GracefulShutdown(0.0, 1900.0, 1.0, 50.0, True)
-    assert plan.step(MAX_ACCEPT_MS - 1, 0.0, 0, False) is Phase.SERVING
-    assert plan.step(MAX_ACCEPT_MS, 0.0, 0, False) is Phase.CLOSING
-    assert plan.step(MAX_ACCEPT_MS + 10, 0.0, 2, True) is Phase.CLOSING  # they were in the accept queue
-    assert plan.step(MAX_ACCEPT_MS + 20, 0.0, 0, True) is Phase.ENDED
+    assert plan.update(MAX_ACCEPT_MS - 1, 0.0, 0, False) is Phase.SERVING
+    assert plan.update(MAX_ACCEPT_MS, 0.0, 0, False) is Phase.CLOSING
+    assert plan.update(MAX_ACCEPT_MS + 10, 0.0, 2, True) is Phase.CLOSING  # they were in the accept queue
+    assert plan.update(MAX_ACCEPT_MS + 20, 0.0, 0, True) is Phase.ENDED
 
 
 def test_request_that_usually_takes_too_long_is_not_started():
     plan = GracefulShutdown(0.0, 1900.0, 1.0, 50.0, True)
     for _ in range(50):
-        plan.answered(400.0)
-    assert plan.cut(plan.answered_by - 190.0, 800.0, 0) == 0.0
-    assert plan.cut(plan.answered_by - 210.0, 800.0, 0) == pytest.approx(210.0)
+        plan.record_duration(400.0)
+    assert plan.time_allowed(plan.answered_by - 190.0, 800.0, 0) == 0.0
+    assert plan.time_allowed(plan.answered_by - 210.0, 800.0, 0) == pytest.approx(210.0)
 
 
 def test_connections_are_kept_free_only_late_and_with_enough_of_them():
     plan = GracefulShutdown(0.0, 1900.0, 1.0, 50.0, True)
-    assert not plan.crowded(MIN_ACCEPT_MS - 1, 0, 30) and plan.crowded(MIN_ACCEPT_MS, 3, 28)
-    assert not plan.crowded(MIN_ACCEPT_MS, 4, 27) and not plan.crowded(MIN_ACCEPT_MS, 0, 6)
-    assert not GracefulShutdown(0.0, 1900.0, 1.0, 50.0, False).crowded(MIN_ACCEPT_MS, 0, 30)
+    assert not plan.is_short_of_connections(MIN_ACCEPT_MS - 1, 0, 30) and plan.is_short_of_connections(
+        MIN_ACCEPT_MS, 3, 28
+    )
+    assert not plan.is_short_of_connections(MIN_ACCEPT_MS, 4, 27) and not plan.is_short_of_connections(
+        MIN_ACCEPT_MS, 0, 6
+    )
+    assert not GracefulShutdown(0.0, 1900.0, 1.0, 50.0, False).is_short_of_connections(MIN_ACCEPT_MS, 0, 30)
 
 
 class Caller(threading.Thread):
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -24,7 +24,7 @@
 from hypothesis import strategies as st
 
 from barleybarrow import warm_state
-from barleybarrow.descriptor_split import parts
+from barleybarrow.descriptor_split import split_descriptors
 from brackenusher.handover import messages
 from brackenusher.handover.old import path_for
 
@@ -32,7 +32,7 @@
 @given(st.integers(2, 2000), st.integers(0, 2000), st.booleans())
 def test_two_processes_never_have_more_than_one(total, held, stopping):
     # guards against two processes that together hold more descriptors than the proxy may
-    old, new = parts(total, held, stopping)
+    old, new = split_descriptors(total, held, stopping)
     assert old + new == total and old >= min(held, total) and new >= 0
     assert stopping or old >= total // 2
 
@@ -69,8 +69,8 @@
     old, new = Proxy(kinds=["plain"]), Proxy(seed=2, kinds=["plain"])
     old.warm_up(60, {"a": 90.0, "c": 12.0})
     new.now = old.now
-    taken = warm_state.take(new.brain, warm_state.write(old.brain), new.now)
-    assert taken == len(warm_state.write(old.brain))
+    taken = warm_state.import_entries(new.brain, warm_state.export_entries(old.brain), new.now)
+    assert taken == len(warm_state.export_entries(old.brain))
     assert [b.name for _, _, b in new.brain.idle.orders[0]] == [
         b.name for _, _, b in old.brain.idle.orders[0]
     ]
@@ -82,14 +82,14 @@
     # guards against one bad entry that spoils the rest, or a module that it leaves half set
     old, new = Proxy(kinds=["plain"]), Proxy(backends=("a", "b"), kinds=["plain"])
     old.warm_up()
-    entries = warm_state.write(old.brain)
+    entries = warm_state.export_entries(old.brain)
     backend = next(e for e in entries if e["of"] == "backend" and e["backend"] == "a")
     bad = [{**backend, "mean": float("nan")}, {**backend, "lost": [0.5]}, {"of": "all"}, {}, {"of": "moon"}]
     before = new.brain.fleet.mean
-    assert warm_state.take(new.brain, bad, new.now) == 0
+    assert warm_state.import_entries(new.brain, bad, new.now) == 0
     assert new.brain.fleet.mean == before
     assert (
-        warm_state.take(new.brain, entries, new.now) == len(entries) - 1
+        warm_state.import_entries(new.brain, entries, new.now) == len(entries) - 1
     )  # the backend that is not listed here
 
 
--- a/tests/test_knowledge.py
+++ b/tests/test_knowledge.py
@@ -15,7 +15,14 @@
 from barleybarrow import interface as face
 from barleybarrow import knowledge as known
 from barleybarrow.interface import Outcome, State
-from barleybarrow.knowledge import Book, Evidence, Sightings, Teller, first_hand, lowering
+from barleybarrow.knowledge import (
+    AttemptOutcomes,
+    Evidence,
+    EvidencePublisher,
+    EvidenceStore,
+    first_hand_evidence,
+    latency_factor,
+)
 from brackenusher.config.operators import read_operator
 from brackenusher.config.platform import ConfigError
 from brackenusher.membership import frames, snapshot
@@ -43,7 +50,7 @@
 
 
 def peer_estimates(store, now=NOW, born_at=None, excluded_origin=("me", 1)):
-    return store.hearsay(now, born_at or {"s0": 5.0}, excluded_origin)
+    return store.peer_estimates(now, born_at or {"s0": 5.0}, excluded_origin)
 
 
 # evidence and the store
@@ -63,32 +70,32 @@
 @given(st.lists(pieces, max_size=8), st.randoms(use_true_random=False))
 def test_merging_hangs_neither_on_order_nor_on_repetition(found, rng):
     # guards against two proxies that heard the same and believe different things for ever
-    one, other = Book(), Book()
+    one, other = EvidenceStore(), EvidenceStore()
     for e in found:
         one.merge(e, NOW)
     again = found * 2
     rng.shuffle(again)
     for e in again:
         other.merge(e, NOW)
-    assert one.held == other.held and one.size == other.size == len(list(one.all()))
+    assert one.by_backend == other.by_backend and one.size == other.size == len(list(one.all_evidence()))
 
 
 def test_circulating_copies_gain_neither_weight_nor_youth():
     # guards against evidence that gains weight or youth by circulating among proxies, one of which restarts
-    stores = [Book(), Book(), Book()]
+    stores = [EvidenceStore(), EvidenceStore(), EvidenceStore()]
     stores[0].merge(make_evidence(), NOW)
     first, now = peer_estimates(stores[0]), NOW
     for step in range(60):
         now += 500.0
         a, b = stores[step % 3], stores[(step + 1) % 3]
         if step % 7 == 6:
-            stores[(step + 1) % 3] = b = Book()
-        for e in list(a.all()):
+            stores[(step + 1) % 3] = b = EvidenceStore()
+        for e in list(a.all_evidence()):
             b.merge(decode(encode(e, now), now), now)
     for store in stores:
         slower, weight = peer_estimates(store, now)["s0"]
         assert slower == 1.0
-        assert weight == pytest.approx(first["s0"][1] * exp(-known.FADE * 30.0), rel=0.01)
+        assert weight == pytest.approx(first["s0"][1] * exp(-known.DECAY_PER_S * 30.0), rel=0.01)
 
 
 @pytest.mark.parametrize(
@@ -109,47 +116,47 @@
     ],
 )
 def test_invalid_evidence_is_rejected_and_counted(change):
-    store = Book()
+    store = EvidenceStore()
     assert not store.merge(replace(BASE, **change), NOW)
-    assert (store.size, store.absurd) == (0, 1)
+    assert (store.size, store.invalid) == (0, 1)
 
 
 def test_store_is_bounded_and_evicts_the_oldest():
-    store = Book(capacity=16)
+    store = EvidenceStore(capacity=16)
     for n in range(100):
         store.merge(make_evidence(backend=f"s{n}", at=NOW - 1000.0 + n), NOW)
-    assert store.size <= 16 and "s99" in store.held and "s0" not in store.held
+    assert store.size <= 16 and "s99" in store.by_backend and "s0" not in store.by_backend
     assert store.dropped == 100 - store.size
-    store.prune(NOW + known.OLDEST)
-    assert store.size == 0 and not store.held
+    store.prune(NOW + known.MAX_EVIDENCE_AGE_MS)
+    assert store.size == 0 and not store.by_backend
 
 
 def test_one_outlier_among_five_origins_is_ignored_and_incarnations_are_separate():
     # guards against one misbehaving proxy whose evidence empties the pool for the others
-    store = Book()
+    store = EvidenceStore()
     for n in range(4):
         store.merge(make_evidence(f"p{n}", slower=0.05 * n), NOW)
     store.merge(make_evidence("liar", slower=9.0), NOW)
     assert peer_estimates(store)["s0"][0] <= 0.15
     assert peer_estimates(store, born_at={"s0": 6.0}) == {}
-    own = Book()
+    own = EvidenceStore()
     own.merge(make_evidence("me", epoch=1), NOW)
     # evidence of an earlier incarnation of this proxy counts as a peer's
     assert peer_estimates(own) == {} and "s0" in peer_estimates(own, excluded_origin=("me", 2))
 
 
 def test_peer_estimates_only_lower_within_bounds_and_yield_to_own_answers():
-    assert lowering(-5.0, 1.0, 0.0, 0) == 1.0 == lowering(3.0, 0.0, 0.0, 0)
-    assert lowering(1.0, 1.0, 0.0, 0) == pytest.approx(exp(1.0))
-    assert lowering(50.0, 9.0, -50.0, 0) <= 8.001
-    factors = [lowering(2.0, 1.0, 0.0, seen) for seen in (0, 1, 2, 4, 8, 16)]
+    assert latency_factor(-5.0, 1.0, 0.0, 0) == 1.0 == latency_factor(3.0, 0.0, 0.0, 0)
+    assert latency_factor(1.0, 1.0, 0.0, 0) == pytest.approx(exp(1.0))
+    assert latency_factor(50.0, 9.0, -50.0, 0) <= 8.001
+    factors = [latency_factor(2.0, 1.0, 0.0, seen) for seen in (0, 1, 2, 4, 8, 16)]
     assert factors == sorted(factors, reverse=True) and factors[-1] < 1.3
-    assert lowering(1.0, 1.0, 1.0, 0) == 1.0  # this proxy's own estimate is the same
+    assert latency_factor(1.0, 1.0, 1.0, 0) == 1.0  # this proxy's own estimate is the same
 
 
 def test_evidence_decays_at_the_rate_of_the_policy():
     # guards against a decay of evidence that differs from the policy's
-    assert pytest.approx(known.FADE) == state.PEER_DECAY_FACTOR * brain.MEAN_DECAY_PER_S
+    assert pytest.approx(known.DECAY_PER_S) == state.PEER_DECAY_FACTOR * brain.MEAN_DECAY_PER_S
 
 
 # first-hand evidence
@@ -165,12 +172,14 @@
                 proxy.now += 5.0
                 slow = proxy.backend(request) == "s2"
                 proxy.finish(request, elapsed=scale * (60.0 if slow else 12.0))
-        outcomes, born_at = Sightings(), dict.fromkeys(proxy.brain.backends, 5.0)
+        outcomes, born_at = AttemptOutcomes(), dict.fromkeys(proxy.brain.backends, 5.0)
         for name in proxy.brain.backends:
-            outcomes.ended(proxy.now - 50.0, name, Outcome.SERVED)
-        outcomes.ended(proxy.now, "s3", Outcome.TIMEOUT)
-        outcomes.ended(proxy.now, "gone", Outcome.SERVED)
-        found.append({e.backend: e for e in first_hand(proxy.brain.backends, outcomes, born_at, "p1", 1)})
+            outcomes.on_attempt_end(proxy.now - 50.0, name, Outcome.SERVED)
+        outcomes.on_attempt_end(proxy.now, "s3", Outcome.TIMEOUT)
+        outcomes.on_attempt_end(proxy.now, "gone", Outcome.SERVED)
+        found.append(
+            {e.backend: e for e in first_hand_evidence(proxy.brain.backends, outcomes, born_at, "p1", 1)}
+        )
     for a, b in zip(*(f.values() for f in found), strict=True):
         assert a.slower == pytest.approx(b.slower, abs=0.25)
     one = found[0]
@@ -179,16 +188,21 @@
 
 
 def test_only_significant_changes_are_published():
-    publisher = Teller()
-    assert [e.serial for e in publisher.news([make_evidence(), make_evidence(backend="s1")], NOW)] == [1, 2]
-    assert not publisher.news(
+    publisher = EvidencePublisher()
+    assert [
+        e.serial for e in publisher.take_updates([make_evidence(), make_evidence(backend="s1")], NOW)
+    ] == [1, 2]
+    assert not publisher.take_updates(
         [make_evidence(slower=1.1, at=NOW), make_evidence(backend="s1", slower=0.9)], NOW + 1000.0
     )
-    assert [e.serial for e in publisher.news([make_evidence(slower=1.5, at=NOW)], NOW + 1000.0)] == [3]
-    assert not publisher.news([make_evidence(slower=1.5, at=NOW)], NOW + 60_000.0)  # no newer observation
-    assert [e.serial for e in publisher.news([make_evidence(slower=1.5, at=NOW + 5.0)], NOW + 60_000.0)] == [
-        4
+    assert [e.serial for e in publisher.take_updates([make_evidence(slower=1.5, at=NOW)], NOW + 1000.0)] == [
+        3
     ]
+    # no newer observation
+    assert not publisher.take_updates([make_evidence(slower=1.5, at=NOW)], NOW + 60_000.0)
+    assert [
+        e.serial for e in publisher.take_updates([make_evidence(slower=1.5, at=NOW + 5.0)], NOW + 60_000.0)
+    ] == [4]
 
 
 # the policy
@@ -288,7 +302,7 @@
         except SnapshotError:
             pass
     try:
-        Book().merge(decode(data, NOW), NOW)
+        EvidenceStore().merge(decode(data, NOW), NOW)
     except known.InvalidEvidenceError:
         pass
 
--- a/tests/test_machines.py
+++ b/tests/test_machines.py
@@ -220,16 +220,16 @@
 
     def __init__(self, pool, member):
         self.planner, self.clock, self.member, self.closed = pool.planner, pool.clock, member, False
-        self.held = self.planner.opening(member.line, self, self.clock())
-        self.planner.up(self.held, self.clock())
+        self.held = self.planner.begin_connect(member.line, self, self.clock())
+        self.planner.on_connected(self.held, self.clock())
         self.reusable = self.finish_request()
 
     def finish_request(self):
-        return self.planner.done(self.held, self.clock()) is None
+        return self.planner.release(self.held, self.clock()) is None
 
     def close(self, cause):
         self.closed = True
-        self.planner.closed(self.held, self.clock(), cause)
+        self.planner.on_closed(self.held, self.clock(), cause)
 
 
 class Clock:
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -30,7 +30,7 @@
 from barleybarrow.incarnations import Incarnation, Incarnations
 from barleybarrow.policy import PolicyError, Rules, parse_policy, stricter
 from barleybarrow.policy_gate import FollowerReport, PolicyGate
-from barleybarrow.rate_limiter import Limit
+from barleybarrow.rate_limiter import RateLimit
 from barleybarrow.rollout import (
     IN_FORCE,
     Drop,
@@ -64,7 +64,7 @@
         "[shares.tenants.b]\nopen = 4\n[repeats]\npart = 0.1\n[connections]\nage_s = 2\nrequests = 9\n"
     )
     expected = (
-        {"a": Limit(2.5, 2)},
+        {"a": RateLimit(2.5, 2)},
         frozenset({"s1"}),
         frozenset({3}),
         {"b": 4},
@@ -107,7 +107,7 @@
         parse_policy(text)
 
 
-LIMITS = st.builds(Limit, st.integers(0, 9).map(float), st.integers(1, 9))
+LIMITS = st.builds(RateLimit, st.integers(0, 9).map(float), st.integers(1, 9))
 RULES = st.builds(
     Rules,
     st.dictionaries(st.sampled_from("abc"), LIMITS, max_size=3),
@@ -153,11 +153,11 @@
 
 def test_rejected_requests_are_not_charged_and_a_share_counts_open_requests():
     opened = {}
-    fleet = SimpleNamespace(bars=[], planner=SimpleNamespace(settings=ConnectionSettings(age=9000.0)))
+    fleet = SimpleNamespace(bars=[], planner=SimpleNamespace(settings=ConnectionSettings(max_age_ms=9000.0)))
     acting = Acting(SimpleNamespace(open=opened), fleet)
     text = "[shares.tenants.a]\nopen = 1\n[repeats]\npart = 0.5\nburst = 1\n[connections]\n"
     acting.act(parse_policy(text + "age_s = 3\nrequests = 7\n[door.tenants.a]\nrate = 1\nburst = 2\n"))
-    assert (fleet.planner.settings.age, fleet.planner.settings.requests) == (3000.0, 7)
+    assert (fleet.planner.settings.max_age_ms, fleet.planner.settings.max_requests) == (3000.0, 7)
 
     def ask(tenant="a", repeated=False):
         return acting.ask(tenant, SimpleNamespace(repeated=repeated), 0.0)
@@ -171,7 +171,7 @@
     assert ask("b") == ask("b") == 0.0 and ask("b", True) == 0.0  # two first attempts earned one
     assert acting.counts == {"shares": 2, "door": 2, "repeats": 2}
     acting.act(Rules())
-    assert fleet.planner.settings.age == 9000.0 and ask() == ask("b", True) == 0.0
+    assert fleet.planner.settings.max_age_ms == 9000.0 and ask() == ask("b", True) == 0.0
 
 
 # consensus
--- a/tests/test_shares.py
+++ b/tests/test_shares.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from barleybarrow.rate_limiter import Limit, RateLimiterSettings
+from barleybarrow.rate_limiter import RateLimit, RateLimiterSettings
 from barleybarrow.shares import (
     GRANT_MS,
     LEASE_MS,
@@ -175,17 +175,17 @@
 
 
 def test_a_rate_limiter_gains_no_tokens_when_its_share_changes():
-    limiter = SharedRateLimiter(RateLimiterSettings(tenant=Limit(100.0, 100), table=2))
+    limiter = SharedRateLimiter(RateLimiterSettings(tenant=RateLimit(100.0, 100), max_buckets=2))
     shares = LimitShares("n0", ["n0"], random.Random(1), 0.0, 4, lambda key: 100.0)
     limiter.shares = shares
-    assert sum(limiter.ask("t", 0.0) == 0.0 for _ in range(100)) == 25
+    assert sum(limiter.acquire("t", 0.0) == 0.0 for _ in range(100)) == 25
     shares.grants["t"] = (1.0, 1e9)
-    assert sum(limiter.ask("t", 0.0) == 0.0 for _ in range(100)) == 0  # no immediate tokens
-    assert sum(limiter.ask("t", 1000.0) == 0.0 for _ in range(200)) == 100
+    assert sum(limiter.acquire("t", 0.0) == 0.0 for _ in range(100)) == 0  # no immediate tokens
+    assert sum(limiter.acquire("t", 1000.0) == 0.0 for _ in range(200)) == 100
     shares.grants["t"] = (0.001, 1e9)
-    limiter.ask("t", 2000.0)
+    limiter.acquire("t", 2000.0)
     assert limiter.buckets["t"].limit.burst == 1.0
     for key in ("a", "b", "c"):
-        limiter.ask(key, 2000.0)
+        limiter.acquire(key, 2000.0)
     assert len(limiter.buckets) == 2 and len(limiter.applied_shares) <= 3
     assert shares.request_counts["t"] == 401
--- a/tests/test_tokens.py
+++ b/tests/test_tokens.py
@@ -5,7 +5,7 @@
 import pytest
 from helpers import Program, TurnServer, command, read_request, submit_request, write_config
 
-from barleybarrow.tokens import TokenError, TokenSettings, issue, sign, verdict
+from barleybarrow.tokens import TokenError, TokenSettings, issue, rejection_reason, sign
 from brackenusher.config.operators import load_operator, read_operator
 from brackenusher.config.platform import ConfigError
 
@@ -23,12 +23,15 @@
         and len(make_token().rpartition(b".")[2]) == 43
     )
     for token in (make_token(), make_token(kid="k1"), make_token("submit")):
-        assert verdict(KEYS, token, "submit", NOW + 30.0) == ""
-        assert verdict(KEYS, token, "submit", NOW + 30.5) == "expired"
-    assert verdict(TokenSettings({"k2": KEYS.keys["k2"]}), make_token(kid="k1"), "read", NOW) == "forged"
+        assert rejection_reason(KEYS, token, "submit", NOW + 30.0) == ""
+        assert rejection_reason(KEYS, token, "submit", NOW + 30.5) == "expired"
     assert (
-        verdict(KEYS, make_token("read"), "submit", NOW)
-        == verdict(KEYS, make_token("submit"), "read", NOW)
+        rejection_reason(TokenSettings({"k2": KEYS.keys["k2"]}), make_token(kid="k1"), "read", NOW)
+        == "forged"
+    )
+    assert (
+        rejection_reason(KEYS, make_token("read"), "submit", NOW)
+        == rejection_reason(KEYS, make_token("submit"), "read", NOW)
         == "rights"
     )
 
@@ -38,7 +41,7 @@
     token = make_token(expiry=NOW - 100)
     for place in range(len(token)):
         changed = token[:place] + (b"A" if token[place : place + 1] != b"A" else b"B") + token[place + 1 :]
-        assert verdict(KEYS, changed, "read", NOW) == "forged"
+        assert rejection_reason(KEYS, changed, "read", NOW) == "forged"
     fields = token.rpartition(b".")[0]
     odd = [
         token + b"=",
@@ -57,8 +60,8 @@
         fields.replace(b"-", b"") + b"." * 9,
     ]
     odd.append(b"k2.p77.read.-5." + sign(KEYS.keys["k2"], b"k2.p77.read.-5"))
-    assert {verdict(KEYS, each, "read", NOW) for each in odd} == {"forged"}
-    assert verdict(KEYS, None, "read", NOW) == verdict(KEYS, b"", "read", NOW) == "missing"
+    assert {rejection_reason(KEYS, each, "read", NOW) for each in odd} == {"forged"}
+    assert rejection_reason(KEYS, None, "read", NOW) == rejection_reason(KEYS, b"", "read", NOW) == "missing"
 
 
 @pytest.mark.parametrize(
