--- a/brackenusher/control_plane/feed_source.py
+++ b/brackenusher/control_plane/feed_source.py
@@ -18,7 +18,7 @@
 from barleybarrow.replication.records import InstanceRecord
 from barleybarrow.replication.rendezvous import SHARD_COUNT
 from brackenusher.cluster import messages
-from brackenusher.cluster.config_pieces import ConfigPieces
+from brackenusher.cluster.config_pieces import ConfigUpdates
 from brackenusher.cluster.links import Links
 from brackenusher.cluster.records import to_messages
 from brackenusher.control_plane.config_shard import ConfigShard
@@ -65,7 +65,7 @@
         self._sent_positions = [LogPosition(epoch, 0) for _ in range(SHARD_COUNT)]
         self._dirty_shards: set[int] = set()
         self._flush_scheduled = False
-        self._config_deltas = ConfigPieces()
+        self._config_deltas = ConfigUpdates()
         self._confirm_task: asyncio.Task[None] | None = None
         self._fill_logs()
         registry.on_change.append(self._registry_changed)
@@ -171,14 +171,14 @@
     # The configuration
 
     def _on_committed(self, configuration: Configuration) -> None:
-        if not self._config_deltas.committed(configuration):
+        if not self._config_deltas.add(configuration):
             return
         offer = messages.ConfigOffer(version=self._config_deltas.version, confirmed=False)
         self._send_to_subscribers(offer)
 
     def _on_fetch(self, sender: str, message: betterproto.Message) -> None:
         assert isinstance(message, messages.ConfigFetch)
-        piece = self._config_deltas.piece(message.have_version)
+        piece = self._config_deltas.update_from(message.have_version)
         if piece is not None:
             self._links.send(sender, piece)
 
--- a/brackenusher/control_plane/registry_service.py
+++ b/brackenusher/control_plane/registry_service.py
@@ -19,7 +19,7 @@
 from barleybarrow.replication.silence import SilenceDetector
 from brackenusher.cluster import messages
 from brackenusher.cluster.links import Links
-from brackenusher.cluster.lives import first_number
+from brackenusher.cluster.lives import first_request_number
 from brackenusher.cluster.records import from_messages, from_renewals, to_message, to_messages, to_renewals
 from brackenusher.control_plane.confirmations import Confirmation, PendingConfirmations
 from brackenusher.control_plane.final_records import FinalRecords
@@ -64,7 +64,7 @@
         self._now = now
         self._groups = ReplicaGroups(links, voters, settings.fault_tolerance)
         self._final_store = FinalRecords(store, writer, self._final_records)
-        self._confirmations = PendingConfirmations(first_number(links.own))
+        self._confirmations = PendingConfirmations(first_request_number(links.own))
         # Ids with a change accepted here that no majority has confirmed yet.
         self._unconfirmed: set[str] = set()
         self._confirmed_finality: dict[str, int] = {}  # by id: finality that a majority has confirmed
--- a/brackenusher/control_plane/shares_driver.py
+++ b/brackenusher/control_plane/shares_driver.py
@@ -61,8 +61,8 @@
         self.limits.restore(self.now(), loaded.snapshot)
         super().start()
 
-    def _run(self) -> None:
-        super()._run()
+    def _process_output(self) -> None:
+        super()._process_output()
         self._write_pending()
 
     def _write_pending(self) -> None:
@@ -83,7 +83,7 @@
         error = done.exception()
         if error is None:
             self.limits.on_stored(self.now(), revision)
-            self._run()
+            self._process_output()
         else:
             log.warning("roster of the limits not stored: error=%s", error)
             asyncio.get_running_loop().call_later(RETRY_INTERVAL_S, self._write_pending)
--- a/brackenusher/core/admission.py
+++ b/brackenusher/core/admission.py
@@ -14,7 +14,7 @@
 from barleybarrow import tokens
 from barleybarrow.graceful_shutdown import GracefulShutdown
 from barleybarrow.interface import Effect
-from barleybarrow.rate_limiter import LONGEST_KEY, RateLimiter
+from barleybarrow.rate_limiter import MAX_KEY_LENGTH, RateLimiter
 from brackenusher.core.message import Content, Message
 from brackenusher.core.transaction import Answer, Served, Transaction, Transactions, never_gone
 
@@ -151,7 +151,7 @@
     def answer_sent(self, transaction: Transaction, answer: Answer) -> None:
         """Handle that a front end has the final answer of a request; a shutdown plan records its latency."""
         if self.shutdown is not None and isinstance(answer, Served):
-            self.shutdown.answered(self.transactions.clock() - transaction.arrived)
+            self.shutdown.record_duration(self.transactions.clock() - transaction.arrived)
 
     def body_complete(self, transaction: Transaction) -> None:
         """Handle that the body of an accepted request is complete."""
@@ -170,10 +170,10 @@
             return Denial(DenialReason.CONNECTION_LIMIT, retry_after=self.max_retry_after_ms)
         if self.shutdown is not None and not self.fits_shutdown_plan(request, self.shutdown):
             self.refused_at_shutdown += 1
-            wait_ms = self.shutdown.come_back(self.transactions.clock(), self.max_retry_after_ms)
+            wait_ms = self.shutdown.retry_after(self.transactions.clock(), self.max_retry_after_ms)
             return Denial(DenialReason.SHUTDOWN, retry_after=wait_ms)
         if self.token_settings is not None:
-            token_fault = tokens.verdict(
+            token_fault = tokens.rejection_reason(
                 self.token_settings,
                 request.token,
                 self.required_rights[request.class_index],
@@ -189,7 +189,7 @@
             message = request.message
             key = request.address if self.rate_limiter.settings.by_address else rate_limit_key(message.owner)
             message.rate_limit_charge = key, self.transactions.clock()
-            wait_ms = self.rate_limiter.ask(*message.rate_limit_charge)
+            wait_ms = self.rate_limiter.acquire(*message.rate_limit_charge)
             if wait_ms:
                 return Denial(DenialReason.RATE_LIMIT, retry_after=wait_ms)
         return None
@@ -197,10 +197,10 @@
     def fits_shutdown_plan(self, request: Request, plan: GracefulShutdown) -> bool:
         """Whether a request can still be accepted during shutdown; shorten its timeout to the time left."""
         now, open_count = self.transactions.clock(), len(self.transactions.open)
-        timeout_ms = plan.cut(now, request.timeout_ms, open_count)
+        timeout_ms = plan.time_allowed(now, request.timeout_ms, open_count)
         if request.timeout_ms and not timeout_ms:
             return False
-        if request.available_connections is not None and plan.crowded(
+        if request.available_connections is not None and plan.is_short_of_connections(
             now, request.available_connections, open_count
         ):
             return False
@@ -210,4 +210,4 @@
 
 def rate_limit_key(owner: bytes | None) -> str:
     """A tenant's key in the rate limiter, truncated to its limit; requests without a tenant share one key."""
-    return "" if owner is None else owner[:LONGEST_KEY].decode("latin-1")
+    return "" if owner is None else owner[:MAX_KEY_LENGTH].decode("latin-1")
--- a/brackenusher/group/acting.py
+++ b/brackenusher/group/acting.py
@@ -7,7 +7,7 @@
 
 from barleybarrow.budget import ClientRetryBudget
 from barleybarrow.policy import Rules, stricter_bound
-from barleybarrow.rate_limiter import CLOSED_WAIT, RateLimiter, RateLimiterSettings
+from barleybarrow.rate_limiter import ZERO_RATE_WAIT_MS, RateLimiter, RateLimiterSettings
 from brackenusher.core.admission import Request, rate_limit_key
 from brackenusher.core.transaction import Transactions
 from brackenusher.upstream.listing import Host
@@ -40,10 +40,10 @@
         """
         rules = self.rules
         if key in rules.shares and self.open_requests(key) >= rules.shares[key]:
-            return self.deny("shares", FULL_WAIT if rules.shares[key] else CLOSED_WAIT)
+            return self.deny("shares", FULL_WAIT if rules.shares[key] else ZERO_RATE_WAIT_MS)
         if self.budget is not None and request.is_retry and self.budget.exhausted:
-            return self.deny("repeats", REPEAT_WAIT if self.budget.limit.ratio else CLOSED_WAIT)
-        if key in rules.tenants and (wait := self.rate_limiter.ask(key, now)):
+            return self.deny("repeats", REPEAT_WAIT if self.budget.limit.ratio else ZERO_RATE_WAIT_MS)
+        if key in rules.tenants and (wait := self.rate_limiter.acquire(key, now)):
             return self.deny("door", wait)
         if self.budget is not None:
             self.budget.record(request.is_retry)
@@ -68,7 +68,7 @@
             for key, bucket in buckets.items():
                 if key in rules.tenants:
                     bucket.limit = rules.tenants[key]
-                    bucket.level = min(bucket.level, float(bucket.limit.burst))
+                    bucket.tokens = min(bucket.tokens, float(bucket.limit.burst))
                     self.rate_limiter.buckets[key] = bucket
         if rules.repeats is None:
             self.budget = None
@@ -79,8 +79,8 @@
         base = self.configured_connections
         self.pool.planner.settings = replace(
             base,
-            age=stricter_bound(base.age, rules.age),
-            requests=int(stricter_bound(base.requests, rules.requests)),
+            max_age_ms=stricter_bound(base.max_age_ms, rules.age),
+            max_requests=int(stricter_bound(base.max_requests, rules.requests)),
         )
         if (rules.servers, rules.blocks) != (before.servers, before.blocks):
             self.transactions.post(self.pool.reevaluate())
--- a/brackenusher/group/replicator.py
+++ b/brackenusher/group/replicator.py
@@ -25,7 +25,7 @@
     decode_override,
     key_of,
 )
-from barleybarrow.rate_limiter import CLOSED_WAIT, LONGEST_KEY
+from barleybarrow.rate_limiter import MAX_KEY_LENGTH, ZERO_RATE_WAIT_MS
 from barleybarrow.replica import Message as Copied
 from barleybarrow.replica import Ready, Replica, Stage, StoredReplica
 from barleybarrow.shares import LimitShares, SharedRateLimiter
@@ -100,7 +100,7 @@
                 rng,
                 clock(),
                 platform_settings.proxies,
-                lambda key: rate_limiter.limit(key).rate,
+                lambda key: rate_limiter.limit_of(key).rate,
             )
             rate_limiter.shares = self.shares
         self.idempotency_records = IdempotencyRecords(name, clock()) if settings.fates else None
@@ -278,9 +278,9 @@
         if self.settings.refuse and self.replica.stage is Stage.BEHIND:
             self.denied_count += 1
             return DENIED_RETRY_AFTER_MS
-        if key[:LONGEST_KEY] in self.overrides.tenants:
+        if key[:MAX_KEY_LENGTH] in self.overrides.tenants:
             self.denied_count += 1
-            return CLOSED_WAIT
+            return ZERO_RATE_WAIT_MS
         return 0.0
 
     def ready(self) -> bool:
--- a/brackenusher/handover/replacement.py
+++ b/brackenusher/handover/replacement.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 from barleybarrow import warm_state
-from barleybarrow.descriptor_split import parts
+from barleybarrow.descriptor_split import split_descriptors
 from brackenusher.core.transaction import Transactions
 from brackenusher.fronts.listener import ConnectionLimit, Listener
 from brackenusher.handover.messages import PacketKind, encode, encode_list
@@ -89,7 +89,7 @@
 
     def succeed(self, inherited: Taken) -> None:
         """Restore the warm state and follow the predecessor; its server list is to be applied before."""
-        learned = warm_state.take(self.transactions.balancer, inherited.warm_state, clock())
+        learned = warm_state.import_entries(self.transactions.balancer, inherited.warm_state, clock())
         self.on_predecessor_usage(inherited.state)
         first_listener = self.listeners[0][0]
         self.predecessor = PredecessorConnection(
@@ -122,8 +122,8 @@
         """Apply the descriptor limits that the predecessor's usage leaves."""
         clients, upstream, stopping = int(usage["clients"]), int(usage["flows"]), bool(usage["stopping"])
         self.limits = (
-            parts(self.shared_limit(self.client_limit), clients, stopping)[1],
-            max(1, parts(self.shared_limit(self.upstream_limit), upstream, False)[1]),
+            split_descriptors(self.shared_limit(self.client_limit), clients, stopping)[1],
+            max(1, split_descriptors(self.shared_limit(self.upstream_limit), upstream, False)[1]),
         )
         self.apply_limits()
 
@@ -148,7 +148,7 @@
         fds = [listener.task.fd for listener, _ in self.listeners]
         packets = [
             *encode_list(PacketKind.SERVER_LIST, [word_host(host) for host in self.pool.hosts]),
-            *encode_list(PacketKind.WARM_STATE, warm_state.write(self.transactions.balancer)),
+            *encode_list(PacketKind.WARM_STATE, warm_state.export_entries(self.transactions.balancer)),
             encode(PacketKind.STATE_COMPLETE, {"seq": self.agent.seq or 0, **self.descriptor_usage()}),
         ]
         for listener, _ in self.listeners:
@@ -177,7 +177,7 @@
     def descriptor_usage(self) -> dict[str, Any]:
         return {
             "clients": self.connection_limit.open_count,
-            "flows": self.pool.planner.total,
+            "flows": self.pool.planner.connection_count,
             "stopping": self.stopping,
         }
 
@@ -199,9 +199,13 @@
         """Set the limits to what the predecessor leaves, less the share of a connected successor."""
         clients, upstream = self.limits
         if self.handover_server is not None and self.handover_server.successor is not None:
-            clients = parts(self.shared_limit(clients), self.connection_limit.open_count, self.stopping)[0]
-            upstream = parts(self.shared_limit(upstream), self.pool.planner.total, False)[0]
-        self.connection_limit.limit, self.pool.planner.room = clients, max(1, upstream)
+            clients = split_descriptors(
+                self.shared_limit(clients), self.connection_limit.open_count, self.stopping
+            )[0]
+            upstream = split_descriptors(
+                self.shared_limit(upstream), self.pool.planner.connection_count, False
+            )[0]
+        self.connection_limit.limit, self.pool.planner.capacity = clients, max(1, upstream)
 
     def shared_limit(self, single_limit: int) -> int:
         """Shared limit of two processes for one purpose, given that of a single one.
--- a/brackenusher/membership/frames.py
+++ b/brackenusher/membership/frames.py
@@ -193,5 +193,7 @@
 
 def most_informative(held: Iterable[Evidence], now: float, most: int = MAX_REPLY_RECORDS) -> list[Evidence]:
     """The evidence most useful to a starting proxy: far from the median, of high weight and recent."""
-    ranked = sorted(held, key=lambda e: (abs(e.slower) + e.failing + 0.01) * e.worth(now), reverse=True)
+    ranked = sorted(
+        held, key=lambda e: (abs(e.slower) + e.failing + 0.01) * e.remaining_weight(now), reverse=True
+    )
     return ranked[:most]
--- a/brackenusher/membership/keeper.py
+++ b/brackenusher/membership/keeper.py
@@ -10,14 +10,14 @@
 
 from barleybarrow import interface as face
 from barleybarrow.knowledge import (
-    FADE,
-    SOME,
-    Book,
+    BACKENDS_PER_PASS,
+    DECAY_PER_S,
+    AttemptOutcomes,
     Evidence,
+    EvidencePublisher,
+    EvidenceStore,
     InvalidEvidenceError,
-    Sightings,
-    Teller,
-    first_hand,
+    first_hand_evidence,
 )
 from brackenusher.core.transaction import Transactions
 from brackenusher.membership.frames import MAX_REPLY_RECORDS, decode, encode, most_informative
@@ -35,7 +35,7 @@
 
     def __init__(self, name: str, epoch: int, transactions: Transactions, pool: Pool) -> None:
         self.name, self.epoch, self.transactions, self.pool = name, epoch, transactions, pool
-        self.store, self.outcomes, self.publisher = Book(), Sightings(), Teller()
+        self.store, self.outcomes, self.publisher = EvidenceStore(), AttemptOutcomes(), EvidencePublisher()
         self.attempts: dict[int, list[str]] = {}  # backends of the attempts of unfinished requests
         # by backend: its start time, when the estimate was posted, and the log cost posted
         self.last_estimates: dict[str, tuple[float, float, float]] = {}
@@ -48,15 +48,15 @@
         if isinstance(event, face.Finished):
             sent = self.attempts.get(event.request, ())
             if event.attempt < len(sent):
-                self.outcomes.ended(now, sent[event.attempt], event.outcome)
+                self.outcomes.on_attempt_end(now, sent[event.attempt], event.outcome)
             if event.complete:
                 self.attempts.pop(event.request, None)
         elif isinstance(event, face.ListChanged):
             for entry in event.entries:  # the policy has no estimate yet for new entries
-                held = entry.state is face.State.LIVE and entry.backend in self.store.held
+                held = entry.state is face.State.LIVE and entry.backend in self.store.by_backend
                 if held and self.last_estimates.get(entry.backend, (None,))[0] != entry.started:
-                    self.store.changed[entry.backend] = None
-            if self.store.changed:
+                    self.store.changed_backends[entry.backend] = None
+            if self.store.changed_backends:
                 self.on_list_changed()
         for action in actions:
             if isinstance(action, face.Send):
@@ -71,14 +71,14 @@
     def gather(self, now: float) -> list[Evidence]:
         """Return this proxy's own observations since the last call that are significant."""
         backends = self.transactions.balancer.backends
-        observed = first_hand(backends, self.outcomes, self.birth_times(), self.name, self.epoch)
-        updates = self.publisher.news(observed, now)
+        observed = first_hand_evidence(backends, self.outcomes, self.birth_times(), self.name, self.epoch)
+        updates = self.publisher.take_updates(observed, now)
         for e in updates:
             self.store.merge(e, now)
         if now >= self.next_cleanup_at:
             self.next_cleanup_at = now + CLEANUP_INTERVAL_MS
             self.store.prune(now)
-            self.publisher.keep(backends)
+            self.publisher.retain(backends)
             self.last_estimates = {
                 name: last for name, last in self.last_estimates.items() if name in backends
             }
@@ -104,24 +104,26 @@
         if now >= self.dump_encoded_at + GATHER_INTERVAL_MS:
             self.dump_encoded_at, self.encoded_dump = (
                 now,
-                [encode(e, now) for e in most_informative(self.store.all(), now)],
+                [encode(e, now) for e in most_informative(self.store.all_evidence(), now)],
             )
         return self.encoded_dump[:max_records]
 
     def advise(self, now: float) -> bool:
         """Pass changed estimates of one batch of backends to the policy; return whether more remain."""
-        changed, members = self.store.changed, self.pool.members
-        names = list(islice(changed, SOME))
+        changed, members = self.store.changed_backends, self.pool.members
+        names = list(islice(changed, BACKENDS_PER_PASS))
         for name in names:
             del changed[name]
         on_list = (members[name] for name in names if name in members)
         births = {m.name: m.born_ms for m in on_list if m.left_at is None}
-        estimates_by_backend = self.store.hearsay(now, births, (self.name, self.epoch))
+        estimates_by_backend = self.store.peer_estimates(now, births, (self.name, self.epoch))
         estimates = []
         for name, (slower, weight) in estimates_by_backend.items():
             started = self.pool.policy_time(births[name])
             estimated_start, when, before = self.last_estimates.get(name, (started, now, 0.0))
-            remaining = before * (1 - FADE) ** ((now - when) / 1000.0) if estimated_start == started else 0.0
+            remaining = (
+                before * (1 - DECAY_PER_S) ** ((now - when) / 1000.0) if estimated_start == started else 0.0
+            )
             log_cost = max(0.0, slower) * weight
             if abs(log_cost - remaining) > MIN_LOG_CHANGE:
                 estimates.append(face.Hearsay(name, started, slower, weight))
--- a/brackenusher/membership/peers.py
+++ b/brackenusher/membership/peers.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from barleybarrow.knowledge import OLDEST, SOME
+from barleybarrow.knowledge import BACKENDS_PER_PASS, MAX_EVIDENCE_AGE_MS
 from brackenusher.config.operators import PeersSettings, SnapshotSettings
 from brackenusher.core.transaction import Transactions
 from brackenusher.membership import snapshot
@@ -515,12 +515,12 @@
     def save_snapshot(self, repeat: bool = True) -> None:
         """Queue a snapshot for the writer thread; it is dropped if the queue is full."""
         exchange, now, saved = self.exchange, clock(), time.time() * 1000.0
-        evidence = [e for e in exchange.store.all() if now - e.at <= OLDEST]
+        evidence = [e for e in exchange.store.all_evidence() if now - e.at <= MAX_EVIDENCE_AGE_MS]
         records: list[bytes] = []
 
         def encode_batch() -> None:
             """Encode one batch, so that the event loop isn't blocked."""
-            batch = evidence[len(records) : len(records) + SOME] if repeat else evidence
+            batch = evidence[len(records) : len(records) + BACKENDS_PER_PASS] if repeat else evidence
             records.extend(encode(e, now) for e in batch)
             if len(records) < len(evidence):
                 self.schedule(BATCH_INTERVAL_MS, encode_batch)
@@ -560,6 +560,6 @@
         facts = {
             "pieces": book.size,
             "words": exchange.estimates_posted,
-            "absurd": book.absurd + exchange.invalid_records,
+            "absurd": book.invalid + exchange.invalid_records,
         }
         log_event(log, logging.INFO, "knowledge_end", text, **facts, dropped=book.dropped, unsaved=unsaved)
--- a/brackenusher/membership/show.py
+++ b/brackenusher/membership/show.py
@@ -105,7 +105,7 @@
 def format_row(e: Evidence, now: float) -> str:
     born = f"{e.born:.0f}" if e.born else "-"
     return (
-        f"{e.backend:<20} {born:>14} {e.origin:<12} {exp(e.slower):>6.2f} {e.worth(now):>6.2f} "
+        f"{e.backend:<20} {born:>14} {e.origin:<12} {exp(e.slower):>6.2f} {e.remaining_weight(now):>6.2f} "
         f"{e.failing:>5.2f} {e.limit:>6.2f} {e.warm:>5.2f} {format_seconds(now - e.at):>7} "
         f"{format_lag(e.answered, e, now):>9} {format_lag(e.failed, e, now):>9} "
         f"{format_lag(e.silent, e, now):>9}"
--- a/tests/fleet/test_final_records.py
+++ b/tests/fleet/test_final_records.py
@@ -11,7 +11,7 @@
 from brackenusher.storage.slot_store import SlotStore, StorageError
 from tests.fleet.emulated_disk import EmulatedDisk
 from tests.fleet.feed_world import FakeWriter
-from tests.fleet.virtual_time import play
+from tests.fleet.virtual_time import run_virtual
 
 
 class UnreadableStore(SlotStore):
@@ -58,7 +58,7 @@
 
 class FinalRecordsTest(unittest.TestCase):
     def scenario(self, scenario: Callable[[Disk], Awaitable[None]]) -> None:
-        play(scenario(Disk()))  # type: ignore[arg-type]
+        run_virtual(scenario(Disk()))  # type: ignore[arg-type]
 
     def test_writes_wait_until_stored_records_are_loaded(self) -> None:
         async def scenario(disk: Disk) -> None:
--- a/tests/fleet/test_http_server.py
+++ b/tests/fleet/test_http_server.py
@@ -15,7 +15,7 @@
     HttpResponse,
     HttpServer,
 )
-from tests.fleet.virtual_time import play
+from tests.fleet.virtual_time import run_virtual
 
 LIMITS = HttpBounds(connections=2, head_bytes=1000, body_bytes=100)
 GET = b"GET /a?b=c HTTP/1.1\r\nHost: h\r\n\r\n"
@@ -118,7 +118,7 @@
         async def scenario() -> bytes:
             return await Caller(self.server).run(data, eof)
 
-        return play(scenario())
+        return run_virtual(scenario())
 
 
 class RequestsTest(ServerTest):
@@ -146,7 +146,7 @@
             self.assertEqual(caller.statuses(), [b"200"])
             self.assertEqual(await caller.run(POST), bytes(caller.writer.data))
 
-        play(scenario())
+        run_virtual(scenario())
         self.assertEqual([r.body for r in self.echo.requests], [b"hello", b"hello"])
 
     def test_chunked_body(self) -> None:
@@ -167,7 +167,7 @@
             await caller.run(b"hello")
             self.assertEqual(caller.statuses(), [b"100", b"200"])
 
-        play(scenario())
+        run_virtual(scenario())
 
     def test_a_connection_is_closed_at_the_clients_request(self) -> None:
         for data in (GET.replace(b"Host: h", b"Host: h\r\nConnection: close"), b"GET /a HTTP/1.0\r\n\r\n"):
@@ -193,7 +193,7 @@
             answer = await Caller(self.server).run(data, eof=False)
             return asyncio.get_running_loop().time(), answer
 
-        return play(scenario())
+        return run_virtual(scenario())
 
     def test_idle_connections_are_closed(self) -> None:
         self.assertEqual(self.time_to_close(b""), (LIMITS.idle_timeout_s, b""))
@@ -214,7 +214,7 @@
                 await asyncio.sleep(1.0)
             return asyncio.get_running_loop().time()
 
-        self.assertLessEqual(play(scenario()), LIMITS.head_timeout_s + LIMITS.linger_s + 1.0)
+        self.assertLessEqual(run_virtual(scenario()), LIMITS.head_timeout_s + LIMITS.linger_s + 1.0)
 
     def test_truncated_bodies(self) -> None:
         ended, answer = self.time_to_close(POST[:-1])
@@ -265,7 +265,7 @@
             self.assertEqual(asyncio.get_running_loop().time(), LIMITS.write_timeout_s)
             self.assertEqual(caller.writer.ended, "aborted")
 
-        play(scenario())
+        run_virtual(scenario())
 
     def test_too_many_connections(self) -> None:
         async def scenario() -> None:
@@ -281,7 +281,7 @@
             await callers[0].settle()
             self.assertEqual([caller.statuses() for caller in callers], [[b"200"], [b"200"]])
 
-        play(scenario())
+        run_virtual(scenario())
 
     def test_a_new_connection_replaces_the_longest_idle_one(self) -> None:
         async def scenario() -> None:
@@ -294,7 +294,7 @@
             self.assertEqual([caller.task.done() for caller in callers], [False, True])
             self.assertEqual(self.server.rejected_connections, 0)
 
-        play(scenario())
+        run_virtual(scenario())
 
 
 class RandomBytesTest(ServerTest):
@@ -324,7 +324,7 @@
         self.addCleanup(logging.disable, logging.NOTSET)
         statuses: Counter[bytes] = Counter()
         for seed in range(500):
-            statuses.update(play(self.scenario(random.Random(seed), f"seed {seed}")))
+            statuses.update(run_virtual(self.scenario(random.Random(seed), f"seed {seed}")))
         self.assertLessEqual({b"200", b"400", b"408", b"413", b"431", b"500"}, set(statuses))
 
     async def scenario(self, rng: random.Random, seed: str) -> list[bytes]:
@@ -367,7 +367,7 @@
             await refused.task
             self.assertEqual(refused.writer.ended, "aborted")
 
-        play(scenario())
+        run_virtual(scenario())
 
     def test_truncated_requests_abort_the_connection(self) -> None:
         async def scenario() -> list[str]:
@@ -376,7 +376,7 @@
             await truncated.run(POST[:-1])
             return [complete.writer.ended, truncated.writer.ended]
 
-        self.assertEqual(play(scenario()), ["closed", "aborted"])
+        self.assertEqual(run_virtual(scenario()), ["closed", "aborted"])
 
     def test_stopping_during_a_slow_response(self) -> None:
         async def scenario() -> float:
@@ -391,10 +391,10 @@
             self.assertEqual(slow.statuses(), [b"200"])
             return asyncio.get_running_loop().time()
 
-        self.assertEqual(play(scenario()), 0.0)
+        self.assertEqual(run_virtual(scenario()), 0.0)
 
     def test_stopping_a_server_that_was_not_started(self) -> None:
-        play(self.server.stop())
+        run_virtual(self.server.stop())
 
     def test_stopping_waits_a_limited_time_for_a_handler(self) -> None:
         async def scenario() -> float:
@@ -407,7 +407,7 @@
             self.assertEqual(busy.writer.ended, "aborted")
             return asyncio.get_running_loop().time()
 
-        self.assertEqual(play(scenario()), LIMITS.drain_s)
+        self.assertEqual(run_virtual(scenario()), LIMITS.drain_s)
 
 
 class SocketsTest(unittest.TestCase):
--- a/tests/fleet/test_process_lives.py
+++ b/tests/fleet/test_process_lives.py
@@ -25,12 +25,12 @@
 from barleybarrow.replication.monitoring import PeerMonitor
 from barleybarrow.replication.records import InstanceState
 from brackenusher.cluster import messages
-from brackenusher.cluster.frames import FrameReader, encode_frame
+from brackenusher.cluster.frames import FrameDecoder, encode_frame
 from brackenusher.cluster.links import Links
-from brackenusher.cluster.lives import first_number
+from brackenusher.cluster.lives import first_request_number
 from tests.fleet.feed_world import FeedSimulation, Server
 from tests.fleet.test_links import free_address
-from tests.fleet.virtual_time import play
+from tests.fleet.virtual_time import run_virtual
 
 VOTERS = ["10.0.0.1:7680", "10.0.0.2:7680", "10.0.0.3:7680"]
 
@@ -70,7 +70,7 @@
 
     def test_incarnations_use_disjoint_request_numbers(self) -> None:
         rng = random.Random(1)
-        first_numbers = [first_number(hello(rng.getrandbits(53))) for _ in range(200)]
+        first_numbers = [first_request_number(hello(rng.getrandbits(53))) for _ in range(200)]
         first_numbers.sort()
         self.assertTrue(
             all(later - one > 1000 for one, later in zip(first_numbers, first_numbers[1:], strict=False))
@@ -97,7 +97,7 @@
             holders |= {v for v in simulation.voters if second.id in repr(simulation.stores[v].records)}
             self.assertTrue(not acknowledged or len(holders) >= 2, f"acknowledged, and held by {holders}")
 
-        play(scenario())
+        run_virtual(scenario())
 
     def test_a_read_response_for_an_earlier_incarnation_is_ignored(self) -> None:
         nodes = [make_voter(1, seed) for seed in (1, 2)]
@@ -110,7 +110,7 @@
         self.assertEqual(answered, [])
 
     def test_ping_and_report_numbers_differ_between_incarnations(self) -> None:
-        one, other = (PeerMonitor("me", first_number(hello(n))) for n in (5, 6))
+        one, other = (PeerMonitor("me", first_request_number(hello(n))) for n in (5, 6))
         for monitor in (one, other):
             monitor.set_members(["peer"])
         self.assertNotEqual(one.tick(0.0)[0].number, other.tick(0.0)[0].number)
@@ -172,7 +172,7 @@
             await wait_until(lambda: 2 in received_versions)
             self.assertEqual(received_versions, [2])
             links.send(peer, messages.ConfigFetch(have_version=9))
-            frames = FrameReader()
+            frames = FrameDecoder()
             received: list[object] = []
             while not any(isinstance(m, messages.ConfigFetch) for m in received):
                 received += frames.feed(await asyncio.wait_for(streams[1][0].read(4096), 5.0))
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -24,7 +24,7 @@
 from hypothesis import strategies as st
 
 from barleybarrow import warm_state
-from barleybarrow.descriptor_split import parts
+from barleybarrow.descriptor_split import split_descriptors
 from brackenusher.handover import messages
 from brackenusher.handover.old import socket_path
 
@@ -32,7 +32,7 @@
 @given(st.integers(2, 2000), st.integers(0, 2000), st.booleans())
 def test_two_processes_never_have_more_than_one(total, held, stopping):
     # guards against two processes that together hold more descriptors than the proxy may
-    old, new = parts(total, held, stopping)
+    old, new = split_descriptors(total, held, stopping)
     assert old + new == total and old >= min(held, total) and new >= 0
     assert stopping or old >= total // 2
 
@@ -71,8 +71,8 @@
     old, new = Proxy(kinds=["plain"]), Proxy(seed=2, kinds=["plain"])
     old.warm_up(60, {"a": 90.0, "c": 12.0})
     new.now = old.now
-    restored = warm_state.take(new.brain, warm_state.write(old.brain), new.now)
-    assert restored == len(warm_state.write(old.brain))
+    restored = warm_state.import_entries(new.brain, warm_state.export_entries(old.brain), new.now)
+    assert restored == len(warm_state.export_entries(old.brain))
     assert [b.name for _, _, b in new.brain.idle.orders[0]] == [
         b.name for _, _, b in old.brain.idle.orders[0]
     ]
@@ -84,14 +84,14 @@
     # guards against one bad entry that spoils the others or leaves the balancer partly updated
     old, new = Proxy(kinds=["plain"]), Proxy(backends=("a", "b"), kinds=["plain"])
     old.warm_up()
-    entries = warm_state.write(old.brain)
+    entries = warm_state.export_entries(old.brain)
     backend = next(e for e in entries if e["of"] == "backend" and e["backend"] == "a")
     bad = [{**backend, "mean": float("nan")}, {**backend, "lost": [0.5]}, {"of": "all"}, {}, {"of": "moon"}]
     before = new.brain.fleet.mean
-    assert warm_state.take(new.brain, bad, new.now) == 0
+    assert warm_state.import_entries(new.brain, bad, new.now) == 0
     assert new.brain.fleet.mean == before
     # one backend is unknown to the new process
-    assert warm_state.take(new.brain, entries, new.now) == len(entries) - 1
+    assert warm_state.import_entries(new.brain, entries, new.now) == len(entries) - 1
 
 
 def test_no_socket_path_without_a_usable_tmpdir():
