--- a/tests/fleet/test_key_leases.py
+++ b/tests/fleet/test_key_leases.py
@@ -210,7 +210,7 @@
             return wrapper
 
         with (
-            mock.patch.object(KeyLease, "peer_answered", noting_arrival(on_ping_ack)),
+            mock.patch.object(KeyLease, "on_ping_ack", noting_arrival(on_ping_ack)),
             mock.patch.object(KeyLease, "_handle_version_answer", noting_arrival(handle_answer)),
         ):
             self.assert_revealed(RevocationLease, "on_confirmation", on_confirmation)
@@ -237,7 +237,7 @@
             original_tick(self, sources)
 
         with mock.patch.object(KeyLease, "tick", tick):
-            self.assert_revealed(KeyLease, "holds", property(lambda self: last_result.get(id(self), False)))
+            self.assert_revealed(KeyLease, "is_valid", property(lambda self: last_result.get(id(self), False)))
 
     def test_peer_omits_the_age_of_a_confirmation(self) -> None:
         def fields(confirmation: Any, now: float) -> tuple[int, int]:
--- a/tests/fleet/test_process_lives.py
+++ b/tests/fleet/test_process_lives.py
@@ -219,7 +219,7 @@
 
     def test_request_numbers_that_restart_are_found(self) -> None:
         case = RequestNumbersTest("test_a_confirmation_for_an_earlier_incarnation_is_ignored")
-        with mock.patch("brackenusher.control_plane.registry_service.first_number", lambda own: 1):
+        with mock.patch("brackenusher.control_plane.registry_service.first_request_number", lambda own: 1):
             self.assertRaises(AssertionError, case.test_a_confirmation_for_an_earlier_incarnation_is_ignored)
 
 
