--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -62,8 +62,8 @@
 
 def test_a_mute_one_is_taken_out_and_links_show_which_way_works(five, tmp_path):
     five.links.cut([2], [0])
-    five.until(lambda: any(x.name == "n2" and x.way == "in" for x in five.ask(2).lines) is False, "itself")
-    five.until(lambda: {x.name: x.way for x in five.ask(2).lines}["n0"] == "in", "n0 is heard, and silent")
+    five.until(lambda: any(x.name == "n2" and x.link == "in" for x in five.ask(2).lines) is False, "itself")
+    five.until(lambda: {x.name: x.link for x in five.ask(2).lines}["n0"] == "in", "n0 is heard, and silent")
     assert all_hold(five, ALL, ALL)  # one link of four is nobody's death
     properties = tmp_path / "run" / "operator0.properties"
     shown = command("members", "show", five.address(2), "--properties", str(properties))
