--- a/brackenusher/fronts/rpc/calls.py
+++ b/brackenusher/fronts/rpc/calls.py
@@ -44,7 +44,7 @@
     def config(self) -> RpcConfig: ...
 
     @property
-    def target_state(self) -> TargetState: ...
+    def picture(self) -> TargetState: ...
 
     def open(self) -> None:
         """Acquire the target's state, if not done yet."""
@@ -63,7 +63,7 @@
         self, channel: ParentChannel, spec: CallSpec, deserializer: Callable[[bytes], Any] | None
     ) -> None:
         self.channel, self.spec, self.deserializer = channel, spec, deserializer
-        self.runner = channel.target_state.runner
+        self.runner = channel.picture.host
         self.answered: asyncio.Future[None] = self.runner.loop.create_future()
         self.library_call: Any = None  # the library's call, once there is an answer
         self.error: grpc.aio.AioRpcError | None = None
--- a/brackenusher/fronts/rpc/channel.py
+++ b/brackenusher/fronts/rpc/channel.py
@@ -74,7 +74,7 @@
     def create_connection(self, state: TargetState, member: Member) -> SubChannel:
         host, port = member.address
         address = f"[{host}]:{port}" if ":" in host and not host.startswith("[") else f"{host}:{port}"
-        return SubChannel(state.runner, self.dial(address))
+        return SubChannel(state.host, self.dial(address))
 
     def remove_call(self, call: Call) -> None:
         self.open_calls.pop(id(call), None)
@@ -97,7 +97,7 @@
             self.acquired.set_members(self.members)
 
     @property
-    def target_state(self) -> TargetState:
+    def picture(self) -> TargetState:
         """State of the servers, shared with the other channels of the target."""
         self.open()
         assert self.acquired is not None
@@ -111,7 +111,7 @@
         if self.acquired is None:
             self.members = members
         else:
-            self.target_state.set_members(members)
+            self.picture.set_members(members)
 
     def tenant_index(self, method: MethodRule, metadata: Sequence[tuple[str, Any]]) -> int:
         """Index of the tenant; -1 if it is not in the settings."""
@@ -151,19 +151,19 @@
             return grpc.ChannelConnectivity.SHUTDOWN
         if self.acquired is None and not try_to_connect:
             return grpc.ChannelConnectivity.IDLE
-        state = self.target_state
+        state = self.picture
         if state.live_count:
             return grpc.ChannelConnectivity.READY
-        has_list = state.runner.has_list
+        has_list = state.host.has_list
         return grpc.ChannelConnectivity.TRANSIENT_FAILURE if has_list else grpc.ChannelConnectivity.CONNECTING
 
     async def wait_for_state_change(self, last_observed_state: grpc.ChannelConnectivity) -> None:
         while self.get_state() is last_observed_state:
-            await self.target_state.list_changed.wait()
+            await self.picture.list_changed.wait()
 
     async def channel_ready(self) -> None:
         while self.get_state(try_to_connect=True) is not grpc.ChannelConnectivity.READY:
-            await self.target_state.list_changed.wait()
+            await self.picture.list_changed.wait()
 
     def unary_unary(
         self,
--- a/brackenusher/fronts/rpc/host.py
+++ b/brackenusher/fronts/rpc/host.py
@@ -50,7 +50,7 @@
         self.loop = loop
         self.timer: asyncio.Handle | None = None
         self.armed_for = inf  # when the timer fires; -inf during a sweep, when it must not be set
-        self.late_ms, self.iterations_left, self.block_count = 0.0, 0, 0
+        self.late_ms, self.iterations_left, self.blocks = 0.0, 0, 0
         self.closed = False
 
     def clock(self) -> float:
@@ -76,7 +76,7 @@
     def on_timer(self) -> None:
         late_ms, self.armed_for = self.clock() - self.armed_for, -inf
         if late_ms > BLOCK_THRESHOLD_MS:
-            self.block_count += 1
+            self.blocks += 1
             self.late_ms, self.iterations_left = late_ms, GRACE_ITERATIONS
             self.timer = self.loop.call_soon(self.on_iteration)
         else:
--- a/brackenusher/fronts/rpc/multi_callables.py
+++ b/brackenusher/fronts/rpc/multi_callables.py
@@ -37,7 +37,7 @@
         channel = self.channel
         channel.open()
         metadata_pairs = tuple(metadata or ())
-        deadline = None if timeout is None else channel.target_state.runner.clock() + timeout * 1000.0
+        deadline = None if timeout is None else channel.picture.host.clock() + timeout * 1000.0
         spec = CallSpec(
             b"POST",
             self.path.encode(),
--- a/brackenusher/fronts/rpc/picture.py
+++ b/brackenusher/fronts/rpc/picture.py
@@ -41,19 +41,17 @@
         settings = config.settings
         self.config, self.loop, self.pid, self.user_count = config, loop, os.getpid(), 0
         self.connection_manager = ConnectionManager(lambda member: dial(self, member), settings, loop)
-        self.runner = TransactionRunner(
+        self.host = TransactionRunner(
             settings, config.seed, loop, self.connection_manager, config.max_open_calls
         )
-        clock = self.runner.clock
+        clock = self.host.clock
         self.pool = Pool(settings, clock, time.time() * 1000.0 - clock())
-        self.connection_manager.runner, self.connection_manager.pool = self.runner, self.pool
+        self.connection_manager.runner, self.connection_manager.pool = self.host, self.pool
         self.list_changed = asyncio.Event()  # set and replaced with each list of servers
         self.seq = 0
         if metrics is not None:
-            self.runner.transactions.observers = transaction_observers(
-                metrics, config, self.runner.transactions
-            )
-            self.runner.on_attempt_ended = attempt_observer(metrics, config, clock)
+            self.host.transactions.observers = transaction_observers(metrics, config, self.host.transactions)
+            self.host.on_attempt_ended = attempt_observer(metrics, config, clock)
         self.watch: DiscoveryWatch | None = None
         if config.discovery is not None:
             rng = random.Random(config.seed)
@@ -62,7 +60,7 @@
 
     def start(self) -> None:
         """Start the policy and the source of the list of servers."""
-        self.runner.transactions.start()
+        self.host.transactions.start()
         if self.watch is not None:
             self.watch.start()
         if self.config.fixed:
@@ -89,14 +87,14 @@
         self.seq = listing.seq
         event = self.pool.apply(listing)
         self.connection_manager.close_outdated()
-        self.runner.update_list(event)
+        self.host.update_list(event)
         previous, self.list_changed = self.list_changed, asyncio.Event()
         previous.set()
 
     def on_discovery_lost(self) -> None:
         """The connection to discovery failed."""
         if self.config.settings.must_ask:
-            self.runner.update_list(face.ListChanged(face.ListScope.LOST, []))
+            self.host.update_list(face.ListChanged(face.ListScope.LOST, []))
 
     @property
     def live_count(self) -> int:
@@ -107,7 +105,7 @@
         if self.watch is not None:
             self.watch.close()
         self.connection_manager.closed = True
-        self.runner.close()
+        self.host.close()
         await self.connection_manager.close()
 
 
--- a/brackenusher/fronts/rpc/transport.py
+++ b/brackenusher/fronts/rpc/transport.py
@@ -219,7 +219,7 @@
         return httpx.AsyncHTTPTransport(**{"limits": limits, "trust_env": False, **self.options}, retries=0)
 
     def create_connection(self, state: TargetState, member: Member) -> ServerTransport:
-        return ServerTransport(state.runner, member, self.dial(member))
+        return ServerTransport(state.host, member, self.dial(member))
 
     def open(self) -> None:
         """Acquire the target's state on the running loop; again in a forked child."""
@@ -235,7 +235,7 @@
             self.acquired.set_members(self.members)
 
     @property
-    def target_state(self) -> TargetState:
+    def picture(self) -> TargetState:
         """State of the servers, shared with the other transports of the target."""
         self.open()
         assert self.acquired is not None
@@ -246,7 +246,7 @@
         if self.acquired is None:
             self.members = members
         else:
-            self.target_state.set_members(members)
+            self.picture.set_members(members)
 
     async def handle_async_request(self, request: httpx.Request) -> httpx.Response:
         return await self.handle(request, await request.aread())
@@ -258,7 +258,7 @@
         if isinstance(item, Rejection):
             return httpx.Response(item.status, headers=list(item.headers), content=item.text.encode() + b"\n")
         forwarded, classified = item
-        runner = self.target_state.runner
+        runner = self.picture.host
         answered: asyncio.Future[Answer] = runner.loop.create_future()
 
         def reply(answer: Answer) -> None:
@@ -370,7 +370,7 @@
         """Set the list of servers; see `BalancedChannel.set_members`."""
 
         async def set_on_loop() -> None:
-            async_transport.target_state.set_members(members)
+            async_transport.picture.set_members(members)
 
         thread, async_transport = self.open()
         self.options["members"] = members
--- a/tests/fleet/test_key_leases.py
+++ b/tests/fleet/test_key_leases.py
@@ -237,7 +237,9 @@
             original_tick(self, sources)
 
         with mock.patch.object(KeyLease, "tick", tick):
-            self.assert_revealed(KeyLease, "is_valid", property(lambda self: last_result.get(id(self), False)))
+            self.assert_revealed(
+                KeyLease, "is_valid", property(lambda self: last_result.get(id(self), False))
+            )
 
     def test_peer_omits_the_age_of_a_confirmation(self) -> None:
         def fields(confirmation: Any, now: float) -> tuple[int, int]:
--- a/tests/rpc_world.py
+++ b/tests/rpc_world.py
@@ -227,7 +227,7 @@
             "settings": settings_document,
         }
         async with BalancedChannel(document, members=list(models), dial=dial) as channel:
-            recorder.watch(channel.target_state.runner.transactions)
+            recorder.watch(channel.picture.host.transactions)
             read = channel.unary_unary("/examples.Turns/ReadBoard")
             submit = channel.unary_unary("/examples.Turns/SubmitTurn")
 
@@ -255,7 +255,7 @@
         document = {"target": "t", "seed": f"{seed:x}", "settings": settings_document}
         transport = AsyncBalancedTransport(document, members=list(models), dial=dial)
         transport.open()
-        recorder.watch(transport.target_state.runner.transactions)
+        recorder.watch(transport.picture.host.transactions)
         async with httpx.AsyncClient(transport=transport, base_url="http://turn-servers") as client:
 
             async def send_call(at, klass, timeout_ms):
--- a/tests/test_rpc.py
+++ b/tests/test_rpc.py
@@ -150,7 +150,7 @@
     channel = BalancedChannel(document, members=[server.address for server in servers])
     channel.open()
     if recorder is not None:
-        recorder.watch(channel.target_state.runner.transactions)
+        recorder.watch(channel.picture.host.transactions)
     return channel
 
 
@@ -259,9 +259,9 @@
                 error = await result_of(channel.unary_unary("/examples.Turns/Once")(b"m", timeout=0.15))
                 assert isinstance(error, CallRefused) and time.monotonic() - started_at < 5.0
                 assert set(attempt_outcomes(recorder)) == {"not_sent"}
-                assert channel.target_state.runner.transactions.balancer.live[0].busy_until == 0.0
+                assert channel.picture.host.transactions.balancer.live[0].busy_until == 0.0
                 # as if measured: longer than the deadline, so nothing is sent
-                channel.target_state.connection_manager.handshake_ms = 400.0
+                channel.picture.connection_manager.handshake_ms = 400.0
                 recorder.entries.clear()
                 call = channel.unary_unary("/examples.Turns/Once")(b"m", timeout=0.15)
                 assert isinstance(await result_of(call), CallRefused) and attempt_outcomes(recorder) == [
@@ -284,7 +284,7 @@
             channel.set_members([good.address])
             watch = stub.WatchBoard("m")
             assert await watch.read() == "move 0 of m"
-            assert len(channel.target_state.runner.transactions.open) == 1  # in flight until the stream ends
+            assert len(channel.picture.host.transactions.open) == 1  # in flight until the stream ends
             assert watch.cancel() and await watch.code() is Code.CANCELLED and watch.cancelled()
 
             async def moves():
@@ -337,9 +337,9 @@
                 before = len(one.seen)
                 for _ in range(10):
                     await stub.ReadBoard("m", timeout=1.4)
-                assert len(one.seen) == before and set(
-                    channel.target_state.connection_manager.connections
-                ) == {"s2"}
+                assert len(one.seen) == before and set(channel.picture.connection_manager.connections) == {
+                    "s2"
+                }
                 agent.watchers.pop().shutdown(socket.SHUT_RDWR)
                 await asyncio.to_thread(until, lambda: agent.watchers, "the next watch")
                 assert any("from=2" in call for call in agent.calls)
@@ -360,17 +360,15 @@
             await result_of(two.unary_unary("/examples.Turns/SubmitTurn")(b"m", metadata=KEY_METADATA))
             == b"board of m"
         )
-        assert (
-            one.target_state is two.target_state and len(one.target_state.connection_manager.connections) == 1
-        )
+        assert one.picture is two.picture and len(one.picture.connection_manager.connections) == 1
         with pytest.raises(ConfigError, match="turn-servers"):
             other.open()
-        target = one.target_state
+        target = one.picture
         await one.close()
-        assert not target.runner.closed and two.get_state() is grpc.ChannelConnectivity.READY
+        assert not target.host.closed and two.get_state() is grpc.ChannelConnectivity.READY
         pending = two.unary_unary("/examples.Turns/SubmitTurn")(b"m", metadata=KEY_METADATA)
         await two.close()
-        assert pending.cancelled() and target.runner.closed and not target.connection_manager.tasks
+        assert pending.cancelled() and target.host.closed and not target.connection_manager.tasks
         with pytest.raises(grpc.aio.UsageError):
             two.unary_unary("/examples.Turns/SubmitTurn")(b"m")
         await server.stop()
@@ -556,15 +554,15 @@
             # connects first
             assert await read(b"m") and (await client.get("/board-read?k=1")).status_code == 200
             for ask in (lambda: read(b"m", timeout=0.5), lambda: client.get("/board-read?k=1", timeout=0.5)):
-                target = channel.target_state if not hosts else transport.target_state
-                hosts.append(target.runner)
+                target = channel.picture if not hosts else transport.picture
+                hosts.append(target.host)
                 call = asyncio.ensure_future(until_answered(ask()))
-                while not target.runner.in_flight:
+                while not target.host.in_flight:
                     await asyncio.sleep(0.001)
                 await asyncio.sleep(0.02)
                 time.sleep(1.0)  # the caller blocks the loop: response and deadline are both pending
                 assert await call
-                assert target.runner.deadlines.block_count >= 1
+                assert target.host.deadlines.blocks >= 1
 
     async def until_answered(call):
         answer = await call
--- a/tests/test_rpc_cold.py
+++ b/tests/test_rpc_cold.py
@@ -138,7 +138,7 @@
             ]
         )
         for channel in channels:
-            born = cold.started_at + channel.target_state.pool.unix_offset
+            born = cold.started_at + channel.picture.pool.unix_offset
             hosts = [{"host": n, "dial": n, "health": "ready"} for n in warm]
             hosts.append(
                 {"host": "10.0.0.9:9000", "dial": "10.0.0.9:9000", "health": "ready", "born_ms": born}
--- a/tests/test_rpc_core.py
+++ b/tests/test_rpc_core.py
@@ -73,7 +73,7 @@
         )
         self.channel.open()
         self.recorder = EventRecorder()
-        self.recorder.watch(self.channel.target_state.runner.transactions)
+        self.recorder.watch(self.channel.picture.host.transactions)
         self.stub = self.channel.unary_unary("/examples.Turns/ReadBoard")
         self.submit = self.channel.unary_unary("/examples.Turns/SubmitTurn")
 
@@ -158,13 +158,13 @@
         key = (("idempotency-key", "k"),)
         waiter = asyncio.ensure_future(until_done(harness.submit(b"m", timeout=1.0, metadata=key)))
         await harness.advance(5.0)
-        balancer = harness.channel.target_state.runner.transactions.balancer
+        balancer = harness.channel.picture.host.transactions.balancer
         before = [(b.limit, b.busy_until, b.lost, b.seen) for b in balancer.live]
         waiter.cancel()
         await harness.advance(1000.0)
         assert harness.sent_count() == 1 and harness.outcomes() == ["cancelled"] and waiter.cancelled()
         assert [(b.limit, b.busy_until, b.lost, b.seen) for b in balancer.live] == before
-        runner = harness.channel.target_state.runner
+        runner = harness.channel.picture.host
         assert not runner.transactions.open and not runner.in_flight and not harness.channel.open_calls
 
     async def until_done(call):
@@ -185,7 +185,7 @@
         assert size < 30_000_000
         codes = await asyncio.gather(*[call.code() for call in calls])
         assert grpc.StatusCode.OK in codes and len(codes) == 10_000
-        runner = harness.channel.target_state.runner
+        runner = harness.channel.picture.host
         assert not runner.transactions.open and not runner.waiting_for_list and not harness.channel.open_calls
 
     run_in_virtual_time(main)
